--- a/benchmarks/instances.py
+++ b/benchmarks/instances.py
@@ -19,8 +19,14 @@
 from zinclever.standins.many import Instance, World
 
 CAPS = i.Shares(
-    subset=20, connections=400.0, handshakes_per_s=100.0, list_calls_per_s=400.0, busy=4, retry_ratio=0.2,
-    copy_ratio=0.2, floor_per_s=1.0,
+    subset=20,
+    connections=400.0,
+    handshakes_per_s=100.0,
+    list_calls_per_s=400.0,
+    busy=4,
+    retry_ratio=0.2,
+    copy_ratio=0.2,
+    floor_per_s=1.0,
 )
 SHARES = {
     "none": i.Shares(),
@@ -56,7 +62,12 @@
         if before is not None:
             before.stop()
         settings = i.Settings(
-            classes=(READ,), limits=LIMITS, rules=RULES, group_size=self.believed, me=me, discovery="on_request",
+            classes=(READ,),
+            limits=LIMITS,
+            rules=RULES,
+            group_size=self.believed,
+            me=me,
+            discovery="on_request",
             shares=self.shares,
         )
         version = before.version if before is not None else 0
@@ -96,8 +107,10 @@
     c = play.world.counts
     handshakes, connections, received = (c.busiest(x) for x in (c.handshakes, c.connections, c.received))
     print(f"{play.count} instances (told {play.believed}), {len(play.world.servers)} servers, {play.shares}")
-    print("phase      connections  handshakes/s  requests/s  |  all: requests  retries  copies  barred  lines/s "
-          " calls/s  served %")
+    print(
+        "phase      connections  handshakes/s  requests/s  |  all: requests  retries  copies  barred  lines/s "
+        " calls/s  served %"
+    )
     ends = [at for at, _ in PHASES[1:]] + [SPAN]
     for (first, name), end in zip(PHASES, ends, strict=True):
         span = range(first, end)
@@ -105,9 +118,11 @@
         retries, copies, barred = (sum(x[s] for s in span) for x in (c.retries, c.copies, c.barred))
         served = sum(c.answers[s, "served"] for s in span)
         answers = sum(count for (s, _), count in c.answers.items() if s in span)
-        print(f"{name:10} {part(connections, first, end):11} {part(handshakes, first, end):13} "
-              f"{part(received, first, end):11}  | {asked:14} {retries:8} {copies:7} {barred:7} "
-              f"{part(c.lines, first, end):8} {part(c.calls, first, end):8} {100.0 * served / max(1, answers):9.2f}")
+        print(
+            f"{name:10} {part(connections, first, end):11} {part(handshakes, first, end):13} "
+            f"{part(received, first, end):11}  | {asked:14} {retries:8} {copies:7} {barred:7} "
+            f"{part(c.lines, first, end):8} {part(c.calls, first, end):8} {100.0 * served / max(1, answers):9.2f}"
+        )
     heard = sum(x.version == play.world.discovery.version for x in play.instances.values())
     print(f"instances that have heard the last change: {heard}")
 
--- a/benchmarks/jsonrpc.py
+++ b/benchmarks/jsonrpc.py
@@ -165,10 +165,7 @@
     async def main() -> list[float]:
         loop, spans = asyncio.get_running_loop(), list[float]()
         over = time.perf_counter() + span
-        made = [
-            (await loop.create_connection(lambda: kind(over, spans), "127.0.0.1", port))[1]
-            for _ in range(clients)
-        ]
+        made = [(await loop.create_connection(lambda: kind(over, spans), "127.0.0.1", port))[1] for _ in range(clients)]
         await asyncio.gather(*(m.done.wait() for m in made))
         return spans
 
@@ -205,24 +202,50 @@
         classes = [{"name": "read", "aim": 1000.0, "deadline": 5000.0, "repeat": "idempotent"}]
         limits = {"attempts-cap": 3, "cancel": True, "second-copies": True, "dial-timeout": 250.0}
         hosts = [
-            {"host": f"e{p}", "dial": f"127.0.0.1:{p}", "site": "a", "block": 0, "health": "in_service",
-             "share": 1.0, "born_ms": 0}
+            {
+                "host": f"e{p}",
+                "dial": f"127.0.0.1:{p}",
+                "site": "a",
+                "block": 0,
+                "health": "in_service",
+                "share": 1.0,
+                "born_ms": 0,
+            }
             for p in http
         ]
         config = Path(folder) / "config.json"
-        config.write_text(json.dumps({
-            "listen": f"127.0.0.1:{http_port}", "discovery": "127.0.0.1:9", "seed": "1",
-            "limits": {"sockets": 4096}, "known": {"seq": 1, "whole": True, "hosts": hosts},
-            "settings": {"classes": classes, "limits": limits, "registry-mode": "on_request", "zones": ["a"]},
-        }))
+        config.write_text(
+            json.dumps(
+                {
+                    "listen": f"127.0.0.1:{http_port}",
+                    "discovery": "127.0.0.1:9",
+                    "seed": "1",
+                    "limits": {"sockets": 4096},
+                    "known": {"seq": 1, "whole": True, "hosts": hosts},
+                    "settings": {"classes": classes, "limits": limits, "registry-mode": "on_request", "zones": ["a"]},
+                }
+            )
+        )
         operator = Path(folder) / "operator.toml"
         operator.write_text(operator_text(rpc_port, rpc))
         env = os.environ | {"LB_CONFIG": str(config)}
         if rpc:
             env["ZINCLEVER_OPERATOR"] = str(operator)
-        pid = os.posix_spawn("/usr/bin/env", [
-            "env", "-C", str(tree), "taskset", "-c", str(cpu), sys.executable, "-m", "zinclever",
-        ], env)
+        pid = os.posix_spawn(
+            "/usr/bin/env",
+            [
+                "env",
+                "-C",
+                str(tree),
+                "taskset",
+                "-c",
+                str(cpu),
+                sys.executable,
+                "-m",
+                "zinclever",
+            ],
+            env,
+        )
         try:
             wait_for(http_port)
             yield pid, rpc_port, http_port
@@ -285,17 +308,24 @@
 def words(told: list[float], cpu: float) -> str:
     spans = [s for s in told if s >= 0.0]
     p50, p99 = (1e3 * spans[int(len(spans) * q)] for q in (0.5, 0.99))
-    return (f"{len(spans) / RUN_FOR:8.0f} calls/s   CPU {1e6 * cpu / len(spans):5.0f} us a call   "
-            f"p50 {p50:6.2f} ms   p99 {p99:6.2f} ms   refused {len(told) - len(spans)}")
+    return (
+        f"{len(spans) / RUN_FOR:8.0f} calls/s   CPU {1e6 * cpu / len(spans):5.0f} us a call   "
+        f"p50 {p50:6.2f} ms   p99 {p99:6.2f} ms   refused {len(told) - len(spans)}"
+    )
 
 
 def rates() -> None:
     """Every way in turn, so that a slow moment of the machine falls on all."""
-    with endpoints(RpcEcho, 6) as rpc, endpoints(HttpEcho, 6) as http, \
-            sidecar(ROOT, rpc, http, 4) as (pid, rpc_port, http_port):
+    with (
+        endpoints(RpcEcho, 6) as rpc,
+        endpoints(HttpEcho, 6) as http,
+        sidecar(ROOT, rpc, http, 4) as (pid, rpc_port, http_port),
+    ):
         ways: dict[str, tuple[type[RpcCaller], int]] = {
-            "JSON-RPC, direct": (RpcCaller, rpc[0]), "JSON-RPC, sidecar": (RpcCaller, rpc_port),
-            "HTTP, direct": (HttpCaller, http[0]), "HTTP, sidecar": (HttpCaller, http_port),
+            "JSON-RPC, direct": (RpcCaller, rpc[0]),
+            "JSON-RPC, sidecar": (RpcCaller, rpc_port),
+            "HTTP, direct": (HttpCaller, http[0]),
+            "HTTP, sidecar": (HttpCaller, http_port),
         }
         for clients in (1, 32, 256):
             print(f"{clients} clients")
@@ -325,8 +355,10 @@
                 used[name].append(1e6 * (cpu_of(pid) - before) / len(spans))
     for name in names:
         rate, cpu = (statistics.median(x[name]) / statistics.median(x["other"]) for x in (rates, used))
-        print(f"{name:12} {statistics.median(rates[name]):.0f} requests/s ({rate:.3f} of other), "
-              f"CPU {statistics.median(used[name]):.1f} us a request ({cpu:.3f})")
+        print(
+            f"{name:12} {statistics.median(rates[name]):.0f} requests/s ({rate:.3f} of other), "
+            f"CPU {statistics.median(used[name]):.1f} us a request ({cpu:.3f})"
+        )
 
 
 class SendAll(Balancer):
@@ -345,7 +377,7 @@
     os.sched_setaffinity(0, {cpu})
 
     async def main() -> None:
-        told, = build(check_operator(operator_text(port, ports).encode()).clean).services.values()
+        (told,) = build(check_operator(operator_text(port, ports).encode()).clean).services.values()
         made = JsonRpc(told, 1, Descriptors(4096), System())
         made.ledger.balancer = SendAll(told.settings, 1)
         await made.service.listen()
@@ -389,8 +421,7 @@
 
 def growth() -> None:
     """A million calls: memory at each tenth."""
-    with endpoints(RpcEcho, 6) as rpc, endpoints(HttpEcho, 6) as http, \
-            sidecar(ROOT, rpc, http, 4) as (pid, port, _):
+    with endpoints(RpcEcho, 6) as rpc, endpoints(HttpEcho, 6) as http, sidecar(ROOT, rpc, http, 4) as (pid, port, _):
         calls = 0
         while calls < 1_000_000:
             calls += len(measure(RpcCaller, port, 64, 5))
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -1,6 +1,6 @@
 """The decision module alone: µs of CPU a request by the size of the fleet, beside another checkout's.
 
-    python -m benchmarks.module [DIR]
+python -m benchmarks.module [DIR]
 """
 
 from __future__ import annotations
@@ -42,8 +42,9 @@
 def cost(tree: Path, size: int, inflight: int) -> float:
     """µs a request: the least of some runs, as other work on the machine only adds."""
     runs = [
-        subprocess.run([sys.executable, "-c", PLAY, str(size), str(inflight)], cwd=tree, capture_output=True,
-                       text=True, check=True).stdout
+        subprocess.run(
+            [sys.executable, "-c", PLAY, str(size), str(inflight)], cwd=tree, capture_output=True, text=True, check=True
+        ).stdout
         for _ in range(ROUNDS)
     ]
     return min(map(float, runs))
--- a/benchmarks/request.py
+++ b/benchmarks/request.py
@@ -157,8 +157,11 @@
             for name in names:
                 cpu, per_s, p99 = (statistics.median(x[name]) for x in (used, rate, slow))
                 times = cpu / statistics.median(used["relay"])
-                print(f"{clients:3} clients  {name:12} CPU {cpu:6.1f} us a request ({times:.2f} of the relay)  "
-                      f"{per_s:6.0f}/s  p99 {p99:.2f} ms", flush=True)
+                print(
+                    f"{clients:3} clients  {name:12} CPU {cpu:6.1f} us a request ({times:.2f} of the relay)  "
+                    f"{per_s:6.0f}/s  p99 {p99:.2f} ms",
+                    flush=True,
+                )
 
 
 def profile_on(port: int, ports: list[int], cpu: int, out: Any) -> None:
@@ -169,8 +172,9 @@
     async def main() -> None:
         descriptors = Descriptors(4096)
         listed = [(i.Listed(f"e{p}"), ("127.0.0.1", p)) for p in ports]
-        ledger = Ledger(Balancer(told, 1), HttpWire(descriptors, System()), lambda on: Fixed(listed, on),
-                        descriptors, System())
+        ledger = Ledger(
+            Balancer(told, 1), HttpWire(descriptors, System()), lambda on: Fixed(listed, on), descriptors, System()
+        )
         front = Front(ledger)
         await asyncio.get_running_loop().create_server(front.connection, "127.0.0.1", port)
         ledger.start()
--- a/benchmarks/simulated.py
+++ b/benchmarks/simulated.py
@@ -1,9 +1,9 @@
 """What simulated time costs, and what a callback of the real program costs (for ``[sidecar] callback_us`` of a day).
 
-    python -m benchmarks.simulated             # requests a second of one core, by size of the world
-    python -m benchmarks.simulated profile     # whose CPU it is: the program's or the world's
-    python -m benchmarks.simulated callback    # CPU of a real sidecar for each callback that the same load makes here
-    python -m benchmarks.simulated soak        # an hour: what 4 sidecars hold, and their descriptors, every 10 minutes
+python -m benchmarks.simulated             # requests a second of one core, by size of the world
+python -m benchmarks.simulated profile     # whose CPU it is: the program's or the world's
+python -m benchmarks.simulated callback    # CPU of a real sidecar for each callback that the same load makes here
+python -m benchmarks.simulated soak        # an hour: what 4 sidecars hold, and their descriptors, every 10 minutes
 """
 
 from __future__ import annotations
@@ -41,9 +41,11 @@
         found = world.play()
         spent = time.process_time() - began
         requests = found["requests"]
-        print(f"{sidecars:4} sidecars {servers:3} endpoints: {requests / spent:6.0f} requests a second of a core, "
-              f"{found['attempts'] / requests:.2f} attempts and {world.scheduler.ran / requests:.0f} events a request",
-              flush=True)
+        print(
+            f"{sidecars:4} sidecars {servers:3} endpoints: {requests / spent:6.0f} requests a second of a core, "
+            f"{found['attempts'] / requests:.2f} attempts and {world.scheduler.ran / requests:.0f} events a request",
+            flush=True,
+        )
 
 
 def owner(file: str, name: str) -> str:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -17,8 +17,13 @@
 KEYED = replace(SAFE, repeat="deduplicated", window=1000.0)
 LIMITS = i.Limits(max_attempts=4, cancel=True, second_copies=True, connect_timeout=100.0)
 RULES = i.Rules(
-    answer_slack=20.0, ask_within=10000.0, drain_grace=500.0, cold_share=0.2, cold_for=10000.0,
-    overload_factor=3.0, overload_for=2000.0,
+    answer_slack=20.0,
+    ask_within=10000.0,
+    drain_grace=500.0,
+    cold_share=0.2,
+    cold_for=10000.0,
+    overload_factor=3.0,
+    overload_for=2000.0,
 )
 
 
@@ -71,8 +76,14 @@
     def of(self, kind: type[A]) -> list[A]:
         return [a for _, a in self.all if isinstance(a, kind)]
 
-    def end(self, request: str, attempt: int = 0, outcome: i.Outcome = "served", complete: bool | None = None,
-            elapsed: float | None = None) -> list[i.Action]:
+    def end(
+        self,
+        request: str,
+        attempt: int = 0,
+        outcome: i.Outcome = "served",
+        complete: bool | None = None,
+        elapsed: float | None = None,
+    ) -> list[i.Action]:
         where = self.sends(request)[attempt].endpoint
         if complete is None:
             complete = outcome == "served"
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -208,8 +208,7 @@
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
-    def send(self, target: str = "/read/x?y=1", method: str = "GET", body: bytes = b"",
-             **headers: str) -> None:
+    def send(self, target: str = "/read/x?y=1", method: str = "GET", body: bytes = b"", **headers: str) -> None:
         named = {"Req_Id": "r1", "Req_Deadline": "9.0"} | headers
         lines = "".join(f"{k.replace('_', '-')}: {v}\r\n" for k, v in named.items() if v)
         length = f"Content-Length: {len(body)}\r\n" if body or method == "POST" else ""
@@ -242,18 +241,25 @@
 
 
 @contextlib.asynccontextmanager
-async def sidecar(react: Reaction, hosts: dict[str, Any] | None = None, discovery: str = "",
-                  sockets: int = 1024, discovery_mode: str = "on_request",
-                  **more: Any) -> AsyncIterator[Setup]:
+async def sidecar(
+    react: Reaction,
+    hosts: dict[str, Any] | None = None,
+    discovery: str = "",
+    sockets: int = 1024,
+    discovery_mode: str = "on_request",
+    **more: Any,
+) -> AsyncIterator[Setup]:
     given: dict[str, Any] = {"classes": CLASSES, "limits": LIMITS, "rules": RULES}
     given["discovery"] = discovery_mode
     balancer = Scripted(Settings(**(given | more)), react)
     where, _, port = (discovery or closed_port()).partition(":")
     descriptors, here = Descriptors(sockets), host_here()
     made = Ledger(
-        balancer, HttpWire(descriptors, here),
+        balancer,
+        HttpWire(descriptors, here),
         lambda on_list: Discovery((where, int(port)), balancer.settings, ["a", "b"], hosts or {}, on_list, here),
-        descriptors, here,
+        descriptors,
+        here,
     )
     front = Front(made)
     loop = asyncio.get_running_loop()
--- a/tests/rpc.py
+++ b/tests/rpc.py
@@ -24,8 +24,15 @@
 UNLOCK = Klass("unlock", "unlock.buy", "deduplicated", 6000.0, window=12000.0)
 
 
-def operator(endpoints: str, framing: str = "lines", listen: str = "127.0.0.1:7001", more: str = "",
-             deadline: float = 6000.0, aim: float = 2000.0, group: str = "all") -> str:
+def operator(
+    endpoints: str,
+    framing: str = "lines",
+    listen: str = "127.0.0.1:7001",
+    more: str = "",
+    deadline: float = 6000.0,
+    aim: float = 2000.0,
+    group: str = "all",
+) -> str:
     """An operator file with one service; ``endpoints``: the line that names them."""
     times = f"aim_ms = {aim}\ndeadline_ms = {deadline}\n"
     return f"""
@@ -84,9 +91,17 @@
 
 
 @contextlib.asynccontextmanager
-async def service(*plans: Plan, react: Reaction | None = None, framing: str = "lines",
-                  text: str | None = None, deadline: float = 6000.0, aim: float = 2000.0,
-                  sockets: int = 1024, more: str = "", by_hand: bool = False) -> AsyncIterator[Setup]:
+async def service(
+    *plans: Plan,
+    react: Reaction | None = None,
+    framing: str = "lines",
+    text: str | None = None,
+    deadline: float = 6000.0,
+    aim: float = 2000.0,
+    sockets: int = 1024,
+    more: str = "",
+    by_hand: bool = False,
+) -> AsyncIterator[Setup]:
     """One endpoint a plan behind one service, and with ``by_hand`` one that a test writes by hand.
 
     ``react``: what a scripted balancer does; else the real one decides.
@@ -100,7 +115,7 @@
         told = text or operator(f"endpoints = [{names}]", framing, deadline=deadline, aim=aim, more=more)
         report = check_operator(told.encode())
         assert not report.errors, report.errors
-        spec, = build(report.clean).services.values()
+        (spec,) = build(report.clean).services.values()
         made = JsonRpc(spec, 1, Descriptors(sockets), System())
         if react is not None:
             made.ledger.balancer = Scripted(spec.settings, react)
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -84,15 +84,18 @@
     run_real(test)
 
 
-@pytest.mark.parametrize(("data", "status"), [
-    (b"GET /status HTTP/1.1\r\nHost: x\r\n\r\n", 200),
-    (b"GET /status?x=1 HTTP/1.1\r\nHost: x\r\n\r\n", 200),
-    (b"GET /status/metrics HTTP/1.1\r\nHost: x\r\n\r\nand more that nobody asked for", 200),
-    (b"GET /elsewhere HTTP/1.1\r\nHost: x\r\n\r\n", 404),
-    (b"POST /status HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 405),
-    (b"what is this\r\n\r\n", 400),
-    (b"GET /status HTTP/1.1\r\nX: " + b"x" * 9000, 431),
-])
+@pytest.mark.parametrize(
+    ("data", "status"),
+    [
+        (b"GET /status HTTP/1.1\r\nHost: x\r\n\r\n", 200),
+        (b"GET /status?x=1 HTTP/1.1\r\nHost: x\r\n\r\n", 200),
+        (b"GET /status/metrics HTTP/1.1\r\nHost: x\r\n\r\nand more that nobody asked for", 200),
+        (b"GET /elsewhere HTTP/1.1\r\nHost: x\r\n\r\n", 404),
+        (b"POST /status HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 405),
+        (b"what is this\r\n\r\n", 400),
+        (b"GET /status HTTP/1.1\r\nX: " + b"x" * 9000, 431),
+    ],
+)
 def test_one_call_one_answer_one_end(data: bytes, status: int) -> None:
     async def test() -> None:
         made, address = await admin()
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -29,9 +29,9 @@
 def again(log: Log, request: str, after: float, zone: str = "a", ran: bool = True) -> None:
     """The same request at another endpoint, so long after the first."""
     first = next(r for r in log.received if r.request == request)
-    log.received.append(Received(
-        first.first + after, first.at + after, request, "f", zone, ran, False, f"{request}+{after}"
-    ))
+    log.received.append(
+        Received(first.first + after, first.at + after, request, "f", zone, ran, False, f"{request}+{after}")
+    )
 
 
 def test_a_good_log_has_no_breach() -> None:
@@ -129,10 +129,27 @@
 
 
 BREAKS = {
-    1: [unanswered, answered_twice, late, made_by_nobody, never_asked, sent_unasked, sent_after_the_answer,
-        sent_after_its_client_left, notification_answered],
-    2: [unsafe_ran_twice, unsafe_sent_again, unsafe_sent_again_after_silence, unsafe_refused,
-        keyed_in_another_zone, keyed_sent_to_another_zone, keyed_after_its_window, keyed_refused],
+    1: [
+        unanswered,
+        answered_twice,
+        late,
+        made_by_nobody,
+        never_asked,
+        sent_unasked,
+        sent_after_the_answer,
+        sent_after_its_client_left,
+        notification_answered,
+    ],
+    2: [
+        unsafe_ran_twice,
+        unsafe_sent_again,
+        unsafe_sent_again_after_silence,
+        unsafe_refused,
+        keyed_in_another_zone,
+        keyed_sent_to_another_zone,
+        keyed_after_its_window,
+        keyed_refused,
+    ],
     3: [drained, gone, gone_after_a_drain],
     4: [cold],
 }
@@ -183,10 +200,19 @@
     log.started.append(Started(-1.0, "e", 100.0))
 
 
-@pytest.mark.parametrize("does", [
-    refused_unsent, unsafe_sent_again_after_proof, keyed_sent_again, read_sent_again, left, drained_just_now,
-    ready_again, cold_but_large,
-])
+@pytest.mark.parametrize(
+    "does",
+    [
+        refused_unsent,
+        unsafe_sent_again_after_proof,
+        keyed_sent_again,
+        read_sent_again,
+        left,
+        drained_just_now,
+        ready_again,
+        cold_but_large,
+    ],
+)
 def test_what_the_rules_allow_is_no_breach(does: object) -> None:
     log = good()
     assert callable(does)
--- a/tests/test_collapse.py
+++ b/tests/test_collapse.py
@@ -40,16 +40,19 @@
     return replace(day, troubles=(Trouble("partition", 6.0, 5.0), Trouble("zone_lost", 6.0, 5.0, zone="rvk")))
 
 
-@pytest.mark.parametrize(("kind", "change", "least"), [
-    ("herd", group_told(0.1), 0.4),
-    ("herd", group_told(10.0), 0.4),
-    ("datacentre", group_told(0.1), 0.5),
-    ("collapse", tips_only, 0.3),
-    ("collapse", again_at_once, 0.4),
-    ("calm", silent_and_late, 0.7),
-    ("calm", alone, 0.4),
-    ("killed", again_at_once, 0.6),
-])
+@pytest.mark.parametrize(
+    ("kind", "change", "least"),
+    [
+        ("herd", group_told(0.1), 0.4),
+        ("herd", group_told(10.0), 0.4),
+        ("datacentre", group_told(0.1), 0.5),
+        ("collapse", tips_only, 0.3),
+        ("collapse", again_at_once, 0.4),
+        ("calm", silent_and_late, 0.7),
+        ("calm", alone, 0.4),
+        ("killed", again_at_once, 0.6),
+    ],
+)
 def test_collapse_and_return(kind: str, change: Change, least: float) -> None:
     """``least``: of what any balancer could have had answered in time, by worth."""
     found = World(change(draw(kind, 2, **SIZE))).play()
--- a/tests/test_configtool.py
+++ b/tests/test_configtool.py
@@ -30,8 +30,20 @@
 
 PLAIN = (CORPUS / "good" / "plain.toml").read_text()
 FLAGS = [
-    "--endpoint", "127.0.0.1:9001@rvk", "--endpoint", "127.0.0.1:9002@kef", "--read", "page.get",
-    "--unlock", "unlock.buy=/key", "--tip", "tip.send", "--rate", "20", "--memory-mb", "48",
+    "--endpoint",
+    "127.0.0.1:9001@rvk",
+    "--endpoint",
+    "127.0.0.1:9002@kef",
+    "--read",
+    "page.get",
+    "--unlock",
+    "unlock.buy=/key",
+    "--tip",
+    "tip.send",
+    "--rate",
+    "20",
+    "--memory-mb",
+    "48",
 ]
 
 
@@ -67,10 +79,14 @@
 
 def test_write_refuses_what_cannot_work() -> None:
     for args, said in (
-        ([], "no endpoint"), (["--endpoint", "127.0.0.1:1"], "no method"),
-        ([*FLAGS, "--memory-mb", "30"], "leave room for 0 clients"), ([*FLAGS, "--sockets", "50"], "room for 2"),
-        ([*FLAGS, "--window-ms", "4000"], "ZC204"), ([*FLAGS, "--aim-ms", "9000"], "ZC201"),
-        ([*FLAGS, "--endpoint", "127.0.0.1:7001"], "ZC226"), ([*FLAGS, "--unlock", "a"], "METHOD=POINTER"),
+        ([], "no endpoint"),
+        (["--endpoint", "127.0.0.1:1"], "no method"),
+        ([*FLAGS, "--memory-mb", "30"], "leave room for 0 clients"),
+        ([*FLAGS, "--sockets", "50"], "room for 2"),
+        ([*FLAGS, "--window-ms", "4000"], "ZC204"),
+        ([*FLAGS, "--aim-ms", "9000"], "ZC201"),
+        ([*FLAGS, "--endpoint", "127.0.0.1:7001"], "ZC226"),
+        ([*FLAGS, "--unlock", "a"], "METHOD=POINTER"),
     ):
         told = tool("write", "app", *args)
         assert told.exit_code == 1 and said in told.output, told.output
@@ -87,14 +103,25 @@
 
 NAMES = st.text(min_size=1, max_size=12).filter(lambda t: t.strip() and t.isprintable())
 APPS = st.builds(
-    App, name=NAMES,
-    endpoints=st.lists(st.builds(Endpoint, st.integers(9000, 9099).map(lambda p: f"127.0.0.1:{p}"),
-                                 st.sampled_from(["", "rvk", "kef"])), min_size=1, max_size=6).map(tuple),
+    App,
+    name=NAMES,
+    endpoints=st.lists(
+        st.builds(
+            Endpoint, st.integers(9000, 9099).map(lambda p: f"127.0.0.1:{p}"), st.sampled_from(["", "rvk", "kef"])
+        ),
+        min_size=1,
+        max_size=6,
+    ).map(tuple),
     reads=st.lists(NAMES, max_size=3).map(tuple),
     unlocks=st.lists(st.tuples(NAMES, st.sampled_from(["/key", "/0", "/a~1b"])), max_size=2).map(tuple),
-    tips=st.lists(NAMES, max_size=3).map(tuple), aim_ms=st.floats(1, 5000), deadline_ms=st.floats(1, 9000),
-    window_ms=st.floats(1, 20000), rate=st.floats(0.1, 1000), memory_mb=st.integers(24, 256),
-    sockets=st.integers(64, 4096), instances=st.integers(1, 1000),
+    tips=st.lists(NAMES, max_size=3).map(tuple),
+    aim_ms=st.floats(1, 5000),
+    deadline_ms=st.floats(1, 9000),
+    window_ms=st.floats(1, 20000),
+    rate=st.floats(0.1, 1000),
+    memory_mb=st.integers(24, 256),
+    sockets=st.integers(64, 4096),
+    instances=st.integers(1, 1000),
 )
 
 
@@ -118,8 +145,11 @@
 
 MUTATIONS: dict[str, list[str]] = {
     "aim_ms": ["0", "-1", "nan", "true", '"x"', "1e400", "9e9", "[]", "2026-01-01"],
-    "deadline_ms": ["0", "inf", "false", "9e9"], "window_ms": ["0", "-0.0", "9e9", '"1"'],
-    "repeat": ['"idempotant"', "1", "true"], "group": ['"rack"', "0"], "listen": ['"x"', "7001", '"a:0"'],
+    "deadline_ms": ["0", "inf", "false", "9e9"],
+    "window_ms": ["0", "-0.0", "9e9", '"1"'],
+    "repeat": ['"idempotant"', "1", "true"],
+    "group": ['"rack"', "0"],
+    "listen": ['"x"', "7001", '"a:0"'],
     "protocol": ['"http"', "[]"],
 }
 
@@ -141,12 +171,12 @@
     text = tool("check", broken)
     assert text.exit_code == 1 and "repaet.toml:9:1: error ZC110" in text.output
     assert "did you mean repeat?" in text.output
-    one, = json.loads(tool("check", broken, "--format", "json").output)
+    (one,) = json.loads(tool("check", broken, "--format", "json").output)
     assert (one["code"], one["line"], one["column"]) == ("ZC110", 9, 1)
     github = tool("check", broken, "--format", "github").output
     assert github.startswith("::error file=") and ",line=9,col=1,title=ZC110::" in github
     sarif = json.loads(tool("check", broken, "--format", "sarif").output)
-    result, = sarif["runs"][0]["results"]
+    (result,) = sarif["runs"][0]["results"]
     assert sarif["version"] == "2.1.0" and result["ruleId"] == "ZC110"
     assert result["locations"][0]["physicalLocation"]["region"]["startLine"] == 9
     warned = CORPUS / "broken" / "one-attempt.toml"
@@ -158,8 +188,13 @@
     os.mkfifo(tmp_path / "pipe")
     (tmp_path / "loop").symlink_to(tmp_path / "loop")
     (tmp_path / "big").write_bytes(b"#" * (10 << 20))
-    for name, said in ((".", "folder"), ("pipe", "no ordinary file"), ("loop", "symbolic links"),
-                       ("big", "bytes"), ("none", "No such file")):
+    for name, said in (
+        (".", "folder"),
+        ("pipe", "no ordinary file"),
+        ("loop", "symbolic links"),
+        ("big", "bytes"),
+        ("none", "No such file"),
+    ):
         told = tool("check", tmp_path / name)
         assert told.exit_code == 2 and said in told.output.replace("Is a directory", "folder"), (name, told.output)
         with pytest.raises(load.ConfigError):
@@ -264,20 +299,23 @@
 # --- diff ---
 
 
-@pytest.mark.parametrize(("old", "new", "key", "risk"), [
-    ('repeat = "at_most_once"', 'repeat = "idempotent"', "classes.tip.repeat", True),
-    ('"tip.send" = { class = "tip" }', '"tip.send" = { class = "read" }', 'methods."tip.send"', True),
-    ('"page.get" = { class = "read" }', '"page.get" = { class = "tip" }', 'methods."page.get"', False),
-    ('"tip.send" = { class = "tip" }', '"tip.send" = { class = "tip", aliases = ["give"] }', "methods.give", False),
-    ('"page.get" = { class = "read" }', '"page.get" = { class = "read", aliases = ["p"] }', "methods.p", True),
-    ("window_ms = 12000", "window_ms = 15000", "window_ms", True),
-    ("window_ms = 12000", "window_ms = 9000", "window_ms", False),
-    ("deadline_ms = 2500", "deadline_ms = 2000", "deadline_ms", False),
-    ('listen = "127.0.0.1:7001"', 'listen = "127.0.0.1:7001"\nnever_ran_errors = [-1]', "never_ran_errors", True),
-    ('listen = "127.0.0.1:7001"', 'listen = "0.0.0.0:7001"\nexpose = true', "expose", True),
-    ('"tip.send" = { class = "tip" }', "", 'methods."tip.send"', False),
-    ('"127.0.0.1:9002"', '"127.0.0.1:9003"', "endpoints", False),
-])
+@pytest.mark.parametrize(
+    ("old", "new", "key", "risk"),
+    [
+        ('repeat = "at_most_once"', 'repeat = "idempotent"', "classes.tip.repeat", True),
+        ('"tip.send" = { class = "tip" }', '"tip.send" = { class = "read" }', 'methods."tip.send"', True),
+        ('"page.get" = { class = "read" }', '"page.get" = { class = "tip" }', 'methods."page.get"', False),
+        ('"tip.send" = { class = "tip" }', '"tip.send" = { class = "tip", aliases = ["give"] }', "methods.give", False),
+        ('"page.get" = { class = "read" }', '"page.get" = { class = "read", aliases = ["p"] }', "methods.p", True),
+        ("window_ms = 12000", "window_ms = 15000", "window_ms", True),
+        ("window_ms = 12000", "window_ms = 9000", "window_ms", False),
+        ("deadline_ms = 2500", "deadline_ms = 2000", "deadline_ms", False),
+        ('listen = "127.0.0.1:7001"', 'listen = "127.0.0.1:7001"\nnever_ran_errors = [-1]', "never_ran_errors", True),
+        ('listen = "127.0.0.1:7001"', 'listen = "0.0.0.0:7001"\nexpose = true', "expose", True),
+        ('"tip.send" = { class = "tip" }', "", 'methods."tip.send"', False),
+        ('"127.0.0.1:9002"', '"127.0.0.1:9003"', "endpoints", False),
+    ],
+)
 def test_diff_says_what_changes_in_behaviour(tmp_path: Path, old: str, new: str, key: str, risk: bool) -> None:
     assert old in PLAIN
     before, after = tmp_path / "before.toml", tmp_path / "after.toml"
@@ -291,8 +329,11 @@
 
 
 def test_a_name_that_falls_to_the_default_class_or_out_of_it() -> None:
-    one = check_operator(PLAIN.replace("[services.tools.classes.read]", 'default_class = "tip"\n'
-                                       "[services.tools.classes.read]", 1).encode()).clean
+    one = check_operator(
+        PLAIN.replace(
+            "[services.tools.classes.read]", 'default_class = "tip"\n[services.tools.classes.read]', 1
+        ).encode()
+    ).clean
     two = check_operator(PLAIN.encode()).clean
     told = changes.compare(one, two)
     assert [c.key for c in told] == ["services.tools.default_class"] and not told[0].risk
--- a/tests/test_corpus.py
+++ b/tests/test_corpus.py
@@ -44,8 +44,10 @@
     expected = EXPECTED[name]
     report, placed = judge(CORPUS / "broken" / name)
     found = [
-        p for p in placed
-        if p.finding.code == expected["code"] and p.line == expected["line"]
+        p
+        for p in placed
+        if p.finding.code == expected["code"]
+        and p.line == expected["line"]
         and expected["reason"] in f"{p.finding.key}: {p.finding.reason}"
     ]
     assert found, [(p.finding.code, p.line, p.finding.key, p.finding.reason) for p in placed]
@@ -77,9 +79,12 @@
 
 def test_all_findings_come_in_one_run() -> None:
     text = (CORPUS / "good" / "plain.toml").read_text()
-    broken = text.replace("repeat = \"idempotent\"", "repaet = \"idempotent\"").replace(
-        "window_ms = 12000", "window_ms = 100").replace("aim_ms = 800", "aim_ms = true").replace(
-        "listen = \"127.0.0.1:7001\"", "listen = \"0.0.0.0:7001\"")
+    broken = (
+        text.replace('repeat = "idempotent"', 'repaet = "idempotent"')
+        .replace("window_ms = 12000", "window_ms = 100")
+        .replace("aim_ms = 800", "aim_ms = true")
+        .replace('listen = "127.0.0.1:7001"', 'listen = "0.0.0.0:7001"')
+    )
     codes = {f.code for f in check_operator(broken.encode()).findings}
     assert codes == {"ZC110", "ZC204", "ZC112", "ZC225"}
 
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -50,7 +50,7 @@
 
 def offered_unix_sockets(process: Path) -> list[str]:
     """Those of its Unix sockets that somebody could come to: they are bound to a name."""
-    own = {told[len("socket:["):-1] for told in descriptors(process) if told.startswith("socket:[")}
+    own = {told[len("socket:[") : -1] for told in descriptors(process) if told.startswith("socket:[")}
     rows = [row.split() for row in (process / "net" / "unix").read_text().splitlines()[1:]]
     return [row[7] for row in rows if row[6] in own and len(row) > 7]
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -125,9 +125,7 @@
         script = Script(HANG, told(5, True))
         async with serving(script) as (peer, at), sidecar(watch, {}, at) as s:
             await peer.arrived.get()
-            s.balancer.react = lambda event: (
-                [i.WatchMembership(True)] if news(s)[-1].kind == "changes" else []
-            )
+            s.balancer.react = lambda event: [i.WatchMembership(True)] if news(s)[-1].kind == "changes" else []
             s.discovery.tell("changes", [])
             await s.balancer.until(lambda: news(s)[-1].kind == "whole")
             assert peer.connections == 2 and await peer.ended.get() == 0
@@ -201,8 +199,9 @@
         told = {"seq": 1, "hosts": hosts}
         heard: list[Any] = []
         settings = Settings(classes=CLASSES, discovery="on_request")
-        made = Discovery(("127.0.0.1", 1), settings, ["a", "b"], told, lambda kind, entries: heard.append(entries),
-                         SYSTEM)
+        made = Discovery(
+            ("127.0.0.1", 1), settings, ["a", "b"], told, lambda kind, entries: heard.append(entries), SYSTEM
+        )
         made.start()
         assert [x.zone for x, _ in heard[0]] == [0, 1, 0] and heard[0] == made.remembered()
         assert "hosts" not in told  # the text of a long list is let go
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -67,8 +67,11 @@
 def test_catalog_number_is_used_again_within_a_batch() -> None:
     first, second = run(
         [
-            ["mark", 1000.0], *start(3, "a:1"),
-            ["catalog", 0, [entry("z:9")]], ["launch", 4, 8, PROFILE], ["view", 4, "remembered", 1, 0],
+            ["mark", 1000.0],
+            *start(3, "a:1"),
+            ["catalog", 0, [entry("z:9")]],
+            ["launch", 4, 8, PROFILE],
+            ["view", 4, "remembered", 1, 0],
             ["arrival", 3, "r", 0, 0, "", 1500.0, None, False, False],
             ["arrival", 4, "q", 0, 0, "", 1500.0, None, False, False],
         ],
@@ -82,7 +85,9 @@
     (_, second) = run(
         [["mark", 1000.0], *start()],
         [
-            ["mark", 1010.0], ["kill", 3], *start(3, "n:1"),
+            ["mark", 1010.0],
+            ["kill", 3],
+            *start(3, "n:1"),
             ["arrival", 3, "r", 0, 0, "", 1500.0, 1, False, False],
         ],
     )
@@ -113,16 +118,25 @@
 @pytest.mark.parametrize(
     "line",
     [
-        "not json", '["arrival",9,"r",0,0,"",1500.0,null,false,false]', '["what",3]', "[]",
+        "not json",
+        '["arrival",9,"r",0,0,"",1500.0,null,false,false]',
+        '["what",3]',
+        "[]",
         '["view",3,"odd",1,0]',
-        '["catalog",0,[[1]]]', '["mark","soon"]',
+        '["catalog",0,[[1]]]',
+        '["mark","soon"]',
     ],
 )
 def test_bad_input_is_named_and_ends_it(line: str) -> None:
     good = "\n".join(json.dumps(e) for e in [["mark", 1000.0], *start()])
     done = subprocess.run(
-        [sys.executable, "-m", "zinclever.drill"], input=f'{good}\n{line}\n["your-turn"]\n', text=True,
-        capture_output=True, cwd=Path(__file__).parent.parent, timeout=60, check=False,
+        [sys.executable, "-m", "zinclever.drill"],
+        input=f'{good}\n{line}\n["your-turn"]\n',
+        text=True,
+        capture_output=True,
+        cwd=Path(__file__).parent.parent,
+        timeout=60,
+        check=False,
     )
     assert done.returncode == 1 and done.stderr.startswith("zinclever: ") and done.stdout == ""
     assert len(done.stderr.splitlines()) == 1 and line[:7] in done.stderr
@@ -146,9 +160,15 @@
 
 
 def test_settings_that_decisions_rest_on_are_carried() -> None:
-    told = read_settings(PROFILE | {
-        "value-by": "work", "prices": {"cross-zone": 0.2}, "family-info": {"warm-keys": True},
-        "zone": 1, "report": {"how": "pull", "fields": ["backlog"]},
-    })
+    told = read_settings(
+        PROFILE
+        | {
+            "value-by": "work",
+            "prices": {"cross-zone": 0.2},
+            "family-info": {"warm-keys": True},
+            "zone": 1,
+            "report": {"how": "pull", "fields": ["backlog"]},
+        }
+    )
     assert (told.value_by, told.prices.cross_zone, told.warm_keys, told.zone) == ("work", 0.2, True, 1)
     assert (told.reports, tuple(told.report_fields)) == ("pull", ("backlog",))
--- a/tests/test_fault_day.py
+++ b/tests/test_fault_day.py
@@ -34,15 +34,27 @@
 ]
 SETTINGS: dict[str, Any] = {
     "classes": [
-        {"name": k.name, "aim": WAIT / 4, "deadline": WAIT, "repeat": k.effect, "window": k.window,
-         "group": k.group}
+        {"name": k.name, "aim": WAIT / 4, "deadline": WAIT, "repeat": k.effect, "window": k.window, "group": k.group}
         for k in CLASSES
     ],
-    "limits": {"attempts-cap": 3, "cancel": True, "second-copies": True, "dial-timeout": 250.0,
-               "retry-after": True, "max-retry-after": 1000.0},
-    "rules": {"stop-sending-within": 1000.0, "cold-share": 0.2, "cold": 10000.0, "overload-factor": 3.0,
-              "fall": 2000.0},
-    "registry-mode": "on_request", "zones": ["a", "b"], "zone": 0,
+    "limits": {
+        "attempts-cap": 3,
+        "cancel": True,
+        "second-copies": True,
+        "dial-timeout": 250.0,
+        "retry-after": True,
+        "max-retry-after": 1000.0,
+    },
+    "rules": {
+        "stop-sending-within": 1000.0,
+        "cold-share": 0.2,
+        "cold": 10000.0,
+        "overload-factor": 3.0,
+        "fall": 2000.0,
+    },
+    "registry-mode": "on_request",
+    "zones": ["a", "b"],
+    "zone": 0,
 }
 #: The machine of a CI run may stall for a while; a breach by a design fault is off by far more.
 TERMS = Terms(slack=600.0)
@@ -88,8 +100,12 @@
             http = await Side(stack, HttpEndpoint, seed).open()
             rpc = await Side(stack, JsonRpcEndpoint, seed).open()
             text = operator(
-                f'discovery = "{rpc.discovery.address}"', listen=at, deadline=WAIT, aim=WAIT / 4,
-                group="zone", more='zones = ["a", "b"]\nzone = "a"\nmax_attempts = 3',
+                f'discovery = "{rpc.discovery.address}"',
+                listen=at,
+                deadline=WAIT,
+                aim=WAIT / 4,
+                group="zone",
+                more='zones = ["a", "b"]\nzone = "a"\nmax_attempts = 3',
             ).replace("window_ms = 12000", f"window_ms = {WINDOW}")
             env = write(tmp_path, text)
             env |= config(tmp_path, settings=SETTINGS, discovery=http.discovery.address)
@@ -100,11 +116,9 @@
                 await http.known()
                 await rpc.known()
                 asking = [
-                    asyncio.ensure_future(ask_http(c, CLASSES, Random(rng.random()), over))
-                    for c in http_clients
+                    asyncio.ensure_future(ask_http(c, CLASSES, Random(rng.random()), over)) for c in http_clients
                 ] + [
-                    asyncio.ensure_future(ask_jsonrpc(c, at, CLASSES, Random(rng.random()), over))
-                    for c in rpc_clients
+                    asyncio.ensure_future(ask_jsonrpc(c, at, CLASSES, Random(rng.random()), over)) for c in rpc_clients
                 ]
 
                 def reload() -> None:
@@ -129,7 +143,6 @@
                 assert not breaches, (seed, breaches)
                 # A day on which nothing happened would prove nothing.
                 assert kinds["served"] > 100 and kinds["failed"] > 5, kinds
-                assert all(side.log.ran(a.request) <= 1 for a in side.log.asked
-                           if a.effect == "at_most_once")
+                assert all(side.log.ran(a.request) <= 1 for a in side.log.asked if a.effect == "at_most_once")
 
     run_real(test)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -33,8 +33,12 @@
 
 def holder(folder: Path) -> subprocess.Popen[bytes]:
     """Another process that is there."""
-    made = subprocess.Popen([sys.executable, "-c", HOLD, str(folder)], stdin=subprocess.PIPE, stdout=subprocess.PIPE,
-                            env=os.environ | {"PYTHONPATH": str(ROOT)})
+    made = subprocess.Popen(
+        [sys.executable, "-c", HOLD, str(folder)],
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+        env=os.environ | {"PYTHONPATH": str(ROOT)},
+    )
     assert made.stdout is not None and made.stdout.readline() == b"there\n"
     return made
 
@@ -109,8 +113,9 @@
 async def start(env: dict[str, str], listener: socket.socket, tmp: Path, admin: str) -> asyncio.subprocess.Process:
     """The program over a socket that the test keeps, once operators hear that it takes clients."""
     more = {"LB_INHERITED_FD": str(listener.fileno()), "LB_ADMIN_ADDR": admin, "TMPDIR": str(tmp)}
-    program = await asyncio.create_subprocess_exec(*COMMAND, cwd=ROOT, env=os.environ | env | more,
-                                                   pass_fds=[listener.fileno()])
+    program = await asyncio.create_subprocess_exec(
+        *COMMAND, cwd=ROOT, env=os.environ | env | more, pass_fds=[listener.fileno()]
+    )
     while True:
         assert program.returncode is None, "the program has ended"
         try:
@@ -213,7 +218,7 @@
 def test_a_wrong_descriptor_is_told_in_one_line(tmp_path: Path, fd: str, said: str) -> None:
     env = os.environ | config(tmp_path) | {"LB_INHERITED_FD": fd, "TMPDIR": str(tmp_path)}
     ended = subprocess.run(COMMAND, cwd=ROOT, env=env, capture_output=True, text=True, timeout=60)
-    line, = ended.stderr.splitlines()
+    (line,) = ended.stderr.splitlines()
     assert ended.returncode in (1, 2) and said in line
 
 
--- a/tests/test_jsonrpc.py
+++ b/tests/test_jsonrpc.py
@@ -81,9 +81,7 @@
             c.raw(b"[%b,%b]" % (b",".join(text for text, _ in calls), note.encode()))
             refused, served, failed = await asyncio.gather(*(future for _, future in calls))
             assert refused["error"]["code"] == codec.REFUSED
-            assert refused["error"]["data"] == {
-                "source": "zinclever", "repeat": "harmless", "retry_after_ms": 250
-            }
+            assert refused["error"]["data"] == {"source": "zinclever", "repeat": "harmless", "retry_after_ms": 250}
             assert served["result"]["method"] == "unlock.buy"
             assert failed["error"]["code"] == codec.FAILED
             assert failed["error"]["data"] == {"source": "zinclever", "repeat": "may_have_run"}
@@ -96,8 +94,9 @@
     async def test() -> None:
         async with service(always(delay=0.01)) as s:
             reader, writer = await asyncio.open_connection(*s.address.split(":"))
-            texts = [b'{"jsonrpc":"2.0","method":"page.get","params":{"call":"%d"},"id":%d}' % (n, n)
-                     for n in range(50)]
+            texts = [
+                b'{"jsonrpc":"2.0","method":"page.get","params":{"call":"%d"},"id":%d}' % (n, n) for n in range(50)
+            ]
             writer.write(b"[%b]\n" % b",".join(texts))
             array = json.loads(await reader.readline())
             assert sorted(a["id"] for a in array) == list(range(50))
@@ -130,20 +129,23 @@
             while not any(c.paused for c in s.made.front.connections):
                 writer.write(text)
                 await asyncio.sleep(0)
-            connection, = s.made.front.connections
+            (connection,) = s.made.front.connections
             assert not connection.transport.is_reading()
             writer.transport.abort()
 
     run_real(test)
 
 
-@pytest.mark.parametrize(("text", "code"), [
-    (b"[]", codec.INVALID_REQUEST),
-    (b"[" + b",".join([ONE] * 10_000) + b"]", codec.INVALID_REQUEST),
-    (b"{", codec.PARSE_ERROR),
-    (b"[" * 100_000, codec.PARSE_ERROR),
-    (b'{"jsonrpc":"2.0","method":"x","id":[]}', codec.INVALID_REQUEST),
-])
+@pytest.mark.parametrize(
+    ("text", "code"),
+    [
+        (b"[]", codec.INVALID_REQUEST),
+        (b"[" + b",".join([ONE] * 10_000) + b"]", codec.INVALID_REQUEST),
+        (b"{", codec.PARSE_ERROR),
+        (b"[" * 100_000, codec.PARSE_ERROR),
+        (b'{"jsonrpc":"2.0","method":"x","id":[]}', codec.INVALID_REQUEST),
+    ],
+)
 def test_one_error_for_what_is_no_call(text: bytes, code: int) -> None:
     """Guards against 10,000 calls of one text, of which some have run when the sidecar gives up."""
 
@@ -401,7 +403,9 @@
     async def test() -> None:
         log = Log()
         async with (
-            Discovery(log) as discovery, JsonRpcEndpoint(log) as one, JsonRpcEndpoint(log) as two,
+            Discovery(log) as discovery,
+            JsonRpcEndpoint(log) as one,
+            JsonRpcEndpoint(log) as two,
         ):
             await discovery.set(one)
             await discovery.set(two)
@@ -413,8 +417,9 @@
                     await asyncio.gather(*(c.call(READ) for _ in range(10)))
                 await discovery.set(one, "draining")
                 await discovery.until_told(one)
-                while any(e.phase == "ready" for e in s.made.ledger.balancer.list.endpoints.values()
-                          if e.name == one.name):
+                while any(
+                    e.phase == "ready" for e in s.made.ledger.balancer.list.endpoints.values() if e.name == one.name
+                ):
                     await asyncio.sleep(0.001)
                 before = len(one.requests())
                 await asyncio.gather(*(c.call(READ) for _ in range(20)))
--- a/tests/test_jsonrpc_codec.py
+++ b/tests/test_jsonrpc_codec.py
@@ -26,9 +26,21 @@
     return told.code
 
 
-@pytest.mark.parametrize("id", [
-    b"1", b"1.0", b'"1"', b"null", b"-0", b"1e2", b'"\\u0031"', b"9" * 400, b"-1.5E+300", b'""',
-])
+@pytest.mark.parametrize(
+    "id",
+    [
+        b"1",
+        b"1.0",
+        b'"1"',
+        b"null",
+        b"-0",
+        b"1e2",
+        b'"\\u0031"',
+        b"9" * 400,
+        b"-1.5E+300",
+        b'""',
+    ],
+)
 def test_ids_are_kept_as_written(id: bytes) -> None:
     """Guards against a response that its client can't match: ``1``, ``1.0`` and ``"1"`` are three ids."""
     told = call(b'{"jsonrpc" : "2.0", "id": ' + id + b' , "method":"m"}')
@@ -37,43 +49,47 @@
 
 
 def test_ids_that_are_the_same() -> None:
-    ids = [call(b'{"jsonrpc":"2.0","method":"m","id":%b}' % x).identity for x in (
-        b"1", b"1.0", b'"1"', b"null", b'"\\u0031"'
-    )]
+    ids = [
+        call(b'{"jsonrpc":"2.0","method":"m","id":%b}' % x).identity
+        for x in (b"1", b"1.0", b'"1"', b"null", b'"\\u0031"')
+    ]
     assert ids[2] == ids[4] and len(set(ids)) == 4
 
 
-@pytest.mark.parametrize(("text", "expected"), [
-    (b"foo", codec.PARSE_ERROR),
-    (b'{"jsonrpc":"2.0","method":"m","id":1', codec.PARSE_ERROR),
-    (b'{"jsonrpc":"2.0","method":"m","params":[NaN],"id":1}', codec.PARSE_ERROR),
-    (b'{"jsonrpc":"2.0","method":"m","params":[Infinity],"id":1}', codec.PARSE_ERROR),
-    (b'{"jsonrpc":"2.0","method":"\\ud800","id":1}', codec.PARSE_ERROR),
-    (b'{"jsonrpc":"2.0","method":"m","params":["\\ud800",1e999],"id":1}', codec.PARSE_ERROR),
-    (b'{"jsonrpc":"2.0","method":"m","params":[1e999,NaN],"id":1}', codec.PARSE_ERROR),
-    (b'{"jsonrpc":"2.0","method":"\xff","id":1}', codec.PARSE_ERROR),
-    (b'\xef\xbb\xbf{"jsonrpc":"2.0","method":"m","id":1}', codec.PARSE_ERROR),
-    (b"[" * 100_000 + b"]" * 100_000, codec.PARSE_ERROR),
-    (b'{"a":' * 100_000, codec.PARSE_ERROR),
-    (b"1e999" + b"[" * 100_000, codec.PARSE_ERROR),
-    (b"[1e999," + b"[" * 100_000 + b"]" * 100_000 + b"]", codec.PARSE_ERROR),
-    (b"[]", codec.INVALID_REQUEST),
-    (b"1", codec.INVALID_REQUEST),
-    (b"[1,1,1,1,1,1,1,1,1,1,1]", codec.INVALID_REQUEST),
-    (b"{}", codec.INVALID_REQUEST),
-    (b'{"jsonrpc":"1.0","method":"m","id":1}', codec.INVALID_REQUEST),
-    (b'{"jsonrpc":2.0,"method":"m","id":1}', codec.INVALID_REQUEST),
-    (b'{"jsonrpc":"2.0","method":1,"id":1}', codec.INVALID_REQUEST),
-    (b'{"jsonrpc":"2.0","method":1e999,"id":1}', codec.INVALID_REQUEST),
-    (b'{"jsonrpc":"2.0","method":"m","params":1,"id":1}', codec.INVALID_REQUEST),
-    (b'{"jsonrpc":"2.0","method":"m","params":null,"id":1}', codec.INVALID_REQUEST),
-    (b'{"jsonrpc":"2.0","method":"m","id":true}', codec.INVALID_REQUEST),
-    (b'{"jsonrpc":"2.0","method":"m","id":[1]}', codec.INVALID_REQUEST),
-    (b'{"jsonrpc":"2.0","method":"m","id":{}}', codec.INVALID_REQUEST),
-    (b'{"jsonrpc":"2.0","method":"read","method":"tip","id":1}', codec.INVALID_REQUEST),
-    (b'{"jsonrpc":"2.0","method":"read","\\u006dethod":"tip","id":1}', codec.INVALID_REQUEST),
-    (b'{"jsonrpc":"2.0","method":"m","id":1,"id":2}', codec.INVALID_REQUEST),
-])
+@pytest.mark.parametrize(
+    ("text", "expected"),
+    [
+        (b"foo", codec.PARSE_ERROR),
+        (b'{"jsonrpc":"2.0","method":"m","id":1', codec.PARSE_ERROR),
+        (b'{"jsonrpc":"2.0","method":"m","params":[NaN],"id":1}', codec.PARSE_ERROR),
+        (b'{"jsonrpc":"2.0","method":"m","params":[Infinity],"id":1}', codec.PARSE_ERROR),
+        (b'{"jsonrpc":"2.0","method":"\\ud800","id":1}', codec.PARSE_ERROR),
+        (b'{"jsonrpc":"2.0","method":"m","params":["\\ud800",1e999],"id":1}', codec.PARSE_ERROR),
+        (b'{"jsonrpc":"2.0","method":"m","params":[1e999,NaN],"id":1}', codec.PARSE_ERROR),
+        (b'{"jsonrpc":"2.0","method":"\xff","id":1}', codec.PARSE_ERROR),
+        (b'\xef\xbb\xbf{"jsonrpc":"2.0","method":"m","id":1}', codec.PARSE_ERROR),
+        (b"[" * 100_000 + b"]" * 100_000, codec.PARSE_ERROR),
+        (b'{"a":' * 100_000, codec.PARSE_ERROR),
+        (b"1e999" + b"[" * 100_000, codec.PARSE_ERROR),
+        (b"[1e999," + b"[" * 100_000 + b"]" * 100_000 + b"]", codec.PARSE_ERROR),
+        (b"[]", codec.INVALID_REQUEST),
+        (b"1", codec.INVALID_REQUEST),
+        (b"[1,1,1,1,1,1,1,1,1,1,1]", codec.INVALID_REQUEST),
+        (b"{}", codec.INVALID_REQUEST),
+        (b'{"jsonrpc":"1.0","method":"m","id":1}', codec.INVALID_REQUEST),
+        (b'{"jsonrpc":2.0,"method":"m","id":1}', codec.INVALID_REQUEST),
+        (b'{"jsonrpc":"2.0","method":1,"id":1}', codec.INVALID_REQUEST),
+        (b'{"jsonrpc":"2.0","method":1e999,"id":1}', codec.INVALID_REQUEST),
+        (b'{"jsonrpc":"2.0","method":"m","params":1,"id":1}', codec.INVALID_REQUEST),
+        (b'{"jsonrpc":"2.0","method":"m","params":null,"id":1}', codec.INVALID_REQUEST),
+        (b'{"jsonrpc":"2.0","method":"m","id":true}', codec.INVALID_REQUEST),
+        (b'{"jsonrpc":"2.0","method":"m","id":[1]}', codec.INVALID_REQUEST),
+        (b'{"jsonrpc":"2.0","method":"m","id":{}}', codec.INVALID_REQUEST),
+        (b'{"jsonrpc":"2.0","method":"read","method":"tip","id":1}', codec.INVALID_REQUEST),
+        (b'{"jsonrpc":"2.0","method":"read","\\u006dethod":"tip","id":1}', codec.INVALID_REQUEST),
+        (b'{"jsonrpc":"2.0","method":"m","id":1,"id":2}', codec.INVALID_REQUEST),
+    ],
+)
 def test_what_is_no_call(text: bytes, expected: int) -> None:
     """Guards against a text that the sidecar and the endpoint behind it read differently."""
     assert code(text) == expected
@@ -102,11 +118,21 @@
     assert json.loads(b.head + b"9" + b.tail) == {"jsonrpc": "2.0", "method": "b", "id": 9}
 
 
-@pytest.mark.parametrize(("pointer", "params", "found"), [
-    ("/key", {"key": "k"}, "k"), ("/key", {"key": 7}, "7"), ("/key", {"key": True}, None),
-    ("/key", {"key": ""}, None), ("/key", {}, None), ("/key", None, None), ("/0", ["k"], "k"),
-    ("/1", ["k"], None), ("/a~1b/~0c", {"a/b": {"~c": "k"}}, "k"), ("/key", {"key": ["k"]}, None),
-])
+@pytest.mark.parametrize(
+    ("pointer", "params", "found"),
+    [
+        ("/key", {"key": "k"}, "k"),
+        ("/key", {"key": 7}, "7"),
+        ("/key", {"key": True}, None),
+        ("/key", {"key": ""}, None),
+        ("/key", {}, None),
+        ("/key", None, None),
+        ("/0", ["k"], "k"),
+        ("/1", ["k"], None),
+        ("/a~1b/~0c", {"a/b": {"~c": "k"}}, "k"),
+        ("/key", {"key": ["k"]}, None),
+    ],
+)
 def test_keys_are_found(pointer: str, params: Any, found: str | None) -> None:
     assert codec.point(params, codec.read_pointer(pointer)) == found
 
@@ -117,23 +143,43 @@
         codec.read_pointer(pointer)
 
 
-@pytest.mark.parametrize("text", [
-    b"{", b"[]", b"1", b"{}", b'{"jsonrpc":"2.0","id":1}', b'{"id":1,"result":1}',
-    b'{"jsonrpc":"2.0","id":1,"result":1,"error":{"code":1,"message":""}}',
-    b'{"jsonrpc":"2.0","id":1,"result":1,"result":2}', b'{"jsonrpc":"2.0","result":1}',
-    b'{"jsonrpc":"2.0","id":1,"error":1}', b'{"jsonrpc":"2.0","id":1,"error":{"code":"1","message":""}}',
-    b'{"jsonrpc":"2.0","id":1,"error":{"code":true,"message":""}}',
-    b'[{"jsonrpc":"2.0","id":1,"result":1}]', b'{"jsonrpc":"2.0","id":1,"result":NaN}',
-])
+@pytest.mark.parametrize(
+    "text",
+    [
+        b"{",
+        b"[]",
+        b"1",
+        b"{}",
+        b'{"jsonrpc":"2.0","id":1}',
+        b'{"id":1,"result":1}',
+        b'{"jsonrpc":"2.0","id":1,"result":1,"error":{"code":1,"message":""}}',
+        b'{"jsonrpc":"2.0","id":1,"result":1,"result":2}',
+        b'{"jsonrpc":"2.0","result":1}',
+        b'{"jsonrpc":"2.0","id":1,"error":1}',
+        b'{"jsonrpc":"2.0","id":1,"error":{"code":"1","message":""}}',
+        b'{"jsonrpc":"2.0","id":1,"error":{"code":true,"message":""}}',
+        b'[{"jsonrpc":"2.0","id":1,"result":1}]',
+        b'{"jsonrpc":"2.0","id":1,"result":NaN}',
+    ],
+)
 def test_what_is_no_response(text: bytes) -> None:
     with pytest.raises(Noise):
         codec.read_response(text)
 
 
-@pytest.mark.parametrize(("id", "own"), [
-    (b"7", 7), (b"0", 0), (b"07", None), (b"7.0", None), (b'"7"', None), (b"-7", None), (b"null", None),
-    (b"9" * 30, None),
-])
+@pytest.mark.parametrize(
+    ("id", "own"),
+    [
+        (b"7", 7),
+        (b"0", 0),
+        (b"07", None),
+        (b"7.0", None),
+        (b'"7"', None),
+        (b"-7", None),
+        (b"null", None),
+        (b"9" * 30, None),
+    ],
+)
 def test_whose_response_it_is(id: bytes, own: int | None) -> None:
     text = b'{"jsonrpc":"2.0","id":%b,"result":1}' % id
     if id == b"07":
@@ -202,13 +248,19 @@
             codec.load(one)
 
 
-@pytest.mark.parametrize(("framing", "data"), [
-    ("lines", b"x" * 101), ("lines", b"x" * 101 + b"\n"),
-    ("headers", b"Content-Length: 101\r\n\r\n"), ("headers", b"x" * 5000), ("headers", b"A: b\r\n\r\n"),
-    ("headers", b"Content-Length: -1\r\n\r\n"),
-    ("headers", b"Content-Length: 1\r\nContent-Length: 1\r\n\r\n"),
-    ("headers", b"Content-Length: 1e1\r\n\r\n"),
-])
+@pytest.mark.parametrize(
+    ("framing", "data"),
+    [
+        ("lines", b"x" * 101),
+        ("lines", b"x" * 101 + b"\n"),
+        ("headers", b"Content-Length: 101\r\n\r\n"),
+        ("headers", b"x" * 5000),
+        ("headers", b"A: b\r\n\r\n"),
+        ("headers", b"Content-Length: -1\r\n\r\n"),
+        ("headers", b"Content-Length: 1\r\nContent-Length: 1\r\n\r\n"),
+        ("headers", b"Content-Length: 1e1\r\n\r\n"),
+    ],
+)
 def test_what_cannot_be_cut_into_texts(framing: Framing, data: bytes) -> None:
     """Guards against a peer that makes the sidecar hold what it never ends."""
     framer = Framer(framing, 100)
--- a/tests/test_jsonrpc_program.py
+++ b/tests/test_jsonrpc_program.py
@@ -35,9 +35,7 @@
 async def started(env: dict[str, str], address: str) -> AsyncIterator[asyncio.subprocess.Process]:
     """The program, once it listens."""
     base = {k: v for k, v in os.environ.items() if not k.startswith(("LB_", "ZINCLEVER_"))}
-    program = await asyncio.create_subprocess_exec(
-        *COMMAND, cwd=ROOT, env=base | env, stderr=asyncio.subprocess.PIPE
-    )
+    program = await asyncio.create_subprocess_exec(*COMMAND, cwd=ROOT, env=base | env, stderr=asyncio.subprocess.PIPE)
     try:
         while True:
             try:
@@ -137,22 +135,32 @@
     run_real(test)
 
 
-@pytest.mark.parametrize(("text", "said"), [
-    ("version = 2", "line 1: ZC120: version: "), ("version = 1\nx = 1", "line 2: ZC110: x: "),
-    ("version = [", "line 1: ZC102: "),
-])
+@pytest.mark.parametrize(
+    ("text", "said"),
+    [
+        ("version = 2", "line 1: ZC120: version: "),
+        ("version = 1\nx = 1", "line 2: ZC110: x: "),
+        ("version = [", "line 1: ZC102: "),
+    ],
+)
 def test_a_bad_operator_file_is_one_clear_line(tmp_path: Path, text: str, said: str) -> None:
     env = os.environ | config(tmp_path) | write(tmp_path, text)
     ended = subprocess.run(COMMAND, cwd=ROOT, env=env, capture_output=True, text=True, timeout=60)
     assert ended.returncode == 2
-    line, = ended.stderr.splitlines()
+    (line,) = ended.stderr.splitlines()
     assert line.startswith("zinclever: ZINCLEVER_OPERATOR: ") and said in line
 
 
 def test_nothing_of_it_is_loaded_without_an_operator_file() -> None:
     """Guards against the platform's sidecar, which lives in little memory."""
-    names = ("zinclever.jsonrpc", "zinclever.configuration.operator", "zinclever.configtool", "click",
-             "tree_sitter", "tomllib")
+    names = (
+        "zinclever.jsonrpc",
+        "zinclever.configuration.operator",
+        "zinclever.configtool",
+        "click",
+        "tree_sitter",
+        "tomllib",
+    )
     program = f"import sys, zinclever.__main__; print([n for n in {names} if n in sys.modules])"
     command = [sys.executable, "-c", program]
     ended = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60)
@@ -218,8 +226,7 @@
         listener = threading.Thread(target=reader.listen, args=(endpoint.consume,), daemon=True)
         listener.start()
         told = [
-            endpoint.request(method, {"call": method, "key": "k"}).result(20)
-            for method in ("page.get", "tip.send")
+            endpoint.request(method, {"call": method, "key": "k"}).result(20) for method in ("page.get", "tip.send")
         ]
         endpoint.shutdown()
         sock.shutdown(socket.SHUT_RDWR)
--- a/tests/test_jsonrpc_wire.py
+++ b/tests/test_jsonrpc_wire.py
@@ -50,13 +50,16 @@
     return tip, read, a, b, writer
 
 
-@pytest.mark.parametrize(("stray", "kind"), [
-    (result(999), "unknown"),
-    (b'{"jsonrpc":"2.0","id":"1","result":1}\n', "unknown"),
-    (b'{"jsonrpc":"2.0","id":1.0,"result":1}\n', "unknown"),
-    (b'{"jsonrpc":"2.0","id":null,"error":{"code":-32700,"message":"?"}}\n', "null"),
-    (b'{"jsonrpc":"2.0","id":null,"result":1}\n', "null"),
-])
+@pytest.mark.parametrize(
+    ("stray", "kind"),
+    [
+        (result(999), "unknown"),
+        (b'{"jsonrpc":"2.0","id":"1","result":1}\n', "unknown"),
+        (b'{"jsonrpc":"2.0","id":1.0,"result":1}\n', "unknown"),
+        (b'{"jsonrpc":"2.0","id":null,"error":{"code":-32700,"message":"?"}}\n', "null"),
+        (b'{"jsonrpc":"2.0","id":null,"result":1}\n', "null"),
+    ],
+)
 def test_a_response_for_nobody_leaves_the_calls_that_are_out(stray: bytes, kind: str) -> None:
     async def test() -> None:
         async with service(react=to_hand, by_hand=True) as s:
@@ -417,7 +420,7 @@
                 text = json.dumps({"jsonrpc": "2.0", "method": "tip.send", "params": params, "id": n})
                 writer.write(text.encode() + b"\n")
             await until(lambda: len(s.made.ledger.requests) == 20)
-            connection, = s.made.wire.homes
+            (connection,) = s.made.wire.homes
             await until(lambda: connection.blocked)
             entries = s.made.told.endpoints
             s.made.ledger.on_list("changes", [(e._replace(phase="draining"), at) for e, at in entries])
@@ -491,9 +494,9 @@
     async def test() -> None:
         async with service(react=to_hand, by_hand=True) as s:
             tip, read, a, b, writer = await two_out(s)
-            s.made.ledger.on_list("changes", [
-                (i.Listed(e.endpoint, "gone"), ("127.0.0.1", 1)) for e, _ in s.made.told.endpoints
-            ])
+            s.made.ledger.on_list(
+                "changes", [(i.Listed(e.endpoint, "gone"), ("127.0.0.1", 1)) for e, _ in s.made.told.endpoints]
+            )
             late = s.clients[0].call(READ)
             assert (await late)["error"]["code"] == codec.REFUSED
             writer.write(result(a) + result(b))
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -235,7 +235,7 @@
             c.writer.transport.pause_reading()  # type: ignore[attr-defined]
             c.send()
             await ended(s, "served")
-            one, = (s.front.since[clients.State.WRITING] or s.front.since[clients.State.PASSING])
+            (one,) = s.front.since[clients.State.WRITING] or s.front.since[clients.State.PASSING]
             while one.state is not clients.State.WRITING:
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.2)
@@ -326,8 +326,9 @@
         yield s, got
 
 
-@pytest.mark.parametrize("size", [0, 1, connection.SMALL_BODY, connection.SMALL_BODY + 1, bodies.HELD_FREELY,
-                                  bodies.HELD_FREELY + 1, LARGE])
+@pytest.mark.parametrize(
+    "size", [0, 1, connection.SMALL_BODY, connection.SMALL_BODY + 1, bodies.HELD_FREELY, bodies.HELD_FREELY + 1, LARGE]
+)
 @pytest.mark.parametrize("method", ["/read", "/tip"])
 @pytest.mark.parametrize("chunked", [False, True])
 def test_a_body_goes_on_unchanged(size: int, method: str, chunked: bool) -> None:
@@ -337,8 +338,10 @@
         async with uploads() as (s, got):
             c = await s.client()
             if chunked:
-                c.writer.write(b"POST %b HTTP/1.1\r\nHost: x\r\nReq-Id: r \r\nReq-Deadline: \t9 \r\n"
-                               b"Expect: 100-continue \r\nTransfer-Encoding: chunked \r\n\r\n" % method.encode())
+                c.writer.write(
+                    b"POST %b HTTP/1.1\r\nHost: x\r\nReq-Id: r \r\nReq-Deadline: \t9 \r\n"
+                    b"Expect: 100-continue \r\nTransfer-Encoding: chunked \r\n\r\n" % method.encode()
+                )
                 assert (await c.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100")
                 c.writer.write(chunks(PAGE[:size], 4096))
             else:
@@ -451,8 +454,9 @@
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
-@given(st.lists(st.tuples(st.sampled_from(["take", "give", "leave"]), st.integers(0, 5), st.integers(1, 60)),
-                max_size=60))
+@given(
+    st.lists(st.tuples(st.sampled_from(["take", "give", "leave"]), st.integers(0, 5), st.integers(1, 60)), max_size=60)
+)
 def test_room_is_never_overdrawn_and_is_served_in_turn(steps: list[tuple[str, int, int]]) -> None:
     """Against a naive list: what is taken stays within the limit, and nobody is served before who came first."""
     room, held, line = Room(100), {}, []  # type: ignore[var-annotated]
@@ -541,8 +545,9 @@
 
 def head_of(method: str, length: int | None, request_id: str = "r1") -> bytes:
     coding = "Transfer-Encoding: chunked" if length is None else f"Content-Length: {length}"
-    return (f"POST {method} HTTP/1.1\r\nHost: x\r\nReq-Id: {request_id}\r\nReq-Deadline: 9\r\n"
-            f"{coding}\r\n\r\n").encode()
+    return (
+        f"POST {method} HTTP/1.1\r\nHost: x\r\nReq-Id: {request_id}\r\nReq-Deadline: 9\r\n{coding}\r\n\r\n"
+    ).encode()
 
 
 @pytest.mark.parametrize("method", ["/read", "/tip"])
@@ -569,7 +574,7 @@
             assert got.whole == [PAGE[:LARGE]] and s.wire.dispatches == 1 and s.front.room.taken == 0
             c.send(method, method="POST", Req_Id="r2", body=b"x")
             assert (await c.answer()).status == 200  # both connections are kept
-            end, = s.balancer.ends()[:1]
+            (end,) = s.balancer.ends()[:1]
             ended_at = next(now for now, e in s.balancer.told if isinstance(e, i.UploadEnded))
             answered_at = next(now for now, e in s.balancer.told if e is end)
             assert end.elapsed <= answered_at - ended_at + 1.0
@@ -632,8 +637,9 @@
     """An answer is not held back until the client has sent what is of no use."""
 
     async def test() -> None:
-        async with sidecar(lambda e: [i.Refuse(e.request, 700.0)] if isinstance(e, i.RequestArrived) else [],
-                           known(e="127.0.0.1:9")) as s:
+        async with sidecar(
+            lambda e: [i.Refuse(e.request, 700.0)] if isinstance(e, i.RequestArrived) else [], known(e="127.0.0.1:9")
+        ) as s:
             c = await s.client()
             c.writer.write(head_of("/tip", LARGE) + PAGE[:100_000])
             got = await c.answer()
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -13,7 +13,12 @@
 
 COUNT, SERVERS, SEED = 300, 60, 4
 SHARES = i.Shares(
-    subset=6, connections=80.0, handshakes_per_s=30.0, list_calls_per_s=400.0, retry_ratio=0.2, copy_ratio=0.2,
+    subset=6,
+    connections=80.0,
+    handshakes_per_s=30.0,
+    list_calls_per_s=400.0,
+    retry_ratio=0.2,
+    copy_ratio=0.2,
     floor_per_s=0.5,
 )
 LIMITS = i.Limits(max_attempts=4, cancel=True, second_copies=True, connect_timeout=250.0)
@@ -24,12 +29,23 @@
 class Fleet:
     """A world with instances that start as a test says."""
 
-    def __init__(self, shares: i.Shares = SHARES, told: int = COUNT, count: int = COUNT, backlog: int = 0,
-                 lines_per_s: float = 400.0, took: float = 50.0) -> None:
+    def __init__(
+        self,
+        shares: i.Shares = SHARES,
+        told: int = COUNT,
+        count: int = COUNT,
+        backlog: int = 0,
+        lines_per_s: float = 400.0,
+        took: float = 50.0,
+    ) -> None:
         self.world = World([i.Listed(n) for n in NAMES], SEED, took=took, backlog=backlog, lines_per_s=lines_per_s)
         self.settings = i.Settings(
-            classes=(READ,), limits=LIMITS, rules=i.Rules(cold_share=0.2, cold_for=10_000.0), group_size=told,
-            discovery="on_request", shares=shares,
+            classes=(READ,),
+            limits=LIMITS,
+            rules=i.Rules(cold_share=0.2, cold_for=10_000.0),
+            group_size=told,
+            discovery="on_request",
+            shares=shares,
         )
         self.instances: dict[int, Instance] = {}
         self.count = count
@@ -56,8 +72,10 @@
         assert self.most(counts.handshakes) <= SHARES.handshakes_per_s
         asked = counts.requests.total()
         assert counts.copies.total() <= 0.2 * asked + self.count + 0.5 * SERVERS * self.world.now / 1000.0
-        assert counts.retries.total() <= 0.2 * asked + self.count + counts.barred.total() \
-            + 0.5 * SERVERS * self.world.now / 1000.0
+        assert (
+            counts.retries.total()
+            <= 0.2 * asked + self.count + counts.barred.total() + 0.5 * SERVERS * self.world.now / 1000.0
+        )
 
     def served(self) -> float:
         answers = self.world.counts.answers
--- a/tests/test_meaning.py
+++ b/tests/test_meaning.py
@@ -17,8 +17,12 @@
 
 CONFIGURATIONS = 300
 SHARES = {
-    Fault.SILENCE: 0.05, Fault.SWALLOW: 0.05, Fault.BREAK_BEFORE: 0.05, Fault.BREAK_AT: 0.05,
-    Fault.ERROR: 0.1, Fault.DECLINE: 0.1,
+    Fault.SILENCE: 0.05,
+    Fault.SWALLOW: 0.05,
+    Fault.BREAK_BEFORE: 0.05,
+    Fault.BREAK_AT: 0.05,
+    Fault.ERROR: 0.1,
+    Fault.DECLINE: 0.1,
 }
 
 
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -61,12 +61,16 @@
 def day(seed: int, size: int) -> tuple[Settings, list[tuple[float, i.Event, list[i.Action]]]]:
     rng = Random(seed)
     settings = Settings(
-        classes=(SAFE, KEYED, UNSAFE), limits=LIMITS, rules=RULES, prices=i.Prices(cross_zone=rng.choice([0.0, 0.2])),
-        group_size=rng.choice([1, 4, 50]), tenants=(i.Tenant(100.0), i.Tenant(50.0)), warm_keys=rng.random() < 0.5,
+        classes=(SAFE, KEYED, UNSAFE),
+        limits=LIMITS,
+        rules=RULES,
+        prices=i.Prices(cross_zone=rng.choice([0.0, 0.2])),
+        group_size=rng.choice([1, 4, 50]),
+        tenants=(i.Tenant(100.0), i.Tenant(50.0)),
+        warm_keys=rng.random() < 0.5,
     )
     listed = [
-        i.Listed(f"e{n}", size=rng.choice([1, 2.0]), zone=n % 2, cell=n % 3,
-                 started_at=rng.choice([0.0, 999_000.0]))
+        i.Listed(f"e{n}", size=rng.choice([1, 2.0]), zone=n % 2, cell=n % 3, started_at=rng.choice([0.0, 999_000.0]))
         for n in range(size)
     ]
     played = Simulation(settings, listed, SHARES, seed, Recording)
@@ -147,8 +151,9 @@
     assert all(native.path_of(m).exists() for m in native.MODULES)
 
 
-def test_a_build_that_fails_says_so_and_goes_on(monkeypatch: pytest.MonkeyPatch, tmp_path: Path,
-                                                capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_build_that_fails_says_so_and_goes_on(
+    monkeypatch: pytest.MonkeyPatch, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     def broken(*args: Any, **more: Any) -> Any:
         raise OSError("no mypyc here")
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -25,7 +25,8 @@
     assert service.listen == ("127.0.0.1", 7001)
     classes = service.settings.classes
     assert [(c.name, c.repeat, c.window, c.group) for c in classes] == [
-        ("read", "idempotent", 0.0, "all"), ("unlock", "deduplicated", 12000.0, "zone"),
+        ("read", "idempotent", 0.0, "all"),
+        ("unlock", "deduplicated", 12000.0, "zone"),
         ("tip", "at_most_once", 0.0, "all"),
     ]
     (one, _), (two, at) = service.endpoints
--- a/tests/test_ordinary.py
+++ b/tests/test_ordinary.py
@@ -307,7 +307,7 @@
             light = s.ask(work=1.0)
     heavy = s.ask(work=40.0)
     assert not s.sends(light)
-    where, = s.sends(heavy)
+    (where,) = s.sends(heavy)
     assert int(where.endpoint[1:]) % 2 == 1
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -33,8 +33,11 @@
 def config(tmp_path: Path, **more: Any) -> dict[str, str]:
     """The environment of a sidecar with this configuration."""
     told = {
-        "listen": closed_port(), "discovery": closed_port(), "seed": "8c1f30d27a5be964",
-        "limits": {"sockets": 256}, "settings": SETTINGS,
+        "listen": closed_port(),
+        "discovery": closed_port(),
+        "seed": "8c1f30d27a5be964",
+        "limits": {"sockets": 256},
+        "settings": SETTINGS,
     }
     path = tmp_path / "config.json"
     path.write_text(json.dumps(told | more))
@@ -118,7 +121,7 @@
     env = os.environ | told
     ended = subprocess.run(COMMAND, cwd=ROOT, env=env, capture_output=True, text=True, timeout=60)
     assert ended.returncode != 0
-    line, = ended.stderr.splitlines()
+    (line,) = ended.stderr.splitlines()
     assert line.startswith("zinclever: ") and "LB_CONFIG" in line
     if broken == {"listen": "nowhere"}:
         assert "listen: 'nowhere' is no address" in line
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -47,19 +47,24 @@
 
 def test_who_stood_still_sends_nothing_that_was_given_up(tmp_path: Path) -> None:
     """All of them, for longer than most clients wait: requests on kept connections, on new ones, and half sent."""
-    drawn = replace(draw("calm", 3, **SIZE | {"seconds": 7.0}), troubles=(
-        Trouble("pause", 1.5, 2.2, 1.0), Trouble("shrink", 1.6, 0.2, 0.5)))
+    drawn = replace(
+        draw("calm", 3, **SIZE | {"seconds": 7.0}),
+        troubles=(Trouble("pause", 1.5, 2.2, 1.0), Trouble("shrink", 1.6, 0.2, 0.5)),
+    )
     found = play(drawn, tmp_path)
     assert found["breaches"] == [], found
     logs = [(tmp_path / f"n{n}" / "log").read_text() for n in range(3)]
     assert all("stood still for" in log for log in logs), logs
 
 
-@pytest.mark.parametrize(("breach", "trouble", "rule"), [
-    ("resends", Trouble("faults", 0.5, 4.0, 0.9), "rule 2"),
-    ("drains_ignored", Trouble("shrink", 0.2, 0.1, 0.5), "rule 3"),
-    ("answers_twice", Trouble("spike", 0.5, 1.0, factor=1.2), "rule 1"),
-])
+@pytest.mark.parametrize(
+    ("breach", "trouble", "rule"),
+    [
+        ("resends", Trouble("faults", 0.5, 4.0, 0.9), "rule 2"),
+        ("drains_ignored", Trouble("shrink", 0.2, 0.1, 0.5), "rule 3"),
+        ("answers_twice", Trouble("spike", 0.5, 1.0, factor=1.2), "rule 1"),
+    ],
+)
 def test_a_breach_put_in_on_purpose_is_found(tmp_path: Path, breach: str, trouble: Trouble, rule: str) -> None:
     found = play(replace(day("calm", 4, trouble), seconds=8.0), tmp_path, f"{BROKEN} {breach}")
     assert any(told.startswith(rule) for told in found["breaches"]), found
@@ -97,10 +102,25 @@
 
 def test_a_rig_that_is_killed_leaves_nothing_behind(tmp_path: Path) -> None:
     """None of its processes, and what it didn't start goes on."""
-    with subprocess.Popen(["sleep", "60"]) as other, subprocess.Popen(
-        [sys.executable, "-m", "zinclever", "rig", "run", "calm", "--sidecars", "3", "--into", str(tmp_path / "rig")],
-        cwd=ROOT, stdout=subprocess.DEVNULL,
-    ) as rig:
+    with (
+        subprocess.Popen(["sleep", "60"]) as other,
+        subprocess.Popen(
+            [
+                sys.executable,
+                "-m",
+                "zinclever",
+                "rig",
+                "run",
+                "calm",
+                "--sidecars",
+                "3",
+                "--into",
+                str(tmp_path / "rig"),
+            ],
+            cwd=ROOT,
+            stdout=subprocess.DEVNULL,
+        ) as rig,
+    ):
         while len(started := children(rig.pid)) < 3:
             assert rig.poll() is None
             time.sleep(0.02)
@@ -124,8 +144,10 @@
 def test_processes_are_held_until_all_are_let_go(tmp_path: Path) -> None:
     async def test() -> None:
         gate, ends = Gate(), asyncio.Queue[int]()
-        made = [Program({"PATH": os.environ["PATH"]}, tmp_path / "log", gate, ends.put_nowait, "echo here; exit 7")
-                for _ in range(3)]
+        made = [
+            Program({"PATH": os.environ["PATH"]}, tmp_path / "log", gate, ends.put_nowait, "echo here; exit 7")
+            for _ in range(3)
+        ]
         made[0].signal(signal.SIGKILL)
         assert await ends.get() == -signal.SIGKILL
         assert (tmp_path / "log").read_text() == ""
@@ -265,15 +287,42 @@
 
 def test_a_hunt_plays_days_and_tells_how_many(tmp_path: Path) -> None:
     told = subprocess.run(
-        [sys.executable, "-m", "zinclever", "rig", "hunt", "--kind", "calm", "--budget", "1", "--jobs", "1",
-         "--sidecars", "2", "--endpoints", "2", "--seconds", "2", "--into", str(tmp_path)],
-        cwd=ROOT, capture_output=True, text=True, timeout=120,
+        [
+            sys.executable,
+            "-m",
+            "zinclever",
+            "rig",
+            "hunt",
+            "--kind",
+            "calm",
+            "--budget",
+            "1",
+            "--jobs",
+            "1",
+            "--sidecars",
+            "2",
+            "--endpoints",
+            "2",
+            "--seconds",
+            "2",
+            "--into",
+            str(tmp_path),
+        ],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=120,
     )
     assert told.returncode == 0 and "1 runs, 0 with a breach, 0 that prove nothing" in told.stdout, told
 
 
 def test_a_file_that_holds_no_day_is_told_line_by_line(tmp_path: Path) -> None:
     (tmp_path / "day.toml").write_text("kind = 3\n")
-    told = subprocess.run([sys.executable, "-m", "zinclever", "rig", "run", str(tmp_path / "day.toml")], cwd=ROOT,
-                          capture_output=True, text=True, timeout=60)
+    told = subprocess.run(
+        [sys.executable, "-m", "zinclever", "rig", "run", str(tmp_path / "day.toml")],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=60,
+    )
     assert told.returncode == 2 and "line 1" in told.stderr, told
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -46,8 +46,11 @@
     watched(s)
     for n in range(50):
         r = s.ask()
-        s.feed(i.AttemptEnded(r, 0, s.all[-1][1].endpoint if isinstance(s.all[-1][1], i.Send) else "e0",
-                              "served", 5.0, True))
+        s.feed(
+            i.AttemptEnded(
+                r, 0, s.all[-1][1].endpoint if isinstance(s.all[-1][1], i.Send) else "e0", "served", 5.0, True
+            )
+        )
         s.wait(1.0)
         assert Counted.touched <= 20 * (n + 1), "a walk over the fleet"
 
@@ -167,8 +170,15 @@
     s = Sidecar(settings(BOUND), cells(300, 2))
     r = s.ask(key="k")
     home = s.sends(r)[0].endpoint
-    s.feed(i.MembershipNews("changes", [i.Listed(home, "draining", cell=int(home[1:]) // 2),
-                                        i.Listed(f"e{int(home[1:]) ^ 1}", "gone", cell=int(home[1:]) // 2)]))
+    s.feed(
+        i.MembershipNews(
+            "changes",
+            [
+                i.Listed(home, "draining", cell=int(home[1:]) // 2),
+                i.Listed(f"e{int(home[1:]) ^ 1}", "gone", cell=int(home[1:]) // 2),
+            ],
+        )
+    )
     s.end(r, 0, "reset", complete=False)
     s.wait(500.0)
     assert len(s.sends(r)) == 1 and isinstance(s.finals(r)[0], i.Refuse | i.Fail)
@@ -334,8 +344,13 @@
     s, oracle = Sidecar(told, fleet(60)), Sidecar(told, fleet(60))
     phases: list[i.Phase] = ["ready", "ready", "draining", "gone"]
     for _ in range(200):
-        x = i.Listed(f"e{rng.randrange(80)}", rng.choice(phases), size=rng.choice([1.0, 2.0]), zone=rng.randrange(2),
-                     started_at=rng.choice([0.0, 0.0, s.now - 500.0]))
+        x = i.Listed(
+            f"e{rng.randrange(80)}",
+            rng.choice(phases),
+            size=rng.choice([1.0, 2.0]),
+            zone=rng.randrange(2),
+            started_at=rng.choice([0.0, 0.0, s.now - 500.0]),
+        )
         if rng.random() < 0.3:
             name = rng.choice(sorted(s.b.list.endpoints))
             out = rng.randrange(2)
@@ -345,8 +360,11 @@
         oracle.b.rng.setstate(s.b.rng.getstate())
         s.b.on_membership(s.now, i.MembershipNews("changes", [x]))
         oracle.b.list.relist(oracle.now, i.MembershipNews("changes", [x]))
-        for mine, theirs in ((s.b.list.ready, oracle.b.list.ready), (s.b.list.near.ready, oracle.b.list.near.ready),
-                             (s.b.list.far.ready, oracle.b.list.far.ready)):
+        for mine, theirs in (
+            (s.b.list.ready, oracle.b.list.ready),
+            (s.b.list.near.ready, oracle.b.list.near.ready),
+            (s.b.list.far.ready, oracle.b.list.far.ready),
+        ):
             assert [(e.name, e.zone, e.size) for e in mine] == [(e.name, e.zone, e.size) for e in theirs]
         mine_now, same = ({n: e.phase for n, e in x.b.list.endpoints.items()} for x in (s, oracle))
         assert mine_now == same
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -118,18 +118,21 @@
             c = await s.client()
             c.writer.write(b"".join(GOOD.replace(b"r1", b"r%d" % n) for n in range(1, 300)))
             await s.balancer.until(lambda: len(s.balancer.told) == 2)
-            one, = s.front.since[clients.State.BUSY]
+            (one,) = s.front.since[clients.State.BUSY]
             assert len(one.queue) == server.PIPELINED and one.rejected == 400
 
     run(test)
 
 
-@pytest.mark.parametrize(("data", "status"), [
-    (b"", 0),
-    (b"GET /read HT", 408),
-    (b"GET /read HTTP/1.1\r\nHost: x\r\nReq-Id", 408),
-    (head("POST /tip HTTP/1.1", "Req-Id: r", "Req-Deadline: 5", "Content-Length: 9") + b"abc", 408),
-])
+@pytest.mark.parametrize(
+    ("data", "status"),
+    [
+        (b"", 0),
+        (b"GET /read HT", 408),
+        (b"GET /read HTTP/1.1\r\nHost: x\r\nReq-Id", 408),
+        (head("POST /tip HTTP/1.1", "Req-Id: r", "Req-Deadline: 5", "Content-Length: 9") + b"abc", 408),
+    ],
+)
 def test_slow_request_ends(data: bytes, status: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against connections that are held for ever by who never sends a whole request; a kept
     connection of a client that has been served is no such."""
@@ -149,19 +152,22 @@
     run(test)
 
 
-@pytest.mark.parametrize(("data", "status"), [
-    (b"GET /read HTTP/1.1\r\nX-Fill: " + b"x" * 2 * http.MOST_HEAD, 431),
-    (b"GET /" + b"x" * 2 * http.MOST_HEAD, 431),
-    (head("POST /tip HTTP/1.1", "Req-Id: r", "Req-Deadline: 5", "Content-Length: 60000000"), 413),
-    (head("POST /tip HTTP/1.1", "Transfer-Encoding: chunked") + b"1;" + b"x" * 2 * server.MOST_CHUNKED, 413),
-    (head("POST /tip HTTP/1.1", "Content-Length: 5", "Transfer-Encoding: chunked") + b"0\r\n\r\n", 400),
-    (head("POST /tip HTTP/1.1", "Content-Length: 5", "Content-Length: 5") + b"abcde", 400),
-    (head("POST /tip HTTP/1.1", "Content-Length: +5") + b"abcde", 400),
-    (b"GET /read HTTP/1.1\nReq-Id: r\nReq-Deadline: 5\n\n", 400),
-    (head("GET /read HTTP/1.1", "Req-Id: r", "Req-Deadline: 5", "X: y", " folded"), 400),
-    (head("GET /read HTTP/2.0", "Req-Id: r", "Req-Deadline: 5"), 505),
-    (head("GET /read HTTP/1.1", "Req-Id: r", "Req-Deadline: 1_0"), 400),
-])
+@pytest.mark.parametrize(
+    ("data", "status"),
+    [
+        (b"GET /read HTTP/1.1\r\nX-Fill: " + b"x" * 2 * http.MOST_HEAD, 431),
+        (b"GET /" + b"x" * 2 * http.MOST_HEAD, 431),
+        (head("POST /tip HTTP/1.1", "Req-Id: r", "Req-Deadline: 5", "Content-Length: 60000000"), 413),
+        (head("POST /tip HTTP/1.1", "Transfer-Encoding: chunked") + b"1;" + b"x" * 2 * server.MOST_CHUNKED, 413),
+        (head("POST /tip HTTP/1.1", "Content-Length: 5", "Transfer-Encoding: chunked") + b"0\r\n\r\n", 400),
+        (head("POST /tip HTTP/1.1", "Content-Length: 5", "Content-Length: 5") + b"abcde", 400),
+        (head("POST /tip HTTP/1.1", "Content-Length: +5") + b"abcde", 400),
+        (b"GET /read HTTP/1.1\nReq-Id: r\nReq-Deadline: 5\n\n", 400),
+        (head("GET /read HTTP/1.1", "Req-Id: r", "Req-Deadline: 5", "X: y", " folded"), 400),
+        (head("GET /read HTTP/2.0", "Req-Id: r", "Req-Deadline: 5"), 505),
+        (head("GET /read HTTP/1.1", "Req-Id: r", "Req-Deadline: 1_0"), 400),
+    ],
+)
 def test_what_cannot_be_framed_is_rejected_before_its_end(data: bytes, status: int) -> None:
     """Guards against holding, or passing on, a request whose end is in doubt or far away."""
 
@@ -252,7 +258,7 @@
                     await asyncio.sleep(0.02)
                     if not s.front.count():
                         break
-                    one, = (c for state in s.front.since.values() for c in state)
+                    (one,) = (c for state in s.front.since.values() for c in state)
                     if not one.ending:
                         assert one.transport.get_write_buffer_size() <= 2 * len(page) + 4096
             while s.front.count():
@@ -280,7 +286,7 @@
         async with sidecar(refuse_all, known(e=closed_port())) as s:
             c = await s.client()
             for n in range(len(GOOD)):
-                c.writer.write(GOOD[n:n + 1])
+                c.writer.write(GOOD[n : n + 1])
                 await c.writer.drain()
                 await asyncio.sleep(0)
             assert (await c.answer()).status == 503
@@ -345,8 +351,7 @@
         async with sidecar(refuse_all, known(e=closed_port())) as s:
             c = await s.client()
             c.writer.write(
-                head("POST /tip HTTP/1.1", "Req-Id: r", "Req-Deadline: 5", "Content-Length: 2",
-                     "Expect: 100-continue")
+                head("POST /tip HTTP/1.1", "Req-Id: r", "Req-Deadline: 5", "Content-Length: 2", "Expect: 100-continue")
             )
             assert (await c.answer()).status == 100
             c.writer.write(b"ab")
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -35,10 +35,13 @@
 OK = response(200, b"page")
 
 
-@pytest.mark.parametrize("ahead", [
-    b"HTTP/1.1 100 Continue\r\n\r\n",
-    b"HTTP/1.1 103 Early Hints\r\nLink: x\r\nContent-Length: 7\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n",
-])
+@pytest.mark.parametrize(
+    "ahead",
+    [
+        b"HTTP/1.1 100 Continue\r\n\r\n",
+        b"HTTP/1.1 103 Early Hints\r\nLink: x\r\nContent-Length: 7\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n",
+    ],
+)
 def test_interim_answers_are_not_the_answer(ahead: bytes) -> None:
     """Guards against a 1xx answer that is taken for the final one, and its headers with it."""
 
@@ -68,19 +71,22 @@
     run_real(test)
 
 
-@pytest.mark.parametrize("spoilt", [
-    b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nxxxx",
-    b"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\npage",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\npage",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npage\r\n0\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npage",
-    b"HTTP/1.1 200 OK\r\n\r\npage",
-    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npage\r\n",
-    b"HTTP/1.1 200 OK\r\nX-Fill: " + b"x" * (http.MOST_BYTES + http.MOST_BODY),
-    b"HTTP/1.1 200 OK\r\n" + b"X: y\r\n" * 20000,
-    b"HTTP/1.1 20",
-    b"\x16\x03\x01 noise",
-])
+@pytest.mark.parametrize(
+    "spoilt",
+    [
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nxxxx",
+        b"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\npage",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\npage",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npage\r\n0\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npage",
+        b"HTTP/1.1 200 OK\r\n\r\npage",
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npage\r\n",
+        b"HTTP/1.1 200 OK\r\nX-Fill: " + b"x" * (http.MOST_BYTES + http.MOST_BODY),
+        b"HTTP/1.1 200 OK\r\n" + b"X: y\r\n" * 20000,
+        b"HTTP/1.1 20",
+        b"\x16\x03\x01 noise",
+    ],
+)
 def test_spoilt_answer_fails_early_and_the_next_attempt_serves(spoilt: bytes) -> None:
     """Guards against serving what is no whole answer, and against waiting for the rest until the deadline:
     the connection stays open and says nothing more."""
@@ -91,7 +97,8 @@
             return await silence(message, peer)
 
         async with (
-            serving(script) as (bad, a), serving(always(OK)) as (_, b),
+            serving(script) as (bad, a),
+            serving(always(OK)) as (_, b),
             sidecar(send_to("bad", "good"), known(bad=a, good=b)) as s,
         ):
             c = await s.client()
@@ -105,10 +112,22 @@
     run_real(test)
 
 
-@pytest.mark.parametrize("report", [
-    "{", "[1]", "null", '{"queue": "7"}', '{"queue": null}', '{"queue": true}', '{"queue": -1}',
-    '{"queue": 1e308}', '{"queue": NaN}', '{"queue": ' + "9" * 400 + "}", "\x80",
-])
+@pytest.mark.parametrize(
+    "report",
+    [
+        "{",
+        "[1]",
+        "null",
+        '{"queue": "7"}',
+        '{"queue": null}',
+        '{"queue": true}',
+        '{"queue": -1}',
+        '{"queue": 1e308}',
+        '{"queue": NaN}',
+        '{"queue": ' + "9" * 400 + "}",
+        "\x80",
+    ],
+)
 def test_report_that_means_nothing_is_none(report: str) -> None:
     """Guards against an attempt that stays in flight for ever because its report could not be read."""
 
@@ -118,7 +137,7 @@
         async with serving(always(answer)) as (_, at), sidecar(send_to("e"), known(e=at)) as s:
             c = await s.client()
             assert (await c.ask()).status == 200
-            end, = s.balancer.ends()
+            (end,) = s.balancer.ends()
             assert end.outcome == "served" and not end.report and not s.sidecar.requests
 
     run_real(test)
@@ -156,7 +175,8 @@
             assert [n.kind for n in news(s)] == ["remembered", "whole", "whole", "changes"]
             assert set(s.wire.pools) == {"b", "c"}
             assert [m.start.split()[1] for _, m in new.requests][:2] == [
-                "/catalog/members", "/catalog/members?index=7&wait=3000",
+                "/catalog/members",
+                "/catalog/members?index=7&wait=3000",
             ]
             assert await old.ended.get() == 0
 
@@ -178,8 +198,6 @@
     """Guards against a program that ends on SIGHUP, that loses what it holds, that takes a broken file, or
     that sticks to the address in its environment."""
 
-
-
     async def test() -> None:
         release = asyncio.Event()
         script = holding(release)
@@ -254,7 +272,6 @@
     async def test() -> None:
         async with serving(always(OK)) as (_, at), sidecar(react, known(e=at)) as s:
 
-
             def broken(answer: Final) -> None:
                 raise RuntimeError("no way to the client")
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -129,8 +129,9 @@
 def test_the_floor_is_for_all_together() -> None:
     """With 20,000 instances and 2 a second for each of 50 endpoints a retry is one in 200 s of each."""
     shares = i.Shares(retry_ratio=0.001, floor_per_s=2.0)
-    instances = [Sidecar(settings(shares=shares, group_size=GROUP, limits=NO_COPIES), fleet(50), seed)
-                 for seed in range(200)]
+    instances = [
+        Sidecar(settings(shares=shares, group_size=GROUP, limits=NO_COPIES), fleet(50), seed) for seed in range(200)
+    ]
     assert sum(failing(s, 1) for s in instances) <= 4
     alone = Sidecar(settings(shares=shares, limits=NO_COPIES), fleet(50))
     assert failing(alone, 200) > 150
@@ -150,8 +151,9 @@
 
 
 def test_copies_stay_within_their_ratio() -> None:
-    free, bound = copies(Sidecar(settings(), fleet(50)), 20), copies(
-        Sidecar(settings(shares=i.Shares(copy_ratio=0.02)), fleet(50)), 20
+    free, bound = (
+        copies(Sidecar(settings(), fleet(50)), 20),
+        copies(Sidecar(settings(shares=i.Shares(copy_ratio=0.02)), fleet(50)), 20),
     )
     assert bound <= 4 < free
 
@@ -159,8 +161,9 @@
 # --- connections ---
 
 
-def connections(shares: i.Shares = CAPS, group: int = GROUP, servers: int = SERVERS, width: int = WIDTH,
-                seed: int = 1) -> Connections:
+def connections(
+    shares: i.Shares = CAPS, group: int = GROUP, servers: int = SERVERS, width: int = WIDTH, seed: int = 1
+) -> Connections:
     made = Connections(Random(seed))
     made.configure(shares, group, servers, width)
     return made
@@ -175,8 +178,9 @@
         assert sharing * one.most_each() <= max(400.0, sharing)
         one.part = one.most
         busy = min(4, group)
-        assert (sharing - busy) * connections(group=group, servers=servers, width=width).most_each() \
-            + busy * one.most_each() <= (400.0 if sharing <= 300.0 else sharing + busy * one.hot_each)
+        assert (sharing - busy) * connections(
+            group=group, servers=servers, width=width
+        ).most_each() + busy * one.most_each() <= (400.0 if sharing <= 300.0 else sharing + busy * one.hot_each)
         assert group * connections(group=group, servers=servers, width=width).level <= max(200.0 * servers, group)
 
 
@@ -278,9 +282,10 @@
         return []
 
     async def test() -> None:
-        async with serving(silence) as (peer, at), sidecar(
-            react, {"seq": 1, "whole": True, "hosts": [host("a", at)]}, shares=i.Shares(connections=4.0)
-        ) as s:
+        async with (
+            serving(silence) as (peer, at),
+            sidecar(react, {"seq": 1, "whole": True, "hosts": [host("a", at)]}, shares=i.Shares(connections=4.0)) as s,
+        ):
             assert s.sidecar.connections.equal == 2.0
             clients = [await s.client() for _ in range(3)]
             for n, client in enumerate(clients[:2]):
@@ -304,9 +309,18 @@
         return []
 
     async def test() -> None:
-        async with serving(always(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")) as (_, good), \
-                serving(always(None)) as (_, ends), sidecar(react, {"seq": 1, "whole": True, "hosts": [
-                    host("good", good), host("ends", ends), host("none", "127.0.0.1:1")]}) as s:
+        async with (
+            serving(always(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")) as (_, good),
+            serving(always(None)) as (_, ends),
+            sidecar(
+                react,
+                {
+                    "seq": 1,
+                    "whole": True,
+                    "hosts": [host("good", good), host("ends", ends), host("none", "127.0.0.1:1")],
+                },
+            ) as s,
+        ):
             client = await s.client()
             for name in ("good", "ends", "none", "good"):
                 await client.ask(Req_Id=name)
@@ -378,8 +392,12 @@
 
     async def test() -> None:
         hosts = [host(f"e{n}", "127.0.0.1:1") for n in range(60)]
-        async with sidecar(react, {"seq": 1, "whole": True, "hosts": hosts}, shares=i.Shares(subset=6), group_size=400,
-                           ) as s:
+        async with sidecar(
+            react,
+            {"seq": 1, "whole": True, "hosts": hosts},
+            shares=i.Shares(subset=6),
+            group_size=400,
+        ) as s:
             real = Sidecar(settings(discovery="on_request", shares=i.Shares(subset=6), group_size=400))
             real.feed(i.MembershipNews("refused"))
             assert (await (await s.client()).ask()).status == 503
@@ -401,8 +419,10 @@
         async with AsyncExitStack() as stack:
             side = await Side(stack, HttpEndpoint, 5).open(24)
             operator = tmp_path / "operator.toml"
-            operator.write_text("version = 1\n[shares]\nsubset = 3\nconnections = 4000\nhandshakes_per_s = 100000\n"
-                                "list_calls_per_s = 100000\nretry_ratio = 0.5\ncopy_ratio = 0.2\nfloor_per_s = 100\n")
+            operator.write_text(
+                "version = 1\n[shares]\nsubset = 3\nconnections = 4000\nhandshakes_per_s = 100000\n"
+                "list_calls_per_s = 100000\nretry_ratio = 0.5\ncopy_ratio = 0.2\nfloor_per_s = 100\n"
+            )
             clients, over, programs = [], asyncio.Event(), []
             for n in range(2):
                 folder = tmp_path / str(n)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -52,8 +52,15 @@
         answer = response(200, b"\x00page", Content_Type="image/png", Srv_Load='{"queue":3}')
         async with serving(always(answer)) as (peer, at), sidecar(send_to("e"), known(e=at)) as s:
             c = await s.client()
-            got = await c.ask("/unlock/7?a=b%20c", method="POST", body=b"\x01\x02",
-                              Idempotency_Key="k", Cookie="a=1; key=77", Req_Cost="1500", Req_Retry="1")
+            got = await c.ask(
+                "/unlock/7?a=b%20c",
+                method="POST",
+                body=b"\x01\x02",
+                Idempotency_Key="k",
+                Cookie="a=1; key=77",
+                Req_Cost="1500",
+                Req_Retry="1",
+            )
             assert (got.status, got.body) == (200, b"\x00page")
             assert got.headers["content-type"] == "image/png" and "srv-load" not in got.headers
             sent = peer.requests[0][1]
@@ -63,7 +70,7 @@
             _, asked = s.balancer.told[1]
             assert isinstance(asked, i.RequestArrived)
             assert (asked.klass, asked.key, asked.work, asked.client_retry) == (1, "77", 1.5, True)
-            end, = s.balancer.ends()
+            (end,) = s.balancer.ends()
             assert end.complete and end.outcome == "served" and end.report == {"queue": 3.0}
             assert not s.sidecar.requests
 
@@ -122,7 +129,7 @@
         async with serving(silence) as (peer, at), sidecar(send_to("e", expires=300.0), known(e=at)) as s:
             c = await s.client()
             assert (await c.ask()).status == 502
-            end, = s.balancer.ends()
+            (end,) = s.balancer.ends()
             assert end.outcome == "timeout" and end.elapsed >= 250.0
             assert await peer.ended.get() == 0
 
@@ -155,7 +162,9 @@
                 assert await slow.ended.get() == 0
                 await s.balancer.until(lambda: len(s.balancer.ends()) >= 3)
                 assert [(e.attempt, e.outcome, e.complete) for e in s.balancer.ends()] == [
-                    (1, "served", True), (0, "cancelled", True), (2, "not_sent", True),
+                    (1, "served", True),
+                    (0, "cancelled", True),
+                    (2, "not_sent", True),
                 ]
                 assert len(fast.requests) == 1 and not s.sidecar.requests
 
@@ -190,11 +199,14 @@
     run(test)
 
 
-@pytest.mark.parametrize(("target", "endpoint", "status"), [
-    ("/tip", "", 503),  # nothing was sent
-    ("/tip", "hung", 502),  # it may have run
-    ("/read", "hung", 503),  # a repeat is harmless whatever ran
-])
+@pytest.mark.parametrize(
+    ("target", "endpoint", "status"),
+    [
+        ("/tip", "", 503),  # nothing was sent
+        ("/tip", "hung", 502),  # it may have run
+        ("/read", "hung", 503),  # a repeat is harmless whatever ran
+    ],
+)
 def test_guard_answers_before_the_deadline(target: str, endpoint: str, status: int) -> None:
     """Guards against a balancer that forgets a request, and against a refusal of what may have run."""
 
@@ -249,7 +261,7 @@
             c.writer.close()
             assert await peer.ended.get() == 0
             await s.balancer.until(lambda: bool(s.balancer.ends()))
-            end, = s.balancer.ends()
+            (end,) = s.balancer.ends()
             assert end.outcome == "cancelled" and end.complete and not s.sidecar.requests
 
     run(test)
@@ -336,7 +348,7 @@
         async with serving(always(response())) as (peer, at), sidecar(send_to("e"), known(e=at)) as s:
             c = await s.client()
             assert (await c.ask()).status == 200
-            connection, = s.wire.idle
+            (connection,) = s.wire.idle
             assert connection.reusable()
             other = peer.writers[0].get_extra_info("socket")
             raw = socket.fromfd(other.fileno(), socket.AF_INET, socket.SOCK_STREAM)
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -71,8 +71,9 @@
 
 def test_the_command_line() -> None:
     def run(*words: str) -> subprocess.CompletedProcess[str]:
-        return subprocess.run([sys.executable, "-m", "zinclever", "sim", *words], cwd=ROOT, capture_output=True,
-                              text=True, timeout=100)
+        return subprocess.run(
+            [sys.executable, "-m", "zinclever", "sim", *words], cwd=ROOT, capture_output=True, text=True, timeout=100
+        )
 
     assert [line.split()[0] for line in run("day", "--list").stdout.splitlines()] == list(KINDS)
     assert run("day", "sunny").returncode == 2 and run("day", "calm", "--sidecars", "0").returncode == 2
@@ -133,8 +134,13 @@
     monkeypatch.setattr(ledger.Ledger, "fail", lambda self, action: self.finish(action.request, Refused()))
 
 
-BROKEN = [(resent, "rule 2", "faults"), (drained, "rule 3", "waves"), (lost, "rule 1", "silent"),
-          (refused, "rule 2", "faults"), (pushed, "rule 4", "herd")]
+BROKEN = [
+    (resent, "rule 2", "faults"),
+    (drained, "rule 3", "waves"),
+    (lost, "rule 1", "silent"),
+    (refused, "rule 2", "faults"),
+    (pushed, "rule 4", "herd"),
+]
 
 
 @pytest.mark.parametrize(("breaks", "rule", "kind"), BROKEN, ids=[b[0].__name__ for b in BROKEN])
@@ -173,18 +179,21 @@
     assert dayfile.read(dayfile.write(day)) == day
 
 
-@pytest.mark.parametrize(("old", "new", "told"), [
-    ('kind = "silent"\nat_s', 'kind = "silence"\nat_s', "'silence' is no trouble"),
-    ("endpoints = 4", "endpoint = 4", "did you mean endpoints"),
-    ("endpoints = 4", 'endpoints = "six"', "takes a whole number"),
-    ("endpoints = 4", "endpoints = 0", "takes a sidecar, an endpoint"),
-    ("version = 1", "version = 9", "reads 1"),
-    ("seconds = 20.0", "seconds = 0.1", "begins after the day"),
-    ("seconds = 20.0", "seconds = ", "line 4"),
-    ("jitter = 0.25", "jitter = 1.25", "jitter"),
-    ("speed = [\n    1.4,\n    1.8,\n]", "speed = [1.4, -1]", "speed"),
-    ("speed = [\n    1.4,\n    1.8,\n]", "speed = [1.8, 1.4]", "[least, most]"),
-])
+@pytest.mark.parametrize(
+    ("old", "new", "told"),
+    [
+        ('kind = "silent"\nat_s', 'kind = "silence"\nat_s', "'silence' is no trouble"),
+        ("endpoints = 4", "endpoint = 4", "did you mean endpoints"),
+        ("endpoints = 4", 'endpoints = "six"', "takes a whole number"),
+        ("endpoints = 4", "endpoints = 0", "takes a sidecar, an endpoint"),
+        ("version = 1", "version = 9", "reads 1"),
+        ("seconds = 20.0", "seconds = 0.1", "begins after the day"),
+        ("seconds = 20.0", "seconds = ", "line 4"),
+        ("jitter = 0.25", "jitter = 1.25", "jitter"),
+        ("speed = [\n    1.4,\n    1.8,\n]", "speed = [1.4, -1]", "speed"),
+        ("speed = [\n    1.4,\n    1.8,\n]", "speed = [1.8, 1.4]", "[least, most]"),
+    ],
+)
 def test_a_file_that_holds_no_day(old: str, new: str, told: str) -> None:
     text = dayfile.write(small("silent")).decode()
     assert old in text
@@ -195,6 +204,7 @@
 
 def test_a_clock_set_back_changes_nothing() -> None:
     """The program reads Unix time once."""
+
     def played(back: bool) -> str:
         world = World(small("calm"))
 
@@ -226,6 +236,5 @@
     found = played.play()
     assert found["breaches"] == [], found
     paused = {s.name: s.resumed_at for s in played.sidecars if s.resumed_at >= 0.0}
-    after = [a for a in played.log.answered
-             if a.at > paused.get(a.request.split(".")[0], math.inf) + 500.0]
+    after = [a for a in played.log.answered if a.at > paused.get(a.request.split(".")[0], math.inf) + 500.0]
     assert sum(a.kind == "refused" for a in after) < 0.2 * len(after), found
--- a/tests/test_simnet.py
+++ b/tests/test_simnet.py
@@ -327,8 +327,9 @@
     b.run_until_complete(b.create_server(accept, "10.0.0.2", 80, backlog=4096))
 
     async def connect() -> list[Any]:
-        some = [await asyncio.gather(*(a.create_connection(Ends, "10.0.0.2", 80) for _ in range(1000)))
-                for _ in range(10)]
+        some = [
+            await asyncio.gather(*(a.create_connection(Ends, "10.0.0.2", 80) for _ in range(1000))) for _ in range(10)
+        ]
         return [protocol for part in some for _, protocol in part]
 
     clients = a.run_until_complete(connect())
@@ -371,5 +372,3 @@
     assert sock.recv(2, socket.MSG_PEEK) == b"he" and sock.recv(9) == b"hello"
     with pytest.raises(BlockingIOError):
         sock.recv(1)
-
-
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -54,7 +54,8 @@
     news = i.MembershipNews("changes", [])
     fired, closed = i.TimerFired("t"), i.RequestClosed("r")
     assert news_first([("b", fired), ("b", news), ("a", closed)], i.MembershipNews) == deque(
-        [("b", news), ("b", fired), ("a", closed)])
+        [("b", news), ("b", fired), ("a", closed)]
+    )
 
 
 def test_the_kernel_tells_how_long_bytes_have_waited() -> None:
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -16,7 +16,7 @@
 def test_it_is_placed_at_once_and_counts_from_its_end() -> None:
     """Guards against an upload that looks like a server's silence or a crowd: nothing is in flight until its end."""
     s = begun(SAFE)
-    send, = s.sends("up")
+    (send,) = s.sends("up")
     s.wait(5000.0)
     assert s.sends("up") == [send] and not s.of(i.Cancel) and not s.finals("up")
     assert s.b.list.inflight() == 0 and s.b.list.endpoints[send.endpoint].silence(s.now) == 0.0
--- a/zinclever/assembly.py
+++ b/zinclever/assembly.py
@@ -36,9 +36,11 @@
         self.config, self.descriptors = config, descriptors
         balancer = Balancer(config.settings, config.seed)
         self.ledger = Ledger(
-            balancer, HttpWire(descriptors, host),
+            balancer,
+            HttpWire(descriptors, host),
             lambda on_list: Discovery(config.discovery, config.settings, config.zones, config.known, on_list, host),
-            descriptors, host,
+            descriptors,
+            host,
         )
         assert isinstance(self.ledger.source, Discovery)
         self.discovery = self.ledger.source
@@ -62,7 +64,6 @@
         if config.discovery != self.discovery.address:
             self.discovery.move(config.discovery)
 
-
     def share_with(self, others: int) -> None:
         """So many other processes of this sidecar are alive: descriptors are divided evenly among all."""
         self.processes = 1 + others
@@ -80,8 +81,12 @@
         """What operators are told of this moment."""
         ledger, wire = self.ledger, self.ledger.wire
         assert isinstance(wire, HttpWire)
-        return Levels(wire.dispatches, ledger.counts.concurrent, len(self.discovery.hosts),
-                      avoided(ledger.balancer, ledger.clock()))
+        return Levels(
+            wire.dispatches,
+            ledger.counts.concurrent,
+            len(self.discovery.hosts),
+            avoided(ledger.balancer, ledger.clock()),
+        )
 
     def pages(self) -> Pages:
         """Where operators call."""
@@ -116,8 +121,11 @@
         before, self.told = self.told, told
         moved = (told.discovery is None) != (before.discovery is None)
         if moved or (told.listen, told.rules.framing) != (before.listen, before.rules.framing):
-            log.warning("services.%s: listen, framing, and a change between endpoints and discovery take "
-                        "effect at the next start only", told.name)
+            log.warning(
+                "services.%s: listen, framing, and a change between endpoints and discovery take "
+                "effect at the next start only",
+                told.name,
+            )
         self.wire.proofs = told.proofs
         source = self.ledger.source
         if isinstance(source, Discovery):
--- a/zinclever/compile.py
+++ b/zinclever/compile.py
@@ -1,6 +1,6 @@
 """The build step that compiles the hot modules (mypyc); without a compiler everything runs as it is written.
 
-    python -m zinclever.compile
+python -m zinclever.compile
 """
 
 from __future__ import annotations
--- a/zinclever/configtool/changes.py
+++ b/zinclever/configtool/changes.py
@@ -12,7 +12,8 @@
 FREEDOM = {"at_most_once": 0, "deduplicated": 1, "idempotent": 2}
 WIDTH = {None: 0, "cell": 0, "zone": 1, "all": 2}
 WORDS = {
-    "at_most_once": "is never sent twice", "deduplicated": "may be resent inside its group and window",
+    "at_most_once": "is never sent twice",
+    "deduplicated": "may be resent inside its group and window",
     "idempotent": "may be resent freely, and copied while it is out",
 }
 
@@ -47,8 +48,9 @@
     yield from _methods(path, before, after)
     new = sorted(set(after["never_ran_errors"]) - set(before["never_ran_errors"]))
     if new:
-        yield Change(True, dotted((*path, "never_ran_errors")),
-                     f"calls of every class may now be resent after the errors {new}")
+        yield Change(
+            True, dotted((*path, "never_ran_errors")), f"calls of every class may now be resent after the errors {new}"
+        )
     if after["expose"] and not before["expose"]:
         yield Change(True, dotted((*path, "expose")), "it may now be reached from elsewhere")
     handled = ("classes", "methods", "default_class", "expose")
@@ -60,15 +62,22 @@
         old, new, at = before[name], after[name], (*path, "classes", name)
         freer = FREEDOM[new["repeat"]] > FREEDOM[old["repeat"]]
         if new["repeat"] != old["repeat"]:
-            yield Change(freer, dotted((*at, "repeat")), f"a call that {WORDS[old['repeat']]} now "
-                         f"{WORDS[new['repeat']]}")
+            yield Change(
+                freer, dotted((*at, "repeat")), f"a call that {WORDS[old['repeat']]} now {WORDS[new['repeat']]}"
+            )
         elif new["repeat"] == "deduplicated":
             if WIDTH[new["group"]] != WIDTH[old["group"]]:
-                yield Change(WIDTH[new["group"]] > WIDTH[old["group"]], dotted((*at, "group")),
-                             f"repeats go to the same {old['group']} -> {new['group']}")
+                yield Change(
+                    WIDTH[new["group"]] > WIDTH[old["group"]],
+                    dotted((*at, "group")),
+                    f"repeats go to the same {old['group']} -> {new['group']}",
+                )
             if new["window_ms"] != old["window_ms"]:
-                yield Change(new["window_ms"] > old["window_ms"], dotted((*at, "window_ms")),
-                             f"repeats are sent for {old['window_ms']:g} -> {new['window_ms']:g} ms")
+                yield Change(
+                    new["window_ms"] > old["window_ms"],
+                    dotted((*at, "window_ms")),
+                    f"repeats are sent for {old['window_ms']:g} -> {new['window_ms']:g} ms",
+                )
         yield from _plain(at, old, new, ("repeat", "group", "window_ms"))
 
 
@@ -90,9 +99,12 @@
         elif was is not None:
             yield from _moved(at, before["classes"][was], after["classes"][now], was, now)
     if before["default_class"] != after["default_class"]:
-        yield Change(False, dotted((*path, "default_class")),
-                     f"methods that are not listed: {before['default_class'] or 'answered -32601'} -> "
-                     f"{after['default_class'] or 'answered -32601'}")
+        yield Change(
+            False,
+            dotted((*path, "default_class")),
+            f"methods that are not listed: {before['default_class'] or 'answered -32601'} -> "
+            f"{after['default_class'] or 'answered -32601'}",
+        )
 
 
 def _moved(at: str, old: Clean, new: Clean, was: str, now: str) -> Iterator[Change]:
--- a/zinclever/configtool/cli.py
+++ b/zinclever/configtool/cli.py
@@ -45,7 +45,8 @@
 def coloured(text: str) -> str:
     """Findings on a terminal; click takes colours out elsewhere."""
     return text.replace(" error ZC", click.style(" error ", fg="red") + "ZC").replace(
-        " warning ZC", click.style(" warning ", fg="yellow") + "ZC")
+        " warning ZC", click.style(" warning ", fg="yellow") + "ZC"
+    )
 
 
 @config.command("check")
--- a/zinclever/configtool/migration.py
+++ b/zinclever/configtool/migration.py
@@ -17,7 +17,9 @@
 Node = tree_sitter.Node
 CLASS_KEYS = {"aim": "aim_ms", "deadline": "deadline_ms", "window": "window_ms"}
 SERVICE_KEYS = {
-    "attempts": "max_attempts", "connect_timeout": "connect_timeout_ms", "idle": "connection_idle_ms",
+    "attempts": "max_attempts",
+    "connect_timeout": "connect_timeout_ms",
+    "idle": "connection_idle_ms",
     "default": "default_class",
 }
 
--- a/zinclever/configtool/reference.py
+++ b/zinclever/configtool/reference.py
@@ -40,8 +40,13 @@
         return "none"
     if isinstance(key.default, tuple):
         return "[" + ", ".join(map(str, key.default)) + "]"
-    return str(key.default).lower() if isinstance(key.default, bool) else f"{key.default:g}" if isinstance(
-        key.default, int | float) else str(key.default)
+    return (
+        str(key.default).lower()
+        if isinstance(key.default, bool)
+        else f"{key.default:g}"
+        if isinstance(key.default, int | float)
+        else str(key.default)
+    )
 
 
 def explain(asked: str) -> str | None:
@@ -54,8 +59,10 @@
 
 def _explained(entry: Entry) -> str:
     key = entry.key
-    return (f"{entry.path} ({entry.file} file)\n\n{key.doc}\n\n  takes    {worded(key)}\n"
-            f"  default  {default_of(key)}\n  since    version {key.since}\n")
+    return (
+        f"{entry.path} ({entry.file} file)\n\n{key.doc}\n\n  takes    {worded(key)}\n"
+        f"  default  {default_of(key)}\n  since    version {key.since}\n"
+    )
 
 
 def nearest(asked: str) -> list[str]:
@@ -83,12 +90,16 @@
 
 def _value(key: Key) -> dict[str, Any]:
     simple: dict[str, dict[str, Any]] = {
-        "text": {"type": "string"}, "flag": {"type": "boolean"}, "number": {"type": "number"},
-        "whole": {"type": "integer"}, "choice": {"enum": list(key.choices)},
+        "text": {"type": "string"},
+        "flag": {"type": "boolean"},
+        "number": {"type": "number"},
+        "whole": {"type": "integer"},
+        "choice": {"enum": list(key.choices)},
         "address": {"type": "string", "pattern": "^[^ ]+:[0-9]{1,5}$"},
         "pointer": {"type": "string", "pattern": "^/"},
         "texts": {"type": "array", "items": {"type": "string"}},
-        "wholes": {"type": "array", "items": {"type": "integer"}}, "any": {},
+        "wholes": {"type": "array", "items": {"type": "integer"}},
+        "any": {},
     }
     told: dict[str, Any]
     if key.kind == "table":
@@ -120,8 +131,7 @@
         lines += [f"### Keys of the {file} file", ""]
         lines += ["| key | takes | default | meaning |", "| --- | --- | --- | --- |"]
         lines += [
-            f"| `{e.path}` | {worded(e.key)} | {default_of(e.key)} | {e.key.doc} |"
-            for e in entries() if e.file == file
+            f"| `{e.path}` | {worded(e.key)} | {default_of(e.key)} | {e.key.doc} |" for e in entries() if e.file == file
         ]
         lines.append("")
     lines += ["### Findings", "", "| code | severity | what | why |", "| --- | --- | --- | --- |"]
--- a/zinclever/configtool/report.py
+++ b/zinclever/configtool/report.py
@@ -29,9 +29,7 @@
     placed = []
     for finding in report.findings:
         line, column = positions.place(finding) if positions else finding.at or (1, 1)
-        related = tuple(
-            (*positions.of(path), dotted(path)) for path in finding.related
-        ) if positions else ()
+        related = tuple((*positions.of(path), dotted(path)) for path in finding.related) if positions else ()
         placed.append(Placed(file, line, column, finding, related))
     return sorted(placed, key=lambda p: (p.line, p.column, p.finding.code))
 
@@ -51,8 +49,13 @@
 def as_json(placed: Sequence[Placed]) -> str:
     told = [
         {
-            "file": p.file, "line": p.line, "column": p.column, "code": p.finding.code,
-            "severity": p.finding.severity, "key": p.finding.key, "reason": p.finding.reason,
+            "file": p.file,
+            "line": p.line,
+            "column": p.column,
+            "code": p.finding.code,
+            "severity": p.finding.severity,
+            "key": p.finding.key,
+            "reason": p.finding.reason,
             "instead": p.finding.instead,
             "related": [{"line": line, "column": column, "key": key} for line, column, key in p.related],
         }
@@ -63,6 +66,7 @@
 
 def as_github(placed: Sequence[Placed]) -> str:
     """Workflow commands, one a finding."""
+
     def escaped(text: str) -> str:
         return text.replace("%", "%25").replace("\r", "%0D").replace("\n", "%0A")
 
@@ -80,7 +84,8 @@
     used = sorted({p.finding.code for p in placed})
     rules = [
         {
-            "id": code, "shortDescription": {"text": CODES[code].title},
+            "id": code,
+            "shortDescription": {"text": CODES[code].title},
             "fullDescription": {"text": CODES[code].explanation},
         }
         for code in used
@@ -100,16 +105,20 @@
     ]
     driver = {"name": "zinclever", "version": __version__, "rules": rules}
     told = {
-        "version": "2.1.0", "$schema": "https://json.schemastore.org/sarif-2.1.0.json",
+        "version": "2.1.0",
+        "$schema": "https://json.schemastore.org/sarif-2.1.0.json",
         "runs": [{"tool": {"driver": driver}, "results": results}],
     }
     return orjson.dumps(told, option=orjson.OPT_INDENT_2).decode() + "\n"
 
 
 def location(file: str, line: int, column: int) -> dict[str, Any]:
-    return {"physicalLocation": {
-        "artifactLocation": {"uri": file}, "region": {"startLine": line, "startColumn": column},
-    }}
+    return {
+        "physicalLocation": {
+            "artifactLocation": {"uri": file},
+            "region": {"startLine": line, "startColumn": column},
+        }
+    }
 
 
 FORMATS = {"text": as_text, "json": as_json, "github": as_github, "sarif": as_sarif}
--- a/zinclever/configtool/writing.py
+++ b/zinclever/configtool/writing.py
@@ -67,13 +67,17 @@
     by_sockets = app.sockets - RESERVED - MOST_CONNECTIONS * len(app.endpoints)
     most = min(MOST_CLIENTS, by_memory, by_sockets)
     if most < LEAST_CLIENTS:
-        raise Impossible(f"{app.memory_mb} MB and {app.sockets} descriptors leave room for {max(0, most)} clients; "
-                         f"{LEAST_CLIENTS} is the least that is of use")
+        raise Impossible(
+            f"{app.memory_mb} MB and {app.sockets} descriptors leave room for {max(0, most)} clients; "
+            f"{LEAST_CLIENTS} is the least that is of use"
+        )
     if most == by_memory:
         return most, f"{app.memory_mb} MB less {IDLE_MB} idle hold so many texts of {TEXT_KB} KiB"
     if most == by_sockets:
-        return most, (f"{app.sockets} descriptors less {RESERVED} in reserve and {MOST_CONNECTIONS} for each of "
-                      f"{len(app.endpoints)} endpoints")
+        return most, (
+            f"{app.sockets} descriptors less {RESERVED} in reserve and {MOST_CONNECTIONS} for each of "
+            f"{len(app.endpoints)} endpoints"
+        )
     return most, "far more than one application opens"
 
 
@@ -116,8 +120,10 @@
     yield f"instances = {app.instances}  # sidecars that share these endpoints"
     yield f"max_clients = {most}  # {why}"
     yield f"max_text_kb = {TEXT_KB}  # of one text, a whole batch among them"
-    yield (f"max_attempts = {attempts}  # {len(app.endpoints)} endpoints; {app.rate:g} calls a second keep about "
-           f"{busy:.0f} out at the aim")
+    yield (
+        f"max_attempts = {attempts}  # {len(app.endpoints)} endpoints; {app.rate:g} calls a second keep about "
+        f"{busy:.0f} out at the aim"
+    )
     yield f"connect_timeout_ms = {CONNECT_MS:g}  # an unreachable endpoint costs this much of the aim"
     if app.tips:
         yield 'default_class = "tip"  # what is not listed might do something twice, and is never sent again'
@@ -187,8 +193,16 @@
 # --- descriptions ---
 
 FIELDS = {
-    "listen": str, "zone": str, "framing": str, "aim_ms": float, "deadline_ms": float, "window_ms": float,
-    "rate": float, "memory_mb": int, "sockets": int, "instances": int,
+    "listen": str,
+    "zone": str,
+    "framing": str,
+    "aim_ms": float,
+    "deadline_ms": float,
+    "window_ms": float,
+    "rate": float,
+    "memory_mb": int,
+    "sockets": int,
+    "instances": int,
 }
 
 
@@ -246,8 +260,10 @@
             if name not in self.told:
                 self.texts(name, tuple(click.prompt(question, "", show_default=False).split()))
         for name, question in (
-            ("rate", "Calls a second that this sidecar expects"), ("memory_mb", "Memory, MB"),
-            ("sockets", "Descriptors"), ("instances", "Sidecars that share the endpoints"),
+            ("rate", "Calls a second that this sidecar expects"),
+            ("memory_mb", "Memory, MB"),
+            ("sockets", "Descriptors"),
+            ("instances", "Sidecars that share the endpoints"),
         ):
             if name not in self.told:
                 self.told[name] = click.prompt(question, getattr(App("x"), name), type=FIELDS[name])
--- a/zinclever/configuration/check.py
+++ b/zinclever/configuration/check.py
@@ -51,8 +51,14 @@
     for name, service in (clean.get("services") or {}).items():
         told = values["services"][name]
         if isinstance(told, dict) and service is not None and not told.keys() & {"endpoints", "discovery"}:
-            found.append(Finding("ZC228", ("services", name), "neither endpoints nor discovery is told",
-                                 'write endpoints = ["127.0.0.1:9001"]'))
+            found.append(
+                Finding(
+                    "ZC228",
+                    ("services", name),
+                    "neither endpoints nor discovery is told",
+                    'write endpoints = ["127.0.0.1:9001"]',
+                )
+            )
     found += relations.operator(clean, elsewhere)
     return Report("operator", values, clean, found)
 
@@ -62,11 +68,19 @@
     if type(version) is not int:
         return None  # missing, or of the wrong kind: told by its shape
     if version > model.VERSION:
-        return Finding("ZC120", ("version",), f"the file is of version {version}; this sidecar reads "
-                       f"{model.VERSION}", "use a sidecar that reads it")
+        return Finding(
+            "ZC120",
+            ("version",),
+            f"the file is of version {version}; this sidecar reads {model.VERSION}",
+            "use a sidecar that reads it",
+        )
     if version < model.VERSION:
-        return Finding("ZC121", ("version",), f"the file is of version {version}; this sidecar reads "
-                       f"{model.VERSION}", "run: zinclever config migrate FILE")
+        return Finding(
+            "ZC121",
+            ("version",),
+            f"the file is of version {version}; this sidecar reads {model.VERSION}",
+            "run: zinclever config migrate FILE",
+        )
     return None
 
 
--- a/zinclever/configuration/load.py
+++ b/zinclever/configuration/load.py
@@ -52,9 +52,7 @@
     data = read_bytes(PLATFORM, path, files)
     report = check_platform(data)
     # An address that the environment gives need not stand in the file.
-    named: dict[Path, str | None] = {
-        ("listen",): env.get("LB_LISTEN"), ("discovery",): env.get("LB_DISCOVERY")
-    }
+    named: dict[Path, str | None] = {("listen",): env.get("LB_LISTEN"), ("discovery",): env.get("LB_DISCOVERY")}
     kept = [f for f in report.findings if not (f.code in ("ZC111", "ZC116") and named.get(f.path))]
     report = Report(report.format, report.values, report.clean, kept)
     refuse_errors(PLATFORM, path, data, report)
--- a/zinclever/configuration/model.py
+++ b/zinclever/configuration/model.py
@@ -10,8 +10,20 @@
 from typing import Any, Literal
 
 Kind = Literal[
-    "text", "number", "whole", "flag", "choice", "address", "pointer", "texts", "wholes", "numbers", "table", "tables",
-    "endpoints", "any",
+    "text",
+    "number",
+    "whole",
+    "flag",
+    "choice",
+    "address",
+    "pointer",
+    "texts",
+    "wholes",
+    "numbers",
+    "table",
+    "tables",
+    "endpoints",
+    "any",
 ]
 VERSION = 1
 MOST_SPAN = 3_600_000.0  # ms: no request is waited for, and no key remembered, for more than an hour
@@ -47,8 +59,14 @@
 GROUP = ("all", "zone", "cell")
 
 
-def span(name: str, doc: str, default: float | None = None, required: bool = False, least: float = 1.0,
-         most: float = MOST_SPAN) -> Key:
+def span(
+    name: str,
+    doc: str,
+    default: float | None = None,
+    required: bool = False,
+    least: float = 1.0,
+    most: float = MOST_SPAN,
+) -> Key:
     return Key(name, "number", doc, "ms", default, required, least, most)
 
 
@@ -56,21 +74,31 @@
     Key("address", "address", "Where it listens.", required=True),
     Key("zone", "text", "Where it stands. Endpoints without one share one.", default=""),
     Key("weight", "number", "Its size beside the others.", default=1.0, least=0.001, most=1000.0),
-    Key("cell", "whole", "The group of endpoints that it shares its memory of keys with.", default=0, least=0,
-        most=2**31),
+    Key(
+        "cell",
+        "whole",
+        "The group of endpoints that it shares its memory of keys with.",
+        default=0,
+        least=0,
+        most=2**31,
+    ),
 )
 CLASS = (
-    Key("repeat", "choice", "What a repeat does: idempotent: nothing; deduplicated: nothing inside the group and "
-        "window; at_most_once: it takes effect again, so that it is never sent twice.", required=True,
-        choices=REPEAT),
+    Key(
+        "repeat",
+        "choice",
+        "What a repeat does: idempotent: nothing; deduplicated: nothing inside the group and "
+        "window; at_most_once: it takes effect again, so that it is never sent twice.",
+        required=True,
+        choices=REPEAT,
+    ),
     span("aim_ms", "An answer within it is in time.", required=True),
     span("deadline_ms", "The client hears by then, whatever happens.", required=True),
-    Key("value", "number", "What an answer in time is worth beside other classes.", default=1.0, least=0.0,
-        most=1e6),
-    span("window_ms", "Deduplicated classes: how long endpoints remember a key, from the first send that may "
-         "have run."),
-    Key("group", "choice", "Deduplicated classes: the endpoints that discard each other's repeats.",
-        choices=GROUP),
+    Key("value", "number", "What an answer in time is worth beside other classes.", default=1.0, least=0.0, most=1e6),
+    span(
+        "window_ms", "Deduplicated classes: how long endpoints remember a key, from the first send that may have run."
+    ),
+    Key("group", "choice", "Deduplicated classes: the endpoints that discard each other's repeats.", choices=GROUP),
 )
 METHOD = (
     Key("class", "text", "The class of its calls.", required=True),
@@ -85,69 +113,175 @@
     Key("discovery", "address", "In place of endpoints: a service of the platform's discovery protocol."),
     Key("zones", "texts", "With discovery: the names of its zones.", default=()),
     Key("zone", "text", "The sidecar's own zone.", default=""),
-    Key("framing", "choice", "lines: one JSON text a line; headers: Content-Length headers before each text.",
-        default="lines", choices=("lines", "headers")),
+    Key(
+        "framing",
+        "choice",
+        "lines: one JSON text a line; headers: Content-Length headers before each text.",
+        default="lines",
+        choices=("lines", "headers"),
+    ),
     Key("default_class", "text", "Class of methods that are not listed. Left out: they are answered -32601."),
     Key("never_ran_errors", "wholes", "Error codes by which endpoints tell that a call never ran.", default=()),
-    Key("failure_errors", "wholes", "Error codes that are faults of the endpoint; all others are answers.",
-        default=(-32603,)),
+    Key(
+        "failure_errors",
+        "wholes",
+        "Error codes that are faults of the endpoint; all others are answers.",
+        default=(-32603,),
+    ),
     Key("max_attempts", "whole", "Attempts for each call, the first one among them.", default=3, least=1, most=16),
     Key("copies", "flag", "A slow safe call gets a copy at another endpoint after the delay.", default=True),
-    Key("max_retry_after_ms", "number", "The longest advice in a refusal; 0: none.", "ms", 1000.0, least=0.0,
-        most=MOST_SPAN),
-    span("connect_timeout_ms", "How long to wait for a connection; under the grace for drains.", 250.0,
-         most=1000.0),
-    span("connection_idle_ms", "When endpoints close an idle connection; it is closed before.", 15000.0,
-         least=100.0),
+    Key(
+        "max_retry_after_ms",
+        "number",
+        "The longest advice in a refusal; 0: none.",
+        "ms",
+        1000.0,
+        least=0.0,
+        most=MOST_SPAN,
+    ),
+    span("connect_timeout_ms", "How long to wait for a connection; under the grace for drains.", 250.0, most=1000.0),
+    span("connection_idle_ms", "When endpoints close an idle connection; it is closed before.", 15000.0, least=100.0),
     Key("max_clients", "whole", "Connections of clients at once.", default=128, least=1, most=65536),
-    Key("max_text_kb", "whole", "The longest text of a client, a whole batch among them.", "KiB", 1024, least=1,
-        most=65536),
+    Key(
+        "max_text_kb",
+        "whole",
+        "The longest text of a client, a whole batch among them.",
+        "KiB",
+        1024,
+        least=1,
+        most=65536,
+    ),
     Key("instances", "whole", "How many sidecars share these endpoints.", default=1, least=1, most=1_000_000),
     Key("number", "whole", "This sidecar's own number among them, from 0.", default=0, least=0, most=999_999),
-    Key("classes", "table", "What may be done with requests, by name.", required=True,
-        inner=(Key("*", "table", "A class.", inner=CLASS),)),
-    Key("methods", "table", "The class of each method.", default={},
-        inner=(Key("*", "table", "A method.", inner=METHOD),)),
+    Key(
+        "classes",
+        "table",
+        "What may be done with requests, by name.",
+        required=True,
+        inner=(Key("*", "table", "A class.", inner=CLASS),),
+    ),
+    Key(
+        "methods",
+        "table",
+        "The class of each method.",
+        default={},
+        inner=(Key("*", "table", "A method.", inner=METHOD),),
+    ),
 )
 LIMITS = (
-    Key("sockets", "whole", "Descriptors that the process may hold. With LB_CONFIG its own figure holds.",
-        default=1024, least=64, most=2**20),
-    Key("memory_mb", "whole", "Memory that the process may use: checked against what clients may fill.", "MB",
-        least=24, most=2**20),
+    Key(
+        "sockets",
+        "whole",
+        "Descriptors that the process may hold. With LB_CONFIG its own figure holds.",
+        default=1024,
+        least=64,
+        most=2**20,
+    ),
+    Key(
+        "memory_mb",
+        "whole",
+        "Memory that the process may use: checked against what clients may fill.",
+        "MB",
+        least=24,
+        most=2**20,
+    ),
 )
 SHARES = (
-    Key("subset", "whole", "Endpoints of its own zone that each instance knows at least, where it needn't know all; "
-        "0: it knows all.", default=0, least=0, most=MOST_ENDPOINTS),
-    Key("connections", "number", "Open at once to each endpoint, of all instances together; 0: not bounded.",
-        default=0.0, least=0.0, most=1e6),
-    Key("handshakes_per_s", "number", "New connections to each endpoint, of all instances together; 0: not bounded.",
-        "1/s", 0.0, least=0.0, most=1e6),
-    Key("list_calls_per_s", "number", "Calls of discovery, of all instances together; 0: not bounded.", "1/s", 0.0,
-        least=0.0, most=1e6),
-    Key("busy", "whole", "Instances that may be far busier than the rest at once: a quarter of the connections is "
-        "theirs.", default=1, least=1, most=1_000_000),
-    Key("retry_ratio", "number", "Retries for each request, over ten seconds; 0: not bounded.", default=0.0, least=0.0,
-        most=16.0),
-    Key("copy_ratio", "number", "Copies for each request, over ten seconds; 0: as the balancer's own bound.",
-        default=0.0, least=0.0, most=16.0),
-    Key("floor_per_s", "number", "Retries, and as many copies, to each endpoint of all instances together that go out "
-        "whatever the ratios.", "1/s", 0.0, least=0.0, most=1e6),
+    Key(
+        "subset",
+        "whole",
+        "Endpoints of its own zone that each instance knows at least, where it needn't know all; 0: it knows all.",
+        default=0,
+        least=0,
+        most=MOST_ENDPOINTS,
+    ),
+    Key(
+        "connections",
+        "number",
+        "Open at once to each endpoint, of all instances together; 0: not bounded.",
+        default=0.0,
+        least=0.0,
+        most=1e6,
+    ),
+    Key(
+        "handshakes_per_s",
+        "number",
+        "New connections to each endpoint, of all instances together; 0: not bounded.",
+        "1/s",
+        0.0,
+        least=0.0,
+        most=1e6,
+    ),
+    Key(
+        "list_calls_per_s",
+        "number",
+        "Calls of discovery, of all instances together; 0: not bounded.",
+        "1/s",
+        0.0,
+        least=0.0,
+        most=1e6,
+    ),
+    Key(
+        "busy",
+        "whole",
+        "Instances that may be far busier than the rest at once: a quarter of the connections is theirs.",
+        default=1,
+        least=1,
+        most=1_000_000,
+    ),
+    Key(
+        "retry_ratio",
+        "number",
+        "Retries for each request, over ten seconds; 0: not bounded.",
+        default=0.0,
+        least=0.0,
+        most=16.0,
+    ),
+    Key(
+        "copy_ratio",
+        "number",
+        "Copies for each request, over ten seconds; 0: as the balancer's own bound.",
+        default=0.0,
+        least=0.0,
+        most=16.0,
+    ),
+    Key(
+        "floor_per_s",
+        "number",
+        "Retries, and as many copies, to each endpoint of all instances together that go out whatever the ratios.",
+        "1/s",
+        0.0,
+        least=0.0,
+        most=1e6,
+    ),
 )
 OPERATOR = (
     Key("version", "whole", "Of the file's form.", required=True),
     Key("limits", "table", "What the process may use.", default={}, inner=LIMITS),
-    Key("shares", "table", "What all instances together may use, of which each takes its part. It holds for the "
-        "platform's service and for those of this file.", default={}, inner=SHARES),
-    Key("services", "table", "Services beside the platform's, by name.", default={},
-        inner=(Key("*", "table", "A service.", inner=SERVICE),)),
+    Key(
+        "shares",
+        "table",
+        "What all instances together may use, of which each takes its part. It holds for the "
+        "platform's service and for those of this file.",
+        default={},
+        inner=SHARES,
+    ),
+    Key(
+        "services",
+        "table",
+        "Services beside the platform's, by name.",
+        default={},
+        inner=(Key("*", "table", "A service.", inner=SERVICE),),
+    ),
 )
 
 
 # --- the platform's configuration, in its own words ---
 
 
-def platform_span(name: str, doc: str, default: float | None = None, required: bool = False,
-                  least: float = 0.0, above: bool = False) -> Key:
+def platform_span(
+    name: str, doc: str, default: float | None = None, required: bool = False, least: float = 0.0, above: bool = False
+) -> Key:
     return Key(name, "number", doc, "ms", default, required, least, 1e9, above=above)
 
 
@@ -168,8 +302,14 @@
     platform_span("window", "How long they do, from the first send that may have run.", 0.0),
     Key("value", "number", "What an answer in time is worth.", default=1.0, least=0.0, most=1e9),
     share("late-worth", "Part of the worth between aim and deadline."),
-    Key("aim-stretch", "number", "The aim grows by this multiple of the request's work.", default=0.0, least=0.0,
-        most=1e6),
+    Key(
+        "aim-stretch",
+        "number",
+        "The aim grows by this multiple of the request's work.",
+        default=0.0,
+        least=0.0,
+        most=1e6,
+    ),
     Key("streamed", "flag", "The answer comes as a stream.", default=False),
 )
 PLATFORM_LIMITS = (
@@ -188,18 +328,29 @@
     platform_span("answer-slack", "A final answer still counts so long after the deadline.", 0.0),
     platform_span("ask-within", "The list has to be asked for this often.", 10000.0, above=True),
     platform_span("stop-sending-within", "The grace for drains.", 0.0),
-    Key("cold-share", "number", "An endpoint starts with this share of its capacity.", default=1.0, least=0.0,
-        most=1.0, above=True),
+    Key(
+        "cold-share",
+        "number",
+        "An endpoint starts with this share of its capacity.",
+        default=1.0,
+        least=0.0,
+        most=1.0,
+        above=True,
+    ),
     platform_span("cold", "And has all of it after this.", 0.0),
-    Key("overload-factor", "number", "This multiple of its capacity ...", default=3.0, least=0.0, most=1e6,
-        above=True),
+    Key("overload-factor", "number", "This multiple of its capacity ...", default=3.0, least=0.0, most=1e6, above=True),
     platform_span("fall", "... for so long pushes a cold endpoint over.", 2000.0, above=True),
 )
 PLATFORM_PRICES = tuple(
-    price(name, doc) for name, doc in (
-        ("waste", "Work that served no answer."), ("late-fail", "Worth that ended unserved after its aim."),
-        ("cross-zone", "Attempts that cross zones."), ("probe", "Probes."), ("peer", "Peer bytes."),
-        ("connection", "Open connections."), ("handshake", "Handshakes."),
+    price(name, doc)
+    for name, doc in (
+        ("waste", "Work that served no answer."),
+        ("late-fail", "Worth that ended unserved after its aim."),
+        ("cross-zone", "Attempts that cross zones."),
+        ("probe", "Probes."),
+        ("peer", "Peer bytes."),
+        ("connection", "Open connections."),
+        ("handshake", "Handshakes."),
     )
 )
 REALM = (
@@ -217,30 +368,57 @@
     Key("me", "whole", "This one's number among them.", default=0, least=0, most=10_000_000),
     Key("zone", "whole", "The number of its zone.", default=0, least=0, most=1_000_000),
     Key("zones", "texts", "The names of zones.", default=()),
-    Key("registry-mode", "choice", "How the list is kept up with.", default="pushed",
-        choices=("pushed", "on_request")),
-    Key("value-by", "choice", "What a class's value is counted for.", default="request",
-        choices=("request", "work")),
+    Key("registry-mode", "choice", "How the list is kept up with.", default="pushed", choices=("pushed", "on_request")),
+    Key("value-by", "choice", "What a class's value is counted for.", default="request", choices=("request", "work")),
     share("over-share-worth", "Worth of a request beyond its tenant's share.", 1.0),
     platform_span("granularity", "Least time between two batches of events.", 1.0),
-    Key("report", "any", "Load reports."), Key("family-info", "any", "Facts of this kind of service."),
+    Key("report", "any", "Load reports."),
+    Key("family-info", "any", "Facts of this kind of service."),
     Key("weights", "any", "How sizes are told."),
 )
 #: Keys of the platform that say nothing to this sidecar.
-UNREAD = frozenset({
-    "clients", "family", "goal", "kinds", "stage", "tiers", "cores", "cpu-us-per-request", "cpu-us-per-s",
-    "max-open", "moves", "origin", "registry-mode", "name", "peer_listen", "peers", "peers_all", "passes-deadline",
-    "seq", "whole", "front", "chain",
-})
+UNREAD = frozenset(
+    {
+        "clients",
+        "family",
+        "goal",
+        "kinds",
+        "stage",
+        "tiers",
+        "cores",
+        "cpu-us-per-request",
+        "cpu-us-per-s",
+        "max-open",
+        "moves",
+        "origin",
+        "registry-mode",
+        "name",
+        "peer_listen",
+        "peers",
+        "peers_all",
+        "passes-deadline",
+        "seq",
+        "whole",
+        "front",
+        "chain",
+    }
+)
 PLATFORM = (
     Key("listen", "address", "Where the application connects; LB_LISTEN comes first.", required=True),
     Key("discovery", "address", "Discovery; LB_DISCOVERY comes first at the start.", required=True),
     Key("admin_addr", "address", "Where operators call; LB_ADMIN_ADDR comes first."),
     Key("seed", "text", "For random numbers, hexadecimal.", default="0"),
-    Key("limits", "table", "What the process may use.", default={}, open=True, inner=(
-        Key("sockets", "whole", "Descriptors it may hold.", default=1024, least=41, most=2**20),
-        Key("memory_mb", "number", "Memory it may use.", "MB", least=1.0, most=2.0**20),
-    )),
+    Key(
+        "limits",
+        "table",
+        "What the process may use.",
+        default={},
+        open=True,
+        inner=(
+            Key("sockets", "whole", "Descriptors it may hold.", default=1024, least=41, most=2**20),
+            Key("memory_mb", "number", "Memory it may use.", "MB", least=1.0, most=2.0**20),
+        ),
+    ),
     Key("known", "any", "The list of endpoints as last held."),
     Key("settings", "table", "The platform's settings.", required=True, inner=SETTINGS, open=True),
 )
--- a/zinclever/configuration/operator.py
+++ b/zinclever/configuration/operator.py
@@ -56,20 +56,34 @@
     zones, entries = endpoints(told)
     default = told["default_class"]
     rules = Rules(
-        told["framing"], methods(told, numbers), None if default is None else numbers[default],
-        told["max_text_kb"] << 10, told["max_clients"],
+        told["framing"],
+        methods(told, numbers),
+        None if default is None else numbers[default],
+        told["max_text_kb"] << 10,
+        told["max_clients"],
     )
     discovery = read_address(told["discovery"]) if told["discovery"] is not None else None
     return JsonRpcService(
-        name, read_address(told["listen"]), settings(told, classes, zones, shares), zones, entries,
-        discovery, rules, Proofs(frozenset(told["never_ran_errors"]), frozenset(told["failure_errors"])),
+        name,
+        read_address(told["listen"]),
+        settings(told, classes, zones, shares),
+        zones,
+        entries,
+        discovery,
+        rules,
+        Proofs(frozenset(told["never_ran_errors"]), frozenset(told["failure_errors"])),
     )
 
 
 def request_class(name: str, told: Clean) -> i.RequestClass:
     return i.RequestClass(
-        aim=told["aim_ms"], deadline=told["deadline_ms"], value=told["value"], repeat=told["repeat"],
-        window=told["window_ms"] or 0.0, group=told["group"] or "all", name=name,
+        aim=told["aim_ms"],
+        deadline=told["deadline_ms"],
+        value=told["value"],
+        repeat=told["repeat"],
+        window=told["window_ms"] or 0.0,
+        group=told["group"] or "all",
+        name=name,
     )
 
 
@@ -95,16 +109,24 @@
     return zones, tuple(entries)
 
 
-def settings(told: Clean, classes: tuple[i.RequestClass, ...], zones: tuple[str, ...],
-             shares: i.Shares) -> i.Settings:
+def settings(told: Clean, classes: tuple[i.RequestClass, ...], zones: tuple[str, ...], shares: i.Shares) -> i.Settings:
     limits = i.Limits(
-        max_attempts=told["max_attempts"], cancel=True, second_copies=told["copies"],
-        retry_after=told["max_retry_after_ms"] > 0.0, max_retry_after=told["max_retry_after_ms"],
-        connect_timeout=told["connect_timeout_ms"], connection_idle=told["connection_idle_ms"],
+        max_attempts=told["max_attempts"],
+        cancel=True,
+        second_copies=told["copies"],
+        retry_after=told["max_retry_after_ms"] > 0.0,
+        max_retry_after=told["max_retry_after_ms"],
+        connect_timeout=told["connect_timeout_ms"],
+        connection_idle=told["connection_idle_ms"],
         streams_per_connection=STREAMS,
     )
     return i.Settings(
-        classes=classes, limits=limits, rules=RULES, group_size=told["instances"], me=told["number"],
-        zone=zones.index(told["zone"]), discovery="on_request" if told["discovery"] is not None else "pushed",
+        classes=classes,
+        limits=limits,
+        rules=RULES,
+        group_size=told["instances"],
+        me=told["number"],
+        zone=zones.index(told["zone"]),
+        discovery="on_request" if told["discovery"] is not None else "pushed",
         shares=shares,
     )
--- a/zinclever/configuration/reading.py
+++ b/zinclever/configuration/reading.py
@@ -57,8 +57,7 @@
 def decode(data: bytes) -> tuple[str | None, list[Finding]]:
     """The text of a file."""
     if data.startswith(BOM):
-        return None, [Finding("ZC104", (), "the file begins with a byte-order mark", "save it without one",
-                              at=(1, 1))]
+        return None, [Finding("ZC104", (), "the file begins with a byte-order mark", "save it without one", at=(1, 1))]
     try:
         return data.decode(), []
     except UnicodeDecodeError as wrong:
--- a/zinclever/configuration/shape.py
+++ b/zinclever/configuration/shape.py
@@ -16,8 +16,9 @@
 Clean = dict[str, Any]
 
 
-def shape(values: dict[str, Any], keys: Sequence[Key], path: Path = (), open: bool = False
-          ) -> tuple[Clean, list[Finding]]:
+def shape(
+    values: dict[str, Any], keys: Sequence[Key], path: Path = (), open: bool = False
+) -> tuple[Clean, list[Finding]]:
     """The values with defaults filled in, and every finding. What is wrong or missing is None."""
     found: list[Finding] = []
     clean: Clean = {}
@@ -50,8 +51,9 @@
     return clean, found
 
 
-def unknown(name: str, values: dict[str, Any], keys: Sequence[Key], path: Path, open: bool
-            ) -> tuple[list[Finding], str]:
+def unknown(
+    name: str, values: dict[str, Any], keys: Sequence[Key], path: Path, open: bool
+) -> tuple[list[Finding], str]:
     """An unknown key: a typo of the nearest known one that is not there itself, a look-alike, or just unknown.
 
     With it the known key that must have been meant, if there is one.
@@ -220,11 +222,19 @@
     if key.kind == "choice":
         return "one of " + ", ".join(key.choices)
     words = {
-        "text": "a text", "number": "a number", "whole": "a whole number", "flag": "true or false",
-        "address": "an address", "pointer": "a JSON Pointer", "texts": "an array of texts",
-        "wholes": "an array of whole numbers", "numbers": "an array of numbers",
-        "table": "a table", "tables": "an array of tables",
-        "endpoints": "an array of endpoints", "any": "anything",
+        "text": "a text",
+        "number": "a number",
+        "whole": "a whole number",
+        "flag": "true or false",
+        "address": "an address",
+        "pointer": "a JSON Pointer",
+        "texts": "an array of texts",
+        "wholes": "an array of whole numbers",
+        "numbers": "an array of numbers",
+        "table": "a table",
+        "tables": "an array of tables",
+        "endpoints": "an array of endpoints",
+        "any": "anything",
     }
     told = words[key.kind]
     if key.least is not None and key.most is not None and key.kind in ("number", "whole"):
--- a/zinclever/core/ledger.py
+++ b/zinclever/core/ledger.py
@@ -50,8 +50,7 @@
 
     __slots__ = ("answer", "attempts", "balancer", "deadline", "guard", "live", "reply", "told", "uploading")
 
-    def __init__(self, told: Incoming, deadline: float, balancer: Balancer,
-                 answer: Callable[[Final], None]) -> None:
+    def __init__(self, told: Incoming, deadline: float, balancer: Balancer, answer: Callable[[Final], None]) -> None:
         self.told, self.deadline, self.uploading = told, deadline, told.uploading
         self.balancer = balancer
         """That of its arrival: what its settings allowed then holds to its end."""
@@ -70,8 +69,9 @@
     exchanges on the wire and the timers. Runs on one loop; nothing here waits.
     """
 
-    def __init__(self, balancer: Balancer, wire: Wire, source: Callable[[OnList], Source],
-                 descriptors: Descriptors, host: Host) -> None:
+    def __init__(
+        self, balancer: Balancer, wire: Wire, source: Callable[[OnList], Source], descriptors: Descriptors, host: Host
+    ) -> None:
         self.balancer, self.settings = balancer, balancer.settings
         self.wire, self.descriptors, self.host = wire, descriptors, host
         self.loop = asyncio.get_running_loop()
@@ -254,7 +254,13 @@
             self.move(self.view)
         self.feed(
             i.RequestArrived(
-                told.id, told.klass, request.deadline - EARLY, told.tenant, told.key, told.work, told.retry,
+                told.id,
+                told.klass,
+                request.deadline - EARLY,
+                told.tenant,
+                told.key,
+                told.work,
+                told.retry,
                 told.uploading,
             )
         )
@@ -372,9 +378,7 @@
         else:
             attempt.timer = self.loop.call_later(left, self.expire, attempt)
         ended: Ended = partial(self.ended, attempt)
-        attempt.exchange = self.wire.start(
-            action.endpoint, request.told.payload, left, ended, repeat == "at_most_once"
-        )
+        attempt.exchange = self.wire.start(action.endpoint, request.told.payload, left, ended, repeat == "at_most_once")
 
     def expire(self, attempt: Attempt) -> None:
         if attempt.timer is not None:
@@ -393,8 +397,9 @@
                 attempt.exchange.cancel(outcome == "timeout")
             self.ended(attempt, outcome)
 
-    def ended(self, attempt: Attempt, outcome: i.Outcome, reply: Any = None,
-              report: Mapping[str, float] = NO_REPORT) -> None:
+    def ended(
+        self, attempt: Attempt, outcome: i.Outcome, reply: Any = None, report: Mapping[str, float] = NO_REPORT
+    ) -> None:
         """An attempt has its outcome; the first answer served goes to the client."""
         request = attempt.request
         elapsed = self.clock() - attempt.sent_at
@@ -413,9 +418,7 @@
         complete = request.answer is None
         self.settled.append(request)
         self.feed(
-            i.AttemptEnded(
-                request.told.id, attempt.number, attempt.endpoint, outcome, elapsed, complete, report
-            ),
+            i.AttemptEnded(request.told.id, attempt.number, attempt.endpoint, outcome, elapsed, complete, report),
             request.balancer,
         )
 
--- a/zinclever/core/view.py
+++ b/zinclever/core/view.py
@@ -17,7 +17,10 @@
     """What a subset has to hold under these settings."""
     minded = settings.prices.cross_zone >= MINDED
     return Shape(
-        settings.shares.subset or EVERY, settings.me, settings.group_size, settings.zone if minded else None,
+        settings.shares.subset or EVERY,
+        settings.me,
+        settings.group_size,
+        settings.zone if minded else None,
         settings.shares.connections if settings.shares.subset else 0.0,
         any(c.repeat == "deduplicated" and c.group == "cell" for c in settings.classes),
     )
--- a/zinclever/discovery/catalog.py
+++ b/zinclever/discovery/catalog.py
@@ -127,8 +127,15 @@
 class Discovery:
     """Keeps up with the list, as far as the balancer asks for it."""
 
-    def __init__(self, address: Address, settings: i.Settings, zones: Sequence[str], known: dict[str, Any],
-                 on_list: OnList, host: Host) -> None:
+    def __init__(
+        self,
+        address: Address,
+        settings: i.Settings,
+        zones: Sequence[str],
+        known: dict[str, Any],
+        on_list: OnList,
+        host: Host,
+    ) -> None:
         self.on_list, self.known, self.host, self.rng = on_list, known, host, host.random()
         self.refusals = 0
         self.pause: asyncio.TimerHandle | None = None
--- a/zinclever/drill.py
+++ b/zinclever/drill.py
@@ -71,9 +71,7 @@
     "expired": lambda e: i.RequestClosed(e[2]),
     "begun": lambda e: i.StreamStarted(e[2], e[3], e[4], e[5] or 0.0),
     "mail": lambda e: i.PeerMessage(e[2], base64.b64decode(e[3] or "")),
-    "checked": lambda e: i.ProbeEnded(
-        e[3], OUTCOMES[e[4]], e[2] or 0.0, _report(e[5] if len(e) > 5 else None)
-    ),
+    "checked": lambda e: i.ProbeEnded(e[3], OUTCOMES[e[4]], e[2] or 0.0, _report(e[5] if len(e) > 5 else None)),
 }
 
 ACTIONS: dict[type, Callable[[int, Any], list[Any]]] = {
@@ -86,7 +84,10 @@
     i.WatchMembership: lambda n, a: ["subscribe", n, a.on],
     i.Probe: lambda n, a: ["touch", n, a.endpoint],
     i.TellPeers: lambda n, a: [
-        "broadcast-to", n, "all" if a.peer is None else a.peer, base64.b64encode(a.payload).decode()
+        "broadcast-to",
+        n,
+        "all" if a.peer is None else a.peer,
+        base64.b64encode(a.payload).decode(),
     ],
     i.CloseIdle: lambda n, a: ["release", n, a.endpoint],
     i.Note: lambda n, a: ["say-log", n, a.text],
--- a/zinclever/fleet/limits.py
+++ b/zinclever/fleet/limits.py
@@ -134,8 +134,19 @@
     """
 
     __slots__ = (
-        "bucket", "cap", "dialled", "group", "hot_each", "lacked_at", "most", "part", "refused_at", "servers", "shares",
-        "stepped_at", "width",
+        "bucket",
+        "cap",
+        "dialled",
+        "group",
+        "hot_each",
+        "lacked_at",
+        "most",
+        "part",
+        "refused_at",
+        "servers",
+        "shares",
+        "stepped_at",
+        "width",
     )
 
     def __init__(self, rng: Random) -> None:
--- a/zinclever/http1/connection.py
+++ b/zinclever/http1/connection.py
@@ -25,8 +25,17 @@
 #: Headers that hold for one connection only, and those that the sidecar words itself.
 OWN_HEADERS = frozenset(
     {
-        b"connection", b"content-length", b"expect", b"keep-alive", b"proxy-authenticate",
-        b"proxy-authorization", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade",
+        b"connection",
+        b"content-length",
+        b"expect",
+        b"keep-alive",
+        b"proxy-authenticate",
+        b"proxy-authorization",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
     }
 )
 MOST_BODY = 64 * 1024  # of an answer that is held until it is whole; a longer one is passed on as it comes
@@ -122,9 +131,15 @@
 
     __deletable__ = ("parser",)  # mypyc: it refers back
 
-    def __init__(self, sock: Socket, on_free: Callable[[ClientConnection], None],
-                 on_lost: Callable[[ClientConnection], None], most_body: int = MOST_BODY,
-                 transfers: bool = False, stall: float = STALL) -> None:
+    def __init__(
+        self,
+        sock: Socket,
+        on_free: Callable[[ClientConnection], None],
+        on_lost: Callable[[ClientConnection], None],
+        most_body: int = MOST_BODY,
+        transfers: bool = False,
+        stall: float = STALL,
+    ) -> None:
         """``most_body``: bytes that are held of an answer; with ``transfers`` a longer one is passed on. ``stall``: s
         between two pieces of one that is held."""
         self.patience = stall
@@ -457,9 +472,16 @@
             self.complete = True
 
 
-async def dial(host: Host, address: Address, timeout: float, on_free: Callable[[ClientConnection], None],
-               on_lost: Callable[[ClientConnection], None], most_body: int = MOST_BODY,
-               transfers: bool = False, stall: float = STALL) -> ClientConnection:
+async def dial(
+    host: Host,
+    address: Address,
+    timeout: float,
+    on_free: Callable[[ClientConnection], None],
+    on_lost: Callable[[ClientConnection], None],
+    most_body: int = MOST_BODY,
+    transfers: bool = False,
+    stall: float = STALL,
+) -> ClientConnection:
     """A new connection, within ``timeout`` seconds; OSError (time-outs are one) where there is none."""
     loop = asyncio.get_running_loop()
     sock = host.socket()
--- a/zinclever/http1/heads.py
+++ b/zinclever/http1/heads.py
@@ -69,7 +69,11 @@
     if length is not None:
         framing = b"Content-Length: %d\r\n" % length
     return b"HTTP/1.1 %d %b\r\n%b%b%b\r\n" % (
-        status, REASONS.get(status, b""), headers, framing, b"" if keep else b"Connection: close\r\n"
+        status,
+        REASONS.get(status, b""),
+        headers,
+        framing,
+        b"" if keep else b"Connection: close\r\n",
     )
 
 
--- a/zinclever/http1/server.py
+++ b/zinclever/http1/server.py
@@ -260,8 +260,13 @@
             return
         self.started, self.raw = False, 0
         whole = Whole(
-            self.parser.get_method().decode("latin-1"), self.url.decode("latin-1"), self.headers,
-            b"".join(self.body), self.room, self.parser.should_keep_alive(), self.parser.get_http_version(),
+            self.parser.get_method().decode("latin-1"),
+            self.url.decode("latin-1"),
+            self.headers,
+            b"".join(self.body),
+            self.room,
+            self.parser.should_keep_alive(),
+            self.parser.get_http_version(),
             self.front.loop.time() - self.waited / 1000.0,
         )
         self.room, self.in_body, self.body = 0, False, []
--- a/zinclever/interface.py
+++ b/zinclever/interface.py
@@ -287,8 +287,15 @@
 
 
 Event = (
-    MembershipNews | RequestArrived | UploadEnded | RequestClosed | StreamStarted | AttemptEnded | TimerFired
-    | PeerMessage | ProbeEnded
+    MembershipNews
+    | RequestArrived
+    | UploadEnded
+    | RequestClosed
+    | StreamStarted
+    | AttemptEnded
+    | TimerFired
+    | PeerMessage
+    | ProbeEnded
 )
 
 
@@ -362,6 +369,5 @@
 
 
 Action = (
-    Send | Cancel | Refuse | Fail | SetTimer | FetchMembership | WatchMembership | Probe | TellPeers
-    | CloseIdle | Note
+    Send | Cancel | Refuse | Fail | SetTimer | FetchMembership | WatchMembership | Probe | TellPeers | CloseIdle | Note
 )
--- a/zinclever/jsonrpc/codec.py
+++ b/zinclever/jsonrpc/codec.py
@@ -91,9 +91,7 @@
         if "infinity" not in str(wrong):
             raise ParseError(str(wrong)) from wrong
     try:
-        value = json.loads(
-            text.decode(), parse_int=str, parse_float=str, parse_constant=_no_constant
-        )
+        value = json.loads(text.decode(), parse_int=str, parse_float=str, parse_constant=_no_constant)
         json.dumps(value, ensure_ascii=False).encode()  # raises for lone surrogates
     except (ValueError, RecursionError) as wrong:
         raise ParseError(str(wrong)) from wrong
@@ -198,11 +196,14 @@
     if len(value) > most:
         return Invalid(NULL, INVALID_REQUEST, f"Invalid Request: a batch of more than {most} calls; none ran")
     spans = elements(text)
-    return Batch([
-        _read_call(text[a:b], v) if isinstance(v, dict)
-        else Invalid(NULL, INVALID_REQUEST, "Invalid Request: not an object")
-        for (a, b), v in zip(spans, value, strict=True)
-    ])
+    return Batch(
+        [
+            _read_call(text[a:b], v)
+            if isinstance(v, dict)
+            else Invalid(NULL, INVALID_REQUEST, "Invalid Request: not an object")
+            for (a, b), v in zip(spans, value, strict=True)
+        ]
+    )
 
 
 def _read_call(text: bytes, value: dict[str, Any]) -> Call | Invalid:
@@ -288,9 +289,7 @@
 def write_error(id: bytes, code: int, message: str, data: bytes = b"") -> bytes:
     """An error response; ``data``: a JSON text."""
     more = b',"data":' + data if data else b""
-    return b'{"jsonrpc":"2.0","id":%b,"error":{"code":%d,"message":%b%b}}' % (
-        id, code, orjson.dumps(message), more
-    )
+    return b'{"jsonrpc":"2.0","id":%b,"error":{"code":%d,"message":%b%b}}' % (id, code, orjson.dumps(message), more)
 
 
 def write_refused(id: bytes, retry_after: float, upstream: bytes = b"") -> bytes:
@@ -298,7 +297,9 @@
     advice = b',"retry_after_ms":%d' % round(retry_after) if retry_after > 0.0 else b""
     said = b',"upstream":' + upstream if upstream else b""
     return write_error(
-        id, REFUSED, "refused: a repeat is harmless",
+        id,
+        REFUSED,
+        "refused: a repeat is harmless",
         b'{"source":"zinclever","repeat":"harmless"%b%b}' % (advice, said),
     )
 
--- a/zinclever/jsonrpc/connection.py
+++ b/zinclever/jsonrpc/connection.py
@@ -105,8 +105,14 @@
     ``null``, ``noise``.
     """
 
-    def __init__(self, sock: Socket, framing: Framing, outcome: Callable[[Response], i.Outcome],
-                 watcher: Watcher[ClientConnection], counts: Counter[str]) -> None:
+    def __init__(
+        self,
+        sock: Socket,
+        framing: Framing,
+        outcome: Callable[[Response], i.Outcome],
+        watcher: Watcher[ClientConnection],
+        counts: Counter[str],
+    ) -> None:
         self.sock, self.framing, self.outcome = sock, framing, outcome
         self.watcher, self.counts = watcher, counts
         self.loop = asyncio.get_running_loop()
@@ -349,8 +355,15 @@
             self.finish()
 
 
-async def dial(host: Host, address: Address, timeout: float, framing: Framing, outcome: Callable[[Response], i.Outcome],
-               watcher: Watcher[ClientConnection], counts: Counter[str]) -> ClientConnection:
+async def dial(
+    host: Host,
+    address: Address,
+    timeout: float,
+    framing: Framing,
+    outcome: Callable[[Response], i.Outcome],
+    watcher: Watcher[ClientConnection],
+    counts: Counter[str],
+) -> ClientConnection:
     """A new connection, within ``timeout`` seconds; OSError (time-outs are one) where there is none."""
     sock = host.socket()
     try:
--- a/zinclever/jsonrpc/wire.py
+++ b/zinclever/jsonrpc/wire.py
@@ -23,8 +23,7 @@
         self.counts: Counter[str] = Counter()
         """What endpoints sent that answered no pending call, by kind."""
 
-    async def open(self, address: Address, timeout: float,
-                   watcher: Watcher[ClientConnection]) -> ClientConnection:
+    async def open(self, address: Address, timeout: float, watcher: Watcher[ClientConnection]) -> ClientConnection:
         return await dial(self.host, address, timeout, self.framing, self.outcome, watcher, self.counts)
 
     def outcome(self, response: Response) -> i.Outcome:
--- a/zinclever/policy/admission.py
+++ b/zinclever/policy/admission.py
@@ -21,8 +21,15 @@
 class Admission:
     """Which requests may go out, which are held, and how much each side is sent at once."""
 
-    def __init__(self, settings: i.Settings, classes: list[Klass], tenants: list[Share], members: Membership,
-                 crossing: Crossing, rng: random.Random) -> None:
+    def __init__(
+        self,
+        settings: i.Settings,
+        classes: list[Klass],
+        tenants: list[Share],
+        members: Membership,
+        crossing: Crossing,
+        rng: random.Random,
+    ) -> None:
         self.settings, self.classes, self.tenants, self.rng = settings, classes, tenants, rng
         self.list, self.crossing = members, crossing
         self.quota = sum((t.quota for t in tenants), 0.0)
--- a/zinclever/policy/draws.py
+++ b/zinclever/policy/draws.py
@@ -30,8 +30,16 @@
 class Draws:
     """Which endpoint an attempt goes to."""
 
-    def __init__(self, settings: i.Settings, classes: list[Klass], members: Membership, cold: Cold,
-                 crossing: Crossing, returns: Returns, rng: random.Random) -> None:
+    def __init__(
+        self,
+        settings: i.Settings,
+        classes: list[Klass],
+        members: Membership,
+        cold: Cold,
+        crossing: Crossing,
+        returns: Returns,
+        rng: random.Random,
+    ) -> None:
         self.settings, self.classes, self.rng, self.returns = settings, classes, rng, returns
         self.list, self.cold, self.crossing = members, cold, crossing
         self.recent: deque[str] = deque(maxlen=KEYS)
@@ -105,8 +113,9 @@
         """Where most of a large side looks down the fault is as likely on this side: any one, and one of those that
         don't, so that a single one that answers is found at once."""
         other = self.fit_one(now, r, [side.one(self.rng, len(side.ready)) for _ in range(TRIES)])
-        up = self.fit_one(now, r, [side.up[int(self.rng.random() * len(side.up))] for _ in range(TRIES)]
-                          if side.up else [])
+        up = self.fit_one(
+            now, r, [side.up[int(self.rng.random() * len(side.up))] for _ in range(TRIES)] if side.up else []
+        )
         first, second = up or other, other or up
         return (first, second, 1.0) if first is not None and second is not None else None
 
@@ -151,8 +160,10 @@
         turn = int(self.rng.random() * self.recent.count(r.key))
         seed = zlib.crc32(f"{r.key} {turn}".encode())
         side = self.list.near if near else self.list.far
-        e = side.keeper(seed) if len(side.ready) > LOOK else max(
-            side.ready, key=lambda e: (((e.hash ^ seed) * 0x9E3779B1 % 2**32) / 2**32) ** (1.0 / e.size)
+        e = (
+            side.keeper(seed)
+            if len(side.ready) > LOOK
+            else max(side.ready, key=lambda e: (((e.hash ^ seed) * 0x9E3779B1 % 2**32) / 2**32) ** (1.0 / e.size))
         )
         used = any(a.endpoint is e for a in r.attempts)
         fit = not used and e.down_until <= now and self.list.same_group(r, e) and self.cold.warm_enough(now, e)
@@ -177,9 +188,12 @@
             return []
         used = [a.endpoint for a in r.attempts]
         return [
-            e for e in used
-            if e.phase == "ready" and self.list.side(e).room()
-            and self.cold.warm_enough(now, e) and self.list.same_group(r, e)
+            e
+            for e in used
+            if e.phase == "ready"
+            and self.list.side(e).room()
+            and self.cold.warm_enough(now, e)
+            and self.list.same_group(r, e)
         ]
 
     def fit(self, now: float, r: Request, side: list[Endpoint]) -> list[Endpoint]:
--- a/zinclever/policy/endpoints.py
+++ b/zinclever/policy/endpoints.py
@@ -14,9 +14,29 @@
     """What this balancer knows of one endpoint."""
 
     __slots__ = (
-        "cell", "down_until", "failures", "good", "hash", "inflight", "latency", "mark", "name", "near", "phase",
-        "presumed_at", "quiet_from", "quiet_to", "rank", "served", "served_at", "size", "started_at", "tokens",
-        "tokens_at", "up_at", "zone",
+        "cell",
+        "down_until",
+        "failures",
+        "good",
+        "hash",
+        "inflight",
+        "latency",
+        "mark",
+        "name",
+        "near",
+        "phase",
+        "presumed_at",
+        "quiet_from",
+        "quiet_to",
+        "rank",
+        "served",
+        "served_at",
+        "size",
+        "started_at",
+        "tokens",
+        "tokens_at",
+        "up_at",
+        "zone",
     )
 
     def __init__(self, listed: i.Listed, now: float, rng: random.Random) -> None:
--- a/zinclever/policy/learning.py
+++ b/zinclever/policy/learning.py
@@ -21,8 +21,16 @@
 class Learning:
     """Takes in how attempts ended."""
 
-    def __init__(self, settings: i.Settings, members: Membership, cold: Cold, crossing: Crossing,
-                 admission: Admission, returns: Returns, rng: random.Random) -> None:
+    def __init__(
+        self,
+        settings: i.Settings,
+        members: Membership,
+        cold: Cold,
+        crossing: Crossing,
+        admission: Admission,
+        returns: Returns,
+        rng: random.Random,
+    ) -> None:
         self.settings, self.limits, self.rng, self.returns = settings, settings.limits, rng, returns
         self.list, self.cold, self.crossing, self.admission = members, cold, crossing, admission
         self.began = NEVER  # first answer
--- a/zinclever/policy/requests.py
+++ b/zinclever/policy/requests.py
@@ -29,8 +29,21 @@
     """A request that is owed an answer, or whose attempts are still out."""
 
     __slots__ = (
-        "aim_at", "attempts", "begun", "bound", "closed", "deadline", "held", "id", "key", "klass", "live",
-        "place", "tenant", "uploading", "work",
+        "aim_at",
+        "attempts",
+        "begun",
+        "bound",
+        "closed",
+        "deadline",
+        "held",
+        "id",
+        "key",
+        "klass",
+        "live",
+        "place",
+        "tenant",
+        "uploading",
+        "work",
     )
 
     def __init__(self, told: i.RequestArrived, klass: Klass, tenant: Share, now: float) -> None:
--- a/zinclever/policy/sides.py
+++ b/zinclever/policy/sides.py
@@ -23,7 +23,15 @@
     """
 
     __slots__ = (
-        "cold", "down", "inflight", "overdue", "ready", "ring", "sums", "up", "window",
+        "cold",
+        "down",
+        "inflight",
+        "overdue",
+        "ready",
+        "ring",
+        "sums",
+        "up",
+        "window",
     )
 
     def __init__(self) -> None:
--- a/zinclever/rig/cli.py
+++ b/zinclever/rig/cli.py
@@ -30,13 +30,25 @@
 @click.option("--sidecars", type=click.IntRange(1, 1000), default=6, show_default=True)
 @click.option("--endpoints", type=click.IntRange(1, 250), default=6, show_default=True)
 @click.option("--seconds", type=click.FloatRange(1.0, 3600.0), default=12.0, show_default=True)
-@click.option("--rate", type=click.FloatRange(0.0, min_open=True), help="First tries a second of all. "
-              "[default: 62 % of what the endpoints can do]")
+@click.option(
+    "--rate",
+    type=click.FloatRange(0.0, min_open=True),
+    help="First tries a second of all. [default: 62 % of what the endpoints can do]",
+)
 @click.option("--command", default=PROGRAM, help="What a machine runs. [default: this program]")
 @click.option("--into", type=click.Path(path_type=Path), help="Keep the machines' directories, with their logs, here.")
 @click.option("--json", "as_json", is_flag=True, help="One JSON object.")
-def run(what: str, seed: int, sidecars: int, endpoints: int, seconds: float, rate: float | None, command: str,
-        into: Path | None, as_json: bool) -> None:
+def run(
+    what: str,
+    seed: int,
+    sidecars: int,
+    endpoints: int,
+    seconds: float,
+    rate: float | None,
+    command: str,
+    into: Path | None,
+    as_json: bool,
+) -> None:
     """Play one day, WHAT being its kind or its file; exit code 1 where a rule was broken."""
     day = draw(what, seed, sidecars, endpoints, seconds, rate or 0.0) if what in KINDS else read_day(Path(what))
     try:
@@ -50,8 +62,13 @@
 
 
 @rig.command(name="hunt")
-@click.option("--kind", "kinds", type=click.Choice(list(KINDS)), multiple=True,
-              help="Only these. [default: those that kernels have a part in]")
+@click.option(
+    "--kind",
+    "kinds",
+    type=click.Choice(list(KINDS)),
+    multiple=True,
+    help="Only these. [default: those that kernels have a part in]",
+)
 @click.option("--first", type=click.IntRange(0), default=1, show_default=True, help="Seed to begin with.")
 @click.option("--budget", type=click.FloatRange(1.0), default=60.0, show_default=True, help="s of wall time.")
 @click.option("--jobs", type=click.IntRange(1, 64), default=2, show_default=True, help="Runs side by side.")
@@ -59,8 +76,16 @@
 @click.option("--endpoints", type=click.IntRange(1, 250), default=6, show_default=True)
 @click.option("--seconds", type=click.FloatRange(1.0, 3600.0), default=10.0, show_default=True)
 @click.option("--into", type=click.Path(path_type=Path), default=Path("found"), show_default=True)
-def hunt_days(kinds: tuple[str, ...], first: int, budget: float, jobs: int, sidecars: int, endpoints: int,
-              seconds: float, into: Path) -> None:
+def hunt_days(
+    kinds: tuple[str, ...],
+    first: int,
+    budget: float,
+    jobs: int,
+    sidecars: int,
+    endpoints: int,
+    seconds: float,
+    into: Path,
+) -> None:
     """Draw and play days; keep those with a breach as files."""
     played = broken = failed = 0
     days = drawn(kinds or hunting.KINDS, first, sidecars, endpoints, seconds)
--- a/zinclever/rig/hunting.py
+++ b/zinclever/rig/hunting.py
@@ -11,8 +11,23 @@
 from .run import play
 from .world import RigError
 
-KINDS = ("killed", "rolling", "paused", "oneway", "slow", "flapping", "loops", "power", "cut", "vanish", "waves",
-         "directory", "datacentre", "faults", "mixed")
+KINDS = (
+    "killed",
+    "rolling",
+    "paused",
+    "oneway",
+    "slow",
+    "flapping",
+    "loops",
+    "power",
+    "cut",
+    "vanish",
+    "waves",
+    "directory",
+    "datacentre",
+    "faults",
+    "mixed",
+)
 """Those whose troubles processes and kernels have a part in."""
 
 
--- a/zinclever/rig/network.py
+++ b/zinclever/rig/network.py
@@ -40,8 +40,9 @@
         """The way from a machine to a port of another one; made when it is first asked for."""
         key = source.address, target.address, port
         if key not in self.links:
-            made = self.links[key] = Link(source.address, (target.address, port), self.direction(source, target),
-                                          self.direction(target, source))
+            made = self.links[key] = Link(
+                source.address, (target.address, port), self.direction(source, target), self.direction(target, source)
+            )
             made.set(self.open(source, target), self.open(target, source))
         return self.links[key]
 
--- a/zinclever/rig/processes.py
+++ b/zinclever/rig/processes.py
@@ -43,8 +43,16 @@
 class Program:
     """One process. Owns its pid until :meth:`ended`: no signal is sent to a number that may be another's by then."""
 
-    def __init__(self, environ: Mapping[str, str], log: Path, gate: Gate | None, on_end: Callable[[int], None],
-                 command: str = PROGRAM, descriptors: int = 0, address_space: int = 0) -> None:
+    def __init__(
+        self,
+        environ: Mapping[str, str],
+        log: Path,
+        gate: Gate | None,
+        on_end: Callable[[int], None],
+        command: str = PROGRAM,
+        descriptors: int = 0,
+        address_space: int = 0,
+    ) -> None:
         """``on_end`` is told the return code, negative for a signal. Limits of 0 are none; ``address_space``: bytes.
 
         OSError where no process can be had.
@@ -69,8 +77,15 @@
         text = f"read _ <&{HELD}; exec {HELD}<&-; {command}" if held else command
         with log.open("ab") as out:
             self.popen = subprocess.Popen(
-                ["/bin/sh", "-c", text], cwd=ROOT, env=dict(environ), stdin=subprocess.DEVNULL, stdout=out, stderr=out,
-                preexec_fn=prepare, start_new_session=True, pass_fds=(HELD,) if held else (),
+                ["/bin/sh", "-c", text],
+                cwd=ROOT,
+                env=dict(environ),
+                stdin=subprocess.DEVNULL,
+                stdout=out,
+                stderr=out,
+                preexec_fn=prepare,
+                start_new_session=True,
+                pass_fds=(HELD,) if held else (),
             )
         self.pidfd = os.pidfd_open(self.popen.pid)
         self.loop.add_reader(self.pidfd, self.ended)
--- a/zinclever/rig/run.py
+++ b/zinclever/rig/run.py
@@ -15,6 +15,7 @@
 
 def play(day: Day, folder: Path, command: str = PROGRAM) -> dict[str, Any]:
     """Play a day; its figures. RigError where it could not be played. ``folder``: for the machines' directories."""
+
     async def run() -> dict[str, Any]:
         return await World(day, folder, command).play()
 
--- a/zinclever/rig/scope.py
+++ b/zinclever/rig/scope.py
@@ -52,8 +52,9 @@
         if not self.dead:
             callback(*args)
 
-    async def create_server(self, protocol_factory: Callable[[], asyncio.BaseProtocol], host: str, port: int, *,
-                            backlog: int) -> Accepting:
+    async def create_server(
+        self, protocol_factory: Callable[[], asyncio.BaseProtocol], host: str, port: int, *, backlog: int
+    ) -> Accepting:
         listener = Listening()
 
         def accepted() -> asyncio.BaseProtocol:
@@ -63,8 +64,9 @@
         self.servers.append(server)
         return Accepting(server, listener)
 
-    async def create_connection(self, protocol_factory: Callable[[], asyncio.BaseProtocol], host: str,
-                                port: int) -> tuple[Any, asyncio.BaseProtocol]:
+    async def create_connection(
+        self, protocol_factory: Callable[[], asyncio.BaseProtocol], host: str, port: int
+    ) -> tuple[Any, asyncio.BaseProtocol]:
         protocol = protocol_factory()
         transport, _ = await self.loop.create_connection(
             lambda: Owned(self, protocol), host, port, local_addr=(self.machine.address, 0)
--- a/zinclever/rig/world.py
+++ b/zinclever/rig/world.py
@@ -67,8 +67,12 @@
         clock = RealClock()
         self.clock = clock
         path = Way(day.zones.same_ms / 1000.0, day.zones.jitter)
-        super().__init__(day, clock, RealNetwork(text_seed(f"{day.seed}/network"), path),
-                         Nets(f"{first}.0.1", f"{first}.64.1", f"{first}.128.1", MOST_SERVERS))
+        super().__init__(
+            day,
+            clock,
+            RealNetwork(text_seed(f"{day.seed}/network"), path),
+            Nets(f"{first}.0.1", f"{first}.64.1", f"{first}.128.1", MOST_SERVERS),
+        )
         self.log.clock = self.ms
         self.callers = {s.name: s.machine for s in self.sidecars}
         self.ready_s = 0.0
@@ -99,7 +103,8 @@
             found = summary(self, self.judge())
             used = resource.getrusage(resource.RUSAGE_SELF)
             found |= {
-                "ready_s": round(self.ready_s, 2), "rig_cpu_s": round(used.ru_utime + used.ru_stime, 2),
+                "ready_s": round(self.ready_s, 2),
+                "rig_cpu_s": round(used.ru_utime + used.ru_stime, 2),
                 "sidecars_cpu_s": round(self.sidecars_cpu(), 2),
             }
         finally:
@@ -177,8 +182,11 @@
         programs = [s.loop for s in self.sidecars if s.loop is not None]
         for sidecar in self.sidecars:
             sidecar.kill()
-        for scope in (self.listing.loop, *(s.loop for s in self.servers.values()),
-                      *(a.loop for a in self.applications)):
+        for scope in (
+            self.listing.loop,
+            *(s.loop for s in self.servers.values()),
+            *(a.loop for a in self.applications),
+        ):
             scope.die()
         self.network.close()
         while any(program.alive for program in programs):
--- a/zinclever/sim/applications.py
+++ b/zinclever/sim/applications.py
@@ -92,8 +92,14 @@
         world = self.world
         number = world.next_request()
         kind = world.draw_class(self.rng)
-        story = Story(number, kind, world.keys.draw(self.rng), f"{self.rng.getrandbits(128):032x}",
-                      self.rng.expovariate(1.0) * kind.work_ms / 1000.0, world.now())
+        story = Story(
+            number,
+            kind,
+            world.keys.draw(self.rng),
+            f"{self.rng.getrandbits(128):032x}",
+            self.rng.expovariate(1.0) * kind.work_ms / 1000.0,
+            world.now(),
+        )
         if world.only and number not in world.only:
             return
         world.figures.began(story)
@@ -191,10 +197,17 @@
         self.wait = wait
         if not again:
             self.asked_at = world.ms()
-            world.log.asked.append(Asked(
-                self.asked_at, name, kind.repeat, wait, story.idempotency,
-                "all" if kind.group == "all" else "zone", kind.window_ms,
-            ))
+            world.log.asked.append(
+                Asked(
+                    self.asked_at,
+                    name,
+                    kind.repeat,
+                    wait,
+                    story.idempotency,
+                    "all" if kind.group == "all" else "zone",
+                    kind.window_ms,
+                )
+            )
         self.timer = self.application.loop.call_later(wait / 1000.0 + LATE, self.too_late)
         self.transport.write(head.encode() + (b"" if safe else BODY))
 
--- a/zinclever/sim/cli.py
+++ b/zinclever/sim/cli.py
@@ -63,8 +63,11 @@
 @click.option("--list", is_flag=True, is_eager=True, expose_value=False, callback=list_kinds, help="Name the kinds.")
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 @scaled
-@click.option("--rate", type=click.FloatRange(0.0, min_open=True), help="First tries a second of all. "
-              "[default: 62 % of what the endpoints can do]")
+@click.option(
+    "--rate",
+    type=click.FloatRange(0.0, min_open=True),
+    help="First tries a second of all. [default: 62 % of what the endpoints can do]",
+)
 @click.option("--json", "as_json", is_flag=True, help="One JSON object.")
 def day(kind: str, seed: int, sidecars: int, endpoints: int, seconds: float, rate: float | None, as_json: bool) -> None:
     """Play one day; exit code 1 where a rule was broken."""
@@ -102,8 +105,13 @@
 
 
 HUNTED = (
-    click.option("--sidecars", type=click.IntRange(1, 10_000), default=200, show_default=True,
-                 help="What many do together shows from some two hundred on."),
+    click.option(
+        "--sidecars",
+        type=click.IntRange(1, 10_000),
+        default=200,
+        show_default=True,
+        help="What many do together shows from some two hundred on.",
+    ),
     click.option("--endpoints", type=click.IntRange(1, 2_000), default=30, show_default=True),
     SCALE[2],
 )
@@ -121,8 +129,17 @@
 @click.option("--below", type=click.FloatRange(0.0, 1.0), default=0.0, help="Keep days whose goal is lower, too.")
 @click.option("--into", type=click.Path(path_type=Path), default=Path("found"), show_default=True)
 @hunted
-def hunt(kinds: tuple[str, ...], first: int, budget: float, jobs: int, below: float, into: Path, sidecars: int,
-         endpoints: int, seconds: float) -> None:
+def hunt(
+    kinds: tuple[str, ...],
+    first: int,
+    budget: float,
+    jobs: int,
+    below: float,
+    into: Path,
+    sidecars: int,
+    endpoints: int,
+    seconds: float,
+) -> None:
     """Draw and play days on all cores; keep those with a breach or a low figure."""
     ordinary = [name for name in KINDS if name != "soak"]
     days = hunting.drawn(kinds or ordinary, first, sidecars, endpoints, seconds)
--- a/zinclever/sim/dayfile.py
+++ b/zinclever/sim/dayfile.py
@@ -59,8 +59,15 @@
         return Key(name, "flag", "", default=default, required=required)
     part = name.rpartition("_")[2] in PARTS and not (owner is Day and name in NOT_PARTS)
     whole = hint is int
-    return Key(name, "whole" if whole else "number", "", default=default, required=required, least=0.0,
-               most=float(2**63 - 1) if name == "seed" else 1.0 if part else MOST)
+    return Key(
+        name,
+        "whole" if whole else "number",
+        "",
+        default=default,
+        required=required,
+        least=0.0,
+        most=float(2**63 - 1) if name == "seed" else 1.0 if part else MOST,
+    )
 
 
 def build(kind: type, clean: dict[str, Any]) -> Any:
@@ -141,5 +148,3 @@
     if dataclasses.is_dataclass(value):
         return {f.name: plain(getattr(value, f.name)) for f in dataclasses.fields(value)}
     return [plain(v) for v in value] if isinstance(value, tuple) else value
-
-
--- a/zinclever/sim/days.py
+++ b/zinclever/sim/days.py
@@ -41,14 +41,24 @@
 
 def keys(rng: Random, seconds: float) -> Sequence[Trouble]:
     """One to three keys draw 4 to 25 % of all traffic."""
-    return [Trouble("hot_keys", begin(rng, seconds), uniform(rng, 5.3, 19.0), uniform(rng, 0.04, 0.25),
-                    count=rng.randint(1, 3))]
+    return [
+        Trouble(
+            "hot_keys", begin(rng, seconds), uniform(rng, 5.3, 19.0), uniform(rng, 0.04, 0.25), count=rng.randint(1, 3)
+        )
+    ]
 
 
 def hot(rng: Random, seconds: float) -> Sequence[Trouble]:
     """One or a few sidecars carry 5 to 20 % of all traffic."""
-    return [Trouble("hot_sidecars", begin(rng, seconds), uniform(rng, 10.0, 24.0), uniform(rng, 0.05, 0.2),
-                    count=rng.randint(1, 3))]
+    return [
+        Trouble(
+            "hot_sidecars",
+            begin(rng, seconds),
+            uniform(rng, 10.0, 24.0),
+            uniform(rng, 0.05, 0.2),
+            count=rng.randint(1, 3),
+        )
+    ]
 
 
 def single(rng: Random, seconds: float) -> Sequence[Trouble]:
@@ -70,8 +80,10 @@
 def release(rng: Random, seconds: float) -> Sequence[Trouble]:
     """Friday evening: a popular series has a new chapter."""
     at, span = begin(rng, seconds), uniform(rng, 10.0, 20.0)
-    return [Trouble("spike", at, span, factor=uniform(rng, 1.5, 2.2)),
-            Trouble("hot_keys", at, span, uniform(rng, 0.1, 0.25), count=rng.randint(1, 3))]
+    return [
+        Trouble("spike", at, span, factor=uniform(rng, 1.5, 2.2)),
+        Trouble("hot_keys", at, span, uniform(rng, 0.1, 0.25), count=rng.randint(1, 3)),
+    ]
 
 
 def update(rng: Random, seconds: float) -> Sequence[Trouble]:
@@ -108,8 +120,10 @@
 def paused(rng: Random, seconds: float) -> Sequence[Trouble]:
     """Some sidecars stand still for a while, and go on while servers are replaced."""
     at = begin(rng, seconds)
-    return [Trouble("pause", at, uniform(rng, 0.5, 6.0), uniform(rng, 0.2, 0.5)),
-            Trouble("waves", at + 0.2, 3.0, 0.3, count=1)]
+    return [
+        Trouble("pause", at, uniform(rng, 0.5, 6.0), uniform(rng, 0.2, 0.5)),
+        Trouble("waves", at + 0.2, 3.0, 0.3, count=1),
+    ]
 
 
 def slow(rng: Random, seconds: float) -> Sequence[Trouble]:
@@ -120,8 +134,10 @@
 def flapping(rng: Random, seconds: float) -> Sequence[Trouble]:
     """Discovery goes down and comes back again and again, while servers are replaced."""
     at = begin(rng, seconds)
-    return [Trouble("flapping", at, 0.5 * seconds, factor=uniform(rng, 0.5, 2.0)),
-            Trouble("waves", at, 0.4 * seconds, 0.3, count=1)]
+    return [
+        Trouble("flapping", at, 0.5 * seconds, factor=uniform(rng, 0.5, 2.0)),
+        Trouble("waves", at, 0.4 * seconds, 0.3, count=1),
+    ]
 
 
 def loops(rng: Random, seconds: float) -> Sequence[Trouble]:
@@ -147,8 +163,11 @@
 def directory(rng: Random, seconds: float) -> Sequence[Trouble]:
     """Discovery is down for a while, then crowded, while some servers go."""
     at, span = begin(rng, seconds), uniform(rng, 8.0, 14.0)
-    return [Trouble("discovery_down", at, span), Trouble("vanish", at + 1.0, 20.0, 0.1),
-            Trouble("discovery_crowded", at + span, 10.0, factor=0.25)]
+    return [
+        Trouble("discovery_down", at, span),
+        Trouble("vanish", at + 1.0, 20.0, 0.1),
+        Trouble("discovery_crowded", at + span, 10.0, factor=0.25),
+    ]
 
 
 def vanish(rng: Random, seconds: float) -> Sequence[Trouble]:
@@ -165,8 +184,11 @@
     """A long day on which servers are replaced and sidecars reload all the time."""
     found: list[Trouble] = []
     for at in range(5, max(6, round(seconds)), 60):
-        found += [Trouble("waves", float(at), 20.0, 0.1, count=1), Trouble("reload", at + 25.0, 10.0, 0.1),
-                  Trouble("restart", at + 30.0, 10.0, 0.02)]
+        found += [
+            Trouble("waves", float(at), 20.0, 0.1, count=1),
+            Trouble("reload", at + 25.0, 10.0, 0.1),
+            Trouble("restart", at + 30.0, 10.0, 0.02),
+        ]
     return [t for t in found if t.at_s < 0.9 * seconds]
 
 
@@ -177,9 +199,35 @@
 
 
 KINDS: dict[str, Draw] = {
-    draw.__name__: draw for draw in (
-        calm, silent, late, keys, hot, single, shrink, collapse, release, update, killed, rolling, datacentre, cut,
-        waves, herd, directory, vanish, faults, soak, mixed, oneway, paused, slow, flapping, loops, power,
+    draw.__name__: draw
+    for draw in (
+        calm,
+        silent,
+        late,
+        keys,
+        hot,
+        single,
+        shrink,
+        collapse,
+        release,
+        update,
+        killed,
+        rolling,
+        datacentre,
+        cut,
+        waves,
+        herd,
+        directory,
+        vanish,
+        faults,
+        soak,
+        mixed,
+        oneway,
+        paused,
+        slow,
+        flapping,
+        loops,
+        power,
     )
 }
 
@@ -198,5 +246,14 @@
         t if t.count >= 0 else Trouble(t.kind, t.at_s, t.for_s, count=round(0.64 * endpoints))
         for t in KINDS[kind](rng, seconds)
     )
-    return Day(kind, seed, seconds, sidecars, endpoints, rate or round(LOAD * capacity(endpoints), 1), READER, PAGES,
-               troubles=troubles)
+    return Day(
+        kind,
+        seed,
+        seconds,
+        sidecars,
+        endpoints,
+        rate or round(LOAD * capacity(endpoints), 1),
+        READER,
+        PAGES,
+        troubles=troubles,
+    )
--- a/zinclever/sim/figures.py
+++ b/zinclever/sim/figures.py
@@ -151,8 +151,12 @@
     by_class = {name: round(figures.share(FIRST, seconds, name), 4) for name in names}
     worst = figures.worst_window(seconds)
     return {
-        "kind": day.kind, "seed": day.seed, "seconds": day.seconds, "sidecars": day.sidecars,
-        "endpoints": day.endpoints, "rate": day.rate,
+        "kind": day.kind,
+        "seed": day.seed,
+        "seconds": day.seconds,
+        "sidecars": day.sidecars,
+        "endpoints": day.endpoints,
+        "rate": day.rate,
         "trace": world.trace.digest(),
         "requests": figures.first_tries,
         "served": figures.served,
--- a/zinclever/sim/hunting.py
+++ b/zinclever/sim/hunting.py
@@ -36,8 +36,13 @@
             yield draw(kind, seed, sidecars, endpoints, seconds)
 
 
-def hunt(days: Iterable[Day], budget: float, jobs: int = 1, play: Callable[[Day], Found] = play,
-         prepare: Callable[[], object] | None = None) -> Iterator[Found]:
+def hunt(
+    days: Iterable[Day],
+    budget: float,
+    jobs: int = 1,
+    play: Callable[[Day], Found] = play,
+    prepare: Callable[[], object] | None = None,
+) -> Iterator[Found]:
     """Play days for so many s of wall time, on so many cores; each as it is over, in their order. ``prepare`` is called
     first in each of the processes that play."""
     until, days = time.monotonic() + budget, iter(days)
--- a/zinclever/sim/listing.py
+++ b/zinclever/sim/listing.py
@@ -51,9 +51,14 @@
     def learn(self, server: PageServer, health: Health, after: float) -> None:
         """It knows of a change after so many s."""
         line = {
-            "host": server.name, "dial": f"{server.machine.address}:8080", "site": server.machine.zone,
-            "class": server.kind.name, "block": server.cell, "health": WORDS[health],
-            "share": 1.0, "born_ms": round(server.born),
+            "host": server.name,
+            "dial": f"{server.machine.address}:8080",
+            "site": server.machine.zone,
+            "class": server.kind.name,
+            "block": server.cell,
+            "health": WORDS[health],
+            "share": 1.0,
+            "born_ms": round(server.born),
         }
         if after <= 0.0:
             self.put(server.name, health, line)
@@ -84,7 +89,8 @@
     def hosts(self, since: int | None) -> dict[str, tuple[Health, dict[str, Any]]]:
         """What has changed since a version, or all there is."""
         return {
-            name: (health, line) for name, (version, health, line) in self.entries.items()
+            name: (health, line)
+            for name, (version, health, line) in self.entries.items()
             if (version > since if since is not None else health != "gone")
         }
 
--- a/zinclever/sim/model.py
+++ b/zinclever/sim/model.py
@@ -183,9 +183,11 @@
 )
 """The reader app's requests, as the brief words them."""
 
-PAGES = Servers((
-    ServerKind("large", 0.34, (1.4, 1.8), 14, 16, 0.2, 17.0),
-    ServerKind("medium", 0.20, (0.85, 1.1), 13, 20, 0.22, 19.0),
-    ServerKind("small", 0.46, (0.51, 0.69), 12, 20, 0.25, 18.0),
-))
+PAGES = Servers(
+    (
+        ServerKind("large", 0.34, (1.4, 1.8), 14, 16, 0.2, 17.0),
+        ServerKind("medium", 0.20, (0.85, 1.1), 13, 20, 0.22, 19.0),
+        ServerKind("small", 0.46, (0.51, 0.69), 12, 20, 0.25, 18.0),
+    )
+)
 """Its page servers."""
--- a/zinclever/sim/pages.py
+++ b/zinclever/sim/pages.py
@@ -126,10 +126,20 @@
             fault = Fault.ERROR
         request.fault = fault
         request.made = f"{self.name}#{world.serial()}" if fault not in UNDONE else ""
-        world.log.received.append(Received(
-            request.first, world.ms(), request.id, self.name, self.zone_of(request), fault not in UNDONE,
-            fault is Fault.DECLINE, request.made, request.via, request.work,
-        ))
+        world.log.received.append(
+            Received(
+                request.first,
+                world.ms(),
+                request.id,
+                self.name,
+                self.zone_of(request),
+                fault not in UNDONE,
+                fault is Fault.DECLINE,
+                request.made,
+                request.via,
+                request.work,
+            )
+        )
         world.counts.received(self.name)
         self.push(request.work)
         if self.loop.dead or fault in (Fault.SILENCE, Fault.SWALLOW):
@@ -218,8 +228,21 @@
 class Request:
     """One that is coming in, or has come, on a connection."""
 
-    __slots__ = ("connection", "fault", "first", "group", "id", "io", "job", "key", "made", "via", "waits", "work",
-                 "working")
+    __slots__ = (
+        "connection",
+        "fault",
+        "first",
+        "group",
+        "id",
+        "io",
+        "job",
+        "key",
+        "made",
+        "via",
+        "waits",
+        "work",
+        "working",
+    )
 
     def __init__(self, connection: Connection, first: float) -> None:
         self.connection, self.first = connection, first
@@ -317,7 +340,7 @@
             return
         self.request = None
         self.transport.write(
-            b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\nSrv-Load: {\"queue\":%d}\r\n%b\r\n%b%b"
+            b'HTTP/1.1 %d %b\r\nContent-Length: %d\r\nSrv-Load: {"queue":%d}\r\n%b\r\n%b%b'
             % (status, REASONS[status], len(body), self.server.load(), headers, body, behind)
         )
         self.rest()
--- a/zinclever/sim/scene.py
+++ b/zinclever/sim/scene.py
@@ -189,22 +189,44 @@
         day = self.day
         kinds = day.servers.kinds
         return {
-            "me": sidecar.number, "group-size": day.sidecar.told_group or day.sidecars,
-            "zone": day.zones.names.index(sidecar.machine.zone), "zones": list(day.zones.names),
+            "me": sidecar.number,
+            "group-size": day.sidecar.told_group or day.sidecars,
+            "zone": day.zones.names.index(sidecar.machine.zone),
+            "zones": list(day.zones.names),
             "classes": [
-                {"name": k.name, "aim": k.aim_ms, "deadline": k.deadline_ms, "value": k.worth, "repeat": k.repeat,
-                 "group": k.group, "window": k.window_ms}
+                {
+                    "name": k.name,
+                    "aim": k.aim_ms,
+                    "deadline": k.deadline_ms,
+                    "value": k.worth,
+                    "repeat": k.repeat,
+                    "group": k.group,
+                    "window": k.window_ms,
+                }
                 for k in day.classes
             ],
-            "limits": {"attempts-cap": MOST_ATTEMPTS, "cancel": True, "second-copies": True, "retry-after": True,
-                       "max-retry-after": 2000.0, "dial-timeout": 250.0, "conn-idle": 1000.0 * day.servers.idle_s},
-            "rules": {"answer-slack": 50.0, "ask-within": day.rules.ask_within_ms,
-                      "stop-sending-within": day.rules.drain_grace_ms,
-                      "cold-share": min(k.cold_share for k in kinds),
-                      "cold": 1000.0 * max(k.cold_s for k in kinds), "overload-factor": day.rules.fall_multiple,
-                      "fall": day.rules.fall_ms},
+            "limits": {
+                "attempts-cap": MOST_ATTEMPTS,
+                "cancel": True,
+                "second-copies": True,
+                "retry-after": True,
+                "max-retry-after": 2000.0,
+                "dial-timeout": 250.0,
+                "conn-idle": 1000.0 * day.servers.idle_s,
+            },
+            "rules": {
+                "answer-slack": 50.0,
+                "ask-within": day.rules.ask_within_ms,
+                "stop-sending-within": day.rules.drain_grace_ms,
+                "cold-share": min(k.cold_share for k in kinds),
+                "cold": 1000.0 * max(k.cold_s for k in kinds),
+                "overload-factor": day.rules.fall_multiple,
+                "fall": day.rules.fall_ms,
+            },
             "prices": {"cross-zone": 0.22, "late-fail": 0.05, "waste": 0.04},
-            "registry-mode": "on_request", "value-by": "work", "weights": "nominal",
+            "registry-mode": "on_request",
+            "value-by": "work",
+            "weights": "nominal",
             "report": {"how": "piggyback", "fields": ["queue"]},
             "family-info": {"warm-keys": True},
         }
@@ -218,8 +240,13 @@
     def judge(self) -> list[Breach]:
         """Every breach of the four rules, by the shared auditor; a server that fell is one of the fourth."""
         rules = self.day.rules
-        terms = Terms(slack=self.slack(), drain_grace=rules.drain_grace_ms, overload_factor=rules.fall_multiple,
-                      overload_for=rules.fall_ms, cold_for=0.0)
+        terms = Terms(
+            slack=self.slack(),
+            drain_grace=rules.drain_grace_ms,
+            overload_factor=rules.fall_multiple,
+            overload_for=rules.fall_ms,
+            cold_for=0.0,
+        )
         fallen = [Breach(4, name, "pushed over while cold") for name in self.counts.fallen]
         return [*audit(self.as_sent(), terms), *fallen]
 
@@ -231,8 +258,11 @@
         held = replace(self.log, received=[])
         for r in self.log.received:
             ends = {r.via, zones.get(r.via, ""), ""}, {r.endpoint, zones.get(r.endpoint, "")}
-            since = [c.at for c in self.cuts if c.source in ends[0] and c.target in ends[1]
-                     and c.at <= r.first <= c.at + c.span + REDELIVERED]
+            since = [
+                c.at
+                for c in self.cuts
+                if c.source in ends[0] and c.target in ends[1] and c.at <= r.first <= c.at + c.span + REDELIVERED
+            ]
             held.received.append(r._replace(first=min([r.first, *since])))
         return held
 
--- a/zinclever/sim/sidecars.py
+++ b/zinclever/sim/sidecars.py
@@ -83,7 +83,9 @@
         known = world.listing.whole() if world.day.sidecar.known else {"hosts": []}
         known["hosts"] = [world.as_told(line, self.name) for line in known["hosts"]]
         told: Mapping[str, object] = {
-            "name": self.name, "listen": f"{self.machine.address}:{PORT}", "discovery": self.discovery(),
+            "name": self.name,
+            "listen": f"{self.machine.address}:{PORT}",
+            "discovery": self.discovery(),
             "seed": f"{seed:016x}",
             "limits": {"cores": 1.0, "memory_mb": world.day.sidecar.memory_mb, "sockets": world.day.sidecar.sockets},
             "known": known if known["hosts"] else {},
