--- a/zinclever/sim/troubles.py
+++ b/zinclever/sim/troubles.py
@@ -25,11 +25,33 @@
 RESTARTED_AFTER = 0.2  # s until one that dies again and again is
 
 
-VOCABULARY = frozenset({
-    "silent", "vanish", "late_reports", "hot_keys", "hot_sidecars", "shrink", "grow", "waves", "spike", "restart",
-    "kill", "reload", "partition", "discovery_down", "discovery_crowded", "faults", "zone_lost", "pause", "one_way",
-    "flapping", "restart_loop", "slow", "power",
-})
+VOCABULARY = frozenset(
+    {
+        "silent",
+        "vanish",
+        "late_reports",
+        "hot_keys",
+        "hot_sidecars",
+        "shrink",
+        "grow",
+        "waves",
+        "spike",
+        "restart",
+        "kill",
+        "reload",
+        "partition",
+        "discovery_down",
+        "discovery_crowded",
+        "faults",
+        "zone_lost",
+        "pause",
+        "one_way",
+        "flapping",
+        "restart_loop",
+        "slow",
+        "power",
+    }
+)
 """The kinds of troubles: each has a method of that name."""
 
 
--- a/zinclever/sim/world.py
+++ b/zinclever/sim/world.py
@@ -26,8 +26,9 @@
     scheduler: Scheduler
     sidecars: Sequence[SimulatedSidecar]
 
-    def __init__(self, day: Day, trace: Trace | None = None, permute: int | None = None,
-                 choose: Choose | None = None) -> None:
+    def __init__(
+        self, day: Day, trace: Trace | None = None, permute: int | None = None, choose: Choose | None = None
+    ) -> None:
         """``permute``, ``choose``: the order of events of one instant."""
         scheduler = Scheduler(permute, choose)
         path = Path(day.zones.same_ms / 1000.0, day.zones.jitter)
--- a/zinclever/simnet/host.py
+++ b/zinclever/simnet/host.py
@@ -26,8 +26,9 @@
 class SimulatedHost:
     """A :class:`~zinclever.core.host.Host` for the process of one loop."""
 
-    def __init__(self, loop: Loop, seed: int, environ: Mapping[str, str] | None = None,
-                 disk: Disk | None = None) -> None:
+    def __init__(
+        self, loop: Loop, seed: int, environ: Mapping[str, str] | None = None, disk: Disk | None = None
+    ) -> None:
         self.loop, self.rng = loop, Random(seed)
         self.environ: Mapping[str, str] = environ or {}
         self.disk = disk or Disk()
--- a/zinclever/simnet/loop.py
+++ b/zinclever/simnet/loop.py
@@ -110,25 +110,29 @@
 
     # --- callbacks ---
 
-    def call_soon(self, callback: Callable[[*Ts], object], *args: *Ts,
-                  context: contextvars.Context | None = None) -> asyncio.Handle:
+    def call_soon(
+        self, callback: Callable[[*Ts], object], *args: *Ts, context: contextvars.Context | None = None
+    ) -> asyncio.Handle:
         handle = asyncio.Handle(callback, args, self, context)
         self.put(handle)
         return handle
 
     call_soon_threadsafe = call_soon
 
-    def call_later(self, delay: float, callback: Callable[[*Ts], object], *args: *Ts,
-                   context: contextvars.Context | None = None) -> asyncio.TimerHandle:
+    def call_later(
+        self, delay: float, callback: Callable[[*Ts], object], *args: *Ts, context: contextvars.Context | None = None
+    ) -> asyncio.TimerHandle:
         # Rounded up: a callback that asks for the rest of a span must find it over when it is called.
         return self.call_in(max(0, math.ceil(delay * NS)), callback, args, context)
 
-    def call_at(self, when: float, callback: Callable[[*Ts], object], *args: *Ts,
-                context: contextvars.Context | None = None) -> asyncio.TimerHandle:
+    def call_at(
+        self, when: float, callback: Callable[[*Ts], object], *args: *Ts, context: contextvars.Context | None = None
+    ) -> asyncio.TimerHandle:
         return self.call_in(max(0, math.ceil(when * NS) - self.local()), callback, args, context)
 
-    def call_in(self, span: int, callback: Callable[..., object], args: tuple[Any, ...],
-                context: contextvars.Context | None) -> asyncio.TimerHandle:
+    def call_in(
+        self, span: int, callback: Callable[..., object], args: tuple[Any, ...], context: contextvars.Context | None
+    ) -> asyncio.TimerHandle:
         due = self.local() + span
         handle = Timer(due / NS, callback, args, self, context)
         self.serial += 1
@@ -246,8 +250,13 @@
     def create_future(self) -> asyncio.Future[Any]:
         return asyncio.Future(loop=self)
 
-    def create_task(self, coro: Coroutine[Any, Any, T] | Generator[Any, None, T], *, name: str | None = None,
-                    context: contextvars.Context | None = None) -> asyncio.Task[T]:
+    def create_task(
+        self,
+        coro: Coroutine[Any, Any, T] | Generator[Any, None, T],
+        *,
+        name: str | None = None,
+        context: contextvars.Context | None = None,
+    ) -> asyncio.Task[T]:
         return asyncio.Task(coro, loop=self, name=name, context=context)
 
     def set_task_factory(self, factory: Any) -> None:
@@ -362,8 +371,9 @@
         if not socket.closed and socket.fileno() in handles and able(socket):
             self.call_soon(self.level, socket, handles, able, handles[socket.fileno()])
 
-    def level(self, socket: Socket, handles: dict[int, asyncio.Handle], able: Callable[[Socket], bool],
-              handle: asyncio.Handle) -> None:
+    def level(
+        self, socket: Socket, handles: dict[int, asyncio.Handle], able: Callable[[Socket], bool], handle: asyncio.Handle
+    ) -> None:
         """What a selector tells is a state, not an event: told again until it has changed."""
         if socket.closed or handles.get(socket.fileno()) is not handle or not able(socket):
             return
@@ -381,6 +391,7 @@
         """OSError where the machine refuses; a machine that says nothing is waited for without end."""
         assert isinstance(sock, Socket)
         future = self.create_future()
+
         def told() -> None:
             self.call_soon(settle, future)
 
@@ -394,8 +405,13 @@
             sock.raise_error()
 
     async def create_connection(  # type: ignore[override]
-        self, protocol_factory: Callable[[], asyncio.BaseProtocol], host: str | None = None, port: int | None = None,
-        *, sock: Any = None, **more: Any,
+        self,
+        protocol_factory: Callable[[], asyncio.BaseProtocol],
+        host: str | None = None,
+        port: int | None = None,
+        *,
+        sock: Any = None,
+        **more: Any,
     ) -> tuple[Transport, asyncio.BaseProtocol]:
         """As asyncio's, without names to resolve and without TLS."""
         refuse_more(more)
@@ -413,8 +429,15 @@
         return transport, protocol
 
     async def create_server(  # type: ignore[override]
-        self, protocol_factory: Callable[[], asyncio.BaseProtocol], host: str | None = None, port: int | None = None,
-        *, sock: Any = None, backlog: int = 100, start_serving: bool = True, **more: Any,
+        self,
+        protocol_factory: Callable[[], asyncio.BaseProtocol],
+        host: str | None = None,
+        port: int | None = None,
+        *,
+        sock: Any = None,
+        backlog: int = 100,
+        start_serving: bool = True,
+        **more: Any,
     ) -> Server:
         refuse_more({name: value for name, value in more.items() if name not in ("reuse_address", "reuse_port")})
         if sock is None:
--- a/zinclever/simnet/network.py
+++ b/zinclever/simnet/network.py
@@ -68,8 +68,9 @@
 class Network:
     """All machines, by address. The instants at which segments arrive are drawn from its seed."""
 
-    def __init__(self, scheduler: Scheduler, seed: int = 0, path: Path | None = None,
-                 trace: Trace | None = None) -> None:
+    def __init__(
+        self, scheduler: Scheduler, seed: int = 0, path: Path | None = None, trace: Trace | None = None
+    ) -> None:
         """``path``: between machines of zones of which nothing else is said."""
         self.scheduler, self.rng = scheduler, Random(seed)
         self.trace = trace if trace is not None else Trace()
--- a/zinclever/simnet/runner.py
+++ b/zinclever/simnet/runner.py
@@ -69,4 +69,3 @@
 def simulated() -> bool:
     """Whether the loop that runs is a simulated one."""
     return isinstance(asyncio.get_running_loop(), Loop)
-
--- a/zinclever/simnet/transport.py
+++ b/zinclever/simnet/transport.py
@@ -18,11 +18,24 @@
 class Transport(asyncio.Transport):
     """Owns its socket from the making to the round of the loop after :meth:`connection_lost` has been called."""
 
-    __slots__ = ("buffer", "buffered", "closing", "eof", "high", "loop", "low", "paused", "protocol", "reading",
-                 "scheduled", "sock")
-
-    def __init__(self, loop: Loop, sock: Socket, protocol: asyncio.BaseProtocol,
-                 waiter: asyncio.Future[None] | None = None) -> None:
+    __slots__ = (
+        "buffer",
+        "buffered",
+        "closing",
+        "eof",
+        "high",
+        "loop",
+        "low",
+        "paused",
+        "protocol",
+        "reading",
+        "scheduled",
+        "sock",
+    )
+
+    def __init__(
+        self, loop: Loop, sock: Socket, protocol: asyncio.BaseProtocol, waiter: asyncio.Future[None] | None = None
+    ) -> None:
         super().__init__()
         self.loop, self.sock = loop, sock
         self.protocol = cast(asyncio.Protocol, protocol)
--- a/zinclever/standins/audit.py
+++ b/zinclever/standins/audit.py
@@ -161,7 +161,8 @@
     """No cold endpoint gets more than the multiple of its present capacity for as long as pushes it over."""
     for start in log.started:
         got = sorted(
-            (r.at, r.work) for r in log.received
+            (r.at, r.work)
+            for r in log.received
             if r.endpoint == start.endpoint and start.at <= r.at < start.at + terms.cold_for
         )
         begin, sent = 0, 0.0
--- a/zinclever/standins/clients.py
+++ b/zinclever/standins/clients.py
@@ -57,15 +57,15 @@
         self.task.cancel()
         await asyncio.gather(self.task, return_exceptions=True)
 
-    def call(self, klass: Klass, key: str = "", id: str | None = None,
-             name: str = "") -> asyncio.Future[Any]:
+    def call(self, klass: Klass, key: str = "", id: str | None = None, name: str = "") -> asyncio.Future[Any]:
         """Send one call; its future holds the response object."""
         text, future = self.prepare(klass, key, id, name)
         self.writer.write(write(self.framing, text))
         return future
 
-    def prepare(self, klass: Klass, key: str = "", id: str | None = None,
-                name: str = "") -> tuple[bytes, asyncio.Future[Any]]:
+    def prepare(
+        self, klass: Klass, key: str = "", id: str | None = None, name: str = ""
+    ) -> tuple[bytes, asyncio.Future[Any]]:
         """A call's text, noted as sent from now on; ``id``: a JSON token."""
         number = next(self._names)
         name = name or f"c{number}"
@@ -74,9 +74,9 @@
         text = f'{{"jsonrpc":"2.0","method":"{klass.method}","params":{json.dumps(params)},"id":{token}}}'
         future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
         self.waiting[token] = name, future
-        self.log.asked.append(Asked(
-            self.log.clock(), name, klass.effect, klass.wait, key or name, klass.group, klass.window
-        ))
+        self.log.asked.append(
+            Asked(self.log.clock(), name, klass.effect, klass.wait, key or name, klass.group, klass.window)
+        )
         return text.encode(), future
 
     def notify(self, klass: Klass) -> str:
@@ -84,9 +84,9 @@
         name = f"n{next(self._names)}"
         params = json.dumps({"call": name, "key": name})
         text = f'{{"jsonrpc":"2.0","method":"{klass.method}","params":{params}}}'
-        self.log.asked.append(Asked(
-            self.log.clock(), name, klass.effect, klass.wait, name, klass.group, klass.window, answered=False
-        ))
+        self.log.asked.append(
+            Asked(self.log.clock(), name, klass.effect, klass.wait, name, klass.group, klass.window, answered=False)
+        )
         self.writer.write(write(self.framing, text.encode()))
         return name
 
@@ -140,9 +140,9 @@
     async def call(self, klass: Klass, key: str = "") -> Kind:
         """Send one request and wait for its answer; once more if the connection it went on was ending."""
         name = f"h{next(self._names)}"
-        self.log.asked.append(Asked(
-            self.log.clock(), name, klass.effect, klass.wait, key or name, klass.group, klass.window
-        ))
+        self.log.asked.append(
+            Asked(self.log.clock(), name, klass.effect, klass.wait, key or name, klass.group, klass.window)
+        )
         reused = self.streams is not None
         answer = await self.exchange(klass, name, key or name)
         if answer is None and reused:
--- a/zinclever/standins/day.py
+++ b/zinclever/standins/day.py
@@ -18,8 +18,14 @@
 
 #: What share of the requests meets each fault.
 SHARES = {
-    Fault.SILENCE: 0.02, Fault.SWALLOW: 0.02, Fault.BREAK_BEFORE: 0.02, Fault.BREAK_AT: 0.03,
-    Fault.SPOILT: 0.02, Fault.BEYOND: 0.02, Fault.ERROR: 0.04, Fault.DECLINE: 0.05,
+    Fault.SILENCE: 0.02,
+    Fault.SWALLOW: 0.02,
+    Fault.BREAK_BEFORE: 0.02,
+    Fault.BREAK_AT: 0.03,
+    Fault.SPOILT: 0.02,
+    Fault.BEYOND: 0.02,
+    Fault.ERROR: 0.04,
+    Fault.DECLINE: 0.05,
 }
 MOST_DELAY = 0.03  # s that an answer takes
 THINK = 0.03  # s between two requests of a client at the most
@@ -38,8 +44,7 @@
     back: float = 1.0
 
 
-async def change(day: Day, discovery: Discovery, endpoints: Sequence[Endpoint],
-                 reload: Callable[[], None]) -> None:
+async def change(day: Day, discovery: Discovery, endpoints: Sequence[Endpoint], reload: Callable[[], None]) -> None:
     """The list of endpoints through the day: the first one drains, goes, and comes back cold."""
     first = endpoints[0]
     await asyncio.sleep(day.calm)
@@ -62,8 +67,9 @@
     client.close()
 
 
-async def ask_jsonrpc(client: JsonRpcClient, address: str, classes: Sequence[Klass], rng: Random,
-                      over: asyncio.Event) -> None:
+async def ask_jsonrpc(
+    client: JsonRpcClient, address: str, classes: Sequence[Klass], rng: Random, over: asyncio.Event
+) -> None:
     """Calls, batches and notifications, several at once, until the day is over."""
     await client.connect(address)
     out: list[asyncio.Future[object]] = []
--- a/zinclever/standins/discovery.py
+++ b/zinclever/standins/discovery.py
@@ -47,8 +47,14 @@
             if not cold and endpoint.name in self.hosts:
                 born = self.hosts[endpoint.name][2]["born_ms"]
             entry = {
-                "host": endpoint.name, "dial": endpoint.address, "site": endpoint.zone, "class": "m",
-                "block": 0, "health": HEALTH[phase], "share": 1.0, "born_ms": born,
+                "host": endpoint.name,
+                "dial": endpoint.address,
+                "site": endpoint.zone,
+                "class": "m",
+                "block": 0,
+                "health": HEALTH[phase],
+                "share": 1.0,
+                "born_ms": born,
             }
             self.hosts[endpoint.name] = self.version, phase, entry
             self.changed.notify_all()
@@ -80,7 +86,8 @@
     async def answer(self, writer: asyncio.StreamWriter, known: int | None) -> None:
         whole = known is None
         new = {
-            name: (version, phase, entry) for name, (version, phase, entry) in self.hosts.items()
+            name: (version, phase, entry)
+            for name, (version, phase, entry) in self.hosts.items()
             if known is None or version > known
         }
         hosts = [entry for _, phase, entry in new.values() if not (whole and phase == "gone")]
--- a/zinclever/standins/endpoint.py
+++ b/zinclever/standins/endpoint.py
@@ -71,9 +71,9 @@
         step = self.plan(request)
         ran = step.fault not in UNDONE
         made = f"{self.name}#{next(_serial)}" if ran else ""
-        self.log.received.append(Received(
-            first, self.log.clock(), request, self.name, self.zone, ran, step.fault is Fault.DECLINE, made
-        ))
+        self.log.received.append(
+            Received(first, self.log.clock(), request, self.name, self.zone, ran, step.fault is Fault.DECLINE, made)
+        )
         self.spawn(self.notify())
         return step, made
 
--- a/zinclever/standins/http_endpoint.py
+++ b/zinclever/standins/http_endpoint.py
@@ -38,7 +38,10 @@
                 writer.close()
                 return
             kinds = {
-                Fault.NONE: good, Fault.SPOILT: SPOILT, Fault.BEYOND: good + b"\x00noise", Fault.ERROR: ERROR,
+                Fault.NONE: good,
+                Fault.SPOILT: SPOILT,
+                Fault.BEYOND: good + b"\x00noise",
+                Fault.ERROR: ERROR,
                 Fault.DECLINE: DECLINED,
             }
             writer.write(kinds[step.fault])
--- a/zinclever/standins/many.py
+++ b/zinclever/standins/many.py
@@ -58,8 +58,15 @@
 class World:
     """The clock, the servers, discovery, and all instances."""
 
-    def __init__(self, servers: Sequence[i.Listed], seed: int, workers: int = 2, took: float = 60.0,
-                 lines_per_s: float = 400.0, backlog: int = 0) -> None:
+    def __init__(
+        self,
+        servers: Sequence[i.Listed],
+        seed: int,
+        workers: int = 2,
+        took: float = 60.0,
+        lines_per_s: float = 400.0,
+        backlog: int = 0,
+    ) -> None:
         self.now, self.rng = 0.0, Random(seed)
         self.due: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.serial = itertools.count()
@@ -214,8 +221,9 @@
 class Instance:
     """One sidecar, as the ledger and the pools would have it."""
 
-    def __init__(self, world: World, settings: i.Settings, rate: float, version: int,
-                 make: Callable[[i.Settings, int], Balancer]) -> None:
+    def __init__(
+        self, world: World, settings: i.Settings, rate: float, version: int, make: Callable[[i.Settings, int], Balancer]
+    ) -> None:
         """``rate``: requests a second; ``version``: of the list that it remembers."""
         self.world, self.settings, self.rate, self.version = world, settings, rate, version
         seed = world.rng.getrandbits(48)
@@ -263,8 +271,9 @@
 
     def share_out(self) -> None:
         assert self.view is not None
-        self.connections.configure(self.settings.shares, self.settings.group_size, len(self.layout()),
-                                   len(self.view.members))
+        self.connections.configure(
+            self.settings.shares, self.settings.group_size, len(self.layout()), len(self.view.members)
+        )
 
     def move(self) -> None:
         if self.view is not None:
@@ -435,7 +444,10 @@
                 self.connections.refused(self.world.now)
             elif outcome == "connect_failed" and self.view.failed(self.world.now, server.name):
                 self.move()
-        self.feed(i.AttemptEnded(name, attempt.number, server.name, outcome, self.world.now - attempt.sent_at,
-                                 name not in self.requests))
+        self.feed(
+            i.AttemptEnded(
+                name, attempt.number, server.name, outcome, self.world.now - attempt.sent_at, name not in self.requests
+            )
+        )
         if name not in self.requests and all(a.over for a in self.attempts.get(name, ())):
             self.attempts.pop(name, None)
--- a/zinclever/standins/simulation.py
+++ b/zinclever/standins/simulation.py
@@ -21,8 +21,13 @@
 
 EARLY = 15.0  # ms before the deadline that the module is told
 OUTCOMES: Mapping[Fault, i.Outcome] = {
-    Fault.NONE: "served", Fault.BEYOND: "served", Fault.DECLINE: "full", Fault.ERROR: "error",
-    Fault.SPOILT: "reset", Fault.BREAK_AT: "reset", Fault.BREAK_BEFORE: "reset",
+    Fault.NONE: "served",
+    Fault.BEYOND: "served",
+    Fault.DECLINE: "full",
+    Fault.ERROR: "error",
+    Fault.SPOILT: "reset",
+    Fault.BREAK_AT: "reset",
+    Fault.BREAK_BEFORE: "reset",
 }
 
 
@@ -38,8 +43,14 @@
 class Simulation:
     """One balancer, its endpoints and its clients, from a seed."""
 
-    def __init__(self, settings: i.Settings, endpoints: Sequence[i.Listed], shares: Mapping[Fault, float],
-                 seed: int, make: Callable[[i.Settings, int], Balancer] = Balancer) -> None:
+    def __init__(
+        self,
+        settings: i.Settings,
+        endpoints: Sequence[i.Listed],
+        shares: Mapping[Fault, float],
+        seed: int,
+        make: Callable[[i.Settings, int], Balancer] = Balancer,
+    ) -> None:
         self.settings, self.shares, self.rng = settings, shares, Random(seed)
         self.balancer = make(settings, seed)
         self.zones = {e.endpoint: (str(e.zone), str(e.cell)) for e in endpoints}
@@ -121,10 +132,18 @@
         made = f"{attempt.request}.{attempt.number}" if ran else ""
         klass = self.classes[attempt.request]
         zone, cell = self.zones[attempt.endpoint]
-        self.log.received.append(Received(
-            attempt.sent_at, self.now, attempt.request, attempt.endpoint, cell if klass.group == "cell" else zone,
-            ran, fault is Fault.DECLINE, made
-        ))
+        self.log.received.append(
+            Received(
+                attempt.sent_at,
+                self.now,
+                attempt.request,
+                attempt.endpoint,
+                cell if klass.group == "cell" else zone,
+                ran,
+                fault is Fault.DECLINE,
+                made,
+            )
+        )
         if (outcome := OUTCOMES.get(fault)) is not None:
             self.at(self.now + left, lambda: self.end(attempt, outcome, made))
 
@@ -134,7 +153,13 @@
         attempt.over = True
         if outcome == "served":
             self.answer(attempt.request, "served", made)
-        self.feed(i.AttemptEnded(
-            attempt.request, attempt.number, attempt.endpoint, outcome, self.now - attempt.sent_at,
-            attempt.request not in self.open,
-        ))
+        self.feed(
+            i.AttemptEnded(
+                attempt.request,
+                attempt.number,
+                attempt.endpoint,
+                outcome,
+                self.now - attempt.sent_at,
+                attempt.request not in self.open,
+            )
+        )
