--- a/benchmarks/hollow.py
+++ b/benchmarks/hollow.py
@@ -27,7 +27,8 @@
 from zinclever.mesh.dataplane.hop import HopWire
 from zinclever.mesh.dataplane.keeper import Keeper
 from zinclever.mesh.dataplane.retry_budget import RetryBudget
-from zinclever.mesh.membership.records import ENDPOINT, RecordStore
+from zinclever.mesh.membership.record_store import RecordStore
+from zinclever.mesh.membership.records import RecordKind
 from zinclever.mesh.model.field import Field
 from zinclever.mesh.model.members import Machine, World
 from zinclever.mesh.storage.generations import Generations
@@ -51,7 +52,7 @@
         sidecar=f"node-{n:06d}/forager",
         generation="v1.42.0",
     )
-    return Record(kind=ENDPOINT, id=f"i-{n:08x}", seq=seq, body=info.SerializeToString())
+    return Record(kind=RecordKind.ENDPOINT, id=f"i-{n:08x}", seq=seq, body=info.SerializeToString())
 
 
 class GossipLoad:
@@ -60,11 +61,11 @@
     def __init__(self, field: Field, span: float, processor: float) -> None:
         seeds = [g for n, g in field.gossips.items() if field.address(n) in field.seeds]
         others = [g for n, g in field.gossips.items() if field.address(n) not in field.seeds]
-        self.bytes = sum(g.bytes_sent for g in others) / len(others) / span
-        self.datagrams = sum(g.counts["sent"] for g in others) / len(others) / span
-        self.seed_bytes = sum(g.bytes_sent for g in seeds) / len(seeds) / span
-        self.seed_datagrams = sum(g.counts["sent"] + g.counts["heard"] for g in seeds) / len(seeds) / span
-        sent = sum(g.counts["sent"] for g in field.gossips.values())
+        self.bytes = sum(g.transmitter.bytes_sent for g in others) / len(others) / span
+        self.datagrams = sum(g.counters.sent for g in others) / len(others) / span
+        self.seed_bytes = sum(g.transmitter.bytes_sent for g in seeds) / len(seeds) / span
+        self.seed_datagrams = sum(g.counters.sent + g.counters.received for g in seeds) / len(seeds) / span
+        sent = sum(g.counters.sent for g in field.gossips.values())
         self.microseconds = 1e6 * processor / max(1, sent)
         """Processor time per datagram sent and heard, with the process's turns and the field's own part."""
 
@@ -83,7 +84,7 @@
     for held in field.gossips.values():
         for n in range(known):
             held.records.apply(field.now, endpoint(n))
-        held.bytes_sent = held.counts["sent"] = held.counts["heard"] = 0
+        held.transmitter.bytes_sent = held.counters.sent = held.counters.received = 0
     told, until = 0, field.now + span
     began = time.process_time()
     due = field.now + field.rng.expovariate(news) if news else until
--- a/benchmarks/mesh.py
+++ b/benchmarks/mesh.py
@@ -53,7 +53,7 @@
         victim = field.names[-1]
         del field.gossips[victim]
         began = field.now
-        while any((s.member_state(victim) or 0) < 2 for s in field.gossips.values()) and field.now < began + 30.0:
+        while any((s.members.state_of(victim) or 0) < 2 for s in field.gossips.values()) and field.now < began + 30.0:
             field.run(0.05)
         wrongly = sum(d[2] != victim for d in field.deaths)
         print(
@@ -81,7 +81,7 @@
             while field.now < began + 30.0:
                 field.run(0.1)
                 sums = {tuple(s.records.range_digests) for s in field.gossips.values()}
-                if len(sums) == 1 and all(len(s.peers()) == size - 1 for s in field.gossips.values()):
+                if len(sums) == 1 and all(len(s.members.others()) == size - 1 for s in field.gossips.values()):
                     break
             spent, span = field.bytes, field.now - began
             field.bytes = 0
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -13,7 +13,7 @@
 ROUNDS = 5
 PLAY = r"""
 import sys, time
-from zinclever import Balancer, Settings
+from zinclever import (Balancer, Settings)
 from zinclever import interface as i
 
 size, inflight = int(sys.argv[1]), int(sys.argv[2])
--- a/tests/mesh/test_catch_up.py
+++ b/tests/mesh/test_catch_up.py
@@ -18,7 +18,8 @@
 from zinclever.mesh.consensus.replica import Replica
 from zinclever.mesh.consensus.text_blocks import cut, pack
 from zinclever.mesh.consensus.text_store import MOST_HELD
-from zinclever.mesh.membership.records import ENDED_RANK, ENDPOINT, RecordStore
+from zinclever.mesh.membership.record_store import RecordStore
+from zinclever.mesh.membership.records import ENDED_RANK, RecordKind
 from zinclever.mesh.model.slow_links import MEGABIT, SlowWorld, config_text
 from zinclever.mesh.roles import boot
 from zinclever.mesh.roles.control import ControlRole
@@ -359,8 +360,10 @@
         most = 0
         for n in range(5000):
             now = 2.0 * n
-            records.apply(now, Record(kind=ENDPOINT, id=f"i-{n}", incarnation=1, seq=1, rank=0))
-            records.apply(now + 1.0, Record(kind=ENDPOINT, id=f"i-{n}", incarnation=1, seq=2, rank=ENDED_RANK))
+            records.apply(now, Record(kind=RecordKind.ENDPOINT, id=f"i-{n}", incarnation=1, seq=1, rank=0))
+            records.apply(
+                now + 1.0, Record(kind=RecordKind.ENDPOINT, id=f"i-{n}", incarnation=1, seq=2, rank=ENDED_RANK)
+            )
             records.expire(now + 1.0)
             most = max(most, len(records.by_key))
         self.assertLess(most, 1000)
--- a/tests/mesh/test_configuration_handout.py
+++ b/tests/mesh/test_configuration_handout.py
@@ -18,6 +18,7 @@
     Inquiry,
     Waiting,
 )
+from zinclever.mesh.membership.records import RecordKind
 from zinclever.mesh.roles.node import Node
 from zinclever.mesh.roles.sidecar import Sidecar
 from zinclever.mesh.transport.framed_connection import FramedConnection
@@ -217,10 +218,10 @@
                 self.assertEqual((await m.put(config("one", "two", generation=2), 1))[0], 200)
                 await until(lambda: all(f.node.active.generation == 2 for f in m.sidecars))
                 node = m.sidecars[0].node
-                record = node.gossip.records.get(3, "config")
+                record = node.gossip.records.get(RecordKind.VERSION, "config")
                 node.in_force(number, 1, old)
                 self.assertEqual(node.active.generation, 2)
-                self.assertEqual(node.gossip.records.get(3, "config"), record)
+                self.assertEqual(node.gossip.records.get(RecordKind.VERSION, "config"), record)
 
         run(test)
 
--- a/tests/mesh/test_endpoint_calls.py
+++ b/tests/mesh/test_endpoint_calls.py
@@ -9,10 +9,11 @@
 
 from mesh.cases import params
 from mesh.cluster import App, Mesh, run, until
-from zinclever.mesh.membership.acknowledgement import SIDECAR_PREFERRED_FOR, ReceiptQuorum
+from zinclever.mesh.membership.receipt_quorum import SIDECAR_PREFERRED_FOR, ReceiptQuorum
+from zinclever.mesh.membership.records import DEPARTED_SEQ, EndpointPhase, RecordKind
 from zinclever.mesh.model.field import endpoint
 from zinclever.mesh.roles import endpoint_api
-from zinclever.mesh.roles.endpoint_calls import DRAINING, GONE, LAST, READY, announcement, changes
+from zinclever.mesh.roles.endpoint_calls import announcement, changes
 from zinclever.mesh.roles.node import Node
 from zinclever.mesh.roles.sidecar import Sidecar
 from zinclever.mesh.transport.mesh_pb2 import Record
@@ -39,7 +40,7 @@
 
 
 def held(m: Mesh, app: App) -> Record | None:
-    return m.control.node.gossip.records.get(2, app.id)
+    return m.control.node.gossip.records.get(RecordKind.ENDPOINT, app.id)
 
 
 class Acknowledged(unittest.TestCase):
@@ -87,7 +88,7 @@
                 self.assertEqual(await say(), 200)
                 record = held(m, app)
                 assert record is not None
-                self.assertGreaterEqual(record.rank, DRAINING)
+                self.assertGreaterEqual(record.rank, EndpointPhase.DRAINING)
 
         run(test)
 
@@ -102,7 +103,9 @@
 
                 def flush_to_the_core_alone() -> None:
                     """The first news to others is lost; what is told again until it is received is not."""
-                    old.node.gossip.outbox = [(a, w) for a, w in old.node.gossip.outbox if w.receipt_request]
+                    old.node.gossip.transmitter.outbox = [
+                        (a, w) for a, w in old.node.gossip.transmitter.outbox if w.receipt_request
+                    ]
                     flush()
 
                 with mock.patch.object(old.node.gossip_socket, "flush", flush_to_the_core_alone):
@@ -115,12 +118,17 @@
                     old.node.lines.close()
                 record = held(m, app)
                 assert record is not None
-                self.assertEqual(record.rank, DRAINING)
+                self.assertEqual(record.rank, EndpointPhase.DRAINING)
                 new = Sidecar(m.boot(m.ips[0], "forager", AppAddr=app.address, Target=app.service))
                 await new.start()
                 m.sidecars[0] = new
                 with mock.patch.object(new.keeper, "admit", side_effect=AssertionError("admitted")):
-                    await until(lambda: new.node.gossip.joined and new.node.gossip.records.get(2, app.id) is not None)
+                    await until(
+                        lambda: (
+                            new.node.gossip.anti_entropy.joined
+                            and new.node.gossip.records.get(RecordKind.ENDPOINT, app.id) is not None
+                        )
+                    )
                 self.assertFalse(new.keeper.open)
 
         run(test)
@@ -130,7 +138,7 @@
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
                 m.control.endpoints.announcer.losses = 1
-                with cut_off(m.control.node), mock.patch.object(m.control.node.gossip, "peers", list):
+                with cut_off(m.control.node), mock.patch.object(m.control.node.gossip.members, "others", list):
                     self.assertEqual(await beat(m, m.apps[0], "draining", m.core, m.port + 2), 503)
 
         run(test)
@@ -166,7 +174,7 @@
                 self.assertEqual(await beat(m, app, "ready", ip, port), 200)
                 record = held(m, app)
                 assert record is not None
-                self.assertEqual(record.rank, DRAINING)
+                self.assertEqual(record.rank, EndpointPhase.DRAINING)
                 self.assertFalse(m.sidecars[0].keeper.open)
 
         run(test)
@@ -187,7 +195,7 @@
                 app.seq += 1
                 self.assertEqual(await m.beat(0), 200)
                 self.assertTrue(sidecar.keeper.open)
-                await until(lambda: (r := held(m, app)) is not None and r.rank == READY)
+                await until(lambda: (r := held(m, app)) is not None and r.rank == EndpointPhase.READY)
 
         run(test)
 
@@ -201,7 +209,9 @@
                 self.assertEqual(await m.beat(0), 200)
                 self.assertFalse(sidecar.keeper.open)
                 self.assertEqual(await m.beat(0, "draining"), 200)
-                await until(lambda: (r := held(m, app)) is not None and r.rank == GONE and r.seq == LAST)
+                await until(
+                    lambda: (r := held(m, app)) is not None and r.rank == EndpointPhase.GONE and r.seq == DEPARTED_SEQ
+                )
 
         run(test)
 
@@ -230,10 +240,15 @@
                 known = held(m, m.apps[0])
                 assert known is not None
                 gone = Record(
-                    kind=2, id=known.id, incarnation=known.incarnation, seq=known.seq, rank=GONE, body=known.body
+                    kind=2,
+                    id=known.id,
+                    incarnation=known.incarnation,
+                    seq=known.seq,
+                    rank=EndpointPhase.GONE,
+                    body=known.body,
                 )
                 m.control.node.tell(gone)
-                await until(lambda: (r := held(m, m.apps[0])) is not None and r.rank == READY)
+                await until(lambda: (r := held(m, m.apps[0])) is not None and r.rank == EndpointPhase.READY)
                 self.assertTrue(m.sidecars[0].keeper.open)
 
         run(test)
@@ -253,7 +268,12 @@
                 sidecar.endpoint.claims["i-long-gone"] -= 20.0
                 sidecar.endpoint.look()
                 records = m.control.node.gossip.records
-                await until(lambda: (r := records.get(2, "i-long-gone")) is not None and r.rank == GONE)
+                await until(
+                    lambda: (
+                        (r := records.get(RecordKind.ENDPOINT, "i-long-gone")) is not None
+                        and r.rank == EndpointPhase.GONE
+                    )
+                )
                 self.assertTrue(sidecar.keeper.open)
 
         run(test)
@@ -273,12 +293,32 @@
         run(test)
 
     @params(
-        ("a drain", None, (5, DRAINING), (5, DRAINING, 0)),
-        ("a late drain is one", endpoint(seq=9, life=2), (5, DRAINING), (9, DRAINING, 2)),
-        ("told again", endpoint(seq=5, rank=DRAINING), (7, DRAINING), (5, DRAINING, 0)),
-        ("after its departure", endpoint(seq=LAST, rank=GONE), (7, DRAINING), (LAST, GONE, 0)),
-        ("a departure", endpoint(seq=5, rank=DRAINING, life=1), (LAST, GONE), (LAST, GONE, 1)),
-        ("taken for gone", endpoint(seq=5, rank=GONE), (7, DRAINING), (LAST, GONE, 0)),
+        ("a drain", None, (5, EndpointPhase.DRAINING), (5, EndpointPhase.DRAINING, 0)),
+        ("a late drain is one", endpoint(seq=9, life=2), (5, EndpointPhase.DRAINING), (9, EndpointPhase.DRAINING, 2)),
+        (
+            "told again",
+            endpoint(seq=5, rank=EndpointPhase.DRAINING),
+            (7, EndpointPhase.DRAINING),
+            (5, EndpointPhase.DRAINING, 0),
+        ),
+        (
+            "after its departure",
+            endpoint(seq=DEPARTED_SEQ, rank=EndpointPhase.GONE),
+            (7, EndpointPhase.DRAINING),
+            (DEPARTED_SEQ, EndpointPhase.GONE, 0),
+        ),
+        (
+            "a departure",
+            endpoint(seq=5, rank=EndpointPhase.DRAINING, life=1),
+            (DEPARTED_SEQ, EndpointPhase.GONE),
+            (DEPARTED_SEQ, EndpointPhase.GONE, 1),
+        ),
+        (
+            "taken for gone",
+            endpoint(seq=5, rank=EndpointPhase.GONE),
+            (7, EndpointPhase.DRAINING),
+            (DEPARTED_SEQ, EndpointPhase.GONE, 0),
+        ),
     )
     def test_announcements(
         self, name: str, known: Record | None, said: tuple[int, int], want: tuple[int, int, int]
@@ -290,10 +330,10 @@
         ("nothing is known", None, 1, True),
         ("known", endpoint(seq=1), 2, False),
         ("late", endpoint(seq=3), 2, False),
-        ("it drains", endpoint(seq=3, rank=DRAINING), 9, False),
-        ("it has left", endpoint(seq=LAST, rank=GONE), 9, False),
-        ("it was taken for gone", endpoint(seq=3, rank=GONE), 4, True),
-        ("it was taken for gone later", endpoint(seq=3, rank=GONE), 3, False),
+        ("it drains", endpoint(seq=3, rank=EndpointPhase.DRAINING), 9, False),
+        ("it has left", endpoint(seq=DEPARTED_SEQ, rank=EndpointPhase.GONE), 9, False),
+        ("it was taken for gone", endpoint(seq=3, rank=EndpointPhase.GONE), 4, True),
+        ("it was taken for gone later", endpoint(seq=3, rank=EndpointPhase.GONE), 3, False),
     )
     def test_ready_beats(self, name: str, known: Record | None, seq: int, want: bool) -> None:
         self.assertIs(changes(known, endpoint(seq=seq)), want, name)
--- a/tests/mesh/test_gossip.py
+++ b/tests/mesh/test_gossip.py
@@ -6,15 +6,8 @@
 import unittest
 
 from mesh.cases import params
-from zinclever.mesh.membership.gossip import MemberState
-from zinclever.mesh.membership.records import (
-    CONFIG_RECORD_ID,
-    NODE,
-    TOMBSTONE_GOSSIP_PERIOD,
-    TOMBSTONE_RETENTION,
-    VERSION,
-    RecordStore,
-)
+from zinclever.mesh.membership.record_store import TOMBSTONE_GOSSIP_PERIOD, TOMBSTONE_RETENTION, RecordStore
+from zinclever.mesh.membership.records import CONFIG_RECORD_ID, MemberState, RecordKey, RecordKind
 from zinclever.mesh.model.field import Field, endpoint
 from zinclever.mesh.transport.mesh_pb2 import EndpointInfo, GossipMessage, NodeInfo, Record, Version
 
@@ -51,7 +44,7 @@
         """What 70 send each as all come up at once: links may be slow."""
         f = Field(70)
         f.run(6.0)
-        self.assertEqual({len(s.peers()) for s in f.gossips.values()}, {69})
+        self.assertEqual({len(s.members.others()) for s in f.gossips.values()}, {69})
         self.assertLess(f.bytes / 70, 70_000)
 
     def test_at_rest_a_root_is_enough(self) -> None:
@@ -65,12 +58,12 @@
         f = Field(12)
         for n, s in enumerate(f.gossips.values()):
             if n % 2:  # understands no roots, and sends none
-                mine = s.records.by_key[(NODE, s.name)]
+                mine = s.records.by_key[RecordKey(RecordKind.NODE, s.name)]
                 body = NodeInfo.FromString(mine.body)
                 body.protocol_version = 0
                 mine.body = body.SerializeToString()
         f.run(5.0)
-        f.gossips["b3"].retransmits.clear()
+        f.gossips["b3"].broadcasts.retransmits.clear()
         f.gossips["b3"].records.apply(f.now, endpoint("quiet"))  # told to nobody: digests bring it
         f.run(6.0)
         self.assertEqual(f.knowing(endpoint("quiet")), 12)
@@ -79,14 +72,14 @@
         f = met(2)
         s, other = f.gossips["b0"], f.gossips["b1"]
         for root, want in ((other.records.root_digest() ^ 1, False), (other.records.root_digest(), True)):
-            s.joined = False
+            s.anti_entropy.joined = False
             s.receive(f.now, GossipMessage(sender="b1", incarnation=1, root_digest=root), f.address("b1"))
-            self.assertIs(s.joined, want)
+            self.assertIs(s.anti_entropy.joined, want)
 
     def test_what_has_a_bound_goes_before_the_rate_allows_it(self) -> None:
         f = met(20)
         for s in f.gossips.values():
-            s.rate = s.send_credit = 0.0
+            s.transmitter.rate = s.transmitter.credit = 0.0
         drain, beat = endpoint("e1", rank=1), endpoint("e2")
         f.tell("b3", beat)
         f.tell("b3", drain)
@@ -104,14 +97,14 @@
             f.tell(left[0], endpoint(f"l{n}"))
             f.tell(right[0], endpoint(f"r{n}"))
         f.run(30.0)  # each side takes the other for dead by now
-        self.assertEqual(f.gossips[left[0]].member_state(right[0]), MemberState.DEAD)
+        self.assertEqual(f.gossips[left[0]].members.state_of(right[0]), MemberState.DEAD)
         f.cut.clear()
         f.run(8.0)
         for s in f.gossips.values():
-            self.assertEqual([s.member_state(n) for n in f.names], [MemberState.ALIVE] * 16)
+            self.assertEqual([s.members.state_of(n) for n in f.names], [MemberState.ALIVE] * 16)
             for n in range(5):
-                self.assertIsNotNone(s.records.get(2, f"l{n}"))
-                self.assertIsNotNone(s.records.get(2, f"r{n}"))
+                self.assertIsNotNone(s.records.get(RecordKind.ENDPOINT, f"l{n}"))
+                self.assertIsNotNone(s.records.get(RecordKind.ENDPOINT, f"r{n}"))
 
     @params(
         ("a late beat never undoes a drain", [(3, 1, 0), (2, 0, 0)], (3, 1, 0)),
@@ -126,7 +119,7 @@
         records = RecordStore()
         for seq, rank, life in told:
             records.apply(0.0, endpoint(seq=seq, rank=rank, life=life))
-        r = records.by_key[(2, "e1")]
+        r = records.by_key[RecordKey(RecordKind.ENDPOINT, "e1")]
         self.assertEqual((r.seq, r.rank, r.incarnation), want, name)
 
     def test_ended_lives_are_remembered_and_forgotten(self) -> None:
@@ -154,7 +147,7 @@
 
 def version(number: int) -> Record:
     body = Version(index=number, generation=number).SerializeToString()
-    return Record(kind=VERSION, id=CONFIG_RECORD_ID, incarnation=number, body=body)
+    return Record(kind=RecordKind.VERSION, id=CONFIG_RECORD_ID, incarnation=number, body=body)
 
 
 def cut(f: Field, side: list[str]) -> None:
@@ -216,11 +209,11 @@
         cut(f, ["b4"])
         f.run(10.0)
         s = f.gossips["b2"]
-        self.assertEqual(s.member_state("b4"), MemberState.DEAD)
-        s.outbox.clear()
+        self.assertEqual(s.members.state_of("b4"), MemberState.DEAD)
+        s.transmitter.outbox.clear()
         s.receive(f.now, GossipMessage(sender="b4", incarnation=1, ping=7), f.address("b4"))
-        told = [r.kind for _, w in s.outbox for r in w.records]
-        self.assertEqual(told, [NODE, VERSION])
+        told = [r.kind for _, w in s.transmitter.outbox for r in w.records]
+        self.assertEqual(told, [RecordKind.NODE, RecordKind.VERSION])
 
 
 class EachOther(unittest.TestCase):
@@ -228,24 +221,24 @@
         f = met(15)
         del f.gossips["b9"]
         f.run(8.0)
-        self.assertEqual({s.member_state("b9") for s in f.gossips.values()}, {MemberState.DEAD})
+        self.assertEqual({s.members.state_of("b9") for s in f.gossips.values()}, {MemberState.DEAD})
 
     def test_who_says_so_and_why(self) -> None:
         f = met(15)
         del f.gossips["b9"]
-        while f.gossips["b1"].member_state("b9") is not MemberState.SUSPECT:
+        while f.gossips["b1"].members.state_of("b9") is not MemberState.SUSPECT:
             f.run(0.1)
-        info = f.gossips["b1"].node_info("b9")
+        info = f.gossips["b1"].members.node_info("b9")
         assert info is not None
         self.assertIn(info.declared_by, f.names)
         self.assertIn("nor through", info.reason)
         f.run(5.0)
-        info = f.gossips["b1"].node_info("b9")
+        info = f.gossips["b1"].members.node_info("b9")
         assert info is not None
         self.assertIn("and said nothing (by b", info.reason)
         f.add("b9", life=2)
         f.run(5.0)
-        info = f.gossips["b1"].node_info("b9")
+        info = f.gossips["b1"].members.node_info("b9")
         assert info is not None
         self.assertEqual(info.reason, "")
 
@@ -261,7 +254,7 @@
         f.run(5.0)
         self.assertEqual([d for d in f.deaths if d[2] not in frozen], [])  # they doubt themselves first
         for s in f.gossips.values():
-            self.assertEqual({s.member_state(n) for n in f.names}, {MemberState.ALIVE})
+            self.assertEqual({s.members.state_of(n) for n in f.names}, {MemberState.ALIVE})
 
     def test_a_zone_cut_from_a_zone_removes_nobody(self) -> None:
         """Those of the third zone hear both: second opinions go through them."""
@@ -292,10 +285,10 @@
         s = f.gossips["b4"]
         f.cut = {(n, "b4") for n in f.names if n != "b4"}
         f.run(4.0)
-        self.assertGreater(s.health_score, 1)
+        self.assertGreater(s.failure_detector.health_score, 1)
         f.cut.clear()
         f.run(8.0)
-        self.assertLess(s.health_score, 2)
+        self.assertLess(s.failure_detector.health_score, 2)
 
     def test_a_frozen_one_finds_out_before_it_judges(self) -> None:
         f = met(15)
@@ -305,7 +298,7 @@
         f.thaw("b4")
         f.run(6.0)
         self.assertEqual([d for d in f.deaths if d[1] == "b4"], [])
-        self.assertEqual({s.member_state("b4") for s in f.gossips.values()}, {MemberState.ALIVE})
+        self.assertEqual({s.members.state_of("b4") for s in f.gossips.values()}, {MemberState.ALIVE})
 
     def test_a_life_with_a_clock_set_back_is_believed(self) -> None:
         f = met(9)
@@ -313,7 +306,7 @@
         f.run(8.0)
         f.add("b5", life=0)  # its clock is an hour behind that of its earlier life
         f.run(6.0)
-        self.assertEqual({s.member_state("b5") for s in f.gossips.values()}, {MemberState.ALIVE})
+        self.assertEqual({s.members.state_of("b5") for s in f.gossips.values()}, {MemberState.ALIVE})
 
     @params(3.0, 20.0, 40.0)
     def test_one_that_left_and_comes_back_with_a_clock_set_back(self, away: float) -> None:
@@ -326,7 +319,7 @@
         f.run(away)
         f.add("b5", life=0)
         f.run(0.6)
-        self.assertEqual({s.member_state("b5") for s in f.gossips.values()}, {MemberState.ALIVE})
+        self.assertEqual({s.members.state_of("b5") for s in f.gossips.values()}, {MemberState.ALIVE})
 
     def test_endpoints_go_with_a_sidecar_that_is_gone_for_good(self) -> None:
         f = met(6)
@@ -337,8 +330,8 @@
         del f.gossips["b5"]
         f.run(10.0 + 3 * TOMBSTONE_RETENTION)
         for s in f.gossips.values():
-            self.assertEqual([r.id for r in s.records.of_kind(2)], ["e2"])
-            self.assertEqual(s.orphans.orphaned_since, {})
+            self.assertEqual([r.id for r in s.records.of_kind(RecordKind.ENDPOINT)], ["e2"])
+            self.assertEqual(s.orphan_detector.orphaned_since, {})
 
     def test_half_killed_at_once(self) -> None:
         f = met(20)
@@ -346,12 +339,12 @@
             del f.gossips[n]
         f.run(15.0)
         for s in f.gossips.values():
-            self.assertEqual(set(s.peers()) | {s.name}, set(f.names[:10]))
+            self.assertEqual(set(s.members.others()) | {s.name}, set(f.names[:10]))
 
     def test_all_at_once_from_nothing(self) -> None:
         f = Field(50)
         f.run(4.0)
-        self.assertEqual({len(s.peers()) for s in f.gossips.values()}, {49})
+        self.assertEqual({len(s.members.others()) for s in f.gossips.values()}, {49})
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_gossip_messages.py
+++ b/tests/mesh/test_gossip_messages.py
@@ -9,7 +9,7 @@
 from mesh.cases import params
 from zinclever.mesh.membership import gossip
 from zinclever.mesh.membership.gossip import Gossip
-from zinclever.mesh.membership.records import CONFIG_RECORD_ID, NODE, VERSION
+from zinclever.mesh.membership.records import CONFIG_RECORD_ID, RecordKey, RecordKind
 from zinclever.mesh.model.field import Field, endpoint
 from zinclever.mesh.transport.mesh_pb2 import EndpointInfo, GossipMessage, NodeInfo, Record, Version
 
@@ -25,7 +25,7 @@
 
 def version(number: int) -> Record:
     body = Version(index=number, generation=number).SerializeToString()
-    return Record(kind=VERSION, id=CONFIG_RECORD_ID, incarnation=number, body=body)
+    return Record(kind=RecordKind.VERSION, id=CONFIG_RECORD_ID, incarnation=number, body=body)
 
 
 class Messages(unittest.TestCase):
@@ -42,7 +42,7 @@
         GossipMessage(sender="b1", digests=[]).SerializeToString(),
         GossipMessage(sender="x", incarnation=1, ranges=[9999], records=[Record(kind=7, id="?")]).SerializeToString(),
         GossipMessage(
-            sender="x", records=[Record(kind=NODE, id="b9", incarnation=9, body=b"\xff\xff")]
+            sender="x", records=[Record(kind=RecordKind.NODE, id="b9", incarnation=9, body=b"\xff\xff")]
         ).SerializeToString(),
     )
     def test_foreign_messages_do_no_harm(self, data: bytes) -> None:
@@ -50,8 +50,8 @@
         s = f.gossips["b0"]
         s.receive(f.now, GossipMessage.FromString(data), ("10.9.9.9", 9))
         f.run(2.0)
-        self.assertEqual(len(s.peers()), 2)
-        self.assertNotIn("x", s.last_heard)
+        self.assertEqual(len(s.members.others()), 2)
+        self.assertNotIn("x", s.failure_detector.last_heard)
 
     def test_receipts_are_asked_for_until_they_come(self) -> None:
         f = met(4)
@@ -59,10 +59,10 @@
         number = f.gossips["b0"].broadcast_confirmed(f.now, endpoint(rank=1), ["b1", "b2"])
         f.flush("b0")
         f.run(0.5)
-        self.assertEqual(f.gossips["b0"].confirmed_broadcasts[number].confirmed_by, {"b2"})
+        self.assertEqual(f.gossips["b0"].broadcasts.confirmed[number].confirmed_by, {"b2"})
         f.cut.clear()
         f.run(0.5)
-        self.assertEqual(f.gossips["b0"].confirmed_broadcasts[number].confirmed_by, {"b1", "b2"})
+        self.assertEqual(f.gossips["b0"].broadcasts.confirmed[number].confirmed_by, {"b1", "b2"})
 
     def test_no_receipt_for_news_that_something_else_stands_above(self) -> None:
         """It changes nothing there; the teller hears of what does."""
@@ -73,8 +73,8 @@
         number = f.gossips["b0"].broadcast_confirmed(f.now, endpoint(seq=3, rank=1), ["b1", "b2"])
         f.flush("b0")
         f.run(0.1)
-        self.assertEqual(f.gossips["b0"].confirmed_broadcasts[number].confirmed_by, {"b1"})
-        self.assertEqual(f.gossips["b0"].records.by_key[(2, "e1")].incarnation, 1)
+        self.assertEqual(f.gossips["b0"].broadcasts.confirmed[number].confirmed_by, {"b1"})
+        self.assertEqual(f.gossips["b0"].records.by_key[RecordKey(RecordKind.ENDPOINT, "e1")].incarnation, 1)
 
     def test_no_receipt_for_news_that_there_is_no_room_for(self) -> None:
         f = met(3)
@@ -82,7 +82,7 @@
             number = f.gossips["b0"].broadcast_confirmed(f.now, endpoint(rank=1), ["b1", "b2"])
             f.flush("b0")
             f.run(0.5)
-        self.assertEqual(f.gossips["b0"].confirmed_broadcasts[number].confirmed_by, set())
+        self.assertEqual(f.gossips["b0"].broadcasts.confirmed[number].confirmed_by, set())
 
     def test_a_drain_holds_though_its_teller_loses_power_at_once(self) -> None:
         """Acknowledged once two others have it: everybody knows of it within the bound."""
@@ -91,7 +91,7 @@
             teller, drain = f.names[n], endpoint(f"e{n}", rank=1)
             number = f.gossips[teller].broadcast_confirmed(f.now, drain, f.names[10:13])
             f.flush(teller)
-            receipt = f.gossips[teller].confirmed_broadcasts[number]
+            receipt = f.gossips[teller].broadcasts.confirmed[number]
             while len(receipt.confirmed_by) < 2:
                 f.run(0.005)
             del f.gossips[teller]
@@ -101,10 +101,10 @@
         s = Gossip("me", 5, NodeInfo(ip="10.0.0.1", port=7), [], 0.0, random.Random(1))
         s.receive(
             0.1,
-            GossipMessage(sender="b2", records=[Record(kind=NODE, id="me", incarnation=5, seq=1, rank=2)]),
+            GossipMessage(sender="b2", records=[Record(kind=RecordKind.NODE, id="me", incarnation=5, seq=1, rank=2)]),
             ("10.0.0.2", 7),
         )
-        mine = s.records.by_key[(NODE, "me")]
+        mine = s.records.by_key[RecordKey(RecordKind.NODE, "me")]
         self.assertEqual((mine.incarnation, mine.seq, mine.rank), (5, 2, 0))
 
 
--- a/tests/mesh/test_leaving.py
+++ b/tests/mesh/test_leaving.py
@@ -12,6 +12,7 @@
 from mesh.cluster import Mesh, config, run, until
 from zinclever.mesh import cli
 from zinclever.mesh.dataplane.admission import Open
+from zinclever.mesh.membership.records import RecordKey, RecordKind
 from zinclever.mesh.roles import sidecar
 from zinclever.mesh.transport.mesh_pb2 import ForwardReply, ForwardRequest
 from zinclever.mesh.verdict import Verdict
@@ -100,14 +101,14 @@
                     "EphemeralPorts": [m.port, m.port + 1],
                     "SeedNodes": ["127.0.0.9:5"],
                 }
-                before = list(role.node.gossip.seeds)
+                before = list(role.node.gossip.anti_entropy.seeds)
                 with mock.patch.dict(os.environ, {"ZINCLEVER_BOOT": str(path)}):
                     path.write_text("{")
                     watch.look()
-                    self.assertEqual(role.node.gossip.seeds, before)
+                    self.assertEqual(role.node.gossip.anti_entropy.seeds, before)
                     path.write_text(json.dumps(told))
                     watch.look()
-                    self.assertEqual(role.node.gossip.seeds, [("127.0.0.9", m.port + 1)])
+                    self.assertEqual(role.node.gossip.anti_entropy.seeds, [("127.0.0.9", m.port + 1)])
 
         run(test)
 
@@ -132,15 +133,18 @@
                 await m.serve()
                 app = m.apps[0]
                 for f in m.sidecars:  # as after a start of all: nobody knows the endpoint, nor who keeps it
-                    f.node.gossip.records.by_key.pop((2, app.id))
+                    f.node.gossip.records.by_key.pop(RecordKey(RecordKind.ENDPOINT, app.id))
                 body = app.beat()
                 record = m.control.node.gossip.records
-                record.by_key.pop((2, app.id))
+                record.by_key.pop(RecordKey(RecordKind.ENDPOINT, app.id))
                 m.control.endpoints.keeper_of = lambda address: ""  # type: ignore[method-assign]
                 await m.call(f"{m.core}:{m.port + 2}", "POST", f"/v1/endpoints/{app.id}/heartbeat", body)
                 self.assertEqual(await m.beat(0), 200)
                 await until(
-                    lambda: (r := record.get(2, app.id)) is not None and m.sidecars[0].node.name.encode() in r.body
+                    lambda: (
+                        (r := record.get(RecordKind.ENDPOINT, app.id)) is not None
+                        and m.sidecars[0].node.name.encode() in r.body
+                    )
                 )
 
         run(test)
@@ -166,7 +170,7 @@
                 line.open_calls[999] = lambda frame: None  # something is out on it
                 m.sidecars[0].node.gossip.leave(m.sidecars[0].loop.time())
                 m.sidecars[0].node.gossip_socket.flush()
-                await until(lambda: (m.sidecars[1].node.gossip.member_state(m.sidecars[0].node.name) or 0) > 1)
+                await until(lambda: (m.sidecars[1].node.gossip.members.state_of(m.sidecars[0].node.name) or 0) > 1)
                 self.assertIsNotNone(line.connection)
 
         run(test)
--- a/tests/mesh/test_signals.py
+++ b/tests/mesh/test_signals.py
@@ -11,19 +11,7 @@
 
 import uvloop
 
-from mesh.processes import (
-    GIVES_UP_S,
-    Breach,
-    Endpoint,
-    Kind,
-    Outcome,
-    ProcessMesh,
-    Rule,
-    Try,
-    answer_to,
-    audit,
-    counts,
-)
+from mesh.processes import GIVES_UP_S, Breach, Endpoint, Kind, Outcome, ProcessMesh, Rule, Try, answer_to, audit, counts
 
 STANDSTILL_S = float(os.environ.get("ZINCLEVER_TEST_STANDSTILL_S", "1.5"))
 CLIENTS = 24
--- a/tests/mesh/test_text_exchange.py
+++ b/tests/mesh/test_text_exchange.py
@@ -6,15 +6,7 @@
 import unittest
 
 from zinclever.mesh.consensus.messages import Kind, Send
-from zinclever.mesh.consensus.text_blocks import (
-    MOST_BLOCK,
-    cut,
-    manifest_of,
-    name_of_manifest,
-    names_in,
-    pack,
-    unpack,
-)
+from zinclever.mesh.consensus.text_blocks import MOST_BLOCK, cut, manifest_of, name_of_manifest, names_in, pack, unpack
 from zinclever.mesh.consensus.text_exchange import MOST_REPEATS, MOST_WAITING, TextExchange
 from zinclever.mesh.consensus.text_store import MOST_HELD, MOST_TEXTS, TextStore
 from zinclever.mesh.model.slow_links import config_text
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -9,17 +9,7 @@
 
 import pytest
 from helpers import RULES
-from loopback import (
-    always,
-    closed_port,
-    known,
-    read_message,
-    response,
-    run,
-    run_real,
-    serving,
-    sidecar,
-)
+from loopback import always, closed_port, known, read_message, response, run, run_real, serving, sidecar
 from test_sidecar import send_to
 
 from zinclever import interface as i
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -9,19 +9,7 @@
 from pathlib import Path
 
 import pytest
-from loopback import (
-    Message,
-    Peer,
-    Script,
-    always,
-    host,
-    known,
-    response,
-    run_real,
-    serving,
-    sidecar,
-    silence,
-)
+from loopback import Message, Peer, Script, always, host, known, response, run_real, serving, sidecar, silence
 from test_discovery import Script as Answers
 from test_discovery import news, told, watch
 from test_program import config, connect, started
--- a/tests/test_swallowed.py
+++ b/tests/test_swallowed.py
@@ -11,19 +11,7 @@
 
 import pytest
 from helpers import KEYED, LIMITS, RULES, SAFE, UNSAFE, Sidecar, fleet, settings
-from loopback import (
-    CLASSES,
-    Message,
-    Peer,
-    Reaction,
-    always,
-    host_here,
-    known,
-    response,
-    run,
-    serving,
-    sidecar,
-)
+from loopback import CLASSES, Message, Peer, Reaction, always, host_here, known, response, run, serving, sidecar
 from test_sidecar import send_to
 
 from zinclever import Balancer, Settings
--- a/zinclever/mesh/consensus/replica.py
+++ b/zinclever/mesh/consensus/replica.py
@@ -18,14 +18,7 @@
 from .leader_calls import LeaderCalls
 from .messages import Kind, Proposal, ReplicaRole, Reply, Vote, VotersChanged
 from .quorum import VoterChange, changes_voters, digest, disk_ids, has_majority
-from .timing import (
-    ELECTION_ROUND,
-    ELECTION_TIMEOUT,
-    HEARTBEAT_INTERVAL,
-    QUORUM_TIMEOUT,
-    RESEND_AFTER,
-    STANDSTILL,
-)
+from .timing import ELECTION_ROUND, ELECTION_TIMEOUT, HEARTBEAT_INTERVAL, QUORUM_TIMEOUT, RESEND_AFTER, STANDSTILL
 
 
 class Replica(Elections, LeaderCalls):
--- a/zinclever/mesh/consensus/text_exchange.py
+++ b/zinclever/mesh/consensus/text_exchange.py
@@ -17,14 +17,7 @@
 
 from ..transport.mesh_pb2 import ConsensusMessage, LogEntry, TextBlock, Voter
 from .messages import Kind, Send
-from .text_blocks import (
-    MOST_BLOCK,
-    MOST_MANIFEST,
-    name_of_block,
-    name_of_manifest,
-    pack,
-    unpack,
-)
+from .text_blocks import MOST_BLOCK, MOST_MANIFEST, name_of_block, name_of_manifest, pack, unpack
 from .text_store import TextStore
 
 SPEAKS_TEXTS = 1  # version of what a member understands of this: told in each of its messages
--- a/zinclever/mesh/model/field.py
+++ b/zinclever/mesh/model/field.py
@@ -7,7 +7,7 @@
 import random
 
 from ..membership.gossip import TICK_INTERVAL, Gossip
-from ..membership.records import ENDPOINT
+from ..membership.records import RecordKind
 from ..transport.mesh_pb2 import GossipMessage, NodeInfo, Record
 
 Address = tuple[str, int]
@@ -68,7 +68,7 @@
 
     def flush(self, name: str) -> None:
         gossip = self.gossips[name]
-        out, gossip.outbox = gossip.outbox, []
+        out, gossip.transmitter.outbox = gossip.transmitter.outbox, []
         for record, _ in gossip.changes:
             if record.kind == 1 and record.rank == 2:
                 self.deaths.append((self.now, name, record.id))
@@ -123,4 +123,4 @@
 
 
 def endpoint(name: str = "e1", seq: int = 1, rank: int = 0, life: int = 0) -> Record:
-    return Record(kind=ENDPOINT, id=name, incarnation=life, seq=seq, rank=rank, body=b"")
+    return Record(kind=RecordKind.ENDPOINT, id=name, incarnation=life, seq=seq, rank=rank, body=b"")
--- a/zinclever/mesh/roles/control.py
+++ b/zinclever/mesh/roles/control.py
@@ -17,14 +17,12 @@
 from ..control_api.desk import Call, ControlApi, Handler, refuse, say
 from ..control_api.matchers import Tree
 from ..errors import MeshError
-from ..membership.gossip import MemberState
-from ..membership.records import ENDPOINT, NODE
+from ..membership.records import EndpointPhase, MemberState, RecordKind
 from ..transport.framed_connection import FramedConnection
 from ..transport.mesh_pb2 import ControlCall, EndpointInfo, Frame, NodeInfo, Record, Voter
 from .boot import Boot
 from .consensus_links import ConsensusLinks, log_role
 from .endpoint_api import Announcer, CoreEndpointApi
-from .endpoint_calls import GONE
 from .node import CONTROL, SIDECAR, Node
 from .operator_calls import READ_PATH, REPLACE_PATH, OperatorCalls, hand_on
 
@@ -194,8 +192,10 @@
 
     def on_news(self, record: Record) -> None:
         """Where members may be, and what of the core may be lost at once."""
-        if record.kind == NODE:
-            nodes = [NodeInfo.FromString(r.body) for r in self.node.gossip.records.of_kind(NODE) if r.rank < 2]
+        if record.kind == RecordKind.NODE:
+            nodes = [
+                NodeInfo.FromString(r.body) for r in self.node.gossip.records.of_kind(RecordKind.NODE) if r.rank < 2
+            ]
             core = [n for n in nodes if n.role == CONTROL]
             self.replica.known = [(n.ip, n.port) for n in core]
             places = [Place(n.zone, self.boot.regions.get(n.zone, "")) for n in core]
@@ -205,7 +205,7 @@
 
     def on_who(self, call: Call) -> Answer:
         nodes: list[dict[str, str | int]] = []
-        for record in self.node.gossip.records.of_kind(NODE):
+        for record in self.node.gossip.records.of_kind(RecordKind.NODE):
             info = NodeInfo.FromString(record.body)
             told: dict[str, str | int] = {
                 "Name": record.id,
@@ -224,9 +224,9 @@
 
     def on_endpoints(self, call: Call) -> Answer:
         found: list[dict[str, str | int]] = []
-        for record in self.node.gossip.records.of_kind(ENDPOINT):
+        for record in self.node.gossip.records.of_kind(RecordKind.ENDPOINT):
             endpoint_info = EndpointInfo.FromString(record.body)
-            phase = ("ready", "draining", "gone")[min(record.rank, GONE)]
+            phase = ("ready", "draining", "gone")[min(record.rank, EndpointPhase.GONE)]
             found.append(
                 {
                     "Id": record.id,
@@ -263,7 +263,9 @@
         """Why a request was not served: asked of all sidecars, as any of them may have had it."""
         gossip = self.node.gossip
         sidecars = [
-            Voter(ip=b.ip, port=b.port) for p in gossip.peers() if (b := gossip.node_info(p)) and b.role == SIDECAR
+            Voter(ip=b.ip, port=b.port)
+            for p in gossip.members.others()
+            if (b := gossip.members.node_info(p)) and b.role == SIDECAR
         ]
         ask = ControlCall(kind="explain", text=call.captured[0].encode())
         answers = await asyncio.gather(*(hand_on(self.node, s, ask, EXPLAINED) for s in sidecars))
--- a/zinclever/mesh/roles/endpoint_api.py
+++ b/zinclever/mesh/roles/endpoint_api.py
@@ -9,10 +9,10 @@
 from ...http1.heads import Answer
 from ..control_api.desk import Call, refuse, say
 from ..errors import MeshError
-from ..membership.acknowledgement import ReceiptQuorum
-from ..membership.records import ENDPOINT, NODE
+from ..membership.receipt_quorum import ReceiptQuorum
+from ..membership.records import EndpointPhase, RecordKind
 from ..transport.mesh_pb2 import EndpointInfo, NodeInfo, Record
-from .endpoint_calls import READY, announcement, changes, departure, read_beat, with_keeper
+from .endpoint_calls import announcement, changes, departure, read_beat, with_keeper
 from .node import CONTROL, SIDECAR, Node
 
 log = logging.getLogger(__name__)
@@ -37,7 +37,7 @@
     def audience(self, record: Record) -> ReceiptQuorum:
         """Who is told of a record."""
         gossip = self.node.gossip
-        roles = {p: info.role for p in gossip.peers() if (info := gossip.node_info(p)) is not None}
+        roles = {p: info.role for p in gossip.members.others() if (info := gossip.members.node_info(p)) is not None}
         core = frozenset(p for p, role in roles.items() if role == CONTROL)
         sidecars = sorted(p for p, role in roles.items() if role == SIDECAR)
         keeper = EndpointInfo.FromString(record.body).sidecar
@@ -53,7 +53,7 @@
     async def acknowledge(self, record: Record) -> Answer:
         """200 once enough others know that an endpoint drains or is gone; else 503, and the caller goes on to
         another process. What was confirmed before is confirmed at once."""
-        if self.confirmed.get(record.id, READY) >= record.rank:
+        if self.confirmed.get(record.id, EndpointPhase.READY) >= record.rank:
             return say(200)
         if self.under_way >= MOST_ANNOUNCED:
             return refuse(503, MeshError("ENDPOINT_BUSY", "too many announcements are under way"))
@@ -82,19 +82,19 @@
         self.node.gossip_socket.flush()
         try:
             while (waited := loop.time() - began) < ACKNOWLEDGED_WITHIN:
-                held = gossip.records.get(ENDPOINT, record.id)
+                held = gossip.records.get(RecordKind.ENDPOINT, record.id)
                 if held is not None and held.rank < record.rank:
                     # Another knew a record that stands above this one: the end is told on top of that.
                     record = announcement(held, record)
-                    gossip.confirmed_broadcasts.pop(number, None)
+                    gossip.broadcasts.confirmed.pop(number, None)
                     number = gossip.broadcast_confirmed(loop.time(), record, audience.recipients())
                     self.node.gossip_socket.flush()
-                if audience.is_reached(gossip.confirmed_broadcasts[number].confirmed_by, waited):
+                if audience.is_reached(gossip.broadcasts.confirmed[number].confirmed_by, waited):
                     return True
                 await asyncio.sleep(LOOK_EACH)
             return False
         finally:
-            gossip.confirmed_broadcasts.pop(number, None)
+            gossip.broadcasts.confirmed.pop(number, None)
 
 
 class CoreEndpointApi:
@@ -105,24 +105,24 @@
 
     async def on_beat(self, call: Call) -> Answer:
         record = read_beat(call)
-        known = self.node.gossip.records.get(ENDPOINT, record.id)
+        known = self.node.gossip.records.get(RecordKind.ENDPOINT, record.id)
         info = EndpointInfo.FromString(record.body)
         known_keeper = EndpointInfo.FromString(known.body).sidecar if known is not None else ""
         with_keeper(record, known_keeper or self.keeper_of(info.address))
-        if record.rank != READY:
+        if record.rank != EndpointPhase.READY:
             return await self.announcer.acknowledge(announcement(known, record))
         if changes(known, record):
             self.node.tell(record)
         return say(200)
 
     async def on_departure(self, call: Call) -> Answer:
-        known = self.node.gossip.records.get(ENDPOINT, call.captured[0])
+        known = self.node.gossip.records.get(RecordKind.ENDPOINT, call.captured[0])
         return await self.announcer.acknowledge(announcement(known, departure(call.captured[0])))
 
     def keeper_of(self, address: str) -> str:
         """The sidecar on an endpoint's machine."""
         ip, _ = read_address(address)
-        for r in self.node.gossip.records.of_kind(NODE):
+        for r in self.node.gossip.records.of_kind(RecordKind.NODE):
             info = NodeInfo.FromString(r.body)
             if info.ip == ip and info.role == SIDECAR and r.rank < 2:
                 return r.id
--- a/zinclever/mesh/roles/endpoint_calls.py
+++ b/zinclever/mesh/roles/endpoint_calls.py
@@ -9,14 +9,11 @@
 
 from ..control_api.desk import Call
 from ..errors import MeshError
-from ..membership.records import ENDPOINT
+from ..membership.records import DEPARTED_SEQ, EndpointPhase, RecordKind
 from ..transport.mesh_pb2 import EndpointInfo, Record
 from .boot import ADDRESS, NAME
 
-READY, DRAINING, GONE = 0, 1, 2  # ranks of endpoint records
-LAST = 2**62  # the place of a departure in an endpoint's order: behind all its beats
-
-WHOLE: Any = And(int, lambda v: 0 <= v < LAST, error="must be a whole number from 0")
+WHOLE: Any = And(int, lambda v: 0 <= v < DEPARTED_SEQ, error="must be a whole number from 0")
 BEAT = Schema(
     {
         "Address": ADDRESS,
@@ -50,9 +47,9 @@
         generation=str(about.get("Generation", "")),
         slow_start_until=int(1000 * (time.time() + cold)) if cold > 0 else 0,
     )
-    rank = DRAINING if seen["Phase"] == "draining" else READY
+    rank = EndpointPhase.DRAINING if seen["Phase"] == "draining" else EndpointPhase.READY
     return Record(
-        kind=ENDPOINT,
+        kind=RecordKind.ENDPOINT,
         id=call.captured[0],
         seq=seen["CallSeq"],
         rank=rank,
@@ -62,7 +59,7 @@
 
 def departure(endpoint: str) -> Record:
     """The record of an endpoint that says that it has gone."""
-    return Record(kind=ENDPOINT, id=endpoint, seq=LAST, rank=GONE)
+    return Record(kind=RecordKind.ENDPOINT, id=endpoint, seq=DEPARTED_SEQ, rank=EndpointPhase.GONE)
 
 
 def with_keeper(record: Record, keeper: str) -> None:
@@ -79,7 +76,7 @@
 
 def is_final(known: Record) -> bool:
     """Whether the endpoint has said that it leaves: nothing that it says later makes it ready again."""
-    return known.rank == DRAINING or known.seq >= LAST
+    return known.rank == EndpointPhase.DRAINING or known.seq >= DEPARTED_SEQ
 
 
 def changes(known: Record | None, ready: Record) -> bool:
@@ -89,7 +86,7 @@
     ready.incarnation = known.incarnation
     if is_final(known) or known.seq >= ready.seq:
         return False  # it leaves, or the beat is a late one
-    return known.rank != READY or keeper_of(known) != keeper_of(ready)
+    return known.rank != EndpointPhase.READY or keeper_of(known) != keeper_of(ready)
 
 
 def announcement(known: Record | None, ending: Record) -> Record:
@@ -97,14 +94,14 @@
     taken for gone and says that it drains is gone for good."""
     if known is None:
         return ending
-    if known.seq >= LAST or known.rank == ending.rank == DRAINING:
+    if known.seq >= DEPARTED_SEQ or known.rank == ending.rank == EndpointPhase.DRAINING:
         return known
-    taken_for_gone = known.rank >= GONE
+    taken_for_gone = known.rank >= EndpointPhase.GONE
     return Record(
-        kind=ENDPOINT,
+        kind=RecordKind.ENDPOINT,
         id=ending.id,
         incarnation=known.incarnation,
-        seq=LAST if taken_for_gone else max(ending.seq, known.seq),
-        rank=GONE if taken_for_gone else ending.rank,
+        seq=DEPARTED_SEQ if taken_for_gone else max(ending.seq, known.seq),
+        rank=EndpointPhase.GONE if taken_for_gone else ending.rank,
         body=ending.body or known.body,
     )
--- a/zinclever/mesh/roles/handout.py
+++ b/zinclever/mesh/roles/handout.py
@@ -10,7 +10,7 @@
 from ..configuration.handout import Inquiry, Waiting
 from ..errors import MeshError
 from ..membership.gossip import Gossip
-from ..membership.records import CONFIG_RECORD_ID, VERSION
+from ..membership.records import CONFIG_RECORD_ID, RecordKind
 from ..transport.channel import ChannelPool
 from ..transport.framed_connection import FramedConnection
 from ..transport.mesh_pb2 import Fetch, FetchReply, Frame, Record, Version
@@ -40,7 +40,7 @@
 
     def newer(self) -> Record | None:
         """The record of a version that is known of and not in force here."""
-        record = self.gossip.records.get(VERSION, CONFIG_RECORD_ID)
+        record = self.gossip.records.get(RecordKind.VERSION, CONFIG_RECORD_ID)
         return record if record is not None and record.incarnation > self.active.number else None
 
     def look(self, teller: str = "") -> None:
@@ -52,7 +52,7 @@
             for peer in self.inquiry.satisfied():
                 self.end(peer)
             return
-        peers = self.gossip.peers()
+        peers = self.gossip.members.others()
         chosen = self.inquiry.choose(self.loop.time(), teller, peers, self.gossip.rng.choice)
         if chosen is not None:
             self.look_in(self.inquiry.waits())
@@ -67,7 +67,7 @@
         self.timer = self.loop.call_later(span, self.look)
 
     def ask(self, peer: str, number: int) -> None:
-        address = self.gossip.address_of(peer)
+        address = self.gossip.members.address_of(peer)
         assert address is not None  # it is one of the peers
         stream = 0
         done = False
@@ -90,7 +90,7 @@
 
     def end(self, peer: str) -> None:
         """Its answer is not needed any more."""
-        stream, address = self.streams.pop(peer, None), self.gossip.address_of(peer)
+        stream, address = self.streams.pop(peer, None), self.gossip.members.address_of(peer)
         if stream is not None and address is not None:
             self.lines.to(address).finish_call(stream)
 
@@ -133,7 +133,7 @@
             log.error("a committed configuration can't be read", extra={"code": wrong.code, "field": wrong.field})
             return False
         body = Version(index=number, generation=generation).SerializeToString()
-        self.tell(Record(kind=VERSION, id=CONFIG_RECORD_ID, incarnation=number, body=body))
+        self.tell(Record(kind=RecordKind.VERSION, id=CONFIG_RECORD_ID, incarnation=number, body=body))
         for link, frame in self.waiting.take(self.loop.time()):
             self.on_fetch(link, frame)
         return True
--- a/zinclever/mesh/roles/node.py
+++ b/zinclever/mesh/roles/node.py
@@ -11,9 +11,10 @@
 from ...core.protocol import Address
 from ...system import System
 from ..configuration.active import ActiveConfiguration
-from ..membership.gossip import DEFAULT_RATE, Gossip
+from ..membership.gossip import Gossip
 from ..membership.gossip_socket import GossipSocket
-from ..membership.records import ENDED_RANK, NODE, VERSION
+from ..membership.records import ENDED_RANK, RecordKind
+from ..membership.transmitter import DEFAULT_RATE
 from ..transport.channel import Channel, ChannelPool
 from ..transport.framed_connection import FramedConnection
 from ..transport.mesh_pb2 import Frame, NodeInfo, Record
@@ -90,7 +91,7 @@
 
     def reload(self, boot: Boot) -> None:
         """The settings file has changed: its seeds hold from now on."""
-        self.gossip.seeds = [(ip, boot.ports[0] + OFFSETS[CONTROL]) for ip, _ in boot.seeds]
+        self.gossip.anti_entropy.seeds = [(ip, boot.ports[0] + OFFSETS[CONTROL]) for ip, _ in boot.seeds]
 
     # --- links ---
 
@@ -113,9 +114,9 @@
 
     def on_news(self, record: Record, teller: str) -> None:
         """Something is new here."""
-        if record.kind == VERSION:
+        if record.kind == RecordKind.VERSION:
             self.handout.look(teller)
-        if record.kind == NODE:
+        if record.kind == RecordKind.NODE:
             info = NodeInfo.FromString(record.body)
             if record.rank >= ENDED_RANK:
                 self.lines.retire((info.ip, info.port))
--- a/zinclever/mesh/roles/operator_calls.py
+++ b/zinclever/mesh/roles/operator_calls.py
@@ -23,7 +23,7 @@
 from ..consensus.replica import Replica
 from ..control_api.desk import Call, refuse, say
 from ..errors import MeshError
-from ..membership.records import NODE
+from ..membership.records import RecordKind
 from ..transport.framed_connection import FramedConnection
 from ..transport.mesh_pb2 import ControlCall, ControlReply, Frame, NodeInfo, Voter
 from .node import Node
@@ -99,7 +99,7 @@
 
     def address_of(self, voter: Voter) -> str:
         """Where a member takes calls, as host:port; empty where that isn't known."""
-        records = self.node.gossip.records.of_kind(NODE)
+        records = self.node.gossip.records.of_kind(RecordKind.NODE)
         nodes = (NodeInfo.FromString(record.body) for record in records)
         return next((n.control_address for n in nodes if (n.ip, n.port) == (voter.ip, voter.port)), "")
 
--- a/zinclever/mesh/roles/own_endpoint.py
+++ b/zinclever/mesh/roles/own_endpoint.py
@@ -8,22 +8,11 @@
 from ...http1.heads import Answer
 from ..control_api.desk import Call, say
 from ..dataplane.keeper import Keeper
-from ..membership.records import ENDPOINT
+from ..membership.records import DEPARTED_SEQ, EndpointPhase, RecordKind
 from ..transport.mesh_pb2 import EndpointInfo, Record
 from .boot import Boot
 from .endpoint_api import Announcer
-from .endpoint_calls import (
-    DRAINING,
-    GONE,
-    LAST,
-    READY,
-    announcement,
-    changes,
-    departure,
-    is_final,
-    read_beat,
-    with_keeper,
-)
+from .endpoint_calls import announcement, changes, departure, is_final, read_beat, with_keeper
 from .node import Node
 
 log = logging.getLogger(__name__)
@@ -52,15 +41,15 @@
 
     def on_beat(self, call: Call) -> Answer | Awaitable[Answer]:
         record = read_beat(call)
-        known = self.node.gossip.records.get(ENDPOINT, record.id)
+        known = self.node.gossip.records.get(RecordKind.ENDPOINT, record.id)
         with_keeper(record, self.node.name)
-        if record.rank != READY:
+        if record.rank != EndpointPhase.READY:
             record = announcement(known, record)
             self.hear_beat(record)
             return self.announcer.acknowledge(record)
         if known is not None and (is_final(known) or known.seq > record.seq):
             return say(200)  # it leaves, or the beat is a late one
-        if known is not None and known.rank >= GONE and max(known.seq, self.beat_seq) >= record.seq:
+        if known is not None and known.rank >= EndpointPhase.GONE and max(known.seq, self.beat_seq) >= record.seq:
             return say(200)  # said before it was taken for gone
         if changes(known, record):
             self.node.tell(record)
@@ -69,7 +58,7 @@
 
     def hear_beat(self, record: Record) -> None:
         """An endpoint on this machine lives."""
-        if record.rank == READY and record.id != self.keeper.endpoint:
+        if record.rank == EndpointPhase.READY and record.id != self.keeper.endpoint:
             self.beat_seq = record.seq
         self.adopt(record.id, record.rank, EndpointInfo.FromString(record.body))
         if record.id == self.keeper.endpoint or self.beat_at < 0:
@@ -78,7 +67,7 @@
 
     def adopt(self, endpoint: str, rank: int, endpoint_info: EndpointInfo) -> None:
         """What the keeper does by what is known of an endpoint here."""
-        if rank == READY:
+        if rank == EndpointPhase.READY:
             old = self.keeper.endpoint
             if old and old != endpoint:
                 self.end(old)
@@ -96,20 +85,27 @@
         endpoint = call.captured[0]
         if endpoint == self.keeper.endpoint:
             self.keeper.forget()
-        known = self.node.gossip.records.get(ENDPOINT, endpoint)
+        known = self.node.gossip.records.get(RecordKind.ENDPOINT, endpoint)
         return await self.announcer.acknowledge(announcement(known, departure(endpoint)))
 
     def end(self, endpoint: str) -> None:
         """An endpoint is taken for gone: a beat that it says after its last one shows that it lives, unless it has
         said before that it leaves."""
-        known = self.node.gossip.records.get(ENDPOINT, endpoint)
+        known = self.node.gossip.records.get(RecordKind.ENDPOINT, endpoint)
         heard = self.beat_seq if endpoint == self.keeper.endpoint else 0
         if endpoint == self.keeper.endpoint:
             self.keeper.forget()
-        if known is not None and known.rank < GONE:
-            seq = LAST if is_final(known) else max(known.seq, heard)
+        if known is not None and known.rank < EndpointPhase.GONE:
+            seq = DEPARTED_SEQ if is_final(known) else max(known.seq, heard)
             self.node.tell(
-                Record(kind=ENDPOINT, id=endpoint, incarnation=known.incarnation, seq=seq, rank=GONE, body=known.body)
+                Record(
+                    kind=RecordKind.ENDPOINT,
+                    id=endpoint,
+                    incarnation=known.incarnation,
+                    seq=seq,
+                    rank=EndpointPhase.GONE,
+                    body=known.body,
+                )
             )
 
     # --- what shows that it is gone ---
@@ -146,18 +142,20 @@
         if endpoint_info.sidecar != self.node.name and record.id != self.keeper.endpoint:
             return
         if record.id != self.keeper.endpoint:
-            if record.rank == READY and not self.keeper.endpoint and self.beat_at < 0:
+            if record.rank == EndpointPhase.READY and not self.keeper.endpoint and self.beat_at < 0:
                 # Told after a start of this process, which has no memory of it.
                 self.beat_at, self.beat_seq = self.loop.time(), record.seq
                 self.adopt(record.id, record.rank, endpoint_info)
-            elif record.rank < GONE:
+            elif record.rank < EndpointPhase.GONE:
                 self.claims.setdefault(record.id, self.loop.time())
             return
-        if record.rank >= GONE and record.seq < min(LAST, self.beat_seq) and self.keeper.open:
+        if record.rank >= EndpointPhase.GONE and record.seq < min(DEPARTED_SEQ, self.beat_seq) and self.keeper.open:
             # Others have taken it for gone, as they didn't hear from here; its beats show that it lives.
             body = endpoint_info.SerializeToString()
             self.node.tell(
-                Record(kind=ENDPOINT, id=record.id, incarnation=record.incarnation, seq=self.beat_seq, body=body)
+                Record(
+                    kind=RecordKind.ENDPOINT, id=record.id, incarnation=record.incarnation, seq=self.beat_seq, body=body
+                )
             )
-        elif record.rank >= DRAINING:
+        elif record.rank >= EndpointPhase.DRAINING:
             self.keeper.close()
--- a/zinclever/mesh/roles/sidecar.py
+++ b/zinclever/mesh/roles/sidecar.py
@@ -20,8 +20,7 @@
 from ..dataplane.hop import WHOLE, HopWire
 from ..dataplane.keeper import Job, Keeper
 from ..dataplane.retry_budget import RetryBudget
-from ..membership.gossip import MemberState
-from ..membership.records import ENDPOINT, NODE
+from ..membership.records import EndpointPhase, MemberState, RecordKind
 from ..transport.framed_connection import FramedConnection
 from ..transport.mesh_pb2 import (
     BodyChunk,
@@ -35,7 +34,6 @@
 )
 from ..verdict import Verdict
 from .boot import Boot
-from .endpoint_calls import GONE, READY
 from .node import SIDECAR, Node
 from .own_endpoint import OwnEndpoint
 
@@ -126,7 +124,7 @@
         return bool(
             not self.ending
             and self.node.active.configuration is not None
-            and self.node.gossip.joined
+            and self.node.gossip.anti_entropy.joined
             and any(f.ledger.ready for f in self.flights.flights.values())
         )
 
@@ -136,7 +134,7 @@
             self.told_ready = ready
             log.info(
                 "ready" if ready else "not ready",
-                extra={"code": "READY", "met": self.node.gossip.joined, "number": self.node.active.number},
+                extra={"code": "READY", "met": self.node.gossip.anti_entropy.joined, "number": self.node.active.number},
             )
         return say(200 if ready else 503)
 
@@ -178,7 +176,7 @@
                 "egress": self.egress.counts,
                 "keeper": self.keeper.counts,
                 "hops": hops,
-                "gossip": self.node.gossip.counts,
+                "gossip": self.node.gossip.counters.as_dict(),
             },
         )
 
@@ -267,7 +265,8 @@
 
     def sidecars(self) -> int:
         return sum(
-            r.rank < 2 and NodeInfo.FromString(r.body).role == SIDECAR for r in self.node.gossip.records.of_kind(NODE)
+            r.rank < 2 and NodeInfo.FromString(r.body).role == SIDECAR
+            for r in self.node.gossip.records.of_kind(RecordKind.NODE)
         )
 
     def on_configuration(self, configuration: Configuration) -> None:
@@ -278,13 +277,13 @@
         self.refresh_soon()
 
     def on_news(self, record: Record) -> None:
-        if record.kind == ENDPOINT:
+        if record.kind == RecordKind.ENDPOINT:
             endpoint_info = EndpointInfo.FromString(record.body)
             if endpoint_info.service:
                 self.stale.add(endpoint_info.service)
             self.endpoint.on_news(record, endpoint_info)
             self.refresh_soon()
-        elif record.kind == NODE:
+        elif record.kind == RecordKind.NODE:
             self.stale.update(self.flights.flights)
             self.refresh_soon()
 
@@ -300,16 +299,16 @@
         by_service: dict[str, list[Entry]] = {s: [] for s in stale}
         gossip = self.node.gossip
         zones = {z: n for n, z in enumerate(self.boot.zones)}
-        for record in gossip.records.of_kind(ENDPOINT):
-            if record.rank >= GONE:
+        for record in gossip.records.of_kind(RecordKind.ENDPOINT):
+            if record.rank >= EndpointPhase.GONE:
                 continue
             endpoint_info = EndpointInfo.FromString(record.body)
             if endpoint_info.service not in by_service:
                 continue
-            info = gossip.node_info(endpoint_info.sidecar)
-            if info is None or (gossip.member_state(endpoint_info.sidecar) or 0) >= MemberState.DEAD:
+            info = gossip.members.node_info(endpoint_info.sidecar)
+            if info is None or (gossip.members.state_of(endpoint_info.sidecar) or 0) >= MemberState.DEAD:
                 continue
-            phase: i.Phase = "ready" if record.rank == READY else "draining"
+            phase: i.Phase = "ready" if record.rank == EndpointPhase.READY else "draining"
             listed = i.Listed(record.id, phase, float(endpoint_info.slots), zones.get(info.zone, 0))
             by_service[endpoint_info.service].append((listed, (info.ip, info.port)))
         sidecars = self.sidecars()
