--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -41,7 +41,7 @@
     spent = time.perf_counter() - began
     there = world.replica(follower).committed.index > 2
     sent = world.sent_bytes.get((leader, follower), 0) / 1e6
-    held = max(texts.store.held for texts in world.texts.values()) / 1e6
+    held = max(texts.store.held_bytes for texts in world.texts.values()) / 1e6
     return (
         f"{size / 1e6:g} MB, away for {away}, {'nothing as it was' if whole else 'three routes a change'}, "
         f"{'changes go on' if storm else 'quiet'}: {f'{took:.2f} s' if there else f'not within {took:.0f} s'}; "
--- a/benchmarks/disk.py
+++ b/benchmarks/disk.py
@@ -11,13 +11,13 @@
 import time
 from pathlib import Path
 
-from zinclever.mesh.storage.generations import Disk, Generations
+from zinclever.mesh.storage.generation_file import GenerationFile, OsFileSystem
 
 SYNCS = (0.0005, 0.005)  # s that one takes
 SAVES = 12
 
 
-class Counted(Disk):
+class Counted(OsFileSystem):
     """The operating system's files, with syncs that take their time."""
 
     def __init__(self, each: float) -> None:
@@ -42,7 +42,7 @@
     text = b"x" * int(size * 1e6)
     with tempfile.TemporaryDirectory() as folder:
         files = Counted(each)
-        store = Generations(Path(folder), "comb", files)
+        store = GenerationFile(Path(folder), "comb", files)
         waits, whole = [], []
         for n in range(SAVES):
             began = time.perf_counter()
@@ -51,7 +51,7 @@
             store.mark()
             whole.append(time.perf_counter() - began)
         began = time.perf_counter()
-        assert Generations(Path(folder), "comb").load() is not None
+        assert GenerationFile(Path(folder), "comb").load() is not None
         start = time.perf_counter() - began
         used = sum(p.stat().st_size for p in Path(folder).iterdir())
     waits.sort()
--- a/benchmarks/hollow.py
+++ b/benchmarks/hollow.py
@@ -31,7 +31,7 @@
 from zinclever.mesh.membership.records import RecordKind
 from zinclever.mesh.model.field import Field
 from zinclever.mesh.model.members import Machine, World
-from zinclever.mesh.storage.generations import Generations
+from zinclever.mesh.storage.generation_file import GenerationFile
 from zinclever.mesh.transport.channel import ChannelPool
 from zinclever.mesh.transport.mesh_pb2 import EndpointInfo, Record
 from zinclever.system import System
@@ -181,8 +181,8 @@
 def make_active(count: int) -> ActiveConfiguration:
     """A configuration of so many routes in force, packed for others."""
     active = ActiveConfiguration()
-    active.take(1, 1, make_routes(count))
-    active.pack()
+    active.apply(1, 1, make_routes(count))
+    active.compressed()
     return active
 
 
@@ -193,7 +193,7 @@
         text = make_routes(routes)
         self.text, self.packed = len(text), len(zlib.compress(text, 1))
         began = time.process_time()
-        ActiveConfiguration().take(1, 1, text)
+        ActiveConfiguration().apply(1, 1, text)
         self.milliseconds = 1000 * (time.process_time() - began)
 
 
@@ -220,7 +220,7 @@
         assert replica is not None
         self.calls += 1
         text = (b"config %d " % generation).ljust(self.size, b"x")
-        replica.put(self.now, self.calls, base, generation, text, b"d" * 16)
+        replica.change(self.now, self.calls, base, generation, text, b"d" * 16)
         self.carry_out(self.machines[ip])
 
 
@@ -256,7 +256,7 @@
     def __init__(self, size: int, saves: int = 6) -> None:
         with tempfile.TemporaryDirectory() as folder:
             files = Counted(0.0)
-            store = Generations(Path(folder), "entry", files)
+            store = GenerationFile(Path(folder), "entry", files)
             began = time.process_time()
             for n in range(saves):
                 store.save({b"change": b"%d" % n + b"x" * size})
--- a/tests/mesh/test_catch_up.py
+++ b/tests/mesh/test_catch_up.py
@@ -13,17 +13,17 @@
 
 from mesh.cases import params
 from mesh.cluster import run, until
-from zinclever.mesh.consensus.client_calls import REMEMBERED
+from zinclever.mesh.consensus.client_calls import MAX_APPLIED_CALLS
 from zinclever.mesh.consensus.messages import ReplicaRole, Reply
 from zinclever.mesh.consensus.replica import Replica
-from zinclever.mesh.consensus.text_blocks import cut, pack
-from zinclever.mesh.consensus.text_store import MOST_HELD
+from zinclever.mesh.consensus.text_blocks import compress, split_blocks
+from zinclever.mesh.consensus.text_store import MAX_HELD_BYTES
 from zinclever.mesh.membership.record_store import RecordStore
 from zinclever.mesh.membership.records import ENDED_RANK, RecordKind
 from zinclever.mesh.model.slow_links import MEGABIT, SlowWorld, config_text
 from zinclever.mesh.roles import boot
 from zinclever.mesh.roles.control import ControlRole
-from zinclever.mesh.storage.generations import Generations
+from zinclever.mesh.storage.generation_file import GenerationFile
 from zinclever.mesh.transport.mesh_pb2 import ControlCall, Record
 
 SMALL, MIDDLE, LARGE = 20_000, 1_000_000, 4_000_000  # bytes of a configuration
@@ -49,7 +49,7 @@
 
 def stated_time(size: int) -> float:
     """A whole new text over 1 Mbit/s, a fifth beyond its packed blocks."""
-    return BASE_TIME + 1.2 * sum(len(pack(block)) for block in cut(config_text(size, 1))) / MEGABIT
+    return BASE_TIME + 1.2 * sum(len(compress(block)) for block in split_blocks(config_text(size, 1))) / MEGABIT
 
 
 class CatchUp(unittest.TestCase):
@@ -96,8 +96,8 @@
         self.assertLess(world.heartbeat_late, MOST_LATE)
         self.assertLess(world.queued, MOST_LATE)
         for texts in world.texts.values():
-            self.assertLessEqual(texts.store.held, MOST_HELD)
-            self.assertEqual(texts.counts["given_up"], 0)
+            self.assertLessEqual(texts.store.held_bytes, MAX_HELD_BYTES)
+            self.assertEqual(texts.counters.given_up, 0)
 
     def test_whole_texts_are_the_fault(self) -> None:
         """The judge finds what the exchange mends: with texts in their messages, 1 MB delays a leader's heartbeats
@@ -160,8 +160,8 @@
         """A variant that answers reads without asking the others: the judge of the test above finds it."""
 
         class Hasty(Replica):
-            def get(self, now: float, call: int) -> None:
-                self.out.append(Reply(call, 200, self.committed.text))
+            def read(self, now: float, call: int) -> None:
+                self.actions.append(Reply(call, 200, self.committed.text))
 
         world = SlowWorld(1, FAST, kind=Hasty)
         world.run(1.5)
@@ -249,10 +249,10 @@
         back = await members.start(away)
         await until(lambda: back.replica.committed.generation == 2)
         self.assertEqual(back.replica.committed.text, members.text(2))
-        counts = back.links.texts.counts
-        self.assertGreater(counts["finished"], 0)
-        self.assertLess(counts["blocks"], 20)
-        self.assertEqual(back.store.counts["unmarked"], 0)
+        counters = back.links.texts.counters
+        self.assertGreater(counters.finished, 0)
+        self.assertLess(counters.blocks, 20)
+        self.assertEqual(back.store.counters.unmarked, 0)
 
 
 class ThreeMembers:
@@ -295,7 +295,7 @@
         control.node.stop()
         control.store.close()
         control.store.thread.shutdown(wait=True)
-        control.replica.out.clear()
+        control.replica.actions.clear()
         control.turn = lambda: None  # type: ignore[method-assign]
 
     def text(self, generation: int) -> bytes:
@@ -322,14 +322,14 @@
     def test_on_disk(self) -> None:
         """Two pairs of each set, with their marks; of 5,000 saves."""
         with tempfile.TemporaryDirectory() as folder, mock.patch("os.fsync"):
-            store = Generations(Path(folder), "comb")
+            store = GenerationFile(Path(folder), "comb")
             for n in range(5000):
                 store.save({b"change": b"%05d" % n * 100})
                 store.mark()
             files = list(Path(folder).iterdir())
             self.assertLessEqual(len(files), 6)
             self.assertLess(sum(f.stat().st_size for f in files), 2 * (4 * 1024 + 512))
-            self.assertEqual((Generations(Path(folder), "comb").load() or {})[b"change"][:5], b"04999")
+            self.assertEqual((GenerationFile(Path(folder), "comb").load() or {})[b"change"][:5], b"04999")
 
     def test_in_an_entry(self) -> None:
         """The snapshot is one entry, with the text and the orders that are remembered. A member that was away for all
@@ -343,11 +343,11 @@
             world.run(0.04)
         entry = world.newest()
         self.assertGreaterEqual(world.confirmed, 4900)
-        self.assertLessEqual(len(entry.applied_calls), REMEMBERED)
+        self.assertLessEqual(len(entry.applied_calls), MAX_APPLIED_CALLS)
         self.assertLess(entry.ByteSize() - len(entry.text), 12_000)
         acting = world.replica(leader)
-        self.assertLess(len(acting.after) + len(acting.persisting), 4)
-        self.assertLess(len(acting.calls.unconfirmed) + len(acting.calls.waiting), 2)
+        self.assertLess(len(acting.after_persist) + len(acting.persisting), 4)
+        self.assertLess(len(acting.calls.unconfirmed) + len(acting.calls.queued_changes), 2)
         slow_down(world)
         world.start(follower)
         self.assertLess(world.until_caught_up(follower, SMALL), stated_time(SMALL))
--- a/tests/mesh/test_client_calls.py
+++ b/tests/mesh/test_client_calls.py
@@ -9,14 +9,14 @@
 from mesh.cases import params
 from zinclever.mesh.consensus.client_calls import (
     CALL_TIMEOUT,
+    MAX_APPLIED_CALLS,
     MAX_CALL_BYTES,
     MAX_CALLS,
-    REMEMBERED,
     ClientCalls,
     call_timeout,
-    judge,
+    direct_answer,
 )
-from zinclever.mesh.consensus.messages import Proposal
+from zinclever.mesh.consensus.messages import ChangeCall
 from zinclever.mesh.model.histories import Call, Told, linearizable
 from zinclever.mesh.model.members import World
 from zinclever.mesh.transport.mesh_pb2 import AppliedCall, LogEntry
@@ -66,7 +66,7 @@
         replies: list[int] = []
         calls = ClientCalls(lambda call, status, text: replies.append(status))
         for n in range(count):
-            calls.change(Proposal(n, 0.0, 0, n + 1, b"x" * size, b"%d" % n), None)
+            calls.change(ChangeCall(n, 0.0, 0, n + 1, b"x" * size, b"%d" % n), None)
         return replies
 
     def test_calls(self) -> None:
@@ -206,7 +206,7 @@
         replica = w.machines[old].replica
         assert replica is not None
         replica.calls.confirmations.record("d2", replica.calls.confirmations.begin())
-        replica.become(type(replica.role).FOLLOWER, w.now)
+        replica.change_role(type(replica.role).FOLLOWER, w.now)
         self.assertFalse(replica.calls.confirmations.confirmed)
 
     @params("get", "put", "refusal")
@@ -243,10 +243,10 @@
 
     def test_one_text_under_two_numbers(self) -> None:
         committed = LogEntry(generation=5, applied_calls=[AppliedCall(generation=5, base=1, digest=b"text")])
-        again = judge(Proposal(1, 0.0, 1, 5, b"text", b"text"), committed)
-        other = judge(Proposal(2, 0.0, 1, 6, b"text", b"text"), committed)
+        again = direct_answer(ChangeCall(1, 0.0, 1, 5, b"text", b"text"), committed)
+        other = direct_answer(ChangeCall(2, 0.0, 1, 6, b"text", b"text"), committed)
         self.assertEqual((again and again.status, other and other.status), (200, 412))
-        self.assertIsNone(judge(Proposal(3, 0.0, 5, 6, b"text", b"text"), committed))
+        self.assertIsNone(direct_answer(ChangeCall(3, 0.0, 5, 6, b"text", b"text"), committed))
 
     def test_sent_at_once_to_three_members(self) -> None:
         """Two of them hand it on to the leader: it comes there three times."""
@@ -289,7 +289,7 @@
         again = w.put(ip, 0, 1)
         lost = w.put(ip, 0, others + 7)  # never taken: its number is above all that are forgotten
         w.run(0.5)
-        self.assertIs(told(again), Told.DONE if others < REMEMBERED else Told.UNCLEAR)
+        self.assertIs(told(again), Told.DONE if others < MAX_APPLIED_CALLS else Told.UNCLEAR)
         self.assertIs(told(lost), Told.STALE)
 
     @params(*range(4))
--- a/tests/mesh/test_compatibility.py
+++ b/tests/mesh/test_compatibility.py
@@ -17,7 +17,8 @@
 
 from mesh import wire_samples
 from zinclever.mesh.consensus.messages import Vote
-from zinclever.mesh.consensus.store import Store, read_folder
+from zinclever.mesh.consensus.replica_store import ReplicaStore, read_folder
+from zinclever.mesh.operator_cli.commands import describe_disk
 from zinclever.mesh.transport.mesh_pb2 import Frame, GossipMessage
 
 FIXTURES = Path(__file__).parent / "fixtures"
@@ -54,17 +55,18 @@
         shutil.copytree(FIXTURES / "state", self.folder)
 
     async def test_a_replica_finds_all_that_it_stored(self) -> None:
-        store = Store(self.folder)
+        store = ReplicaStore(self.folder)
         self.addCleanup(store.close)
         await asyncio.get_running_loop().run_in_executor(None, store.load)
         self.assertEqual(store.disk, "0123456789abcdef0123456789abcdef")
         self.assertEqual(store.vote, Vote(5, "disk-2"))
-        self.assertEqual(store.change, wire_samples.entry())
+        self.assertEqual(store.entry, wire_samples.entry())
 
     def test_the_command_that_shows_a_folder_shows_the_same(self) -> None:
-        told = read_folder(self.folder)
+        state = read_folder(self.folder)
+        assert state.entry is not None
         self.assertEqual(
-            told,
+            describe_disk(state, state.entry),
             {
                 "Disk": "0123456789abcdef0123456789abcdef",
                 "Vote": "5 disk-2",
--- a/tests/mesh/test_configuration.py
+++ b/tests/mesh/test_configuration.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from mesh.cases import params
-from zinclever.mesh.configuration.active import ActiveConfiguration, unpack
-from zinclever.mesh.configuration.document import MOST_TEXT, read
-from zinclever.mesh.control_api.matchers import Tree
+from zinclever.mesh.configuration.active import ActiveConfiguration, decompress
+from zinclever.mesh.configuration.document import MAX_TEXT_BYTES, parse
+from zinclever.mesh.control_api.matchers import Router
 from zinclever.mesh.errors import MeshError
 from zinclever.mesh.roles import boot
 
@@ -66,7 +66,7 @@
         ("a.example", "/", None),
     )
     def test_the_longest_prefix(self, host: str, path: str, want: str | None) -> None:
-        route = read(json.dumps(CONFIG).encode()).find(host, path)
+        route = parse(json.dumps(CONFIG).encode()).find_route(host, path)
         self.assertEqual(route.name if route else None, want)
 
     @params(
@@ -85,29 +85,29 @@
     )
     def test_invalid_ones_name_the_field(self, path: str, value: Any, field: str) -> None:
         with self.assertRaises(MeshError) as caught:
-            read(changed(path, value))
+            parse(changed(path, value))
         self.assertEqual(caught.exception.field, field)
 
     @params(b"", b"{", b"[]", b'{"Generation":1}', b"\xff")
     def test_what_can_not_be_read_whole(self, text: bytes) -> None:
         with self.assertRaises(MeshError):
-            read(text)
+            parse(text)
 
     def test_only_forward(self) -> None:
         active, text = ActiveConfiguration(), json.dumps(CONFIG).encode()
-        self.assertTrue(active.take(3, 7, text))
-        self.assertFalse(active.take(2, 9, changed("Generation", 9)))
+        self.assertTrue(active.apply(3, 7, text))
+        self.assertFalse(active.apply(2, 9, changed("Generation", 9)))
         self.assertEqual(active.generation, 7)
         with self.assertRaises(MeshError):
-            active.take(4, 9, b"{")
-        self.assertEqual(active.number, 3)
+            active.apply(4, 9, b"{")
+        self.assertEqual(active.index, 3)
 
     def test_two_thousand_routes(self) -> None:
         made = copy.deepcopy(CONFIG)
         for n in range(2000):
             made["Routes"][f"r{n}"] = {**CONFIG["Routes"]["deep"], "PathPrefix": f"/p{n}/"}
-        configuration = read(json.dumps(made).encode())
-        route = configuration.find("a.example", "/p1999/x")
+        configuration = parse(json.dumps(made).encode())
+        route = configuration.find_route("a.example", "/p1999/x")
         self.assertEqual(route.name if route else None, "r1999")
 
 
@@ -160,7 +160,7 @@
         ("GET", "/", None, [], False),
     )
     def test_find(self, method: str, path: str, want: str | None, captured: list[str], known: bool) -> None:
-        tree: Tree[str] = Tree()
+        tree: Router[str] = Router()
         tree.add("POST /v1/endpoints/{id}/heartbeat", "beat")
         tree.add("GET /v1/ready", "ready")
         self.assertEqual(tree.find(method, path), (want, captured, known))
@@ -170,17 +170,17 @@
     def test_there_and_back(self) -> None:
         active = ActiveConfiguration()
         text = json.dumps({"Generation": 1, "Routes": {}, "Services": {f"s{n}": {} for n in range(2000)}}).encode()
-        active.take(1, 1, text)
-        packed = active.pack()
+        active.apply(1, 1, text)
+        packed = active.compressed()
         self.assertLess(len(packed), len(text) / 4)
-        self.assertEqual(unpack(packed), text)
-        active.take(2, 2, b'{"Generation": 2, "Routes": {}, "Services": {}}')
-        self.assertEqual(active.pack(), b"")  # too small to be worth it
+        self.assertEqual(decompress(packed), text)
+        active.apply(2, 2, b'{"Generation": 2, "Routes": {}, "Services": {}}')
+        self.assertEqual(active.compressed(), b"")  # too small to be worth it
 
-    @params(b"", b"no zlib", zlib.compress(b"x" * 100)[:-3], zlib.compress(bytes(MOST_TEXT + 1)))
+    @params(b"", b"no zlib", zlib.compress(b"x" * 100)[:-3], zlib.compress(bytes(MAX_TEXT_BYTES + 1)))
     def test_what_is_none_is_refused(self, packed: bytes) -> None:
         with self.assertRaises(MeshError):
-            unpack(packed)
+            decompress(packed)
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_configuration_handout.py
+++ b/tests/mesh/test_configuration_handout.py
@@ -9,14 +9,14 @@
 
 from mesh.cluster import Mesh, config, run, until
 from zinclever.mesh.configuration.handout import (
-    ABANDONED,
-    FIRST_PATIENCE,
-    MOST_ASKED,
-    MOST_PATIENCE,
-    MOST_WAITING,
-    WAITS,
-    Inquiry,
-    Waiting,
+    FETCH_TIMEOUT,
+    INITIAL_PATIENCE,
+    MAX_OPEN_FETCHES,
+    MAX_PATIENCE,
+    MAX_WAITERS,
+    WAITER_TIMEOUT,
+    FetchScheduler,
+    FetchWaiters,
 )
 from zinclever.mesh.membership.records import RecordKind
 from zinclever.mesh.roles.node import Node
@@ -71,42 +71,44 @@
 
 class First(unittest.TestCase):
     def test_the_teller_is_asked_first_then_others_beside_it(self) -> None:
-        inquiry = Inquiry()
+        inquiry = FetchScheduler()
         peers = ["a", "b", "c", "d"]
-        asked = [inquiry.choose(0.0, "c", peers, min) for _ in range(MOST_ASKED + 1)]
+        asked = [inquiry.next_peer(0.0, "c", peers, min) for _ in range(MAX_OPEN_FETCHES + 1)]
         self.assertEqual(asked, ["c", "a", "b", None])
 
     def test_no_peer_is_asked_twice_at_once(self) -> None:
-        inquiry = Inquiry()
-        self.assertEqual(inquiry.choose(0.0, "a", ["a"], min), "a")
-        self.assertIsNone(inquiry.choose(1.0, "a", ["a"], min))
-        inquiry.answered("a")
-        self.assertEqual(inquiry.choose(1.0, "a", ["a"], min), "a")
+        inquiry = FetchScheduler()
+        self.assertEqual(inquiry.next_peer(0.0, "a", ["a"], min), "a")
+        self.assertIsNone(inquiry.next_peer(1.0, "a", ["a"], min))
+        inquiry.on_answered("a")
+        self.assertEqual(inquiry.next_peer(1.0, "a", ["a"], min), "a")
 
     def test_who_never_answers_is_forgotten(self) -> None:
-        inquiry = Inquiry()
+        inquiry = FetchScheduler()
         peers = ["a", "b", "c"]
         for _ in peers:
-            inquiry.choose(0.0, "", peers, min)
-        self.assertIsNone(inquiry.choose(ABANDONED - 0.1, "", peers, min))
-        self.assertEqual(inquiry.choose(ABANDONED, "", peers, min), "a")
+            inquiry.next_peer(0.0, "", peers, min)
+        self.assertIsNone(inquiry.next_peer(FETCH_TIMEOUT - 0.1, "", peers, min))
+        self.assertEqual(inquiry.next_peer(FETCH_TIMEOUT, "", peers, min), "a")
 
     def test_patience_doubles_until_the_version_is_there(self) -> None:
-        inquiry = Inquiry()
-        waits = [inquiry.waits() for _ in range(6)]
-        self.assertEqual(waits, [FIRST_PATIENCE * 2**n for n in range(4)] + [MOST_PATIENCE] * 2)
-        inquiry.satisfied()
-        self.assertEqual(inquiry.waits(), FIRST_PATIENCE)
+        inquiry = FetchScheduler()
+        waits = [inquiry.next_delay() for _ in range(6)]
+        self.assertEqual(waits, [INITIAL_PATIENCE * 2**n for n in range(4)] + [MAX_PATIENCE] * 2)
+        inquiry.finish()
+        self.assertEqual(inquiry.next_delay(), INITIAL_PATIENCE)
 
     def test_waiting_is_bounded_in_number_and_time(self) -> None:
-        waiting: Waiting[int, str] = Waiting()
-        for n in range(MOST_WAITING):
+        waiting: FetchWaiters[int, str] = FetchWaiters()
+        for n in range(MAX_WAITERS):
             self.assertTrue(waiting.add(0.0, n, "old"))
-        self.assertFalse(waiting.add(1.0, MOST_WAITING, "one too many"))
+        self.assertFalse(waiting.add(1.0, MAX_WAITERS, "one too many"))
         self.assertTrue(waiting.add(1.0, 7, "newer on the same link"))
-        self.assertTrue(waiting.add(WAITS, MOST_WAITING, "there is room again"))
-        self.assertEqual(waiting.take(WAITS), [(7, "newer on the same link"), (MOST_WAITING, "there is room again")])
-        self.assertEqual(waiting.take(WAITS), [])
+        self.assertTrue(waiting.add(WAITER_TIMEOUT, MAX_WAITERS, "there is room again"))
+        self.assertEqual(
+            waiting.take_all(WAITER_TIMEOUT), [(7, "newer on the same link"), (MAX_WAITERS, "there is room again")]
+        )
+        self.assertEqual(waiting.take_all(WAITER_TIMEOUT), [])
 
 
 class Coming(unittest.TestCase):
@@ -133,11 +135,11 @@
                 line = m.sidecars[0].node.line((m.core, m.port + 1))
                 answers: list[Frame | None] = []
                 for _ in range(30):
-                    line.call(Frame(fetch=Fetch(index=active.number + 1)), answers.append)
+                    line.call(Frame(fetch=Fetch(index=active.index + 1)), answers.append)
                 done: list[Frame | None] = []
                 line.call(Frame(fetch=Fetch(index=1)), done.append)
                 await until(lambda: done)  # so all the others have come, too
-                m.control.node.in_force(active.number + 1, 2, active.text.replace(b'"Generation":1', b'"Generation":2'))
+                m.control.node.in_force(active.index + 1, 2, active.text.replace(b'"Generation":1', b'"Generation":2'))
                 done.clear()
                 line.call(Frame(fetch=Fetch(index=1)), done.append)
                 await until(lambda: done)
@@ -214,7 +216,7 @@
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
                 old = m.control.node.active.text
-                number = m.control.node.active.number
+                number = m.control.node.active.index
                 self.assertEqual((await m.put(config("one", "two", generation=2), 1))[0], 200)
                 await until(lambda: all(f.node.active.generation == 2 for f in m.sidecars))
                 node = m.sidecars[0].node
--- a/tests/mesh/test_consensus.py
+++ b/tests/mesh/test_consensus.py
@@ -7,7 +7,7 @@
 from mesh.cases import params
 from zinclever.mesh.consensus import messages as orders
 from zinclever.mesh.consensus.messages import ReplicaRole
-from zinclever.mesh.consensus.quorum import commit_quorum, majority, next_voters
+from zinclever.mesh.consensus.quorum import Learner, commit_quorum, majority, next_voters
 from zinclever.mesh.model.members import World
 from zinclever.mesh.transport.mesh_pb2 import ConsensusMessage, LogEntry, Voter
 
@@ -106,12 +106,12 @@
         found_cluster: list[int] = []
         replica = w.machines[ip].replica
         assert replica is not None
-        replica.get(w.now, 999)
+        replica.read(w.now, 999)
         for _ in range(40):
             w.now += 0.05
             replica.tick(w.now)
-            found_cluster += [a.status for a in replica.out if isinstance(a, orders.Reply) and a.call == 999]
-            replica.out.clear()
+            found_cluster += [a.status for a in replica.actions if isinstance(a, orders.Reply) and a.call_id == 999]
+            replica.actions.clear()
         self.assertEqual(found_cluster, [503])
 
 
@@ -173,7 +173,7 @@
             (ip,) = w.leaders()
             replica = w.machines[ip].replica
             assert replica is not None
-            replica.hand_over(w.now)
+            replica.transfer_leadership(w.now)
             w.carry_out(w.machines[ip])
             w.run(0.05)
             w.kill(ip)
@@ -189,8 +189,8 @@
         w.put("10.0.0.0", 0, 5)
         w.run(0.5)
         for replica in (a, b, c):
-            replica.become(ReplicaRole.FOLLOWER, w.now)
-            replica.leader_heard_at, replica.leader = w.now - 1.0, ""
+            replica.change_role(ReplicaRole.FOLLOWER, w.now)
+            replica.leader_last_heard, replica.leader = w.now - 1.0, ""
         w.cut = {(x, y) for x in w.machines for y in w.machines if {x, y} != {"10.0.0.0", "10.0.0.2"} and x != y}
         a.start_election(w.now)
         b.start_election(w.now)
@@ -216,9 +216,9 @@
         assert a is not None and b is not None
         w.kill("10.0.0.2")
         for replica in (a, b):
-            replica.become(ReplicaRole.FOLLOWER, w.now)
-            replica.leader_heard_at = w.now - 0.6
-        a.leader, b.leader = "", a.me.disk
+            replica.change_role(ReplicaRole.FOLLOWER, w.now)
+            replica.leader_last_heard = w.now - 0.6
+        a.leader, b.leader = "", a.own_voter.disk
         w.run(5.0)
         self.assertEqual(len(w.leaders()), 1)
 
@@ -284,8 +284,8 @@
         self, name: str, waiting: list[tuple[str, int]], heard_at: dict[str, float], want: list[str] | None
     ) -> None:
         voters = [Voter(disk=d, ip=f"10.0.0.{n}", port=1) for n, d in enumerate("abc", 1)]
-        newcomers = {d: (Voter(disk=d, ip=f"10.0.0.{n}", port=1), 9.5) for d, n in waiting}
-        found = next_voters(LogEntry(voters=voters, founding_size=3), "a", newcomers, heard_at, 10.0)
+        learners = {d: Learner(Voter(disk=d, ip=f"10.0.0.{n}", port=1), 9.5) for d, n in waiting}
+        found = next_voters(LogEntry(voters=voters, founding_size=3), "a", learners, heard_at, 10.0)
         self.assertEqual(None if found is None else [s.disk for s in found.voters], want, name)
 
 
@@ -296,22 +296,22 @@
         other = next(m for o, m in w.machines.items() if o != ip)
         replica = other.replica
         assert replica is not None
-        replica.out.clear()
+        replica.actions.clear()
         entry = LogEntry(term=replica.vote.term, index=9, voters=replica.committed.voters)
         replica.receive(
             w.now,
             ConsensusMessage(
-                kind=orders.Kind.APPEND,
-                disk=replica.vote.disk,
+                kind=orders.MessageKind.APPEND,
+                disk=replica.vote.candidate,
                 term=replica.vote.term,
                 entry=entry,
                 voter=replica.committed.voters[0],
             ),
         )
-        (persist,) = [a for a in replica.out if isinstance(a, orders.Persist)]
-        replica.out.clear()
-        replica.persisted(w.now, persist.token, False)
-        (said,) = [a.message for a in replica.out if isinstance(a, orders.Send)]
+        (persist,) = [a for a in replica.actions if isinstance(a, orders.Persist)]
+        replica.actions.clear()
+        replica.on_persisted(w.now, persist.token, False)
+        (said,) = [a.message for a in replica.actions if isinstance(a, orders.Send)]
         self.assertFalse(said.granted)
         self.assertNotEqual(replica.accepted.index if replica.accepted is not None else 0, 9)
         self.assertIs(replica.role, ReplicaRole.FOLLOWER)
--- a/tests/mesh/test_entries.py
+++ b/tests/mesh/test_entries.py
@@ -27,7 +27,7 @@
         assert replica is not None and replica.accepted is not None
         for entry in (replica.committed, replica.accepted):
             entry.text = b"spoilt"
-        replica.digest = digest(replica.committed)
+        replica.committed_digest = digest(replica.committed)
 
     def test_a_copy_that_differs(self) -> None:
         w = up()
@@ -70,10 +70,10 @@
         sound = LogEntry()
         sound.CopyFrom(replica.committed)
         replica.committed.text = b"spoilt"
-        replica.digest = digest(replica.committed)
-        replica.take_committed(w.now, sound)
+        replica.committed_digest = digest(replica.committed)
+        replica.on_snapshot(w.now, sound)
         self.assertEqual((replica.committed.text, replica.accepted.text), (b"config 5", b"next"))
-        self.assertFalse([a for a in replica.out if isinstance(a, orders.Persist)])
+        self.assertFalse([a for a in replica.actions if isinstance(a, orders.Persist)])
 
 
 class LateEntries(unittest.TestCase):
@@ -84,7 +84,7 @@
         (ip,) = w.leaders()
         replica = next(m.replica for o, m in w.machines.items() if o != ip)
         assert replica is not None
-        replica.out.clear()
+        replica.actions.clear()
         return w, replica
 
     def append(self, w: World, replica: Replica, number: int, term: int = 1, entry_term: int | None = None) -> None:
@@ -92,17 +92,17 @@
         entry = LogEntry(term=entry_term or term, index=number, voters=replica.committed.voters, founding_size=3)
         leader = next(v for v in replica.committed.voters if v.disk == replica.leader)
         message = ConsensusMessage(
-            kind=orders.Kind.APPEND, disk=leader.disk, term=term, index=number, entry=entry, voter=leader
+            kind=orders.MessageKind.APPEND, disk=leader.disk, term=term, index=number, entry=entry, voter=leader
         )
         replica.receive(w.now, message)
 
     def saves(self, w: World, replica: Replica) -> list[int]:
         """Numbers of the entries that are saved, in order."""
-        saves = [a for a in replica.out if isinstance(a, orders.Persist) and a.accepted is not None]
-        replica.out.clear()
+        saves = [a for a in replica.actions if isinstance(a, orders.Persist) and a.entry is not None]
+        replica.actions.clear()
         for act in saves:
-            replica.persisted(w.now, act.token, True)
-        return [act.accepted.index for act in saves if act.accepted is not None]
+            replica.on_persisted(w.now, act.token, True)
+        return [act.entry.index for act in saves if act.entry is not None]
 
     @params("is saved", "is being saved")
     def test_an_entry_does_not_overwrite_a_later_one(self, case: str) -> None:
@@ -147,7 +147,7 @@
     def test_a_committed_entry_does_not_overwrite_a_later_one(self) -> None:
         w, replica = self.follower()
         self.append(w, replica, 4)
-        replica.take_committed(
+        replica.on_snapshot(
             w.now, LogEntry(term=1, index=3, voters=replica.committed.voters, founding_size=3, text=b"x")
         )
         self.assertEqual(self.saves(w, replica), [4])
@@ -155,10 +155,10 @@
     def test_a_leader_of_before_does_not_overwrite_what_was_committed(self) -> None:
         """The voter has heard what is committed under a higher term, without a vote of its own for it."""
         w, replica = self.follower()
-        replica.take_committed(w.now, LogEntry(term=5, index=3, voters=replica.committed.voters, founding_size=3))
+        replica.on_snapshot(w.now, LogEntry(term=5, index=3, voters=replica.committed.voters, founding_size=3))
         self.assertEqual(self.saves(w, replica), [3])
         self.append(w, replica, 4, term=1)
-        (answer,) = [a.message for a in replica.out if isinstance(a, orders.Send)]
+        (answer,) = [a.message for a in replica.actions if isinstance(a, orders.Send)]
         self.assertEqual((answer.granted, answer.round), (False, 5))
         self.assertEqual(self.saves(w, replica), [])
 
--- a/tests/mesh/test_explore.py
+++ b/tests/mesh/test_explore.py
@@ -51,8 +51,8 @@
         self.assertEqual(made.key(), key)
         for replica in made.orders:
             replica.tick(99.0)
-            replica.calls.drop()
-            replica.heard_at.clear()
+            replica.calls.fail_all()
+            replica.last_heard.clear()
         self.assertEqual(start.key(), key)
 
 
@@ -67,7 +67,7 @@
     def test_acknowledged_before_it_is_synced(self) -> None:
         class Hasty(Replica):
             def persist(self, accepted: LogEntry | None, after: list[messages.Send]) -> None:
-                self.out += after
+                self.actions += after
                 super().persist(accepted, [])
 
         self.assertTrue(self.found_cluster(Hasty, Budget(turns=0, crashes=0, losses=0)))
@@ -82,23 +82,23 @@
 
     def test_two_winners_on_one_version(self) -> None:
         class Generous(Replica):
-            def put(self, now: float, call: int, base: int, generation: int, text: bytes, digest: bytes) -> None:
-                super().put(now, call, base, generation, text, digest)
-                if self.calls.waiting:  # takes the next one for the same entry
-                    self.reply(self.calls.waiting.popleft().call, 200, b"")
+            def change(self, now: float, call: int, base: int, generation: int, text: bytes, digest: bytes) -> None:
+                super().change(now, call, base, generation, text, digest)
+                if self.calls.queued_changes:  # takes the next one for the same entry
+                    self.reply(self.calls.queued_changes.popleft().call_id, 200, b"")
 
         self.assertTrue(self.found_cluster(Generous, Budget(turns=0, crashes=0, losses=0)))
 
     def test_two_settled_under_one_number(self) -> None:
         class Proud(Replica):
             def on_vote_reply(self, now: float, m: ConsensusMessage) -> None:
-                if m.disk != self.me.disk:
+                if m.disk != self.own_voter.disk:
                     m.ClearField("entry")
                     m.ClearField("committed")
                 super().on_vote_reply(now, m)
 
             def on_append_reply(self, now: float, m: ConsensusMessage) -> None:
-                self.have.add(self.me.disk)  # and has_commit_quorum with what another has
+                self.acknowledged_by.add(self.own_voter.disk)  # and has_commit_quorum with what another has
                 super().on_append_reply(now, m)
 
         self.assertTrue(self.found_cluster(Proud, Budget(turns=1, crashes=0, losses=0)))
@@ -131,11 +131,11 @@
     def test_a_voter_that_confirms_whoever_asks(self) -> None:
         class Polite(Replica):
             def on_confirm_leadership(self, m: ConsensusMessage) -> None:
-                self.answer(
+                self.respond(
                     m,
                     ConsensusMessage(
-                        kind=messages.Kind.LEADERSHIP_CONFIRMED,
-                        disk=self.me.disk,
+                        kind=messages.MessageKind.LEADERSHIP_CONFIRMED,
+                        disk=self.own_voter.disk,
                         term=m.term,
                         round=m.round,
                         granted=True,
--- a/tests/mesh/test_explore_voters.py
+++ b/tests/mesh/test_explore_voters.py
@@ -5,7 +5,7 @@
 import unittest
 
 from mesh.cases import params
-from zinclever.mesh.consensus.messages import Kind, ReplicaRole
+from zinclever.mesh.consensus.messages import MessageKind, ReplicaRole
 from zinclever.mesh.consensus.quorum import VoterChange, VoterChangeReason, has_commit_quorum, next_voters
 from zinclever.mesh.consensus.replica import Replica
 from zinclever.mesh.model.explore import Broken
@@ -88,12 +88,12 @@
     def test_a_late_word_that_lets_go(self) -> None:
         explorer = VoterExplorer(start=VoterStart.FOLLOWER_LEAVES)
         state = explorer.start
-        state.post = [(to, m) for to, m in state.post if ConsensusMessage.FromString(m).kind != Kind.LEAVE]
+        state.post = [(to, m) for to, m in state.post if ConsensusMessage.FromString(m).kind != MessageKind.LEAVE]
         explorer.calm(state)  # the second change, entry 3, is on the disk of the follower, and LEAVE was lost
         self.assertEqual(state.held["d2"], 3)
-        late = ConsensusMessage(kind=Kind.LEAVE_REPLY, disk="d0", term=1, granted=True, index=2)
+        late = ConsensusMessage(kind=MessageKind.LEAVE_REPLY, disk="d0", term=1, granted=True, index=2)
         explorer.receive(state, 2, late.SerializeToString())
-        self.assertFalse(state.orders[2].let_go)
+        self.assertFalse(state.orders[2].released)
 
 
 class BrokenOnPurpose(unittest.TestCase):
@@ -107,11 +107,11 @@
         class Careless(Replica):
             def receive(self, now: float, m: ConsensusMessage) -> None:
                 super().receive(now, m)
-                if m.kind == Kind.LEAVE and self.role is ReplicaRole.LEADER:
+                if m.kind == MessageKind.LEAVE and self.role is ReplicaRole.LEADER:
                     reply = ConsensusMessage(
-                        kind=Kind.LEAVE_REPLY, disk=self.me.disk, term=self.term, granted=True, index=99
+                        kind=MessageKind.LEAVE_REPLY, disk=self.own_voter.disk, term=self.term, granted=True, index=99
                     )
-                    self.answer(m, reply)
+                    self.respond(m, reply)
 
         allowed = budget(changes=1)
         self.assert_found(Careless, VoterStart.FOLLOWER_LEAVES, allowed, "fewer disks than may be lost")
@@ -119,46 +119,46 @@
     def test_a_leader_that_counts_the_disk_of_one_that_was_let_go(self) -> None:
         class Counting(Replica):
             def is_committed(self, now: float, entry: LogEntry) -> bool:
-                self.voter_changes.leaving.clear()
+                self.voter_changes.leaving_since.clear()
                 return super().is_committed(now, entry)
 
             def on_append(self, now: float, m: ConsensusMessage) -> None:
-                let_go, self.let_go = self.let_go, False
+                let_go, self.released = self.released, False
                 super().on_append(now, m)
-                self.let_go = let_go
+                self.released = let_go
 
         self.assert_found(Counting, VoterStart.LET_GO, budget(changes=1), "fewer disks than may be lost")
 
     def test_a_newcomer_with_a_vote_before_it_has_the_state(self) -> None:
         class Hasty(Replica):
-            def next_change(self, now: float) -> VoterChange | None:
+            def next_voter_change(self, now: float) -> VoterChange | None:
                 known = self.voter_changes
-                known.stored = {**dict.fromkeys(known.newcomers, 0), **known.stored}
-                return super().next_change(now)
+                known.durable_index = {**dict.fromkeys(known.learners, 0), **known.durable_index}
+                return super().next_voter_change(now)
 
         self.assert_found(Hasty, VoterStart.UNHEARD, budget(waits=1), "doesn't have the state")
 
     def test_a_change_committed_by_the_new_voters_alone(self) -> None:
         class Hurried(Replica):
             def is_committed(self, now: float, entry: LogEntry) -> bool:
-                return has_commit_quorum(entry.voters, self.have, self.losses)
+                return has_commit_quorum(entry.voters, self.acknowledged_by, self.tolerated_losses)
 
         self.assert_found(Hurried, VoterStart.REPLACEMENT, budget(), "without a majority of the voters before it")
 
     def test_a_commit_by_one_disk(self) -> None:
         class Lonely(Replica):
             def is_committed(self, now: float, entry: LogEntry) -> bool:
-                return len(self.have) > 0 and len(entry.voters) > 0
+                return len(self.acknowledged_by) > 0 and len(entry.voters) > 0
 
         self.assert_found(Lonely, VoterStart.FOLLOWER_LEAVES, budget(), "without a majority|fewer disks")
 
     def test_voters_that_go_out_by_silence(self) -> None:
         class Shrinking(Replica):
-            def next_change(self, now: float) -> VoterChange | None:
+            def next_voter_change(self, now: float) -> VoterChange | None:
                 voters = list(self.committed.voters)
-                silent = [v for v in voters if v is not self.me and now - self.heard_at.get(v.disk, now) > 2.0]
+                silent = [v for v in voters if v is not self.own_voter and now - self.last_heard.get(v.disk, now) > 2.0]
                 if not silent:
-                    return next_voters(self.committed, self.me.disk, {}, self.heard_at, now)
+                    return next_voters(self.committed, self.own_voter.disk, {}, self.last_heard, now)
                 rest = [v for v in voters if v.disk != silent[0].disk]
                 return VoterChange(rest, VoterChangeReason.LOST, removed=silent[0])
 
@@ -167,10 +167,10 @@
     def test_a_candidate_that_never_wins(self) -> None:
         class Shy(Replica):
             def request_votes(self, now: float) -> None:
-                self.become(ReplicaRole.FOLLOWER, now)
+                self.change_role(ReplicaRole.FOLLOWER, now)
 
             def start_election(self, now: float) -> None:
-                self.leader_heard_at = now
+                self.leader_last_heard = now
 
         self.assert_found(Shy, VoterStart.LEADER_LEAVES, budget(), "no leader", liveness_every=1)
 
--- a/tests/mesh/test_marks.py
+++ b/tests/mesh/test_marks.py
@@ -13,8 +13,8 @@
 from mesh.listed_operations import NotListed, only_listed_operations
 from mesh.test_storage import Stop, Torn
 from zinclever.mesh.consensus.messages import Persist, Vote
-from zinclever.mesh.consensus.store import Store
-from zinclever.mesh.storage.generations import Generations
+from zinclever.mesh.consensus.replica_store import ReplicaStore
+from zinclever.mesh.storage.generation_file import GenerationFile
 from zinclever.mesh.transport.mesh_pb2 import LogEntry
 
 
@@ -38,27 +38,27 @@
 
     def test_a_life_of_a_set(self) -> None:
         with only_listed_operations():
-            store = Generations(self.folder, "comb")
+            store = GenerationFile(self.folder, "comb")
             self.assertIsNone(store.load())
             for n in range(4):
                 store.save({b"n": b"%d" % n * 2000})
                 self.assertTrue(store.mark())
-            self.assertTrue(store.look())
-            again = Generations(self.folder, "comb")
+            self.assertTrue(store.verify_and_repair())
+            again = GenerationFile(self.folder, "comb")
             self.assertEqual((again.load() or {})[b"n"][:1], b"3")
-            self.assertTrue(again.durable)
+            self.assertTrue(again.is_durable)
 
     def test_a_life_of_a_store(self) -> None:
         async def test() -> None:
             with only_listed_operations():
-                store = Store(self.folder)
+                store = ReplicaStore(self.folder)
                 store.load()
                 store.write(Persist(Vote(1, "d"), LogEntry(index=1, term=1), 1))
                 store.mark()
-                again = Store(self.folder)
+                again = ReplicaStore(self.folder)
                 again.load()
-                self.assertEqual((again.disk, again.change), (store.disk, LogEntry(index=1, term=1)))
-                self.assertEqual(store.counts["unmarked"], 0)
+                self.assertEqual((again.disk, again.entry), (store.disk, LogEntry(index=1, term=1)))
+                self.assertEqual(store.counters.unmarked, 0)
                 store.close()
                 again.close()
 
@@ -67,32 +67,32 @@
     def test_times_that_are_set_without_effect(self) -> None:
         """As on the bench: setting the times of a file that isn't there raises nothing. The mark is there all the
         same, so that damage to what was promised is told from a save that was cut short."""
-        store = Generations(self.folder, "comb")
+        store = GenerationFile(self.folder, "comb")
         with mock.patch("os.utime"):
             for n in (b"1", b"2"):
                 store.save({b"n": n * 600})
                 store.mark()
-        self.assertTrue(store.files.marked(store.path(store.number)))
-        store.path(store.number).with_suffix(".dat").write_bytes(b"")
-        again = Generations(self.folder, "comb")
+        self.assertTrue(store.file_system.is_marked(store.path(store.latest_number)))
+        store.path(store.latest_number).with_suffix(".dat").write_bytes(b"")
+        again = GenerationFile(self.folder, "comb")
         self.assertIsNone(again.load())
-        self.assertTrue(again.lost)
+        self.assertTrue(again.has_lost_data)
 
 
 class Marks(unittest.TestCase):
     def test_a_save_that_failed_is_not_marked(self) -> None:
         """The disk is full for one save, and takes an empty file: nothing was promised under that number."""
         files = Torn()
-        store = Generations(Path("/x"), "comb", files)
+        store = GenerationFile(Path("/x"), "comb", files)
         store.save({b"n": b"1"})
         store.mark()
         files.full = True
         with self.assertRaises(OSError):
             store.save({b"n": b"2"})
         store.mark()
-        again = Generations(Path("/x"), "comb", files)
+        again = GenerationFile(Path("/x"), "comb", files)
         self.assertEqual(again.load(), {b"n": b"1"})
-        self.assertFalse(again.lost)
+        self.assertFalse(again.has_lost_data)
 
     def test_a_guard_that_fails_is_one_alarm(self) -> None:
         """One line when it begins and one when it ends, and a count of the saves without a mark."""
@@ -100,10 +100,10 @@
         async def test() -> None:
             files = Torn()
             with tempfile.TemporaryDirectory() as folder:
-                store = Store(Path(folder), files)
+                store = ReplicaStore(Path(folder), files)
                 store.load()
                 files.marks_fail = True
-                with self.assertLogs("zinclever.mesh.storage.generations") as told:
+                with self.assertLogs("zinclever.mesh.storage.generation_file") as told:
                     for n in (1, 2, 3):
                         store.write(Persist(store.vote, LogEntry(index=n), n))
                         store.mark()
@@ -113,18 +113,18 @@
                         store.mark()
                 codes = [getattr(record, "code", "") for record in told.records]
                 self.assertEqual(codes, ["DISK_UNMARKED", "DISK_MARKED"])
-                self.assertEqual(store.counts["unmarked"], 3)
+                self.assertEqual(store.counters.unmarked, 3)
                 store.close()
 
         asyncio.run(test())
 
     def test_a_mark_that_is_made_without_effect_is_a_failure(self) -> None:
         files = Torn()
-        store = Generations(Path("/x"), "comb", files)
+        store = GenerationFile(Path("/x"), "comb", files)
         store.save({b"n": b"1"})
         with (
             mock.patch.object(files, "mark"),
-            self.assertLogs("zinclever.mesh.storage.generations", logging.ERROR),
+            self.assertLogs("zinclever.mesh.storage.generation_file", logging.ERROR),
         ):
             self.assertFalse(store.mark())
 
@@ -135,18 +135,18 @@
         async def test() -> None:
             files = Torn()
             with tempfile.TemporaryDirectory() as folder:
-                store = Store(Path(folder), files)
+                store = ReplicaStore(Path(folder), files)
                 store.load()
                 files.left = 1
                 with self.assertRaises(Stop):
                     store.write(Persist(Vote(7, "candidate"), None, 1))
                 files.left = 10**9
-                again = Store(Path(folder), files)
+                again = ReplicaStore(Path(folder), files)
                 again.load()
                 self.assertEqual(again.vote, Vote(7, "candidate"))
                 again.write(Persist(Vote(7, "candidate"), None, 2))
                 files.power_lost("none", True)
-                last = Store(Path(folder), files)
+                last = ReplicaStore(Path(folder), files)
                 last.load()
                 self.assertEqual((last.disk, last.vote), (store.disk, Vote(7, "candidate")))
                 for opened in (store, again, last):
@@ -157,13 +157,13 @@
     def test_a_refused_save_is_no_damage(self) -> None:
         """The look in service judges the pair that holds, not the number that a refused save left unused."""
         files = Torn()
-        store = Generations(Path("/x"), "comb", files)
+        store = GenerationFile(Path("/x"), "comb", files)
         store.save({b"n": b"1"})
         files.full = True
         with self.assertRaises(OSError):
             store.save({b"n": b"2"})
         files.full = False
-        self.assertTrue(store.look())
+        self.assertTrue(store.verify_and_repair())
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_mesh_operators.py
+++ b/tests/mesh/test_mesh_operators.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from mesh.cluster import Mesh, away, config, run, until
-from zinclever.mesh.consensus.store import read_folder
+from zinclever.mesh.consensus.replica_store import read_folder
 from zinclever.mesh.errors import MeshError
-from zinclever.mesh.operator_cli import asking
+from zinclever.mesh.operator_cli.control_client import ControlRequest, call
 
 
 class Operators(unittest.TestCase):
@@ -41,7 +41,7 @@
         async def test() -> None:
             async with Mesh(["one"]) as m:
                 await m.serve()
-                kept = m.control.store.changes.load()
+                kept = m.control.store.entry_file.load()
                 assert kept is not None
                 self.assertIn(b'"Generation":1', kept[b"change"])
 
@@ -69,19 +69,20 @@
                 core, loop = [f"{m.core}:{m.port + 2}"], m.control.loop
 
                 async def ask(path: str) -> Any:
-                    status, told, _ = await loop.run_in_executor(None, asking.ask, core, "GET", path)
-                    self.assertEqual(status, 200)
-                    return told
+                    response = await loop.run_in_executor(None, call, core, ControlRequest("GET", path))
+                    self.assertEqual(response.status, 200)
+                    return response.json()
 
                 nodes = (await ask("/v1/mesh/who"))["Nodes"]
                 self.assertEqual([b["Standing"] for b in nodes], ["live"] * 3)
                 self.assertEqual([e["Phase"] for e in (await ask("/v1/mesh/endpoints"))["Endpoints"]], ["ready"] * 2)
                 view = await ask("/v1/mesh/view")
                 self.assertEqual((view["Role"], view["Generation"], len(view["Voters"])), ("LEADER", 1, 1))
-                self.assertEqual((view["Disk"]["mended"], view["Disk"]["refused"]), (0, 0))
+                self.assertEqual((view["Disk"]["repaired"], view["Disk"]["refused"]), (0, 0))
                 self.assertEqual((view["Disk"]["unmarked"], view["Texts"]["given_up"]), (0, 0))
-                told = read_folder(Path(m.folder.name) / "disk")
-                self.assertEqual((told["Disk"], told["Generation"]), (view["Leader"], 1))
+                state = read_folder(Path(m.folder.name) / "disk")
+                assert state.entry is not None
+                self.assertEqual((state.disk, state.entry.generation), (view["Leader"], 1))
 
         run(test)
 
@@ -91,19 +92,20 @@
                 await m.serve()
                 self.assertEqual((await m.ask("/one/unsafe/x", "POST", 1, X_Attempt_Id="r-asked"))[0], 503)
                 core, loop = [f"{m.core}:{m.port + 2}"], m.control.loop
-                status, told, _ = await loop.run_in_executor(None, asking.ask, core, "GET", "/v1/mesh/requests/r-asked")
-                self.assertEqual(status, 200)
-                (found,) = told["Requests"]
+                request = ControlRequest("GET", "/v1/mesh/requests/r-asked")
+                response = await loop.run_in_executor(None, call, core, request)
+                self.assertEqual(response.status, 200)
+                (found,) = response.json()["Requests"]
                 self.assertEqual((found["Status"], found["Target"]), (503, "one"))
                 self.assertIn(f"{m.apps[0].id}: turned away", found["Tries"])
-                status, told, _ = await loop.run_in_executor(None, asking.ask, core, "GET", "/v1/mesh/requests/r-0")
-                self.assertEqual((status, told["Error"]["Code"]), (404, "REQUEST_UNKNOWN"))
+                response = await loop.run_in_executor(None, call, core, ControlRequest("GET", "/v1/mesh/requests/r-0"))
+                self.assertEqual((response.status, response.json()["Error"]["Code"]), (404, "REQUEST_UNKNOWN"))
 
         run(test)
 
     def test_nobody_answers(self) -> None:
         with self.assertRaises(MeshError) as caught:
-            asking.ask(["127.0.0.1:1", "127.0.0.2:1"], "GET", "/v1/mesh/who")
+            call(["127.0.0.1:1", "127.0.0.2:1"], ControlRequest("GET", "/v1/mesh/who"))
         self.assertEqual(caught.exception.code, "NOBODY_ANSWERS")
         self.assertIn("127.0.0.2:1", str(caught.exception))
 
--- a/tests/mesh/test_operator_calls.py
+++ b/tests/mesh/test_operator_calls.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from mesh.cluster import Mesh, config, run, until
-from zinclever.mesh.operator_cli import asking
+from zinclever.mesh.operator_cli.control_client import CHANGE_TIMEOUT, ControlRequest, call
 from zinclever.mesh.roles.control import ControlRole
 from zinclever.mesh.transport.mesh_pb2 import ControlCall, ControlReply, LogEntry, Voter
 
@@ -121,7 +121,7 @@
                 read = await core.read(leader)
                 self.assertEqual(await core.read(follower), read)
                 follower.replica.committed = LogEntry()  # it lags
-                follower.replica.digest = 0
+                follower.replica.committed_digest = 0
                 self.assertEqual(await core.read(follower), read)
                 self.assertEqual([(r.unchanged, bool(r.text)) for r in replies], [(True, False), (False, True)])
 
@@ -176,19 +176,17 @@
             async with Core() as core:
                 _, follower = await core.led()
                 await until(lambda: bool(follower.operator_calls.address_of(core.led_by(follower))))
-                status, _, by = await follower.loop.run_in_executor(
+                response = await follower.loop.run_in_executor(
                     None,
-                    lambda: asking.ask(
+                    lambda: call(
                         [f"{follower.boot.ip}:{core.mesh.port + 2}"],
-                        "POST",
-                        "/v1/config/replace",
-                        self.large(1),
-                        {"X-Base-Version": "0"},
-                        within=asking.CHANGE_WITHIN,
+                        ControlRequest(
+                            "POST", "/v1/config/replace", self.large(1), {"X-Base-Version": "0"}, CHANGE_TIMEOUT
+                        ),
                     ),
                 )
-                self.assertEqual(status, 200)
-                self.assertNotIn(follower.boot.ip + ":", by)
+                self.assertEqual(response.status, 200)
+                self.assertNotIn(follower.boot.ip + ":", response.answered_by)
 
         run(test)
 
@@ -197,9 +195,9 @@
     """Without a leader that a majority confirms a call has no clear answer, within the time that its caller waits."""
 
     async def unclear(self, core: Core, at: ControlRole) -> None:
-        for call in (core.read(at), core.put(at, 9, 0)):
+        for answer in (core.read(at), core.put(at, 9, 0)):
             began = at.loop.time()
-            told = await call
+            told = await answer
             self.assertEqual(told[0] if isinstance(told, tuple) else told, 503)
             self.assertLess(at.loop.time() - began, CALLER_TIMEOUT)
 
--- a/tests/mesh/test_repairs.py
+++ b/tests/mesh/test_repairs.py
@@ -10,7 +10,7 @@
 from mesh.cases import params
 from mesh.test_voters import core, follower, voters
 from zinclever.mesh.consensus import quorum
-from zinclever.mesh.consensus.messages import Kind
+from zinclever.mesh.consensus.messages import MessageKind
 from zinclever.mesh.consensus.replica import Replica
 from zinclever.mesh.model.members import World
 from zinclever.mesh.transport.mesh_pb2 import ConsensusMessage, LogEntry, Voter
@@ -120,12 +120,12 @@
         class Hasty(Replica):
             def receive(self, now: float, m: ConsensusMessage) -> None:
                 super().receive(now, m)
-                if m.kind == Kind.LEAVE:
+                if m.kind == MessageKind.LEAVE:
                     self.send(
                         m.voter,
                         ConsensusMessage(
-                            kind=Kind.LEAVE_REPLY,
-                            disk=self.me.disk,
+                            kind=MessageKind.LEAVE_REPLY,
+                            disk=self.own_voter.disk,
                             term=self.term,
                             granted=True,
                             index=self.committed.index,
@@ -154,7 +154,7 @@
         class Eager(Replica):
             def send_append(self, voter: Voter, entry: LogEntry) -> None:
                 super().send_append(voter, entry)
-                self.voter_changes.acknowledged(voter.disk, entry.index)
+                self.voter_changes.on_acknowledged(voter.disk, entry.index)
 
         def leads_after_a_loss(kind: type[Replica]) -> bool:
             w = core(1, 3, 1, 3, kind)
--- a/tests/mesh/test_storage.py
+++ b/tests/mesh/test_storage.py
@@ -11,9 +11,9 @@
 
 from mesh.cases import params
 from zinclever.mesh.consensus.messages import Persist, Vote
-from zinclever.mesh.consensus.store import Store
-from zinclever.mesh.storage.generations import SEAL, Disk, Generations, seal
-from zinclever.mesh.storage.record_format import unpack
+from zinclever.mesh.consensus.replica_store import ReplicaStore
+from zinclever.mesh.storage.generation_file import SEAL, GenerationFile, OsFileSystem, seal
+from zinclever.mesh.storage.record_codec import StoredRecord, decode
 from zinclever.mesh.transport.mesh_pb2 import LogEntry
 
 
@@ -56,12 +56,12 @@
             raise OSError("operation not permitted")
         self.marks.add(path.name)
 
-    def marked(self, path: Path) -> bool:
+    def is_marked(self, path: Path) -> bool:
         return path.name in self.marks
 
-    def read(self, path: Path) -> list[tuple[bytes, bytes]]:
+    def read(self, path: Path) -> list[StoredRecord]:
         values = self.written.get(path.name) or self.synced.get(path.name) or {}
-        return [f for v in values.values() if (f := unpack(v)) is not None]
+        return [f for v in values.values() if (f := decode(v)) is not None]
 
     def remove(self, path: Path) -> None:
         self.call()
@@ -100,7 +100,7 @@
             range(16), ("none", "torn", "part", "one copy", "whole"), (False, True)
         ):
             files = Torn()
-            store = Generations(Path("/x"), "comb", files)
+            store = GenerationFile(Path("/x"), "comb", files)
             store.load()
             promised = 0
             files.left = left
@@ -113,43 +113,43 @@
                 points += 1
             files.left = 10**9
             files.power_lost(kept, back)
-            again = Generations(Path("/x"), "comb", files)
+            again = GenerationFile(Path("/x"), "comb", files)
             found = again.load()
             number = int(found[b"n"][:1]) if found else 0
             with self.subTest(left=left, kept=kept, back=back):
                 self.assertIn(number, (promised, promised + 1))
-                self.assertFalse(again.lost)
+                self.assertFalse(again.has_lost_data)
         self.assertGreater(points, 40)
 
     def test_a_crash_after_a_crash(self) -> None:
         files = Torn()
-        Generations(Path("/x"), "comb", files).save({b"n": b"1"})
+        GenerationFile(Path("/x"), "comb", files).save({b"n": b"1"})
         for _ in range(3):
-            store = Generations(Path("/x"), "comb", files)
+            store = GenerationFile(Path("/x"), "comb", files)
             store.load()
             files.left = 1
             with self.assertRaises(Stop):
                 store.save({b"n": b"2"})
             files.left = 10**9
             files.power_lost("torn", True)
-        store = Generations(Path("/x"), "comb", files)
+        store = GenerationFile(Path("/x"), "comb", files)
         self.assertEqual(store.load(), {b"n": b"1"})
         store.save({b"n": b"3"})
-        self.assertEqual(Generations(Path("/x"), "comb", files).load(), {b"n": b"3"})
+        self.assertEqual(GenerationFile(Path("/x"), "comb", files).load(), {b"n": b"3"})
 
     @params("full", "sync_fails")
     def test_a_disk_that_refuses_keeps_what_it_has(self, how: str) -> None:
         files = Torn()
-        store = Generations(Path("/x"), "comb", files)
+        store = GenerationFile(Path("/x"), "comb", files)
         store.save({b"n": b"1"})
         setattr(files, how, True)
-        number = store.number
+        number = store.latest_number
         with self.assertRaises(OSError):
             store.save({b"n": b"2"})
         self.assertEqual(store.load(), {b"n": b"1"})
         setattr(files, how, False)
         store.save({b"n": b"3"})
-        self.assertGreater(store.number, number + 1)  # what a sync failed on is never written again
+        self.assertGreater(store.latest_number, number + 1)  # what a sync failed on is never written again
         self.assertEqual(store.load(), {b"n": b"3"})
 
 
@@ -160,23 +160,23 @@
         self.folder = Path(made.name)
 
     def test_two_pairs_are_kept(self) -> None:
-        store = Generations(self.folder, "comb")
+        store = GenerationFile(self.folder, "comb")
         for n in range(5):
             store.save({b"n": b"%d" % n, b"text": b"x" * 100_000})
         self.assertEqual(len({p.stem for p in self.folder.iterdir()}), 2)
-        self.assertEqual((Generations(self.folder, "comb").load() or {})[b"n"], b"4")
+        self.assertEqual((GenerationFile(self.folder, "comb").load() or {})[b"n"], b"4")
 
-    def written(self) -> tuple[Generations, Path]:
+    def written(self) -> tuple[GenerationFile, Path]:
         """Two changes, the second one marked: its set and the stem of its files."""
-        store = Generations(self.folder, "comb")
+        store = GenerationFile(self.folder, "comb")
         store.save({b"n": b"1" * 50})
         store.mark()
         store.save({b"n": b"2" * 700, b"m": b"x"})
         store.mark()
-        return store, store.path(store.number)
+        return store, store.path(store.latest_number)
 
-    def again(self) -> Generations:
-        made = Generations(self.folder, "comb")
+    def again(self) -> GenerationFile:
+        made = GenerationFile(self.folder, "comb")
         made.load()
         return made
 
@@ -190,9 +190,9 @@
                 path.with_suffix(suffix).write_bytes(text)
                 with self.subTest(suffix=suffix, at=at):
                     made = self.again()
-                    self.assertFalse(made.lost)
+                    self.assertFalse(made.has_lost_data)
                     self.assertEqual((made.records or {})[b"n"][:1], b"2")
-                    self.assertTrue(made.look())  # as it was written anew, or as the flip meant nothing
+                    self.assertTrue(made.verify_and_repair())  # as it was written anew, or as the flip meant nothing
                 for later in self.folder.iterdir():
                     if later.stem > path.stem:
                         later.unlink()
@@ -200,12 +200,12 @@
 
     def test_it_is_found_in_service(self) -> None:
         store, path = self.written()
-        self.assertTrue(store.look())
+        self.assertTrue(store.verify_and_repair())
         text = bytearray(path.with_suffix(".dat").read_bytes())
         text[600] ^= 1
         path.with_suffix(".dat").write_bytes(text)
-        self.assertFalse(store.look())
-        self.assertTrue(store.look())
+        self.assertFalse(store.verify_and_repair())
+        self.assertTrue(store.verify_and_repair())
         self.assertEqual((self.again().records or {})[b"n"][:1], b"2")
 
     def test_every_state_that_power_may_leave_of_a_save(self) -> None:
@@ -224,9 +224,9 @@
                 index.unlink(missing_ok=True)
                 if listing is not None:
                     index.write_bytes(listing)
-                made = Generations(self.folder, "comb")
-                found = made.load(mend=False)
-                self.assertFalse(made.lost)
+                made = GenerationFile(self.folder, "comb")
+                found = made.load(repair=False)
+                self.assertFalse(made.has_lost_data)
                 self.assertIn(found, ({b"n": b"1" * 50}, {b"n": b"2" * 700, b"m": b"x"}))
                 seen.add((found or {})[b"n"][:1])
         self.assertEqual(seen, {b"1", b"2"})
@@ -235,7 +235,7 @@
         _, path = self.written()
         path.with_suffix(".dat").write_bytes(b"\0" * 4000)
         made = self.again()
-        self.assertTrue(made.lost)
+        self.assertTrue(made.has_lost_data)
         self.assertIsNone(made.records)
 
     def test_pairs_of_version_1_are_read(self) -> None:
@@ -244,30 +244,30 @@
             for name, value in {**records, SEAL: seal(records)}.items():
                 pair[name] = value
         made = self.again()
-        self.assertEqual((made.records, made.number), (records, 7))
+        self.assertEqual((made.records, made.latest_number), (records, 7))
 
     def test_a_disk_that_has_lost_its_change_is_nobody_that_is_known(self) -> None:
         async def test() -> None:
-            store = Store(self.folder)
+            store = ReplicaStore(self.folder)
             store.load()
             for n in (1, 2):
                 store.write(Persist(Vote(n, "d"), LogEntry(index=n, term=n), n))
-            again = Store(self.folder)
+            again = ReplicaStore(self.folder)
             again.load()
             self.assertEqual((again.disk, again.vote.term), (store.disk, 2))
             store.close()
             store.thread.shutdown(wait=True)
             for path in self.folder.glob("comb-*.dat"):
                 path.write_bytes(path.read_bytes()[:40])
-            lost = Store(self.folder)
+            lost = ReplicaStore(self.folder)
             lost.load()
             self.assertNotEqual(lost.disk, store.disk)
-            self.assertEqual((lost.vote.term, lost.change), (0, None))
+            self.assertEqual((lost.vote.term, lost.entry), (0, None))
 
         asyncio.run(test())
 
     def test_nothing_there(self) -> None:
-        self.assertIsNone(Generations(self.folder, "comb", Disk()).load())
+        self.assertIsNone(GenerationFile(self.folder, "comb", OsFileSystem()).load())
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_storms.py
+++ b/tests/mesh/test_storms.py
@@ -117,14 +117,14 @@
         class Hasty(Replica):
             def persist(self, accepted: LogEntry | None, after: list[orders.Send]) -> None:
                 for send in after:
-                    if send.message.kind == orders.Kind.VOTE_REPLY and self.accepted is not None:
+                    if send.message.kind == orders.MessageKind.VOTE_REPLY and self.accepted is not None:
                         send.message.entry.CopyFrom(self.accepted)
-                    self.out.append(send)
+                    self.actions.append(send)
                 super().persist(accepted, [])
 
         class Proud(Replica):
             def on_vote_reply(self, now: float, m: ConsensusMessage) -> None:
-                if m.disk != self.me.disk:  # goes on from what it has itself
+                if m.disk != self.own_voter.disk:  # goes on from what it has itself
                     m.ClearField("entry")
                     m.ClearField("committed")
                 super().on_vote_reply(now, m)
@@ -181,8 +181,8 @@
 
     def test_reads_of_one_that_asks_nobody_are_found(self) -> None:
         class Sure(Replica):
-            def get(self, now: float, call: int) -> None:
-                self.out.append(orders.Reply(call, 200 if self.committed.generation else 404, self.committed.text))
+            def read(self, now: float, call: int) -> None:
+                self.actions.append(orders.Reply(call, 200 if self.committed.generation else 404, self.committed.text))
 
         found_cluster = False
         for seed in range(20):
--- a/tests/mesh/test_voters.py
+++ b/tests/mesh/test_voters.py
@@ -7,7 +7,7 @@
 import orjson
 
 from mesh.cases import params
-from zinclever.mesh.consensus.quorum import FaultModel, Place
+from zinclever.mesh.consensus.quorum import FaultModel, Location
 from zinclever.mesh.consensus.replica import Replica
 from zinclever.mesh.model.members import World
 from zinclever.mesh.roles.boot import read
@@ -139,8 +139,8 @@
         ("nobody known yet", FaultModel(1, zones=1), "", 1),
     )
     def test_losses(self, name: str, model: FaultModel, zones: str, want: int) -> None:
-        core = [Place(zone, "r" + zone) for zone in zones]
-        self.assertEqual(model.losses(core), want, name)
+        core = [Location(zone, "r" + zone) for zone in zones]
+        self.assertEqual(model.tolerated_losses(core), want, name)
 
     def test_settings(self) -> None:
         told = {
@@ -164,7 +164,7 @@
     def test_a_zone_lost_leaves_a_leader(self) -> None:
         """Zones of two machines: one zone is gone for so long that all of it could be dropped, comes back, and another
         is lost the moment after."""
-        w = core(1, 6, FaultModel(1, zones=1).losses([Place(z, "") for z in "aabbcc"]), 3)
+        w = core(1, 6, FaultModel(1, zones=1).tolerated_losses([Location(z, "") for z in "aabbcc"]), 3)
         for ip in ("10.0.0.0", "10.0.0.1"):
             w.kill(ip)
         w.run(6.0)
--- a/tests/mesh/wire_samples.py
+++ b/tests/mesh/wire_samples.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from zinclever.mesh.consensus.messages import Kind
+from zinclever.mesh.consensus.messages import MessageKind
 from zinclever.mesh.transport.mesh_pb2 import (
     AppliedCall,
     BodyChunk,
@@ -30,6 +30,12 @@
 VOTERS = [Voter(disk=f"disk-{n}", name=f"core-{n}", ip=f"127.0.0.{n}", port=20_000 + n) for n in (1, 2, 3)]
 CONFIGURATION = b'{"Generation":7,"Routes":[]}'
 
+NAMES_IN_0_1 = {
+    MessageKind.TRANSFER_LEADERSHIP: "HAND_OVER",
+    MessageKind.BLOCK_REQUEST: "TEXT_WANTED",
+    MessageKind.BLOCK_REPLY: "TEXT_BLOCKS",
+}
+
 
 def entry() -> LogEntry:
     """A committed entry with a configuration, voters and remembered calls."""
@@ -101,20 +107,22 @@
 
 
 def consensus_messages() -> dict[str, ConsensusMessage]:
-    """A message of each kind between members of the core."""
+    """By its name in version 0.1: a message of each kind between control replicas."""
     whole = {
-        Kind.HEARTBEAT: ConsensusMessage(index=9, digest=2**63 + 1, granted=True, bootstrap=True, protocol_version=1),
-        Kind.VOTE_REQUEST: ConsensusMessage(),
-        Kind.VOTE_REPLY: ConsensusMessage(granted=True, index=5, entry=entry(), committed=entry()),
-        Kind.APPEND: ConsensusMessage(entry=entry()),
-        Kind.APPEND_REPLY: ConsensusMessage(index=9, granted=False, round=6),
-        Kind.CONFIRM_LEADERSHIP: ConsensusMessage(round=12),
-        Kind.LEADERSHIP_CONFIRMED: ConsensusMessage(round=12, granted=True),
-        Kind.HAND_OVER: ConsensusMessage(),
-        Kind.LEAVE: ConsensusMessage(),
-        Kind.LEAVE_REPLY: ConsensusMessage(index=9, granted=True),
-        Kind.TEXT_WANTED: ConsensusMessage(round=2, wanted=[b"\x03" * 16, b"\x04" * 16], protocol_version=1),
-        Kind.TEXT_BLOCKS: ConsensusMessage(
+        MessageKind.HEARTBEAT: ConsensusMessage(
+            index=9, digest=2**63 + 1, granted=True, bootstrap=True, protocol_version=1
+        ),
+        MessageKind.VOTE_REQUEST: ConsensusMessage(),
+        MessageKind.VOTE_REPLY: ConsensusMessage(granted=True, index=5, entry=entry(), committed=entry()),
+        MessageKind.APPEND: ConsensusMessage(entry=entry()),
+        MessageKind.APPEND_REPLY: ConsensusMessage(index=9, granted=False, round=6),
+        MessageKind.CONFIRM_LEADERSHIP: ConsensusMessage(round=12),
+        MessageKind.LEADERSHIP_CONFIRMED: ConsensusMessage(round=12, granted=True),
+        MessageKind.TRANSFER_LEADERSHIP: ConsensusMessage(),
+        MessageKind.LEAVE: ConsensusMessage(),
+        MessageKind.LEAVE_REPLY: ConsensusMessage(index=9, granted=True),
+        MessageKind.BLOCK_REQUEST: ConsensusMessage(round=2, wanted=[b"\x03" * 16, b"\x04" * 16], protocol_version=1),
+        MessageKind.BLOCK_REPLY: ConsensusMessage(
             round=2, blocks=[TextBlock(name=b"\x03" * 16, compressed=b"x")], protocol_version=1
         ),
     }
@@ -123,7 +131,7 @@
         message.disk = "disk-1"
         message.term = 5
         message.voter.CopyFrom(VOTERS[0])
-    return {kind.name: message for kind, message in whole.items()}
+    return {NAMES_IN_0_1.get(kind, kind.name): message for kind, message in whole.items()}
 
 
 def frames() -> dict[str, Frame]:
--- a/zinclever/mesh/configuration/document.py
+++ b/zinclever/mesh/configuration/document.py
@@ -15,13 +15,13 @@
 
 from ..errors import MeshError
 
-MOST_TEXT = 16 << 20  # bytes of a configuration
-MOST_NUMBER = 2**53
+MAX_TEXT_BYTES = 16 << 20  # bytes of a configuration
+MAX_INTEGER = 2**53
 
 IDEMPOTENT, NON_IDEMPOTENT = "idempotent", "non_idempotent"
 
 
-def number(least: float, most: float, above: bool = False) -> Any:
+def number_schema(least: float, most: float, above: bool = False) -> Any:
     """A finite JSON number within bounds; booleans are none."""
 
     def check(value: object) -> bool:
@@ -32,22 +32,22 @@
     return And(check, error=f"must be a number {'above' if above else 'from'} {least:g} to {most:g}")
 
 
-TEXT: Any = And(str, len, error="must be a text that is not empty")
-PREFIX: Any = And(str, lambda p: p.startswith("/") and p.endswith("/"), error="must start and end with a slash")
-WHOLE: Any = And(number(0, MOST_NUMBER), lambda v: v == int(v), error="must be a whole number")
+NON_EMPTY_TEXT: Any = And(str, len, error="must be a text that is not empty")
+PATH_PREFIX: Any = And(str, lambda p: p.startswith("/") and p.endswith("/"), error="must start and end with a slash")
+WHOLE_NUMBER: Any = And(number_schema(0, MAX_INTEGER), lambda v: v == int(v), error="must be a whole number")
 
 ROUTE = Schema(
     {
-        "Authority": TEXT,
-        "PathPrefix": PREFIX,
+        "Authority": NON_EMPTY_TEXT,
+        "PathPrefix": PATH_PREFIX,
         "RouteClass": Or(IDEMPOTENT, NON_IDEMPOTENT, error="must be 'idempotent' or 'non_idempotent'"),
-        "DeadlineS": number(0, 86400, above=True),
-        Optional("TargetLatencyS"): number(0, 86400),
-        Optional("Priority"): number(-1e6, 1e6),
-        Optional("MaxAttempts"): And(WHOLE, lambda v: v >= 1, error="must be a whole number from 1"),
-        Optional("Target"): TEXT,
+        "DeadlineS": number_schema(0, 86400, above=True),
+        Optional("TargetLatencyS"): number_schema(0, 86400),
+        Optional("Priority"): number_schema(-1e6, 1e6),
+        Optional("MaxAttempts"): And(WHOLE_NUMBER, lambda v: v >= 1, error="must be a whole number from 1"),
+        Optional("Target"): NON_EMPTY_TEXT,
         Optional("WeightedTargets"): And(
-            [Schema({"Target": TEXT, "Weight": number(0, 1e9)}, ignore_extra_keys=True)],
+            [Schema({"Target": NON_EMPTY_TEXT, "Weight": number_schema(0, 1e9)}, ignore_extra_keys=True)],
             lambda ws: sum(w["Weight"] for w in ws) > 0,
             error="must hold a target with a weight above 0",
         ),
@@ -55,14 +55,14 @@
     ignore_extra_keys=True,
 )
 SERVICE = Schema(
-    {Optional("HealthPath"): str, Optional("MaxConns"): And(WHOLE, lambda v: v >= 1)}, ignore_extra_keys=True
+    {Optional("HealthPath"): str, Optional("MaxConns"): And(WHOLE_NUMBER, lambda v: v >= 1)}, ignore_extra_keys=True
 )
 LIMITS = Schema(
     {
-        Optional("MaxHeaderBytes"): number(1, 2**40),
-        Optional("MaxBodyBytes"): number(0, 2**50),
-        Optional("HeaderTimeoutS"): number(0, 1e6),
-        Optional("IdleTimeoutS"): number(0, 1e6),
+        Optional("MaxHeaderBytes"): number_schema(1, 2**40),
+        Optional("MaxBodyBytes"): number_schema(0, 2**50),
+        Optional("HeaderTimeoutS"): number_schema(0, 1e6),
+        Optional("IdleTimeoutS"): number_schema(0, 1e6),
     },
     ignore_extra_keys=True,
 )
@@ -79,11 +79,11 @@
     """Its requests may run more than once."""
     deadline: float
     """s that a request is held at the longest."""
-    aim: float
+    latency_target: float
     """s within which an answer earns its full worth."""
     priority: float
     """0 is the highest rank."""
-    attempts: int
+    max_attempts: int
     targets: tuple[tuple[str, float], ...]
     """Services and their weights; the weights add up to 1."""
 
@@ -91,8 +91,8 @@
 @dataclass(frozen=True, slots=True)
 class Service:
     name: str
-    health: str
-    connections: int
+    health_path: str
+    max_connections: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,44 +102,44 @@
     generation: int
     routes: dict[str, Route]
     services: dict[str, Service]
-    hosts: dict[str, list[Route]] = field(default_factory=dict)
+    routes_by_host: dict[str, list[Route]] = field(default_factory=dict)
     """By host in lower case: its routes, the longest prefix first."""
-    max_header: float = 32768.0
-    max_body: float = float(40 << 20)
+    max_header_bytes: float = 32768.0
+    max_body_bytes: float = float(40 << 20)
     header_timeout: float = 3.0
     idle_timeout: float = 15.0
 
-    def find(self, host: str, path: str) -> Route | None:
+    def find_route(self, host: str, path: str) -> Route | None:
         """The route of a request: of its host's the one whose prefix begins the path and is longest."""
-        for route in self.hosts.get(host, ()):
+        for route in self.routes_by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
 
-def read(text: bytes, checked: bool = False) -> Configuration:
+def parse(text: bytes, is_checked: bool = False) -> Configuration:
     """A configuration from its text; MeshError with the path of the field where it is none. ``checked``: that was done
     before it was settled, and isn't done field by field again: 2,000 routes take a second to check, 10 ms to read."""
-    if len(text) > MOST_TEXT:
-        raise MeshError("CONFIG_TOO_LARGE", f"more than {MOST_TEXT} bytes")
+    if len(text) > MAX_TEXT_BYTES:
+        raise MeshError("CONFIG_TOO_LARGE", f"more than {MAX_TEXT_BYTES} bytes")
     try:
         told = orjson.loads(text)
     except orjson.JSONDecodeError as wrong:
         raise MeshError("CONFIG_UNREADABLE", str(wrong)) from None
     if not isinstance(told, dict):
         raise MeshError("CONFIG_INVALID", "must be a table")
-    if not checked:
-        check(WHOLE, told.get("Generation"), "Generation")
+    if not is_checked:
+        validate(WHOLE_NUMBER, told.get("Generation"), "Generation")
     routes, services = told.get("Routes"), told.get("Services")
     if not isinstance(routes, dict):
         raise MeshError("CONFIG_INVALID", "must be a table by name", "Routes")
     if not isinstance(services, dict):
         raise MeshError("CONFIG_INVALID", "must be a table by name", "Services")
     limits = told.get("Limits", {})
-    if not checked:
-        check_fields(routes, services, limits)
-    made = {n: make_service(n, s) for n, s in services.items()}
-    found = {n: make_route(n, r, made) for n, r in routes.items()}
+    if not is_checked:
+        validate_fields(routes, services, limits)
+    made = {n: parse_service(n, s) for n, s in services.items()}
+    found = {n: parse_route(n, r, made) for n, r in routes.items()}
     hosts: dict[str, list[Route]] = {}
     places: dict[tuple[str, str], str] = {}
     for route in found.values():
@@ -167,7 +167,7 @@
     )
 
 
-def check(schema: Any, value: object, path: str) -> None:
+def validate(schema: Any, value: object, path: str) -> None:
     """Raise where a value doesn't fit, with its path."""
     try:
         (schema if isinstance(schema, Schema) else Schema(schema)).validate(value)
@@ -179,20 +179,20 @@
         raise MeshError("CONFIG_INVALID", said[-1] if said else "is not valid", at) from None
 
 
-def check_fields(routes: dict[str, Any], services: dict[str, Any], limits: object) -> None:
+def validate_fields(routes: dict[str, Any], services: dict[str, Any], limits: object) -> None:
     """Raise where a field is not as it should be."""
-    check(LIMITS, limits, "Limits")
+    validate(LIMITS, limits, "Limits")
     for name, told in services.items():
-        check(SERVICE, told, f"Services.{name}")
+        validate(SERVICE, told, f"Services.{name}")
     for name, told in routes.items():
-        check(ROUTE, told, f"Routes.{name}")
+        validate(ROUTE, told, f"Routes.{name}")
 
 
-def make_service(name: str, told: dict[str, Any]) -> Service:
+def parse_service(name: str, told: dict[str, Any]) -> Service:
     return Service(name, told.get("HealthPath", "/health"), int(told.get("MaxConns", 100)))
 
 
-def make_route(name: str, told: dict[str, Any], services: dict[str, Service]) -> Route:
+def parse_route(name: str, told: dict[str, Any], services: dict[str, Service]) -> Route:
     path = f"Routes.{name}"
     weighted = told.get("WeightedTargets")
     if weighted is None and "Target" not in told:
--- a/zinclever/mesh/configuration/handout.py
+++ b/zinclever/mesh/configuration/handout.py
@@ -10,76 +10,78 @@
 from collections.abc import Callable, Sequence
 from typing import Generic, TypeVar
 
-FIRST_PATIENCE = 0.6  # s for which the first peer is waited for before another is asked beside it
-MOST_PATIENCE = 4.8  # s; it doubles from the first on: on a slow link texts that cross only hold each other up
-MOST_ASKED = 3  # peers whose answers are outstanding at once
-ABANDONED = 30.0  # s after which an answer is waited for no more
-MOST_WAITING = 1024  # links on which an asker waits here for a version
-WAITS = 5.0  # s for which it does: it has asked another long before
+INITIAL_PATIENCE = 0.6  # s for which the first peer is waited for before another is asked beside it
+MAX_PATIENCE = 4.8  # s; it doubles from the first on: on a slow link texts that cross only hold each other up
+MAX_OPEN_FETCHES = 3  # peers whose answers are outstanding at once
+FETCH_TIMEOUT = 30.0  # s after which an answer is waited for no more
+MAX_WAITERS = 1024  # links on which an asker waits here for a version
+WAITER_TIMEOUT = 5.0  # s for which it does: it has asked another long before
 
 L = TypeVar("L")
 A = TypeVar("A")
 
 
-class Inquiry:
+class FetchScheduler:
     """The peers that are asked for the newest version known of."""
 
     def __init__(self) -> None:
-        self.asked: dict[str, float] = {}
+        self.open_since: dict[str, float] = {}
         """Peers whose answer is outstanding, and since when."""
-        self.patience = FIRST_PATIENCE
+        self.patience = INITIAL_PATIENCE
 
-    def choose(self, now: float, teller: str, peers: Sequence[str], draw: Callable[[Sequence[str]], str]) -> str | None:
+    def next_peer(
+        self, now: float, teller: str, peers: Sequence[str], draw: Callable[[Sequence[str]], str]
+    ) -> str | None:
         """The next peer to ask: who told of the version if possible, else any that isn't asked yet. None where there
         is none, or where enough are asked already."""
-        for peer in [p for p, since in self.asked.items() if now - since >= ABANDONED]:
-            del self.asked[peer]
-        if len(self.asked) >= MOST_ASKED:
+        for peer in [p for p, since in self.open_since.items() if now - since >= FETCH_TIMEOUT]:
+            del self.open_since[peer]
+        if len(self.open_since) >= MAX_OPEN_FETCHES:
             return None
-        free = [p for p in peers if p not in self.asked]
+        free = [p for p in peers if p not in self.open_since]
         if not free:
             return None
         peer = teller if teller in free else draw(free)
-        self.asked[peer] = now
+        self.open_since[peer] = now
         return peer
 
-    def waits(self) -> float:
+    def next_delay(self) -> float:
         """s for which the peer that was asked last is waited for before the next one is asked beside it."""
         patience = self.patience
-        self.patience = min(MOST_PATIENCE, 2 * patience)
+        self.patience = min(MAX_PATIENCE, 2 * patience)
         return patience
 
-    def answered(self, peer: str) -> None:
+    def on_answered(self, peer: str) -> None:
         """It has answered, or its link is lost."""
-        self.asked.pop(peer, None)
+        self.open_since.pop(peer, None)
 
-    def satisfied(self) -> list[str]:
+    def finish(self) -> list[str]:
         """The newest version is in force: the peers whose answers are not needed any more."""
-        rest = list(self.asked)
-        self.asked.clear()
-        self.patience = FIRST_PATIENCE
+        rest = list(self.open_since)
+        self.open_since.clear()
+        self.patience = INITIAL_PATIENCE
         return rest
 
 
-class Waiting(Generic[L, A]):
+class FetchWaiters(Generic[L, A]):
     """Askers that wait here for a version: one on each link, the one that asked last."""
 
     def __init__(self) -> None:
-        self.held: dict[L, tuple[A, float]] = {}
+        self.waiters: dict[L, tuple[A, float]] = {}
 
     def add(self, now: float, link: L, asker: A) -> bool:
         """Whether there is room for it."""
-        if link not in self.held and len(self.held) >= MOST_WAITING:
-            self.held = {other: w for other, w in self.held.items() if now - w[1] < WAITS}
-            if len(self.held) >= MOST_WAITING:
+        if link not in self.waiters and len(self.waiters) >= MAX_WAITERS:
+            self.waiters = {other: w for other, w in self.waiters.items() if now - w[1] < WAITER_TIMEOUT}
+            if len(self.waiters) >= MAX_WAITERS:
                 return False
-        self.held[link] = asker, now
+        self.waiters[link] = asker, now
         return True
 
-    def take(self, now: float) -> list[tuple[L, A]]:
+    def take_all(self, now: float) -> list[tuple[L, A]]:
         """Those that wait still; nobody waits afterwards."""
-        held, self.held = self.held, {}
-        return [(link, asker) for link, (asker, since) in held.items() if now - since < WAITS]
+        held, self.waiters = self.waiters, {}
+        return [(link, asker) for link, (asker, since) in held.items() if now - since < WAITER_TIMEOUT]
 
     def drop(self, link: L) -> None:
-        self.held.pop(link, None)
+        self.waiters.pop(link, None)
--- a/zinclever/mesh/consensus/leader_calls.py
+++ b/zinclever/mesh/consensus/leader_calls.py
@@ -3,51 +3,56 @@
 from __future__ import annotations
 
 from ..transport.mesh_pb2 import ConsensusMessage
-from .messages import Kind, ReplicaRole, Reply
+from .messages import MessageKind, ReplicaRole, Reply
 from .replica_state import ReplicaState
 
+NOT_LEADER = b"does not lead"
+
 
 class LeaderCalls(ReplicaState):
     """Reads, and the rounds of confirmations that reads and refusals wait for."""
 
     def is_established(self) -> bool:
-        """Whether this member leads and has committed an entry under its own term: before that, what the leader before
-        it has acknowledged may be accepted here, but not committed yet."""
+        """Whether this replica leads and has committed an entry under its own term.
+
+        Before that, what the previous leader has acknowledged may be accepted here, but not committed yet.
+        """
         return self.role is ReplicaRole.LEADER and self.established_term == self.term
 
-    def get(self, now: float, call: int) -> None:
-        """Read the newest configuration."""
+    def read(self, now: float, call_id: int) -> None:
+        """Read the newest configuration. Without the lead the answer is 503."""
         if self.role is not ReplicaRole.LEADER:
-            self.out.append(Reply(call, 503, b"does not lead"))
+            self.actions.append(Reply(call_id, 503, NOT_LEADER))
             return
-        self.calls.read(now, call)
-        self.ask_for_confirmation(now)
+        self.calls.read(now, call_id)
+        self.request_confirmations(now)
         self.answer_confirmed()
 
-    def ask_for_confirmation(self, now: float) -> None:
-        """Ask the voters that have not confirmed the newest round that a call waits for: at once where it is new, and
-        again after a while, as questions and confirmations may be lost."""
+    def request_confirmations(self, now: float) -> None:
+        """Ask the voters that have not confirmed the newest round that a call waits for.
+
+        A new round is requested at once, and again after a while, as requests and confirmations may be lost.
+        """
         confirmations = self.calls.confirmations
         wanted = self.calls.unconfirmed_round()
         if not confirmations.is_due(wanted, now):
             return
-        confirmations.asked(wanted, now)
-        for voter in self.others():
+        confirmations.on_requested(wanted, now)
+        for voter in self.other_voters():
             if not confirmations.has_confirmed(voter.disk, wanted):
-                question = ConsensusMessage(
-                    kind=Kind.CONFIRM_LEADERSHIP, disk=self.me.disk, term=self.term, round=wanted, voter=self.me
-                )
-                self.send(voter, question)
+                request = self.message_with_voter(MessageKind.CONFIRM_LEADERSHIP, self.term)
+                request.round = wanted
+                self.send(voter, request)
 
     def on_confirm_leadership(self, m: ConsensusMessage) -> None:
-        """The leader of a term asks whether this member has promised itself to a higher one."""
-        granted = m.term >= self.vote.term and self.role is not ReplicaRole.CANDIDATE
-        confirmation = ConsensusMessage(
-            kind=Kind.LEADERSHIP_CONFIRMED, disk=self.me.disk, term=m.term, round=m.round, granted=granted
-        )
-        self.answer(m, confirmation)
+        """The leader of a term asks whether this replica has promised itself to a higher one."""
+        confirmation = self.message(MessageKind.LEADERSHIP_CONFIRMED, m.term)
+        confirmation.round = m.round
+        confirmation.granted = m.term >= self.vote.term and self.role is not ReplicaRole.CANDIDATE
+        self.respond(m, confirmation)
 
     def on_leadership_confirmed(self, m: ConsensusMessage) -> None:
+        """A voter confirms a round."""
         if self.role is ReplicaRole.LEADER and m.term == self.term and m.granted:
             self.calls.confirmations.record(m.disk, m.round)
             self.answer_confirmed()
@@ -55,5 +60,5 @@
     def answer_confirmed(self) -> None:
         """Answer what a majority has confirmed, once this leader knows what is committed."""
         if self.is_established():
-            own = {self.me.disk} if self.vote.term <= self.term else set()
+            own = {self.own_voter.disk} if self.vote.term <= self.term else set()
             self.calls.answer_confirmed(self.committed, own)
--- a/zinclever/mesh/consensus/messages.py
+++ b/zinclever/mesh/consensus/messages.py
@@ -1,16 +1,17 @@
-"""What members of the core send to each other and ask of what is round them; what they are doing."""
+"""Kinds of messages between replicas, roles, the actions that a replica asks for, and the calls that it answers."""
 
 from __future__ import annotations
 
 import enum
+from dataclasses import dataclass
 from typing import NamedTuple
 
 from ..transport.mesh_pb2 import ConsensusMessage, LogEntry, Voter
 from .quorum import VoterChange
 
 
-class Kind(enum.IntEnum):
-    """Messages between members."""
+class MessageKind(enum.IntEnum):
+    """Messages between replicas: ``kind`` of a :class:`ConsensusMessage`."""
 
     HEARTBEAT = 1
     VOTE_REQUEST = 2
@@ -19,40 +20,48 @@
     APPEND_REPLY = 5
     CONFIRM_LEADERSHIP = 6
     LEADERSHIP_CONFIRMED = 7
-    HAND_OVER = 8
+    TRANSFER_LEADERSHIP = 8
     LEAVE = 10
     LEAVE_REPLY = 11
-    TEXT_WANTED = 20
-    TEXT_BLOCKS = 21
+    BLOCK_REQUEST = 20
+    BLOCK_REPLY = 21
 
 
 class ReplicaRole(enum.Enum):
-    """What a member is doing."""
+    """What a replica is doing."""
 
-    LEARNER = "has no vote: founds the cluster, or waits to be let in"
+    LEARNER = "has no vote: founds the cluster, or waits to become a voter"
     FOLLOWER = "follows the leader"
     CANDIDATE = "asks the others for their votes"
     LEADER = "proposes entries and answers calls"
 
 
 class Vote(NamedTuple):
-    """The lowest term, and whose, that this member still takes part in."""
+    """The lowest term that a replica still takes part in, and the candidate that it voted for in that term."""
 
     term: int
-    disk: str
+    candidate: str
+    """Its disk; empty where the replica has not voted in that term."""
+
+
+# --- actions: what a replica asks its surroundings for ---
 
 
 class Send(NamedTuple):
+    """Send a message to another replica, or to the replica itself."""
+
     to: Voter
     message: ConsensusMessage
 
 
 class Persist(NamedTuple):
-    """Make durable: the vote, and the entry if there is one. Answered by :meth:`Replica.persisted`, in the order of
-    saves."""
+    """Make the vote durable, and the entry if there is one.
+
+    Answered by :meth:`.replica_state.ReplicaState.on_persisted`, in the order in which this was asked for.
+    """
 
     vote: Vote
-    accepted: LogEntry | None
+    entry: LogEntry | None
     token: int
 
 
@@ -65,49 +74,54 @@
 class Reply(NamedTuple):
     """The answer to a call: an HTTP status, and a text."""
 
-    call: int
+    call_id: int
     status: int
     text: bytes
 
 
-class VotersChanged(NamedTuple):
-    """The leader has committed a change of the voters under this number."""
+@dataclass(frozen=True, slots=True)
+class VotersChanged:
+    """The leader has committed a change of the voters at this index. For the log."""
 
-    number: int
+    index: int
     change: VoterChange
 
 
 Action = Send | Persist | Commit | Reply | VotersChanged
 
 
-class Proposal(NamedTuple):
-    """A change that an operator asks for: a checked configuration on top of version ``base``. ``at``: when the call
-    came, in s."""
+# --- calls of operators ---
 
-    call: int
-    at: float
+
+class ChangeCall(NamedTuple):
+    """A checked configuration that is to replace the one of generation ``base``."""
+
+    call_id: int
+    received_at: float
+    """In s."""
     base: int
     generation: int
     text: bytes
     digest: bytes
 
 
-class Judgement(NamedTuple):
-    """The answer to a change that needs no entry: an HTTP status, and a text."""
+class ReadCall(NamedTuple):
+    """A read of the configuration in force."""
 
-    status: int
-    text: bytes
+    call_id: int
+    received_at: float
+    """In s."""
 
 
-class Read(NamedTuple):
-    """An operator asks for the configuration in force. ``at``: when the call came, in s."""
+class UnconfirmedCall(NamedTuple):
+    """A call that is answered once a majority has confirmed this round, or a later one."""
 
-    call: int
-    at: float
+    call: ChangeCall | ReadCall
+    round: int
 
 
-class Unconfirmed(NamedTuple):
-    """A call that is answered once a majority has confirmed this round, or a later one."""
+class DirectAnswer(NamedTuple):
+    """The answer to a change that needs no log entry: an HTTP status, and a text."""
 
-    call: Proposal | Read
-    round: int
+    status: int
+    text: bytes
--- a/zinclever/mesh/consensus/quorum.py
+++ b/zinclever/mesh/consensus/quorum.py
@@ -1,12 +1,14 @@
-"""Voters: how many disks commit an entry, who is taken into the set and who goes out of it. Pure.
+"""Voters: how many disks commit an entry, who joins the set of voters and who leaves it. Pure.
 
-The set has a target size, :func:`target_size`. Silence alone never takes it below that: a voter goes out only for a
-newcomer that takes its place, or where there are more voters than the target."""
+The set has a target size, :func:`target_size`. Silence alone never takes it below that: a voter is removed only for a
+learner that takes its place, or where there are more voters than the target.
+"""
 
 from __future__ import annotations
 
 import enum
 import hashlib
+import math
 from collections import Counter
 from collections.abc import Collection, Iterable, Mapping, Sequence
 from dataclasses import dataclass
@@ -15,8 +17,8 @@
 from ..transport.mesh_pb2 import LogEntry, Voter
 
 UNHEARD_TIMEOUT = 0.8  # s unheard after which a voter is doubted: no voter is added beyond the target meanwhile
-VOTER_LOST_TIMEOUT = 2.0  # s unheard after which a newcomer takes a voter's place, or one beyond the target goes out
-EXTRA_VOTER_DELAY = 1.6  # s that a newcomer waits for a place to come free, before the voters are one more than needed
+VOTER_LOST_TIMEOUT = 2.0  # s unheard after which a learner takes a voter's place, or one beyond the target is removed
+EXTRA_VOTER_DELAY = 1.6  # s that a learner waits for a place to come free, before the voters are one more than needed
 
 
 class VoterChangeReason(enum.Enum):
@@ -41,8 +43,15 @@
     removed: Voter | None = None
 
 
-class Place(NamedTuple):
-    """Where a machine of the core stands."""
+class Learner(NamedTuple):
+    """A replica that has no vote yet, and since when it waits for one, in s."""
+
+    voter: Voter
+    since: float
+
+
+class Location(NamedTuple):
+    """Where a control node is."""
 
     zone: str
     region: str
@@ -56,105 +65,115 @@
     zones: int = 0
     regions: int = 0
 
-    def losses(self, core: Collection[Place]) -> int:
-        """Machines of the core that the voters have to bear the loss of. A zone or a region is lost with all its
-        machines; no more can be borne than leaves a majority of the core, whatever is asked for."""
-        zones = Counter(place.zone for place in core)
-        regions = Counter(place.region for place in core)
+    def tolerated_losses(self, control_nodes: Collection[Location]) -> int:
+        """Control nodes that the voters have to bear the loss of.
+
+        A zone or a region is lost with all its machines; no more can be borne than leaves a majority of the control
+        nodes, whatever is asked for.
+        """
+        zones = Counter(location.zone for location in control_nodes)
+        regions = Counter(location.region for location in control_nodes)
         at_once = max(
             sum(count for _, count in zones.most_common(self.zones)),
             sum(count for _, count in regions.most_common(self.regions)),
         )
-        return max(self.hosts, min(at_once, (len(core) - 1) // 2))
+        return max(self.hosts, min(at_once, (len(control_nodes) - 1) // 2))
 
 
 def disk_ids(voters: Iterable[Voter]) -> list[str]:
-    return [s.disk for s in voters]
+    """The identities of the voters' disks."""
+    return [voter.disk for voter in voters]
 
 
 def majority(count: int) -> int:
+    """The least number that is more than half of ``count``."""
     return count // 2 + 1
 
 
-def commit_quorum(count: int, losses: int) -> int:
-    """Disks of a set of voters that have to have an entry: a majority, and enough that ``losses`` disks lost leave
-    one."""
-    return min(count, max(majority(count), losses + 1))
+def commit_quorum(count: int, tolerated_losses: int) -> int:
+    """How many disks of ``count`` voters have to have an entry.
+
+    A majority, and enough that after the tolerated losses one of them is left.
+    """
+    return min(count, max(majority(count), tolerated_losses + 1))
 
 
-def has_commit_quorum(voters: Sequence[Voter], have: Collection[str], losses: int) -> bool:
-    """Whether these disks are enough of a set of voters."""
-    return sum(d in have for d in disk_ids(voters)) >= commit_quorum(len(voters), losses)
+def has_commit_quorum(voters: Sequence[Voter], holders: Collection[str], tolerated_losses: int) -> bool:
+    """Whether these disks are enough to commit an entry."""
+    return sum(disk in holders for disk in disk_ids(voters)) >= commit_quorum(len(voters), tolerated_losses)
 
 
-def has_majority(voters: Sequence[Voter], have: Collection[str]) -> bool:
-    """Whether these are a majority of a set of voters: they meet every set of disks that committed something in it."""
-    return sum(d in have for d in disk_ids(voters)) >= majority(len(voters))
+def has_majority(voters: Sequence[Voter], disks: Collection[str]) -> bool:
+    """Whether these are a majority of the voters: they meet every set of disks that committed something among them."""
+    return sum(disk in disks for disk in disk_ids(voters)) >= majority(len(voters))
 
 
 def digest(entry: LogEntry) -> int:
-    """Digest of a committed entry without its term: alike on all members that have it under its number."""
-    made = hashlib.blake2b(b"%d %d %d" % (entry.index, entry.generation, entry.founding_size), digest_size=8)
-    for part in (entry.text, *(d.encode() for d in disk_ids(entry.voters)), *(t.digest for t in entry.applied_calls)):
-        made.update(len(part).to_bytes(8, "big") + part)
-    return int.from_bytes(made.digest(), "big")
+    """The digest of a committed entry without its term: 64 bits, alike on all replicas that have it at its index."""
+    hashed = hashlib.blake2b(b"%d %d %d" % (entry.index, entry.generation, entry.founding_size), digest_size=8)
+    disks = (disk.encode() for disk in disk_ids(entry.voters))
+    calls = (call.digest for call in entry.applied_calls)
+    for part in (entry.text, *disks, *calls):
+        hashed.update(len(part).to_bytes(8, "big") + part)
+    return int.from_bytes(hashed.digest(), "big")
 
 
 def changes_voters(entry: LogEntry) -> bool:
-    """Whether this entry changes the voters: those before it still have a say until another entry follows."""
+    """Whether an entry changes the voters: those before it still have a say until another entry follows."""
     return bool(entry.previous_voters) and disk_ids(entry.previous_voters) != disk_ids(entry.voters)
 
 
-def target_size(founding_size: int, losses: int) -> int:
-    """The least size of the set: while ``losses`` of so many are gone, the rest are a majority."""
-    return max(1, founding_size, 2 * losses + 1)
+def target_size(founding_size: int, tolerated_losses: int) -> int:
+    """The least size of the set of voters: after the tolerated losses, the rest are a majority of it."""
+    return max(1, founding_size, 2 * tolerated_losses + 1)
 
 
 def next_voters(
     committed: LogEntry,
     leader: str,
-    newcomers: Mapping[str, tuple[Voter, float]],
-    heard_at: Mapping[str, float],
+    learners: Mapping[str, Learner],
+    last_heard: Mapping[str, float],
     now: float,
-    losses: int = 1,
+    tolerated_losses: int = 1,
     leaving: Collection[str] = (),
 ) -> VoterChange | None:
-    """The one step that is due, or None where the voters should stay as they are.
+    """The one change that is due, or None where the voters should stay as they are.
 
-    ``newcomers`` are learners that have the state, and since when they wait. Each takes the first of these that there
-    is: the place of its own machine's former disk, of a voter that leaves, of one that was not heard for long, a place
-    that is missing to the target, one more place. Then, above the target, a voter that leaves goes out, or one that was
-    not heard for long: whoever is gone, a smaller set needs fewer of the rest.
+    ``learners`` have the state already. Each takes the first of these that there is: the place of its own machine's
+    former disk, of a voter that leaves, of one that was not heard for long, a place that is missing to the target, one
+    more place. Then, above the target, a voter that leaves is removed, or one that was not heard for long: whoever is
+    gone, a smaller set needs fewer of the rest.
     """
     voters = list(committed.voters)
-    target = target_size(committed.founding_size, losses)
+    target = target_size(committed.founding_size, tolerated_losses)
 
-    def unheard(voter: Voter, span: float) -> bool:
-        return voter.disk != leader and now - heard_at.get(voter.disk, -1e9) > span
+    def is_unheard(voter: Voter, timeout: float) -> bool:
+        return voter.disk != leader and now - last_heard.get(voter.disk, -math.inf) > timeout
 
-    gone = next((v for v in voters if v.disk in leaving and v.disk != leader), None)
-    lost = next((v for v in voters if unheard(v, VOTER_LOST_TIMEOUT)), None)
-    for voter, since in sorted(newcomers.values(), key=lambda w: (w[1], w[0].disk)):
+    left = next((v for v in voters if v.disk in leaving and v.disk != leader), None)
+    lost = next((v for v in voters if is_unheard(v, VOTER_LOST_TIMEOUT)), None)
+    for voter, since in sorted(learners.values(), key=lambda learner: (learner.since, learner.voter.disk)):
         if voter.disk in disk_ids(voters) or voter.disk in leaving:
             continue
         former = next((v for v in voters if (v.ip, v.port) == (voter.ip, voter.port)), None)
         if former is not None:
-            return replaced(voters, former, voter, VoterChangeReason.NEW_DISK)
-        if gone is not None:
-            return replaced(voters, gone, voter, VoterChangeReason.REPLACES_LEAVING)
+            return replacement(voters, former, voter, VoterChangeReason.NEW_DISK)
+        if left is not None:
+            return replacement(voters, left, voter, VoterChangeReason.REPLACES_LEAVING)
         if lost is not None:
-            return replaced(voters, lost, voter, VoterChangeReason.REPLACES_LOST)
+            return replacement(voters, lost, voter, VoterChangeReason.REPLACES_LOST)
         if len(voters) < target:
             return VoterChange([*voters, voter], VoterChangeReason.BELOW_TARGET, added=voter)
-        doubted = any(unheard(v, UNHEARD_TIMEOUT) for v in voters)
-        if not doubted and now - since > EXTRA_VOTER_DELAY:
+        is_anybody_doubted = any(is_unheard(v, UNHEARD_TIMEOUT) for v in voters)
+        if not is_anybody_doubted and now - since > EXTRA_VOTER_DELAY:
             return VoterChange([*voters, voter], VoterChangeReason.JOINED, added=voter)
     if len(voters) > target:
-        out, reason = (gone, VoterChangeReason.LEFT) if gone is not None else (lost, VoterChangeReason.LOST)
-        if out is not None:
-            return VoterChange([v for v in voters if v.disk != out.disk], reason, removed=out)
+        removed, reason = (left, VoterChangeReason.LEFT) if left is not None else (lost, VoterChangeReason.LOST)
+        if removed is not None:
+            return VoterChange([v for v in voters if v.disk != removed.disk], reason, removed=removed)
     return None
 
 
-def replaced(voters: Sequence[Voter], old: Voter, new: Voter, reason: VoterChangeReason) -> VoterChange:
+def replacement(voters: Sequence[Voter], old: Voter, new: Voter, reason: VoterChangeReason) -> VoterChange:
+    """The change that puts a new voter in the place of an old one."""
     return VoterChange([new if v.disk == old.disk else v for v in voters], reason, added=new, removed=old)
--- a/zinclever/mesh/consensus/text_blocks.py
+++ b/zinclever/mesh/consensus/text_blocks.py
@@ -11,64 +11,71 @@
 import zlib
 
 ITEM_END = b'},"'  # what an item of a configuration's text ends with, and how the next one begins
-ITEM_KEPT = 2  # bytes of ITEM_END that belong to the item before
+ITEM_END_KEPT = 2  # bytes of ITEM_END that belong to the item before
 BOUNDARY_MASK = 63  # one item in 64 ends a block
-MOST_BLOCK = 16 << 10  # bytes of a block
-DIGEST = 16  # bytes
-MOST_MANIFEST = DIGEST << 16  # bytes
-MOST_TEXT = 24 << 20  # bytes: as in a frame of a link
-PACK_LEVEL = 1  # of zlib: the fastest
+MAX_BLOCK_BYTES = 16 << 10
+DIGEST_BYTES = 16
+MAX_MANIFEST_BYTES = DIGEST_BYTES << 16
+MAX_TEXT_BYTES = 24 << 20  # as in a frame of a connection
+COMPRESSION_LEVEL = 1  # of zlib: the fastest
 
 
-def digest_of(data: bytes, what: bytes) -> bytes:
-    """The name of a block or of a manifest, by ``what`` it is."""
-    return hashlib.blake2b(data, digest_size=DIGEST, person=what).digest()
+def digest_of(data: bytes, purpose: bytes) -> bytes:
+    """The digest of a block or of a manifest; those of the same bytes differ by purpose."""
+    return hashlib.blake2b(data, digest_size=DIGEST_BYTES, person=purpose).digest()
 
 
-def name_of_block(data: bytes) -> bytes:
+def block_name(data: bytes) -> bytes:
+    """The name of a block."""
     return digest_of(data, b"block")
 
 
-def name_of_manifest(manifest: bytes) -> bytes:
+def manifest_name(manifest: bytes) -> bytes:
+    """The name of a manifest, and of its text."""
     return digest_of(manifest, b"manifest")
 
 
-def cut(text: bytes) -> list[bytes]:
+def split_blocks(text: bytes) -> list[bytes]:
     """The blocks of a text, in order."""
     blocks: list[bytes] = []
-    start = at = 0
-    while (end := text.find(ITEM_END, at)) >= 0:
-        end += ITEM_KEPT
-        if zlib.crc32(text[at:end]) & BOUNDARY_MASK == 0 or end - start >= MOST_BLOCK:
-            blocks += slices(text[start:end])
-            start = end
-        at = end
-    if start < len(text):
-        blocks += slices(text[start:])
+    block_start = item_start = 0
+    while (item_end := text.find(ITEM_END, item_start)) >= 0:
+        item_end += ITEM_END_KEPT
+        is_boundary = zlib.crc32(text[item_start:item_end]) & BOUNDARY_MASK == 0
+        if is_boundary or item_end - block_start >= MAX_BLOCK_BYTES:
+            blocks += slices(text[block_start:item_end])
+            block_start = item_end
+        item_start = item_end
+    if block_start < len(text):
+        blocks += slices(text[block_start:])
     return blocks
 
 
 def slices(data: bytes) -> list[bytes]:
-    return [data[at : at + MOST_BLOCK] for at in range(0, len(data), MOST_BLOCK)]
+    """Data in pieces of at most :data:`MAX_BLOCK_BYTES`."""
+    return [data[start : start + MAX_BLOCK_BYTES] for start in range(0, len(data), MAX_BLOCK_BYTES)]
 
 
-def manifest_of(blocks: list[bytes]) -> bytes:
-    return b"".join(name_of_block(block) for block in blocks)
+def make_manifest(blocks: list[bytes]) -> bytes:
+    """The manifest of a text: the names of its blocks, in order."""
+    return b"".join(block_name(block) for block in blocks)
 
 
-def names_in(manifest: bytes) -> list[bytes]:
-    return [manifest[at : at + DIGEST] for at in range(0, len(manifest), DIGEST)]
+def block_names(manifest: bytes) -> list[bytes]:
+    """The names of the blocks of a text, in order."""
+    return [manifest[start : start + DIGEST_BYTES] for start in range(0, len(manifest), DIGEST_BYTES)]
 
 
-def pack(data: bytes) -> bytes:
-    return zlib.compress(data, PACK_LEVEL)
+def compress(data: bytes) -> bytes:
+    """Data compressed by zlib."""
+    return zlib.compress(data, COMPRESSION_LEVEL)
 
 
-def unpack(packed: bytes, most: int) -> bytes | None:
-    """What was packed; None where it is damaged or longer than ``most`` bytes."""
+def decompress(compressed: bytes, max_bytes: int) -> bytes | None:
+    """The data; None where it is damaged or longer than ``max_bytes``."""
     engine = zlib.decompressobj()
     try:
-        data = engine.decompress(packed, most)
+        data = engine.decompress(compressed, max_bytes)
     except zlib.error:
         return None
     return data if engine.eof else None
--- a/zinclever/mesh/consensus/text_store.py
+++ b/zinclever/mesh/consensus/text_store.py
@@ -1,21 +1,23 @@
-"""The texts that a member can hand out and build others from: the last few, as blocks that they share. Pure."""
+"""The texts that a replica can serve and build others from: the last few, as blocks that they share. Pure."""
 
 from __future__ import annotations
 
 import hashlib
 from collections import OrderedDict
 
-from .text_blocks import MOST_TEXT, cut, manifest_of, name_of_block, name_of_manifest, names_in
+from .text_blocks import MAX_TEXT_BYTES, block_name, block_names, make_manifest, manifest_name, split_blocks
 
-MOST_TEXTS = 64  # texts: in a storm of changes a follower still asks for one that others have followed ...
-KEPT_TEXTS = 48  # ... and so many stay when some have to go
-MOST_HELD = 32 << 20  # bytes of blocks from which on texts have to go: as many as follow each other share most blocks
-LEAST_TEXTS = 2  # texts that stay in any case: what is committed, and what is proposed
+MAX_TEXTS = 64  # in a storm of changes a follower still requests a text that others have followed ...
+TEXTS_AFTER_EVICTION = 48  # ... and so many stay when some are evicted
+MAX_HELD_BYTES = 32 << 20  # of blocks from which on texts are evicted: texts that follow each other share most blocks
+MIN_TEXTS = 2  # that stay in any case: the committed and the proposed one
 
 
 class TextStore:
-    """Holds at most :data:`MOST_TEXTS` texts, the least recently used goes first, and the blocks of one transfer under
-    way."""
+    """Holds at most :data:`MAX_TEXTS` texts, and the blocks of one transfer under way.
+
+    The least recently used texts are evicted first.
+    """
 
     def __init__(self) -> None:
         self.manifests: OrderedDict[bytes, bytes] = OrderedDict()
@@ -23,17 +25,17 @@
         self.names: dict[bytes, bytes] = {}
         """The names of the texts by the digests of the texts."""
         self.blocks: dict[bytes, bytes] = {}
-        self.held = 0
-        """Bytes of the blocks."""
+        self.held_bytes = 0
+        """Size of the blocks together."""
 
-    def hold(self, text: bytes) -> bytes:
-        """Keep a text; its name."""
+    def add(self, text: bytes) -> bytes:
+        """Hold a text; its name."""
         key = hashlib.blake2b(text, digest_size=16).digest()
         name = self.names.get(key)
         if name is None:
-            blocks = cut(text)
-            manifest = manifest_of(blocks)
-            name = self.names[key] = name_of_manifest(manifest)
+            blocks = split_blocks(text)
+            manifest = make_manifest(blocks)
+            name = self.names[key] = manifest_name(manifest)
             for block in blocks:
                 self.add_block(block)
             self.complete(name, manifest)
@@ -46,45 +48,45 @@
         if manifest is None:
             return None
         self.manifests.move_to_end(name)
-        return b"".join(self.blocks[block] for block in names_in(manifest))
+        return b"".join(self.blocks[block] for block in block_names(manifest))
 
-    def lacking(self, manifest: bytes) -> list[bytes]:
+    def missing_blocks(self, manifest: bytes) -> list[bytes]:
         """The names of the blocks that are still to come, each once."""
-        return [name for name in dict.fromkeys(names_in(manifest)) if name not in self.blocks]
+        return [name for name in dict.fromkeys(block_names(manifest)) if name not in self.blocks]
 
     def add_block(self, data: bytes) -> None:
-        """A block has come. What comes for transfers that are given up is bounded, too."""
-        name = name_of_block(data)
+        """Hold a block. What comes for transfers that are abandoned is bounded, too."""
+        name = block_name(data)
         if name in self.blocks:
             return
-        if self.held + len(data) > MOST_HELD + MOST_TEXT:
-            self.forget_unused()
+        if self.held_bytes + len(data) > MAX_HELD_BYTES + MAX_TEXT_BYTES:
+            self.drop_unused_blocks()
         self.blocks[name] = data
-        self.held += len(data)
+        self.held_bytes += len(data)
 
     def complete(self, name: bytes, manifest: bytes) -> None:
-        """All blocks of a text are here."""
+        """All blocks of a text are held."""
         self.manifests[name] = manifest
-        if len(self.manifests) > MOST_TEXTS:
-            self.forget_texts(KEPT_TEXTS)
-        while self.held > MOST_HELD and len(self.manifests) > LEAST_TEXTS:
-            self.forget_texts(max(len(self.manifests) // 2, LEAST_TEXTS))
-
-    def forget_texts(self, left: int) -> None:
-        """Let the least recently used go until so many are left."""
-        while len(self.manifests) > left:
+        if len(self.manifests) > MAX_TEXTS:
+            self.evict(TEXTS_AFTER_EVICTION)
+        while self.held_bytes > MAX_HELD_BYTES and len(self.manifests) > MIN_TEXTS:
+            self.evict(max(len(self.manifests) // 2, MIN_TEXTS))
+
+    def evict(self, remaining: int) -> None:
+        """Drop the least recently used texts until so many remain."""
+        while len(self.manifests) > remaining:
             self.manifests.popitem(last=False)
-        self.names = {key: known for key, known in self.names.items() if known in self.manifests}
-        self.forget_unused()
+        self.names = {key: name for key, name in self.names.items() if name in self.manifests}
+        self.drop_unused_blocks()
 
-    def forget_unused(self) -> None:
+    def drop_unused_blocks(self) -> None:
         """Drop the blocks of no text that is held."""
-        used = {block for manifest in self.manifests.values() for block in names_in(manifest)}
+        used = {block for manifest in self.manifests.values() for block in block_names(manifest)}
         self.blocks = {name: block for name, block in self.blocks.items() if name in used}
-        self.held = sum(len(block) for block in self.blocks.values())
+        self.held_bytes = sum(len(block) for block in self.blocks.values())
 
-    def handed_out(self, name: bytes) -> bytes | None:
-        """A block or manifest by its name."""
+    def find(self, name: bytes) -> bytes | None:
+        """A block or manifest by its name; None where it isn't held."""
         if name in self.manifests:
             self.manifests.move_to_end(name)
             return self.manifests[name]
--- a/zinclever/mesh/control_api/desk.py
+++ b/zinclever/mesh/control_api/desk.py
@@ -18,7 +18,7 @@
 from ...http1.desk import Desk
 from ...http1.heads import Answer, Rejected
 from ..errors import MeshError
-from .matchers import Tree
+from .matchers import Router
 
 log = logging.getLogger(__name__)
 
@@ -26,7 +26,7 @@
 class Call(NamedTuple):
     """A call as it came."""
 
-    captured: list[str]
+    path_parameters: list[str]
     headers: Mapping[str, str]
     """By lower-case name; of a repeated one the first."""
     body: bytes
@@ -42,63 +42,65 @@
 Handler = Callable[[Call], Answer | Awaitable[Answer]]
 
 
-def say(status: int, told: object = None, headers: bytes = b"") -> Answer:
+def json_answer(status: int, told: object = None, headers: bytes = b"") -> Answer:
     """An answer in JSON."""
     return Answer(status, b"Content-Type: application/json\r\n" + headers, orjson.dumps({} if told is None else told))
 
 
-def refuse(status: int, wrong: MeshError) -> Answer:
+def error_answer(status: int, wrong: MeshError) -> Answer:
     """An error as it is told to callers."""
-    return say(status, {"Error": {"Code": wrong.code, "Field": wrong.field, "Text": wrong.text}})
+    return json_answer(status, {"Error": {"Code": wrong.code, "Field": wrong.field, "Text": wrong.text}})
 
 
 class ControlApi(Desk):
     """Takes the calls of one listener."""
 
-    def __init__(self, descriptors: Descriptors, host: Host, tree: Tree[Handler]) -> None:
+    def __init__(self, descriptors: Descriptors, host: Host, router: Router[Handler]) -> None:
         super().__init__(descriptors)
-        self.host, self.tree = host, tree
+        self.host, self.router = host, router
         self.whole_only = True
-        self.number = 0
+        self.last_number = 0
         self.tasks: dict[str, asyncio.Task[None]] = {}
         self.counted = Replies()
 
     def read(self, method: str, target: str, headers: Headers, body: bytes | Body, waited: float) -> Incoming:
-        handler, captured, known = self.tree.find(method, target)
+        handler, captured, known = self.router.find(method, target)
         if handler is None:
             raise Rejected(405 if known else 404)
         assert isinstance(body, bytes)
         named: dict[str, str] = {}
         for name, value in headers:
             named.setdefault(name.decode("latin-1").lower(), value.decode("latin-1"))
-        self.number += 1
+        self.last_number += 1
         call = Call(captured, named, body)
-        return Incoming(str(self.number), 0, 0, "", 0.0, 0.0, False, (handler, call))
+        return Incoming(str(self.last_number), 0, 0, "", 0.0, 0.0, False, (handler, call))
 
     def take(self, told: Incoming, answer: Callable[[Final | Answer], None]) -> None:
         handler, call = told.payload
         try:
             made = handler(call)
         except MeshError as wrong:
-            answer(refuse(400, wrong))
+            answer(error_answer(400, wrong))
             return
         except Exception:
             log.exception("a call failed", extra={"code": "CALL_FAILED"})
-            answer(say(500))
+            answer(json_answer(500))
             return
         if isinstance(made, Answer):
             answer(made)
         else:
-            self.tasks[told.id] = asyncio.ensure_future(self.wait(told.id, made, answer))
+            self.tasks[told.id] = asyncio.ensure_future(self.answer_later(told.id, made, answer))
 
-    async def wait(self, number: str, made: Awaitable[Answer], answer: Callable[[Final | Answer], None]) -> None:
+    async def answer_later(
+        self, number: str, made: Awaitable[Answer], answer: Callable[[Final | Answer], None]
+    ) -> None:
         try:
             answer(await made)
         except MeshError as wrong:
-            answer(refuse(400, wrong))
+            answer(error_answer(400, wrong))
         except Exception:
             log.exception("a call failed", extra={"code": "CALL_FAILED"})
-            answer(say(500))
+            answer(json_answer(500))
         finally:
             self.tasks.pop(number, None)
 
--- a/zinclever/mesh/dataplane/egress.py
+++ b/zinclever/mesh/dataplane/egress.py
@@ -68,7 +68,7 @@
         self.returning.keep(configuration.routes)
         self.read_for = max(READ_FOR, configuration.header_timeout + SLACK)
         self.idle_for = max(SLACK, configuration.idle_timeout)
-        self.most_upload = int(min(configuration.max_body, MOST_PART * memory))
+        self.most_upload = int(min(configuration.max_body_bytes, MOST_PART * memory))
         self.room.limit = int(max(self.most_upload, MOST_PART * memory))
 
     def read(self, method: str, target: str, headers: Headers, body: bytes | Body, waited: float) -> Incoming:
@@ -87,7 +87,7 @@
         configuration = self.active.configuration
         if configuration is None or self.refusing:
             return answered(number, Answer(503, b"Retry-After: 0.2\r\n"))
-        route = configuration.find(host.decode("latin-1").lower().partition(":")[0], target.partition("?")[0])
+        route = configuration.find_route(host.decode("latin-1").lower().partition(":")[0], target.partition("?")[0])
         if route is None:
             self.counts["unknown"] += 1
             return answered(number, Answer(404))
@@ -120,8 +120,8 @@
             method not in ("GET", "HEAD") or bool(body),
             route.safe,
             int(route.priority),
-            now + max(0.0, route.aim - used),
-            route.attempts,
+            now + max(0.0, route.latency_target - used),
+            route.max_attempts,
             now,
             inner,
             used > 0.0 and not inner,
--- a/zinclever/mesh/dataplane/flights.py
+++ b/zinclever/mesh/dataplane/flights.py
@@ -100,16 +100,16 @@
     def klass(self, route: Route, deadline: float) -> int:
         """The class of a route's requests: routes that ask for the same are one, so that what is learnt stays through
         changes of names and places."""
-        kind = (route.safe, deadline, route.aim, route.priority)
+        kind = (route.safe, deadline, route.latency_target, route.priority)
         found = self.kinds.get(kind)
         if found is None:
             found = self.kinds[kind] = len(self.classes)
             told = i.RequestClass(
-                aim=1000.0 * min(route.aim, deadline),
+                aim=1000.0 * min(route.latency_target, deadline),
                 deadline=1000.0 * deadline,
                 repeat="idempotent" if route.safe else "at_most_once",
                 late_worth=LATE_WORTH,
-                name=f"{'safe' if route.safe else 'unsafe'} {route.aim:g}",
+                name=f"{'safe' if route.safe else 'unsafe'} {route.latency_target:g}",
             )
             self.classes.append(told)
             extend(self.ledger.balancer, told)
--- a/zinclever/mesh/model/explore.py
+++ b/zinclever/mesh/model/explore.py
@@ -15,7 +15,7 @@
 from dataclasses import replace
 from enum import Enum
 
-from ..consensus.messages import Commit, Kind, Persist, ReplicaRole, Reply, Send, Vote
+from ..consensus.messages import Commit, MessageKind, Persist, ReplicaRole, Reply, Send, Vote
 from ..consensus.replica import Replica
 from ..transport.mesh_pb2 import ConsensusMessage, LogEntry, Voter
 from .explored_state import Budget, State
@@ -55,11 +55,11 @@
         state.budget = budget or Budget()
         for o in orders:
             o.commit(10.0, first)
-            o.out.clear()
-            o.heard_at = {s.disk: 10.0 for s in voters if s.disk != o.me.disk}
-            o.leader, o.leader_heard_at = "d0", 10.0
+            o.actions.clear()
+            o.last_heard = {s.disk: 10.0 for s in voters if s.disk != o.own_voter.disk}
+            o.leader, o.leader_last_heard = "d0", 10.0
         orders[0].term = orders[0].established_term = 1
-        orders[0].become(ReplicaRole.LEADER, 10.0)
+        orders[0].change_role(ReplicaRole.LEADER, 10.0)
         self.start = state
         prepare: dict[Start, Callable[[State], None]] = {
             Start.ASKED: self.prepare_asked,
@@ -220,8 +220,8 @@
     def sync(self, state: State, n: int) -> None:
         """The oldest save of a member is on its disk."""
         act = state.persisting[n].pop(0)
-        state.disk_ids[n] = (act.vote, act.accepted if act.accepted is not None else state.disk_ids[n][1])
-        state.orders[n].persisted(state.now, act.token, True)
+        state.disk_ids[n] = (act.vote, act.entry if act.entry is not None else state.disk_ids[n][1])
+        state.orders[n].on_persisted(state.now, act.token, True)
         self.settle_down(state)
 
     def tick(self, state: State, n: int) -> None:
@@ -237,7 +237,7 @@
         for o in running:
             for other in running:
                 if other is not o:
-                    o.heard_at[other.me.disk] = state.now
+                    o.last_heard[other.own_voter.disk] = state.now
             o.ticked_at = o.voter_changes.ticked_at = state.now  # it has had turns all the while
             o.tick(state.now)
         self.settle_down(state)
@@ -252,11 +252,11 @@
 
     def ask_change(self, state: State, n: int, base: int, generation: int) -> None:
         call, text = self.begin(state, Call(0, math.inf, "put", generation, base)), text_of(generation, 0)
-        state.orders[n].put(state.now, call, base, generation, text, text)
+        state.orders[n].change(state.now, call, base, generation, text, text)
         self.settle_down(state)
 
     def ask_read(self, state: State, n: int) -> None:
-        state.orders[n].get(state.now, self.begin(state, Call(0, math.inf, "get", 0)))
+        state.orders[n].read(state.now, self.begin(state, Call(0, math.inf, "get", 0)))
         self.settle_down(state)
 
     def begin(self, state: State, call: Call) -> int:
@@ -268,10 +268,10 @@
     def answer(self, state: State, reply: Reply) -> None:
         told = {200: Told.DONE, 404: Told.DONE, 412: Told.STALE, 400: Told.NOT_ABOVE}.get(reply.status, Told.UNCLEAR)
         state.instant += 1
-        call = replace(state.history[reply.call], ended=state.instant, told=told)
+        call = replace(state.history[reply.call_id], ended=state.instant, told=told)
         if call.kind == "get" and reply.status == 200:
             call.generation, call.variant = version_of(reply.text)
-        state.history = (*state.history[: reply.call], call, *state.history[reply.call + 1 :])
+        state.history = (*state.history[: reply.call_id], call, *state.history[reply.call_id + 1 :])
 
     def settle_down(self, state: State) -> None:
         """Carry out what the members want: saves and messages wait for a move of their own."""
@@ -279,7 +279,7 @@
         while busy:
             busy = False
             for n, o in enumerate(state.orders):
-                acts, o.out = o.out, []
+                acts, o.actions = o.actions, []
                 for act in acts:
                     busy = True
                     if isinstance(act, Persist):
@@ -296,7 +296,7 @@
         to = next((k for k, s in enumerate(self.voters) if s.ip == act.to.ip), None)
         if to is None or to in state.off:
             return
-        if to == n or (act.message.kind == Kind.HEARTBEAT and to not in state.paused):
+        if to == n or (act.message.kind == MessageKind.HEARTBEAT and to not in state.paused):
             state.orders[to].receive(state.now, ConsensusMessage.FromString(data))
         elif (to, data) not in state.post:
             state.post.append((to, data))
--- a/zinclever/mesh/model/explore_voters.py
+++ b/zinclever/mesh/model/explore_voters.py
@@ -14,7 +14,7 @@
 from ..consensus.messages import ReplicaRole, Vote
 from ..consensus.quorum import VOTER_LOST_TIMEOUT, changes_voters, commit_quorum, disk_ids, majority, target_size
 from ..consensus.replica import Replica
-from ..consensus.voter_changes import STALL
+from ..consensus.voter_changes import STALL_THRESHOLD
 from ..transport.mesh_pb2 import LogEntry, Voter
 from .explore import Broken, Explorer
 from .explored_state import Budget, State
@@ -22,7 +22,8 @@
 
 LOSSES = 1  # disks that may be lost at once, of the fault model that is explored
 STANDBY = 3  # the machine that is no founder
-LONG_WAIT = VOTER_LOST_TIMEOUT + STALL  # s after which a silent voter counts as lost and a newcomer has waited enough
+LONG_WAIT = VOTER_LOST_TIMEOUT + STALL_THRESHOLD
+"""s after which a silent voter counts as lost and a newcomer has waited enough."""
 RECOVERY_STEP = 0.1  # s between two looks at whether a leader is there again
 RECOVERY_STEPS = 120
 """Steps within which a leader has to be there, once all that may come back is back."""
@@ -96,7 +97,7 @@
             self.calm(state)
             self.wait(state)
         self.calm(state)
-        assert state.orders[2].let_go, "the follower was not let go"
+        assert state.orders[2].released, "the follower was not let go"
 
     def prepare_leader_leaves(self, state: State) -> None:
         self.ask_change(state, 0, 1, 3)
@@ -192,7 +193,7 @@
             yield made
         if replica.leaving and replica.may_end(state.now):
             made = state.copy()
-            self.end(made, n, by_agreement=replica.let_go or not replica.is_voter())
+            self.end(made, n, by_agreement=replica.released or not replica.is_voter())
             yield made
         elif replica.leaving and state.budget.forced_ends:
             made = state.copy()
@@ -209,7 +210,7 @@
         """SIGTERM: the member asks to be let go with the heartbeats that it sends from now on."""
         replica = state.orders[n]
         replica.leave(state.now)
-        replica.heartbeat_at = -1e9
+        replica.heartbeat_sent_at = -1e9
         replica.tick(state.now)
         self.settle_down(state)
 
@@ -223,7 +224,9 @@
         state.paused.discard(n)
         state.resumed.discard(n)
         for _, other in self.running(state):
-            other.heard_at[state.names[n]] = state.now - STALL  # its silence is noticed with the next span of time
+            other.last_heard[state.names[n]] = (
+                state.now - STALL_THRESHOLD
+            )  # its silence is noticed with the next span of time
 
     def come_back(self, state: State, n: int) -> None:
         state.off.discard(n)
@@ -262,22 +265,22 @@
         state.now += LONG_WAIT
         state.resumed.clear()
         running = self.running(state)
-        leaders = {o.me.disk for _, o in running if o.role is ReplicaRole.LEADER}
+        leaders = {o.own_voter.disk for _, o in running if o.role is ReplicaRole.LEADER}
         for _, o in running:
             for _, other in running:
                 if other is not o:
-                    o.heard_at[other.me.disk] = state.now
-                    if other.me.disk in o.voter_changes.leaving:
-                        o.voter_changes.leaving[other.me.disk] = state.now
+                    o.last_heard[other.own_voter.disk] = state.now
+                    if other.own_voter.disk in o.voter_changes.leaving_since:
+                        o.voter_changes.leaving_since[other.own_voter.disk] = state.now
             if o.leader in leaders:
-                o.leader_heard_at = state.now
+                o.leader_last_heard = state.now
             o.ticked_at = o.voter_changes.ticked_at = state.now  # it has had turns all the while
         for _, o in running:
             o.tick(state.now)
         self.settle_down(state)
 
     def sync(self, state: State, n: int) -> None:
-        accepted = state.persisting[n][0].accepted
+        accepted = state.persisting[n][0].entry
         if accepted is not None:
             name = state.names[n]
             state.held[name] = max(accepted.index, state.held.get(name, 0))
@@ -369,7 +372,7 @@
     def end_and_bring_back(self, state: State) -> None:
         """Those that were let go end, as they do at once; whoever is needed comes back."""
         for n, replica in self.running(state):
-            if replica.let_go:
+            if replica.released:
                 self.end(state, n, by_agreement=True)
         voters = [] if state.newest is None else disk_ids(state.newest.voters)
         for n in sorted(state.off - state.destroyed):
--- a/zinclever/mesh/model/explored_state.py
+++ b/zinclever/mesh/model/explored_state.py
@@ -104,19 +104,19 @@
                 o.established_term,
                 o.leader,
                 sorted(o.votes),
-                sorted(o.have),
-                [(c.call, self.age(c.at)) for c in calls.waiting],
-                calls.current and (calls.current.call, self.age(calls.current.at)),
-                [(u.call.call, u.round, self.age(u.call.at)) for u in calls.unconfirmed],
+                sorted(o.acknowledged_by),
+                [(c.call_id, self.age(c.received_at)) for c in calls.queued_changes],
+                calls.proposed_change and (calls.proposed_change.call_id, self.age(calls.proposed_change.received_at)),
+                [(u.call.call_id, u.round, self.age(u.call.received_at)) for u in calls.unconfirmed],
                 sorted(calls.confirmations.confirmed.items()),
                 calls.confirmations.round,
                 d[0],
                 [
                     self.age(at)
-                    for at in (o.leader_heard_at, o.role_since, o.votes_requested_at, o.proposed_at, o.ticked_at)
+                    for at in (o.leader_last_heard, o.role_since, o.votes_requested_at, o.proposed_at, o.ticked_at)
                 ],
-                sorted((disk, self.age(at)) for disk, at in o.heard_at.items()),
-                [(a.vote, a.token - o.token) for a in s],
+                sorted((disk, self.age(at)) for disk, at in o.last_heard.items()),
+                [(a.vote, a.token - o.last_token) for a in s],
                 self.voter_changes_of(o),
             )
             made.update(repr(told).encode())
@@ -134,11 +134,11 @@
         known = replica.voter_changes
         return (
             replica.leaving,
-            replica.let_go,
-            sorted((disk, self.age(at)) for disk, at in known.leaving.items()),
-            sorted((disk, self.age(since)) for disk, (_, since) in known.newcomers.items()),
-            sorted(known.stored.items()),
+            replica.released,
+            sorted((disk, self.age(at)) for disk, at in known.leaving_since.items()),
+            sorted((disk, self.age(since)) for disk, (_, since) in known.learners.items()),
+            sorted(known.durable_index.items()),
             sorted((disk, self.age(at)) for disk, at in known.sent_at.items()),
             self.age(known.resumed_at),
-            sorted(replica.told.items()),
+            sorted(replica.reported.items()),
         )
--- a/zinclever/mesh/model/members.py
+++ b/zinclever/mesh/model/members.py
@@ -105,7 +105,7 @@
             accepted = LogEntry()
             accepted.CopyFrom(m.disk.accepted)
         m.replica = self.kind(voter, self.founders, m.bootstrap, self.losses, self.now, m.disk.vote, accepted)
-        m.replica.known = [(o, 1) for o in self.machines]
+        m.replica.known_addresses = [(o, 1) for o in self.machines]
         m.persisting = []
         m.paused, m.inbox = False, []
 
@@ -178,9 +178,9 @@
 
     def write(self, m: Machine, act: Persist) -> None:
         m.disk.vote = act.vote
-        if act.accepted is not None:
+        if act.entry is not None:
             m.disk.accepted = LogEntry()
-            m.disk.accepted.CopyFrom(act.accepted)
+            m.disk.accepted.CopyFrom(act.entry)
 
     # --- time ---
 
@@ -210,8 +210,8 @@
             act = m.persisting.pop(0)
             if ip not in self.full:
                 self.write(m, act)
-            m.replica.persisted(self.now, act.token, ip not in self.full)
-        m.replica.known = [(o, 1) for o in self.machines]
+            m.replica.on_persisted(self.now, act.token, ip not in self.full)
+        m.replica.known_addresses = [(o, 1) for o in self.machines]
         m.replica.tick(self.now)
         self.carry_out(m)
         if ip in self.ending and (m.replica.may_end(self.now) or self.now > self.ending[ip][0]):
@@ -219,8 +219,8 @@
 
     def carry_out(self, m: Machine) -> None:
         assert m.replica is not None
-        while m.replica.out:
-            acts, m.replica.out = m.replica.out, []
+        while m.replica.actions:
+            acts, m.replica.actions = m.replica.actions, []
             for act in acts:
                 if isinstance(act, Send):
                     self.send(m, act)
@@ -257,7 +257,7 @@
             return None
         call = self.begin(Call(self.now, math.inf, "put", generation, base, variant=variant))
         number, text = self.calls, text_of(generation, variant)
-        self.arrive(m, lambda replica: replica.put(self.now, number, base, generation, text, text))
+        self.arrive(m, lambda replica: replica.change(self.now, number, base, generation, text, text))
         return call
 
     def again(self, ip: str, call: Call) -> Call | None:
@@ -271,7 +271,7 @@
             return None
         call = self.begin(Call(self.now, math.inf, "get", 0))
         number = self.calls
-        self.arrive(m, lambda replica: replica.get(self.now, number))
+        self.arrive(m, lambda replica: replica.read(self.now, number))
         return call
 
     def begin(self, call: Call) -> Call:
@@ -289,7 +289,7 @@
         return call is not None and call.told is Told.DONE
 
     def answer(self, act: Reply) -> None:
-        call = self.asked.pop(act.call, None)
+        call = self.asked.pop(act.call_id, None)
         if call is None:
             return
         if self.answer_loss and self.rng.random() < self.answer_loss:
--- a/zinclever/mesh/model/slow_links.py
+++ b/zinclever/mesh/model/slow_links.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from ..consensus.messages import Kind, Reply, Send
+from ..consensus.messages import MessageKind, Reply, Send
 from ..consensus.replica import Replica
 from ..consensus.text_exchange import TextExchange
 from ..transport.mesh_pb2 import ConsensusMessage, LogEntry, Voter
@@ -79,7 +79,7 @@
         m = self.machines[ip]
         texts = TextExchange(Voter(disk=m.disk.name, name=ip, ip=ip, port=1))
         if m.disk.accepted is not None and m.disk.accepted.text:
-            texts.store.hold(m.disk.accepted.text)
+            texts.store.add(m.disk.accepted.text)
         self.texts[ip] = texts
 
     def speaks_texts(self, ip: str) -> bool:
@@ -105,9 +105,9 @@
         self.free_at[link] = begins + size / self.rate
         self.sent_bytes[link] = self.sent_bytes.get(link, 0) + size
         self.queued = max(self.queued, begins - self.now)
-        if message.kind == Kind.HEARTBEAT and not message.HasField("committed"):
+        if message.kind == MessageKind.HEARTBEAT and not message.HasField("committed"):
             self.heartbeat_late = max(self.heartbeat_late, self.free_at[link] - self.now)
-        self.snapshots += message.kind == Kind.HEARTBEAT and message.HasField("committed")
+        self.snapshots += message.kind == MessageKind.HEARTBEAT and message.HasField("committed")
         self.post.append((self.free_at[link] + self.delay, sender, send.to.ip, message))
 
     def run(self, span: float, step: float = 0.01) -> None:
@@ -139,7 +139,7 @@
 
     def carry_out(self, m: Machine) -> None:
         super().carry_out(m)
-        sends, self.texts[m.ip].out = self.texts[m.ip].out, []
+        sends, self.texts[m.ip].outbox = self.texts[m.ip].outbox, []
         for send in sends:
             self.put_on_link(m.ip, send)
 
@@ -153,13 +153,13 @@
         assert known == text, f"two entries are committed under number {entry.index}"
 
     def answer(self, act: Reply) -> None:
-        bound = self.promised.pop(act.call)
+        bound = self.promised.pop(act.call_id)
         if act.status != 200:
             return
         if not act.text:
             self.confirmed = max(self.confirmed, bound)
         elif int(act.text[len(b'{"Generation":') :].split(b",")[0]) < bound:
-            self.stale_reads.append((act.call, bound))
+            self.stale_reads.append((act.call_id, bound))
 
     # --- what tests do ---
 
@@ -179,7 +179,7 @@
         self.promised[self.calls] = self.generation
         text = config_text(size, self.generation, kind)
         digest = b"%016d" % self.generation
-        leader.put(self.now, self.calls, leader.committed.generation, self.generation, text, digest)
+        leader.change(self.now, self.calls, leader.committed.generation, self.generation, text, digest)
         self.carry_out(self.machines[leaders[0]])
         return self.generation
 
@@ -187,7 +187,7 @@
         """An operator's read at a member; what it is answered is judged in :meth:`answer`."""
         self.calls += 1
         self.promised[self.calls] = self.confirmed
-        self.replica(ip).get(self.now, self.calls)
+        self.replica(ip).read(self.now, self.calls)
         self.carry_out(self.machines[ip])
 
     def until_caught_up(self, ip: str, storm: int = 0, kind: int = 0, most: float = 60.0) -> float:
--- a/zinclever/mesh/operator_cli/commands.py
+++ b/zinclever/mesh/operator_cli/commands.py
@@ -1,15 +1,20 @@
-"""The operators' commands. Each takes the ``host:port`` at which control replicas take calls, and ends with 0, or
-with 1 where what was asked can't be had or was refused: one line says the code, the field and why."""
+"""The operators' commands.
+
+Each takes the ``host:port`` at which control nodes take calls, and ends with 0, or with 1 where what was asked can't be
+had or was refused: one line says the code, the field and why.
+"""
 
 from __future__ import annotations
 
 from pathlib import Path
+from typing import Any
 
-from ..configuration.document import read
-from ..consensus.store import read_folder
+from ..configuration.document import parse
+from ..consensus.replica_store import StoredState, read_folder
 from ..errors import MeshError
-from .asking import CHANGE_WITHIN, ask, must
-from .tables import show
+from ..transport.mesh_pb2 import LogEntry
+from .control_client import CHANGE_TIMEOUT, UNAVAILABLE, ControlRequest, call
+from .tables import print_json, show
 
 
 def who(*core: str, json: bool = False) -> int:
@@ -18,12 +23,19 @@
     :param core: addresses of control replicas, as host:port
     :param json: print JSON instead of a table
     """
-    told = must(*ask(list(core), "GET", "/v1/mesh/who")[:2])
+    answer = call(core, ControlRequest("GET", "/v1/mesh/who")).require()
     rows = [
-        (b["Name"], b["Standing"], b["Role"], b["Zone"], b["Address"], f"{b['By']}: {b['Why']}" if "Why" in b else "")
-        for b in told["Nodes"]
+        (
+            node["Name"],
+            node["Standing"],
+            node["Role"],
+            node["Zone"],
+            node["Address"],
+            f"{node['By']}: {node['Why']}" if "Why" in node else "",
+        )
+        for node in answer["Nodes"]
     ]
-    show(told, json, ("name", "standing", "role", "zone", "address", "said by"), rows)
+    show(answer, json, ("name", "state", "role", "zone", "address", "declared by"), rows)
     return 0
 
 
@@ -33,9 +45,10 @@
     :param core: addresses of control replicas, as host:port
     :param json: print JSON instead of a table
     """
-    told = must(*ask(list(core), "GET", "/v1/mesh/endpoints")[:2])
-    rows = [(e["Id"], e["Phase"], e["Target"], e["Keeper"], e["Address"], e["Capacity"]) for e in told["Endpoints"]]
-    show(told, json, ("endpoint", "phase", "service", "keeper", "address", "slots"), rows)
+    answer = call(core, ControlRequest("GET", "/v1/mesh/endpoints")).require()
+    keys = ("Id", "Phase", "Target", "Keeper", "Address", "Capacity")
+    rows = [[endpoint[key] for key in keys] for endpoint in answer["Endpoints"]]
+    show(answer, json, ("endpoint", "phase", "service", "sidecar", "address", "slots"), rows)
     return 0
 
 
@@ -45,16 +58,19 @@
     :param core: addresses of control replicas, as host:port
     :param json: print JSON instead of a table
     """
-    told = must(*ask(list(core), "GET", "/v1/mesh/view")[:2])
-    rows = [(s["Name"], s["Ip"], s["Disk"], "leader" if s["Disk"] == told["Leader"] else "") for s in told["Voters"]]
-    show(told, json, ("name", "ip", "disk", "role"), rows)
+    answer = call(core, ControlRequest("GET", "/v1/mesh/view")).require()
+    rows = [
+        (voter["Name"], voter["Ip"], voter["Disk"], "leader" if voter["Disk"] == answer["Leader"] else "")
+        for voter in answer["Voters"]
+    ]
+    show(answer, json, ("name", "ip", "disk", "role"), rows)
     if not json:
         print(
-            f"number {told['Number']}, configuration {told['Generation']}, term {told['Term']}, "
-            f"{told['By']} {told['Role'].lower()}"
+            f"number {answer['Number']}, configuration {answer['Generation']}, term {answer['Term']}, "
+            f"{answer['By']} {answer['Role'].lower()}"
         )
         for part in ("Disk", "Texts"):
-            counts = ", ".join(f"{name} {count}" for name, count in told.get(part, {}).items())
+            counts = ", ".join(f"{name} {count}" for name, count in answer.get(part, {}).items())
             print(f"{part.lower()}: {counts}")
     return 0
 
@@ -64,7 +80,7 @@
 
     :param core: addresses of control replicas, as host:port
     """
-    show(must(*ask(list(core), "GET", "/v1/config/read", within=CHANGE_WITHIN)[:2]), True)
+    print_json(call(core, ControlRequest("GET", "/v1/config/read", timeout=CHANGE_TIMEOUT)).require())
     return 0
 
 
@@ -73,7 +89,7 @@
 
     :param file: a configuration in JSON
     """
-    configuration = read(file.read_bytes())
+    configuration = parse(file.read_bytes())
     print(
         f"configuration {configuration.generation}: {len(configuration.routes)} routes, {len(configuration.services)} "
         "services"
@@ -89,13 +105,15 @@
     :param core: addresses of control replicas, as host:port
     """
     text = file.read_bytes()
-    read(text)
-    status, told, name = ask(
-        list(core), "POST", "/v1/config/replace", text, {"X-Base-Version": str(base)}, CHANGE_WITHIN
-    )
-    if status == 503:
-        raise MeshError("CONFIG_UNCLEAR", f"{name} gave no clear answer: it may be in force; ask again, unchanged")
-    print(f"in force: {must(status, told)['Generation']}")
+    parse(text)
+    headers = {"X-Base-Version": str(base)}
+    response = call(core, ControlRequest("POST", "/v1/config/replace", text, headers, CHANGE_TIMEOUT))
+    if response.status == UNAVAILABLE:
+        raise MeshError(
+            "CONFIG_UNCLEAR",
+            f"{response.answered_by} gave no clear answer: it may be in force; ask again, unchanged",
+        )
+    print(f"in force: {response.require()['Generation']}")
     return 0
 
 
@@ -106,9 +124,13 @@
     :param core: addresses of control replicas, as host:port
     :param json: print JSON instead of a table
     """
-    told = must(*ask(list(core), "GET", f"/v1/mesh/requests/{request_id}")[:2])
-    rows = [(r["By"], r["Status"], r["Target"], r["Ms"], t) for r in told["Requests"] for t in r["Tries"] or ["none"]]
-    show(told, json, ("sidecar", "status", "service", "ms", "try"), rows)
+    answer = call(core, ControlRequest("GET", f"/v1/mesh/requests/{request_id}")).require()
+    rows = [
+        (request["By"], request["Status"], request["Target"], request["Ms"], attempt)
+        for request in answer["Requests"]
+        for attempt in request["Tries"] or ["none"]
+    ]
+    show(answer, json, ("sidecar", "status", "service", "ms", "try"), rows)
     return 0
 
 
@@ -118,12 +140,29 @@
     :param folder: its StateDir
     :param json: print JSON instead of a table
     """
-    told = read_folder(folder)
-    rows = [(s["Name"], s["Ip"], s["Disk"], "this disk" if s["Disk"] == told["Disk"] else "") for s in told["Voters"]]
-    show(told, json, ("name", "ip", "disk", ""), rows)
+    state = read_folder(folder)
+    entry = state.entry if state.entry is not None else LogEntry()
+    rows = [
+        (voter.name, voter.ip, voter.disk, "this disk" if voter.disk == state.disk else "") for voter in entry.voters
+    ]
+    show(describe_disk(state, entry), json, ("name", "ip", "disk", ""), rows)
     if not json:
-        print(f"disk {told['Disk']}, vote {told['Vote']}, number {told['Number']}, configuration {told['Generation']}")
+        vote = f"{state.vote.term} {state.vote.candidate}"
+        print(f"disk {state.disk}, vote {vote}, number {entry.index}, configuration {entry.generation}")
     return 0
 
 
+def describe_disk(state: StoredState, entry: LogEntry) -> dict[str, Any]:
+    """What ``disk --json`` prints."""
+    return {
+        "Disk": state.disk,
+        "Vote": f"{state.vote.term} {state.vote.candidate}",
+        "Term": entry.term,
+        "Number": entry.index,
+        "Generation": entry.generation,
+        "Config": entry.text.decode(),
+        "Voters": [{"Disk": voter.disk, "Name": voter.name, "Ip": voter.ip} for voter in entry.voters],
+    }
+
+
 COMMANDS = (who, endpoints, view, config_get, config_check, config_put, explain, disk)
--- a/zinclever/mesh/operator_cli/tables.py
+++ b/zinclever/mesh/operator_cli/tables.py
@@ -4,21 +4,26 @@
 
 import sys
 from collections.abc import Iterable, Sequence
-from typing import Any
 
 import orjson
 
 
-def table(heads: Sequence[str], rows: Iterable[Sequence[Any]]) -> str:
-    """Columns as wide as their longest endpoint_info."""
-    endpoint_infos = [[str(h) for h in heads], *([str(c) for c in row] for row in rows)]
-    widths = [max(len(row[n]) for row in endpoint_infos) for n in range(len(heads))]
-    return "\n".join("  ".join(c.ljust(w) for c, w in zip(row, widths, strict=True)).rstrip() for row in endpoint_infos)
+def table(headings: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
+    """Columns as wide as their longest cell."""
+    cells = [list(headings), *([str(cell) for cell in row] for row in rows)]
+    widths = [max(len(row[column]) for row in cells) for column in range(len(headings))]
+    lines = ("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)) for row in cells)
+    return "\n".join(line.rstrip() for line in lines)
 
 
-def show(told: Any, json: bool, heads: Sequence[str] = (), rows: Iterable[Sequence[Any]] = ()) -> None:
-    """Print an answer the way it was asked for."""
+def show(answer: object, json: bool, headings: Sequence[str] = (), rows: Iterable[Sequence[object]] = ()) -> None:
+    """Print an answer as JSON, or as a table."""
     if json:
-        sys.stdout.write(orjson.dumps(told, option=orjson.OPT_INDENT_2 | orjson.OPT_SORT_KEYS).decode() + "\n")
+        print_json(answer)
     else:
-        print(table(heads, rows))
+        print(table(headings, rows))
+
+
+def print_json(answer: object) -> None:
+    """Print an answer as JSON, with sorted keys."""
+    sys.stdout.write(orjson.dumps(answer, option=orjson.OPT_INDENT_2 | orjson.OPT_SORT_KEYS).decode() + "\n")
--- a/zinclever/mesh/roles/consensus_links.py
+++ b/zinclever/mesh/roles/consensus_links.py
@@ -19,7 +19,7 @@
     def __init__(self, node: Node, me: Voter, kept: LogEntry | None) -> None:
         self.node, self.texts = node, TextExchange(me)
         if kept is not None and kept.text:
-            self.texts.store.hold(kept.text)  # after a restart only what has changed since is fetched
+            self.texts.store.add(kept.text)  # after a restart only what has changed since is fetched
 
     def send(self, send: Send) -> None:
         """A message of the replica to another member."""
@@ -37,7 +37,7 @@
         self.flush()
 
     def flush(self) -> None:
-        sends, self.texts.out = self.texts.out, []
+        sends, self.texts.outbox = self.texts.outbox, []
         for send in sends:
             self.put(send)
 
--- a/zinclever/mesh/roles/control.py
+++ b/zinclever/mesh/roles/control.py
@@ -5,17 +5,18 @@
 
 import asyncio
 import logging
+from dataclasses import asdict
 from pathlib import Path
 
 import orjson
 
 from ...http1.heads import Answer
 from ..consensus.messages import Action, Commit, Persist, Reply, Send, VotersChanged
-from ..consensus.quorum import Place
+from ..consensus.quorum import Location
 from ..consensus.replica import Replica
-from ..consensus.store import Store
-from ..control_api.desk import Call, ControlApi, Handler, refuse, say
-from ..control_api.matchers import Tree
+from ..consensus.replica_store import ReplicaStore
+from ..control_api.desk import Call, ControlApi, Handler, error_answer, json_answer
+from ..control_api.matchers import Router
 from ..errors import MeshError
 from ..membership.records import EndpointPhase, MemberState, RecordKind
 from ..transport.framed_connection import FramedConnection
@@ -41,7 +42,7 @@
         if boot.state is None:
             raise MeshError("BOOT_INVALID", "this role needs a disk", "boot.StateDir")
         self.boot = boot
-        self.store = Store(Path(boot.state))
+        self.store = ReplicaStore(Path(boot.state))
         self.store.load()
         self.node = Node(boot, CONTROL, self.store.disk)
         self.loop = self.node.loop
@@ -54,9 +55,9 @@
             boot.fault_model.hosts,
             self.loop.time(),
             self.store.vote,
-            self.store.change,
+            self.store.entry,
         )
-        self.links = ConsensusLinks(self.node, self.me, self.store.change)
+        self.links = ConsensusLinks(self.node, self.me, self.store.entry)
         self.known_role = self.replica.role
         self.endpoints = CoreEndpointApi(self.node, Announcer(self.node, boot.fault_model.hosts))
         self.operator_calls = OperatorCalls(self.node, self.replica, self.work)
@@ -68,7 +69,7 @@
         self.node.news.append(self.on_news)
 
     async def start(self) -> None:
-        tree: Tree[Handler] = Tree()
+        tree: Router[Handler] = Router()
         tree.add(f"POST {REPLACE_PATH}", self.operator_calls.on_replace)
         tree.add(f"GET {READ_PATH}", self.operator_calls.on_read)
         for prefix in ("/v1/mesh", "/v1/hive"):  # the second: as the version before called it
@@ -85,7 +86,7 @@
                 self.control_api.connection, *self.boot.bind["ControlPlane"], backlog=BACKLOG
             )
         self.turn()
-        self.store.look()
+        self.store.verify()
 
     def reload(self, boot: Boot) -> None:
         """Seeds of later days only say where others may be: the first view was founded by those of the start."""
@@ -142,8 +143,8 @@
             return
         self.working = True
         try:
-            while self.replica.out:
-                acts, self.replica.out = self.replica.out, []
+            while self.replica.actions:
+                acts, self.replica.actions = self.replica.actions, []
                 for act in acts:
                     self.carry_out(act)
         finally:
@@ -181,13 +182,13 @@
                 "added": f"{added.name} {added.disk}" if added is not None else "",
                 "removed": f"{removed.name} {removed.disk}" if removed is not None else "",
                 "voters": [v.name for v in act.change.voters],
-                "number": act.number,
+                "number": act.index,
                 "term": self.replica.term,
             },
         )
 
     def on_saved(self, token: int, good: bool) -> None:
-        self.replica.persisted(self.loop.time(), token, good)
+        self.replica.on_persisted(self.loop.time(), token, good)
         self.work()
 
     def on_news(self, record: Record) -> None:
@@ -197,9 +198,9 @@
                 NodeInfo.FromString(r.body) for r in self.node.gossip.records.of_kind(RecordKind.NODE) if r.rank < 2
             ]
             core = [n for n in nodes if n.role == CONTROL]
-            self.replica.known = [(n.ip, n.port) for n in core]
-            places = [Place(n.zone, self.boot.regions.get(n.zone, "")) for n in core]
-            self.replica.losses = self.boot.fault_model.losses(places)
+            self.replica.known_addresses = [(n.ip, n.port) for n in core]
+            places = [Location(n.zone, self.boot.regions.get(n.zone, "")) for n in core]
+            self.replica.tolerated_losses = self.boot.fault_model.tolerated_losses(places)
 
     # --- what operators look at: as this member knows it, nobody else is asked ---
 
@@ -220,7 +221,7 @@
                 told |= {"By": info.declared_by, "Why": info.reason}
             nodes.append(told)
         nodes.sort(key=lambda b: str(b["Name"]))
-        return say(200, {"By": self.node.name, "Nodes": nodes})
+        return json_answer(200, {"By": self.node.name, "Nodes": nodes})
 
     def on_endpoints(self, call: Call) -> Answer:
         found: list[dict[str, str | int]] = []
@@ -239,11 +240,11 @@
                 }
             )
         found.sort(key=lambda e: str(e["Id"]))
-        return say(200, {"By": self.node.name, "Endpoints": found})
+        return json_answer(200, {"By": self.node.name, "Endpoints": found})
 
     def on_view(self, call: Call) -> Answer:
         replica = self.replica
-        return say(
+        return json_answer(
             200,
             {
                 "By": self.node.name,
@@ -252,9 +253,9 @@
                 "Term": replica.vote.term,
                 "Number": replica.committed.index,
                 "Generation": replica.committed.generation,
-                "DiskRefuses": self.store.full,
-                "Disk": self.store.counts,
-                "Texts": self.links.texts.counts,
+                "DiskRefuses": self.store.refuses_writes,
+                "Disk": asdict(self.store.counters),
+                "Texts": asdict(self.links.texts.counters),
                 "Voters": [{"Disk": s.disk, "Name": s.name, "Ip": s.ip} for s in replica.voters()],
             },
         )
@@ -267,7 +268,7 @@
             for p in gossip.members.others()
             if (b := gossip.members.node_info(p)) and b.role == SIDECAR
         ]
-        ask = ControlCall(kind="explain", text=call.captured[0].encode())
+        ask = ControlCall(kind="explain", text=call.path_parameters[0].encode())
         answers = await asyncio.gather(*(hand_on(self.node, s, ask, EXPLAINED) for s in sidecars))
         found = [orjson.loads(text) for status, text in answers if status == 200]
         silent = sum(status == 503 for status, _ in answers)
@@ -275,5 +276,5 @@
             wrong = MeshError(
                 "REQUEST_UNKNOWN", f"none of {len(sidecars)} sidecars remembers it; {silent} didn't answer"
             )
-            return refuse(404, wrong)
-        return say(200, {"Requests": found, "Silent": silent})
+            return error_answer(404, wrong)
+        return json_answer(200, {"Requests": found, "Silent": silent})
--- a/zinclever/mesh/roles/endpoint_api.py
+++ b/zinclever/mesh/roles/endpoint_api.py
@@ -7,7 +7,7 @@
 
 from ...core.protocol import read_address
 from ...http1.heads import Answer
-from ..control_api.desk import Call, refuse, say
+from ..control_api.desk import Call, error_answer, json_answer
 from ..errors import MeshError
 from ..membership.receipt_quorum import ReceiptQuorum
 from ..membership.records import EndpointPhase, RecordKind
@@ -54,9 +54,9 @@
         """200 once enough others know that an endpoint drains or is gone; else 503, and the caller goes on to
         another process. What was confirmed before is confirmed at once."""
         if self.confirmed.get(record.id, EndpointPhase.READY) >= record.rank:
-            return say(200)
+            return json_answer(200)
         if self.under_way >= MOST_ANNOUNCED:
-            return refuse(503, MeshError("ENDPOINT_BUSY", "too many announcements are under way"))
+            return error_answer(503, MeshError("ENDPOINT_BUSY", "too many announcements are under way"))
         self.under_way += 1
         try:
             known = await self.announce(record)
@@ -67,11 +67,11 @@
                 "an endpoint's end is not acknowledged: too few others know",
                 extra={"code": "ENDPOINT_UNACKNOWLEDGED", "endpoint": record.id},
             )
-            return refuse(503, MeshError("ENDPOINT_UNACKNOWLEDGED", "too few others have said that they know"))
+            return error_answer(503, MeshError("ENDPOINT_UNACKNOWLEDGED", "too few others have said that they know"))
         while len(self.confirmed) >= MOST_CONFIRMED:
             del self.confirmed[next(iter(self.confirmed))]
         self.confirmed[record.id] = record.rank
-        return say(200)
+        return json_answer(200)
 
     async def announce(self, record: Record) -> bool:
         """Whether enough others have said in time that they know."""
@@ -113,11 +113,11 @@
             return await self.announcer.acknowledge(announcement(known, record))
         if changes(known, record):
             self.node.tell(record)
-        return say(200)
+        return json_answer(200)
 
     async def on_departure(self, call: Call) -> Answer:
-        known = self.node.gossip.records.get(RecordKind.ENDPOINT, call.captured[0])
-        return await self.announcer.acknowledge(announcement(known, departure(call.captured[0])))
+        known = self.node.gossip.records.get(RecordKind.ENDPOINT, call.path_parameters[0])
+        return await self.announcer.acknowledge(announcement(known, departure(call.path_parameters[0])))
 
     def keeper_of(self, address: str) -> str:
         """The sidecar on an endpoint's machine."""
--- a/zinclever/mesh/roles/endpoint_calls.py
+++ b/zinclever/mesh/roles/endpoint_calls.py
@@ -50,7 +50,7 @@
     rank = EndpointPhase.DRAINING if seen["Phase"] == "draining" else EndpointPhase.READY
     return Record(
         kind=RecordKind.ENDPOINT,
-        id=call.captured[0],
+        id=call.path_parameters[0],
         seq=seen["CallSeq"],
         rank=rank,
         body=endpoint_info.SerializeToString(),
--- a/zinclever/mesh/roles/handout.py
+++ b/zinclever/mesh/roles/handout.py
@@ -6,8 +6,8 @@
 import logging
 from collections.abc import Callable
 
-from ..configuration.active import ActiveConfiguration, unpack
-from ..configuration.handout import Inquiry, Waiting
+from ..configuration.active import ActiveConfiguration, decompress
+from ..configuration.handout import FetchScheduler, FetchWaiters
 from ..errors import MeshError
 from ..membership.gossip import Gossip
 from ..membership.records import CONFIG_RECORD_ID, RecordKind
@@ -31,8 +31,8 @@
         self.gossip, self.lines, self.active, self.tell = gossip, lines, active, tell
         self.loop = asyncio.get_running_loop()
         self.timer: asyncio.TimerHandle | None = None
-        self.inquiry = Inquiry()
-        self.waiting: Waiting[FramedConnection, Frame] = Waiting()
+        self.inquiry = FetchScheduler()
+        self.waiting: FetchWaiters[FramedConnection, Frame] = FetchWaiters()
         self.streams: dict[str, int] = {}
         """By peer, the stream of the fetch that is out to it."""
 
@@ -41,7 +41,7 @@
     def newer(self) -> Record | None:
         """The record of a version that is known of and not in force here."""
         record = self.gossip.records.get(RecordKind.VERSION, CONFIG_RECORD_ID)
-        return record if record is not None and record.incarnation > self.active.number else None
+        return record if record is not None and record.incarnation > self.active.index else None
 
     def look(self, teller: str = "") -> None:
         """Ask for the newest version, where it isn't in force here: who told of it, else any peer."""
@@ -49,13 +49,13 @@
         if record is None:
             if self.timer is not None:
                 self.timer.cancel()
-            for peer in self.inquiry.satisfied():
+            for peer in self.inquiry.finish():
                 self.end(peer)
             return
         peers = self.gossip.members.others()
-        chosen = self.inquiry.choose(self.loop.time(), teller, peers, self.gossip.rng.choice)
+        chosen = self.inquiry.next_peer(self.loop.time(), teller, peers, self.gossip.rng.choice)
         if chosen is not None:
-            self.look_in(self.inquiry.waits())
+            self.look_in(self.inquiry.next_delay())
             self.ask(chosen, record.incarnation)
         else:
             self.look_in(NOBODY)
@@ -80,7 +80,7 @@
             if stream:
                 self.lines.to(address).finish_call(stream)
             self.streams.pop(peer, None)
-            self.inquiry.answered(peer)
+            self.inquiry.on_answered(peer)
             brought = frame is not None and frame.fetch_reply.index >= number and self.take(frame.fetch_reply)
             self.look_in(0.0 if brought else AGAIN)
 
@@ -97,7 +97,7 @@
     def take(self, fetched: FetchReply) -> bool:
         """A configuration from a peer; whether it can be read."""
         try:
-            text = unpack(fetched.compressed) if fetched.compressed else fetched.text
+            text = decompress(fetched.compressed) if fetched.compressed else fetched.text
         except MeshError as wrong:
             log.error("a configuration can't be unpacked", extra={"code": wrong.code})
             return False
@@ -108,10 +108,10 @@
     def on_fetch(self, link: FramedConnection, frame: Frame) -> None:
         """A peer asks for a version: at once where it is in force here, else once it is; at once that there is none
         where too many wait."""
-        if self.active.number >= frame.fetch.index and self.active.text:
-            fetched = FetchReply(index=self.active.number, generation=self.active.generation)
+        if self.active.index >= frame.fetch.index and self.active.text:
+            fetched = FetchReply(index=self.active.index, generation=self.active.generation)
             if frame.fetch.accepts_compressed:
-                fetched.compressed = self.active.pack()
+                fetched.compressed = self.active.compressed()
             if not fetched.compressed:
                 fetched.text = self.active.text
             link.send(Frame(stream=frame.stream, fetch_reply=fetched))
@@ -124,7 +124,7 @@
         """A committed configuration has come here by whatever way: it holds from now on, and others may ask for it.
         False where it can't be read."""
         try:
-            if self.active.take(number, generation, text):
+            if self.active.apply(number, generation, text):
                 log.info(
                     "configuration in force",
                     extra={"code": "CONFIG_IN_FORCE", "number": number, "generation": generation},
@@ -134,6 +134,6 @@
             return False
         body = Version(index=number, generation=generation).SerializeToString()
         self.tell(Record(kind=RecordKind.VERSION, id=CONFIG_RECORD_ID, incarnation=number, body=body))
-        for link, frame in self.waiting.take(self.loop.time()):
+        for link, frame in self.waiting.take_all(self.loop.time()):
             self.on_fetch(link, frame)
         return True
--- a/zinclever/mesh/roles/operator_calls.py
+++ b/zinclever/mesh/roles/operator_calls.py
@@ -17,11 +17,11 @@
 import orjson
 
 from ...http1.heads import Answer
-from ..configuration.document import read
+from ..configuration.document import parse
 from ..consensus.client_calls import call_timeout
 from ..consensus.messages import ReplicaRole, Reply
 from ..consensus.replica import Replica
-from ..control_api.desk import Call, refuse, say
+from ..control_api.desk import Call, error_answer, json_answer
 from ..errors import MeshError
 from ..membership.records import RecordKind
 from ..transport.framed_connection import FramedConnection
@@ -64,7 +64,7 @@
 
     def answered(self, reply: Reply) -> None:
         """The replica answers a call."""
-        waiting = self.unanswered.pop(reply.call, None)
+        waiting = self.unanswered.pop(reply.call_id, None)
         if waiting is not None and not waiting.done():
             waiting.set_result(CallAnswer(reply.status, reply.text))
 
@@ -92,10 +92,12 @@
         """Have this member's replica answer."""
         now = self.loop.time()
         if ask.kind == GET:
-            return await self.ask(lambda n: self.replica.get(now, n))
-        configuration = read(ask.text, checked=True)  # by the member that took the call
+            return await self.ask(lambda n: self.replica.read(now, n))
+        configuration = parse(ask.text, is_checked=True)  # by the member that took the call
         digest = hashlib.blake2b(ask.text, digest_size=16).digest()
-        return await self.ask(lambda n: self.replica.put(now, n, ask.base, configuration.generation, ask.text, digest))
+        return await self.ask(
+            lambda n: self.replica.change(now, n, ask.base, configuration.generation, ask.text, digest)
+        )
 
     def address_of(self, voter: Voter) -> str:
         """Where a member takes calls, as host:port; empty where that isn't known."""
@@ -109,7 +111,7 @@
         if ask.kind != GET:
             return await hand_on(self.node, voter, ask, within)
         committed = self.replica.committed
-        asked = ControlCall(kind=GET, index=committed.index, digest=self.replica.digest)
+        asked = ControlCall(kind=GET, index=committed.index, digest=self.replica.committed_digest)
         reply = await hand_on_call(self.node, voter, asked, within)
         if reply.status == 307:
             address = self.address_of(voter)
@@ -139,7 +141,7 @@
         except MeshError as wrong:
             return ControlReply(status=400, text=str(wrong).encode())
         committed = self.replica.committed
-        held = (ask.index, ask.digest) == (committed.index, self.replica.digest)
+        held = (ask.index, ask.digest) == (committed.index, self.replica.committed_digest)
         if ask.kind == GET and status == 200 and held and text == committed.text:
             return ControlReply(status=200, unchanged=True)
         if ask.kind == GET and ask.digest and len(text) > LARGE:
@@ -150,18 +152,18 @@
         base = call.headers.get("x-base-version", "")
         if not base.isascii() or not base.isdecimal() or len(base) > MAX_VERSION_DIGITS:
             wrong = MeshError("BASE_MISSING", "must be the version that this one builds on", "X-Base-Version")
-            return refuse(400, wrong)
+            return error_answer(400, wrong)
         # In a thread: a large one takes a second, and this member's word is waited for ten times in that.
         large = len(call.body) > LARGE
-        configuration = await self.loop.run_in_executor(None, read, call.body) if large else read(call.body)
+        configuration = await self.loop.run_in_executor(None, parse, call.body) if large else parse(call.body)
         # As the text is kept: what is the same but for blanks and order is the same entry.
         text = orjson.dumps(orjson.loads(call.body), option=orjson.OPT_SORT_KEYS)
         status, why = await self.settle(ControlCall(kind=PUT, base=int(base), text=text))
         if status == 200:
-            return say(200, {"Generation": configuration.generation})
+            return json_answer(200, {"Generation": configuration.generation})
         if status == 307:
             return see_leader(why, REPLACE_PATH)
-        return refuse(
+        return error_answer(
             status,
             MeshError(
                 {412: "CONFIG_BASE", 400: "CONFIG_INVALID"}.get(status, "CONFIG_UNCLEAR"),
@@ -175,7 +177,7 @@
             return Answer(200, b"Content-Type: application/json\r\n", text)
         if status == 307:
             return see_leader(text, READ_PATH)
-        return refuse(status, MeshError("CONFIG_UNKNOWN", text.decode("utf-8", "replace")))
+        return error_answer(status, MeshError("CONFIG_UNKNOWN", text.decode("utf-8", "replace")))
 
 
 def see_leader(address: bytes, path: str) -> Answer:
--- a/zinclever/mesh/roles/own_endpoint.py
+++ b/zinclever/mesh/roles/own_endpoint.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable
 
 from ...http1.heads import Answer
-from ..control_api.desk import Call, say
+from ..control_api.desk import Call, json_answer
 from ..dataplane.keeper import Keeper
 from ..membership.records import DEPARTED_SEQ, EndpointPhase, RecordKind
 from ..transport.mesh_pb2 import EndpointInfo, Record
@@ -48,13 +48,13 @@
             self.hear_beat(record)
             return self.announcer.acknowledge(record)
         if known is not None and (is_final(known) or known.seq > record.seq):
-            return say(200)  # it leaves, or the beat is a late one
+            return json_answer(200)  # it leaves, or the beat is a late one
         if known is not None and known.rank >= EndpointPhase.GONE and max(known.seq, self.beat_seq) >= record.seq:
-            return say(200)  # said before it was taken for gone
+            return json_answer(200)  # said before it was taken for gone
         if changes(known, record):
             self.node.tell(record)
         self.hear_beat(record)
-        return say(200)
+        return json_answer(200)
 
     def hear_beat(self, record: Record) -> None:
         """An endpoint on this machine lives."""
@@ -82,7 +82,7 @@
             self.keeper.close()
 
     async def on_departure(self, call: Call) -> Answer:
-        endpoint = call.captured[0]
+        endpoint = call.path_parameters[0]
         if endpoint == self.keeper.endpoint:
             self.keeper.forget()
         known = self.node.gossip.records.get(RecordKind.ENDPOINT, endpoint)
--- a/zinclever/mesh/roles/sidecar.py
+++ b/zinclever/mesh/roles/sidecar.py
@@ -13,8 +13,8 @@
 from ...http1.desk import Desk
 from ...http1.heads import Answer
 from ..configuration.document import Configuration
-from ..control_api.desk import Call, ControlApi, Handler, say
-from ..control_api.matchers import Tree
+from ..control_api.desk import Call, ControlApi, Handler, json_answer
+from ..control_api.matchers import Router
 from ..dataplane.egress import Egress
 from ..dataplane.flights import Flight, Flights
 from ..dataplane.hop import WHOLE, HopWire
@@ -101,9 +101,9 @@
 
     async def start(self) -> None:
         boot = self.boot
-        ready: Tree[Handler] = Tree()
+        ready: Router[Handler] = Router()
         ready.add("GET /v1/ready", self.on_ready)
-        calls: Tree[Handler] = Tree()
+        calls: Router[Handler] = Router()
         calls.add("POST /v1/endpoints/{id}/heartbeat", self.endpoint.on_beat)
         calls.add("POST /v1/endpoints/{id}/departure", self.endpoint.on_departure)
         calls.add("GET /v1/ready", self.on_ready)
@@ -134,9 +134,9 @@
             self.told_ready = ready
             log.info(
                 "ready" if ready else "not ready",
-                extra={"code": "READY", "met": self.node.gossip.anti_entropy.joined, "number": self.node.active.number},
+                extra={"code": "READY", "met": self.node.gossip.anti_entropy.joined, "number": self.node.active.index},
             )
-        return say(200 if ready else 503)
+        return json_answer(200 if ready else 503)
 
     def reload(self, boot: Boot) -> None:
         self.node.reload(boot)
--- a/zinclever/mesh/storage/__init__.py
+++ b/zinclever/mesh/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable files that are whole or not there."""
+"""Durable files: sets of records that are whole or not there, whenever power is lost."""
--- /dev/null
+++ b/zinclever/mesh/storage/record_codec.py
@@ -0,0 +1,81 @@
+"""The encoding of records in a file: each has its own length and checksum, and is there twice. Pure.
+
+So a record that was half written is told from one that has been damaged since, a damaged copy is repaired from the
+other one, and a file can be read without its index, which is what ``dbm.dumb`` keeps least safe. Source:
+Protocol-Aware Recovery (Alagappan and others, 2018).
+"""
+
+from __future__ import annotations
+
+import hashlib
+from collections.abc import Iterable, Mapping
+from typing import NamedTuple
+
+MAGIC = b"WAX2"
+COPIES = 2
+BLOCK_BYTES = 512  # ``dbm.dumb`` begins each value at a multiple of this
+CHECKSUM_BYTES = 16
+NAME_LENGTH_BYTES = 2
+VALUE_LENGTH_BYTES = 8
+HEADER_BYTES = len(MAGIC) + NAME_LENGTH_BYTES + VALUE_LENGTH_BYTES + CHECKSUM_BYTES
+MAX_VALUE_BYTES = 1 << 32
+
+
+class StoredRecord(NamedTuple):
+    """One copy of a record."""
+
+    name: bytes
+    value: bytes
+
+
+def checksum(name: bytes, value: bytes) -> bytes:
+    """The checksum of a record: :data:`CHECKSUM_BYTES` bytes."""
+    hashed = hashlib.blake2b(len(name).to_bytes(NAME_LENGTH_BYTES, "big"), digest_size=CHECKSUM_BYTES)
+    hashed.update(name)
+    hashed.update(value)
+    return hashed.digest()
+
+
+def encode(records: Mapping[bytes, bytes]) -> dict[bytes, bytes]:
+    """The values of a file by their keys: each record as many times as there are copies."""
+    encoded = {name: encode_record(name, value) for name, value in records.items()}
+    return {b"%d %b" % (copy, name): value for copy in range(COPIES) for name, value in encoded.items()}
+
+
+def encode_record(name: bytes, value: bytes) -> bytes:
+    """One copy of a record."""
+    lengths = len(name).to_bytes(NAME_LENGTH_BYTES, "big") + len(value).to_bytes(VALUE_LENGTH_BYTES, "big")
+    return MAGIC + lengths + checksum(name, value) + name + value
+
+
+def decode(data: bytes, offset: int = 0) -> StoredRecord | None:
+    """The record that begins at an offset; None unless it is there whole and sound."""
+    if data[offset : offset + len(MAGIC)] != MAGIC or len(data) - offset < HEADER_BYTES:
+        return None
+    offset += len(MAGIC)
+    name_length = int.from_bytes(data[offset : offset + NAME_LENGTH_BYTES], "big")
+    offset += NAME_LENGTH_BYTES
+    value_length = int.from_bytes(data[offset : offset + VALUE_LENGTH_BYTES], "big")
+    offset += VALUE_LENGTH_BYTES
+    stored_checksum = data[offset : offset + CHECKSUM_BYTES]
+    offset += CHECKSUM_BYTES
+    if value_length > MAX_VALUE_BYTES or offset + name_length + value_length > len(data):
+        return None
+    name = data[offset : offset + name_length]
+    value = data[offset + name_length : offset + name_length + value_length]
+    return StoredRecord(name, value) if checksum(name, value) == stored_checksum else None
+
+
+def scan(data: bytes) -> list[StoredRecord]:
+    """Every sound record of a file, read without its index."""
+    decoded = (decode(data, offset) for offset in range(0, len(data), BLOCK_BYTES))
+    return [record for record in decoded if record is not None]
+
+
+def count_copies(records: Iterable[tuple[bytes, bytes]]) -> dict[bytes, dict[bytes, int]]:
+    """By name: the values that were found, and how many copies of each."""
+    counts: dict[bytes, dict[bytes, int]] = {}
+    for name, value in records:
+        copies = counts.setdefault(name, {})
+        copies[value] = copies.get(value, 0) + 1
+    return counts
