--- a/benchmarks/hollow.py
+++ b/benchmarks/hollow.py
@@ -23,10 +23,10 @@
 from zinclever.core.descriptors import Descriptors
 from zinclever.mesh.configuration.active import ActiveConfiguration
 from zinclever.mesh.consensus.messages import Send
-from zinclever.mesh.dataplane.flights import Flight
-from zinclever.mesh.dataplane.hop import HopWire
-from zinclever.mesh.dataplane.keeper import Keeper
+from zinclever.mesh.dataplane.forwarding import Forwarder
+from zinclever.mesh.dataplane.ingress import Ingress
 from zinclever.mesh.dataplane.retry_budget import RetryBudget
+from zinclever.mesh.dataplane.service_clients import ServiceClient
 from zinclever.mesh.membership.record_store import RecordStore
 from zinclever.mesh.membership.records import RecordKind
 from zinclever.mesh.model.field import Field
@@ -143,18 +143,18 @@
     return records
 
 
-def make_flight(count: int) -> Flight:
+def make_flight(count: int) -> ServiceClient:
     """The way to one service with so many endpoints, as a sidecar keeps it for its calls."""
     host, descriptors = System(), Descriptors(1000)
     budget = RetryBudget(0.2, 10.0, 0.0)
-    wire = HopWire(("127.0.0.1", 1), Keeper(host, descriptors), ChannelPool("me").to, budget, {})
-    flight = Flight("service", 0, 10, wire, budget, descriptors, host)
+    wire = Forwarder(("127.0.0.1", 1), Ingress(host, descriptors), ChannelPool("me").to, budget, {})
+    flight = ServiceClient("service", 0, 10, wire, budget, descriptors, host)
     listed = [i.Listed(f"i-{n:08x}", "ready", 9.0, n % 4) for n in range(count)]
-    flight.take([(entry, (f"10.0.{n >> 8}.{n & 255}", 7)) for n, entry in enumerate(listed)])
+    flight.set_endpoints([(entry, (f"10.0.{n >> 8}.{n & 255}", 7)) for n, entry in enumerate(listed)])
     return flight
 
 
-def make_services(count: int) -> list[Flight]:
+def make_services(count: int) -> list[ServiceClient]:
     """The ways to so many services of the usual size."""
     return [make_flight(SERVICE_SIZE) for _ in range(count)]
 
--- a/tests/mesh/cluster.py
+++ b/tests/mesh/cluster.py
@@ -14,8 +14,8 @@
 
 import uvloop
 
-from zinclever.mesh.roles import boot
-from zinclever.mesh.roles.control import ControlRole
+from zinclever.mesh.roles import node_settings
+from zinclever.mesh.roles.control import ControlNode
 from zinclever.mesh.roles.sidecar import Sidecar
 
 PATIENCE = 20.0  # s: far more than any wait here takes
@@ -131,7 +131,7 @@
         ]
         self.ids = itertools.count(1)
 
-    def boot(self, ip: str, role: str, **more: Any) -> boot.Boot:
+    def boot(self, ip: str, role: str, **more: Any) -> node_settings.NodeSettings:
         names = ("Egress", "Readiness", "ControlPlane") if role == "forager" else ("ControlPlane",)
         bind = {n: f"{ip}:{self.port + 2 + k}" for k, n in enumerate(names)}
         told = {
@@ -148,10 +148,10 @@
             "FaultModel": {"HostLosses": 0},
             "Bounds": ["RetryRatio=0.2", "RetryWindowS=10", "RetrySlack=60", "GraceS=1"],
         }
-        return boot.read(json.dumps({**told, **more}).encode())
+        return node_settings.parse(json.dumps({**told, **more}).encode())
 
     async def __aenter__(self) -> Mesh:
-        self.control = ControlRole(self.boot(self.core, "comb", StateDir=str(Path(self.folder.name) / "disk")))
+        self.control = ControlNode(self.boot(self.core, "comb", StateDir=str(Path(self.folder.name) / "disk")))
         await self.control.start()
         self.sidecars: list[Sidecar] = []
         for ip, app in zip(self.ips, self.apps, strict=True):
@@ -226,7 +226,7 @@
         assert status == 200, status
 
     def known(self, sidecar: Sidecar) -> int:
-        return sum(len(f.wire.places) for f in sidecar.flights.flights.values())
+        return sum(len(f.forwarder.addresses) for f in sidecar.clients.clients.values())
 
     def runs(self) -> int:
         return sum(len(a.seen) for a in self.apps)
--- a/tests/mesh/test_answers.py
+++ b/tests/mesh/test_answers.py
@@ -12,9 +12,9 @@
 from mesh.cluster import App, Mesh, good, run, until
 from mesh.test_attempts import SPEAKS, World
 from zinclever.core.descriptors import Descriptors
-from zinclever.mesh.dataplane.keeper import Keeper
+from zinclever.mesh.attempt_outcome import AttemptOutcome
+from zinclever.mesh.dataplane.ingress import Ingress
 from zinclever.mesh.transport.mesh_pb2 import ForwardReply, ForwardRequest, Frame
-from zinclever.mesh.verdict import Verdict
 from zinclever.system import System
 
 STEP = 1  # bytes between two cuts
@@ -94,7 +94,7 @@
                 caller = m.sidecars[1]
                 relay = Relay(m.ips[1], (m.ips[0], m.sidecars[0].node.port))
                 await relay.start()
-                wire = caller.flights.to("a").wire
+                wire = caller.clients.to("a").forwarder
                 wire.place(app.id, relay.address)
                 await m.ask(f"/a/{kind}/", "POST", at=1, body=BODY)
                 whole = dict(relay.passed)
@@ -103,7 +103,7 @@
                 for way, size in whole.items():
                     for cut in range(1, size, STEP):
                         relay.cut()
-                        await until(lambda: caller.node.line(relay.address).connection is None)
+                        await until(lambda: caller.node.channel_to(relay.address).connection is None)
                         wire.place(app.id, relay.address)
                         relay.limits = {way: cut}
                         name = f"{way}-{cut}"
@@ -147,7 +147,7 @@
                 caller = m.sidecars[1]
                 relay = Relay(m.ips[1], (m.ips[0], m.sidecars[0].node.port))
                 await relay.start()
-                caller.flights.to("a").wire.place(app.id, relay.address)
+                caller.clients.to("a").forwarder.place(app.id, relay.address)
                 await m.ask(f"/a/{kind}/", at=1)
                 relay.flows.clear()
                 names = [f"held-{n}" for n in range(20)]
@@ -183,10 +183,10 @@
         assert self.line.connection is not None
         self.link = self.line.connection
         self.world.ended = lambda *told, **more: self.told.append(told[0])  # type: ignore[method-assign]
-        self.world.hops[0].ended = self.world.ended
+        self.world.hops[0].on_ended = self.world.ended
         self.answer = Frame(
             stream=self.world.hops[0].stream,
-            forward_reply=ForwardReply(outcome=Verdict.RAN, status=200, sent_to_endpoint=True),
+            forward_reply=ForwardReply(outcome=AttemptOutcome.EXECUTED, status=200, sent_to_endpoint=True),
         )
 
     def test_a_second_answer_is_nobodys(self) -> None:
@@ -210,7 +210,7 @@
     def test_once_it_was_out_a_lost_link_is_no_proof(self) -> None:
         self.world.lose(0)
         self.assertEqual(self.told, ["reset"])
-        self.assertTrue(self.world.order.ran)
+        self.assertTrue(self.world.order.may_have_run)
 
 
 class Late(unittest.TestCase):
@@ -218,21 +218,22 @@
 
     def test_a_queued_request_whose_deadline_has_passed_is_not_begun(self) -> None:
         async def test() -> None:
-            keeper = Keeper(System(), Descriptors(100))
+            keeper = Ingress(System(), Descriptors(100))
             carried: list[Any] = []
             keeper.pools.carry = lambda endpoint, attempt: carried.append(attempt)  # type: ignore[method-assign]
             keeper.admit("e", ("127.0.0.1", 9), 1)
             told: list[ForwardReply] = []
             for name, left in (("first", 900), ("second", 40)):
                 load = ForwardRequest(endpoint="e", id=name, deadline_ms=left, latency_target_ms=2000, nested=True)
-                keeper.queue.mean = 0.01
-                keeper.offer(load, b"", told.append)
+                keeper.queue.mean_service_time = 0.01
+                keeper.submit(load, b"", told.append)
             self.assertEqual(len(carried), 1)
             time.sleep(0.06)  # the process stands still: no timer has run when the answer is read
             carried[0].end("reset")
             self.assertEqual(len(carried), 1)
             self.assertEqual(
-                [(t.outcome, t.sent_to_endpoint) for t in told], [(Verdict.MAYBE, True), (Verdict.NEVER, False)]
+                [(t.outcome, t.sent_to_endpoint) for t in told],
+                [(AttemptOutcome.UNKNOWN, True), (AttemptOutcome.NOT_EXECUTED, False)],
             )
             self.assertEqual(keeper.queue.busy, 0)
 
@@ -244,21 +245,21 @@
 
     def test_told_while_it_is_at_work(self) -> None:
         async def test() -> None:
-            keeper = Keeper(System(), Descriptors(100))
+            keeper = Ingress(System(), Descriptors(100))
             keeper.pools.carry = lambda endpoint, attempt: None  # type: ignore[method-assign]
             keeper.admit("e", ("127.0.0.1", 9), 4)
             first, again = (
-                keeper.offer(
+                keeper.submit(
                     ForwardRequest(endpoint="e", id="r", deadline_ms=900, retry=repeat), b"", lambda made: None
                 )
                 for repeat in (False, True)
             )
             assert first is not None and again is not None
-            self.assertTrue(keeper.repeats("r"))
+            self.assertTrue(keeper.is_running_retry("r"))
             keeper.cancel(again)
-            self.assertEqual((keeper.runs("r"), keeper.repeats("r")), (True, False))
+            self.assertEqual((keeper.is_running("r"), keeper.is_running_retry("r")), (True, False))
             keeper.cancel(first)
-            self.assertFalse(keeper.runs("r"))
+            self.assertFalse(keeper.is_running("r"))
             self.assertEqual(keeper.running, {})
 
         run(test)
--- a/tests/mesh/test_attempts.py
+++ b/tests/mesh/test_attempts.py
@@ -16,14 +16,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from zinclever.mesh.dataplane.attempts import AttemptCount
-from zinclever.mesh.dataplane.hop import Hop, HopWire, Order
-from zinclever.mesh.dataplane.keeper import Keeper
+from zinclever.mesh.attempt_outcome import AttemptOutcome
+from zinclever.mesh.dataplane.attempt_count import AttemptCount
+from zinclever.mesh.dataplane.forwarding import ForwardAttempt, Forwarder, OutboundRequest
+from zinclever.mesh.dataplane.ingress import Ingress
 from zinclever.mesh.dataplane.retry_budget import RetryBudget
 from zinclever.mesh.transport.channel import Channel
 from zinclever.mesh.transport.framed_connection import FramedConnection
 from zinclever.mesh.transport.mesh_pb2 import ForwardReply, ForwardRequest, Frame
-from zinclever.mesh.verdict import Verdict
 
 HERE = ("127.0.0.1", 1)
 THERE = (("127.0.0.2", 1), ("127.0.0.3", 1))
@@ -94,7 +94,7 @@
     def __init__(self, arrivals: list[Arrival]) -> None:
         self.arrivals = arrivals
 
-    def offer(self, load: ForwardRequest, body: bytes, answer: Callable[[ForwardReply], None]) -> Arrival:
+    def submit(self, load: ForwardRequest, body: bytes, answer: Callable[[ForwardReply], None]) -> Arrival:
         self.arrivals.append(Arrival(answer, 0, False))
         return self.arrivals[-1]
 
@@ -113,16 +113,18 @@
         self.arrivals: list[Arrival] = []
         self.links: list[ModelLink] = []
         self.streams: dict[tuple[ModelLink, int], Arrival] = {}
-        self.hops: list[Hop] = []
+        self.hops: list[ForwardAttempt] = []
         budget = RetryBudget(1.0, 10.0, 1000.0)
         with mock.patch.object(asyncio, "get_running_loop", return_value=self.loop):
             self.lines = {a: Channel(a, "me") for a in THERE}
-            keeper = cast(Keeper, ModelKeeper(self.arrivals))
-            self.wire = HopWire(HERE, keeper, self.lines.__getitem__, budget, dict.fromkeys(THERE, speaks))
+            keeper = cast(Ingress, ModelKeeper(self.arrivals))
+            self.wire = Forwarder(HERE, keeper, self.lines.__getitem__, budget, dict.fromkeys(THERE, speaks))
         for endpoint, address in ENDPOINTS.items():
             if address is not None:
                 self.wire.place(endpoint, address)
-        self.order = Order("s", "id", b"GET / HTTP/1.1\r\n", body, bool(body), True, 0, 1.0, limit, 0.0, False)
+        self.order = OutboundRequest(
+            "s", "id", b"GET / HTTP/1.1\r\n", body, bool(body), True, 0, 1.0, limit, 0.0, False
+        )
 
     def reached(self) -> int:
         return sum(a.begun for a in self.arrivals)
@@ -200,16 +202,18 @@
         arrival = waiting[n % len(waiting)]
         if arrival.begun:
             made = (
-                ForwardReply(outcome=Verdict.RAN, status=200, sent_to_endpoint=True),
-                ForwardReply(outcome=Verdict.FULL, status=503, sent_to_endpoint=True, reason="turned away"),
-                ForwardReply(outcome=Verdict.MAYBE, sent_to_endpoint=True),
-                ForwardReply(outcome=Verdict.RAN, status=500, sent_to_endpoint=True),
+                ForwardReply(outcome=AttemptOutcome.EXECUTED, status=200, sent_to_endpoint=True),
+                ForwardReply(
+                    outcome=AttemptOutcome.NO_CAPACITY, status=503, sent_to_endpoint=True, reason="turned away"
+                ),
+                ForwardReply(outcome=AttemptOutcome.UNKNOWN, sent_to_endpoint=True),
+                ForwardReply(outcome=AttemptOutcome.EXECUTED, status=500, sent_to_endpoint=True),
             )[choice]
             arrival.end(made)
         elif choice == 0:
-            arrival.end(ForwardReply(outcome=Verdict.FULL, reason="queue"))
+            arrival.end(ForwardReply(outcome=AttemptOutcome.NO_CAPACITY, reason="queue"))
         elif choice == 1:
-            arrival.end(ForwardReply(outcome=Verdict.NEVER, reason="draining"))
+            arrival.end(ForwardReply(outcome=AttemptOutcome.NOT_EXECUTED, reason="draining"))
         elif arrival.knocked:
             self.let_come(arrival)
         elif arrival.wanted <= 0:
@@ -322,11 +326,11 @@
         world.deliver(0)  # hello
         world.deliver(0)  # it knocks
         world.start(3)
-        self.assertIsNone(world.hops[1].line)  # not sent
+        self.assertIsNone(world.hops[1].channel)  # not sent
         world.let_come(world.arrivals[0])
         world.cancel(0)  # crosses the word that it may come
         world.start(3)
-        self.assertIsNotNone(world.hops[2].line)
+        self.assertIsNotNone(world.hops[2].channel)
         while world.lines[THERE[0]].connection.back:  # type: ignore[union-attr]
             world.answered(0)
         world.dialled(1)
@@ -360,21 +364,21 @@
         world.start(1)
         world.start(3)
         self.assertEqual(self.loads(world), [False, True])
-        self.assertEqual(world.wire.retry_budget.spent.total, 1)
+        self.assertEqual(world.wire.retry_budget.retries.total, 1)
 
     def test_a_call_of_a_repeat_counts_from_its_first_attempt(self) -> None:
         world = World(2, b"", SPEAKS)
-        world.order.repeat = True
+        world.order.is_retry = True
         world.start(1)
         self.assertEqual(self.loads(world), [True])
-        self.assertEqual(world.wire.retry_budget.spent.total, 1)
+        self.assertEqual(world.wire.retry_budget.retries.total, 1)
 
     def test_one_that_reached_nobody_does_not_count(self) -> None:
         world = World(2, b"", SPEAKS)
-        world.order.repeat = True
+        world.order.is_retry = True
         world.start(1)
         world.hops[0].cancel(False)
-        self.assertEqual(world.wire.retry_budget.spent.total, 0)
+        self.assertEqual(world.wire.retry_budget.retries.total, 0)
 
 
 class Count(unittest.TestCase):
--- a/tests/mesh/test_catch_up.py
+++ b/tests/mesh/test_catch_up.py
@@ -21,8 +21,8 @@
 from zinclever.mesh.membership.record_store import RecordStore
 from zinclever.mesh.membership.records import ENDED_RANK, RecordKind
 from zinclever.mesh.model.slow_links import MEGABIT, SlowWorld, config_text
-from zinclever.mesh.roles import boot
-from zinclever.mesh.roles.control import ControlRole
+from zinclever.mesh.roles import node_settings
+from zinclever.mesh.roles.control import ControlNode
 from zinclever.mesh.storage.generation_file import GenerationFile
 from zinclever.mesh.transport.mesh_pb2 import ControlCall, Record
 
@@ -249,7 +249,7 @@
         back = await members.start(away)
         await until(lambda: back.replica.committed.generation == 2)
         self.assertEqual(back.replica.committed.text, members.text(2))
-        counters = back.links.texts.counters
+        counters = back.replica_transport.texts.counters
         self.assertGreater(counters.finished, 0)
         self.assertLess(counters.blocks, 20)
         self.assertEqual(back.store.counters.unmarked, 0)
@@ -260,13 +260,13 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.controls: dict[int, ControlRole] = {}
+        self.controls: dict[int, ControlNode] = {}
         self.addresses = [f"127.88.{os.getpid() % 200}.{n + 1}" for n in range(3)]
         with socket.socket() as free:
             free.bind((self.addresses[0], 0))
             self.port = min(free.getsockname()[1], 65_000)
 
-    async def start(self, n: int) -> ControlRole:
+    async def start(self, n: int) -> ControlNode:
         settings = {
             "NodeName": f"core-{n}",
             "Role": "comb",
@@ -282,7 +282,7 @@
             "Bounds": [],
             "StateDir": str(self.folder / str(n)),
         }
-        control = self.controls[n] = ControlRole(boot.read(json.dumps(settings).encode()))
+        control = self.controls[n] = ControlNode(node_settings.parse(json.dumps(settings).encode()))
         await control.start()
         return control
 
@@ -296,7 +296,7 @@
         control.store.close()
         control.store.thread.shutdown(wait=True)
         control.replica.actions.clear()
-        control.turn = lambda: None  # type: ignore[method-assign]
+        control.run_tick = lambda: None  # type: ignore[method-assign]
 
     def text(self, generation: int) -> bytes:
         routes = [
@@ -312,7 +312,7 @@
         order = ControlCall(kind="put", base=base, text=self.text(generation))
         status, why = 503, b""
         while status == 503:
-            status, why = await random.choice(list(self.controls.values())).operator_calls.settle(order)
+            status, why = await random.choice(list(self.controls.values())).operator_calls.answer(order)
         assert status == 200, (status, why)
 
 
--- a/tests/mesh/test_configuration.py
+++ b/tests/mesh/test_configuration.py
@@ -11,9 +11,9 @@
 from mesh.cases import params
 from zinclever.mesh.configuration.active import ActiveConfiguration, decompress
 from zinclever.mesh.configuration.document import MAX_TEXT_BYTES, parse
-from zinclever.mesh.control_api.matchers import Router
+from zinclever.mesh.control_api.router import Router
 from zinclever.mesh.errors import MeshError
-from zinclever.mesh.roles import boot
+from zinclever.mesh.roles import node_settings
 
 CONFIG: dict[str, Any] = {
     "Generation": 7,
@@ -128,7 +128,7 @@
 
 class Boots(unittest.TestCase):
     def test_read(self) -> None:
-        told = boot.read(json.dumps(BOOT).encode())
+        told = node_settings.parse(json.dumps(BOOT).encode())
         self.assertEqual(dict(told.bounds), {"DrainS": 2.0, "Closed": 0.0, "RetryRatio": 0.2})
         self.assertEqual(told.seeds, (("127.0.0.2", 5),))
 
@@ -146,7 +146,7 @@
         if value is None:
             del made[field]
         with self.assertRaises(MeshError):
-            boot.read(json.dumps(made).encode())
+            node_settings.parse(json.dumps(made).encode())
 
 
 class Matchers(unittest.TestCase):
--- a/tests/mesh/test_configuration_handout.py
+++ b/tests/mesh/test_configuration_handout.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from mesh.cluster import Mesh, config, run, until
-from zinclever.mesh.configuration.handout import (
+from zinclever.mesh.configuration.fetching import (
     FETCH_TIMEOUT,
     INITIAL_PATIENCE,
     MAX_OPEN_FETCHES,
@@ -30,12 +30,12 @@
 
 def answer_late(node: Node) -> None:
     """Fetches at this process are answered after SLOW, as over a link of a few Mbit/s."""
-    answer = node.frames["fetch"]
+    answer = node.frame_handlers["fetch"]
 
     def late(link: FramedConnection, frame: Frame) -> None:
         node.loop.call_later(SLOW, answer, link, frame)
 
-    node.frames["fetch"] = late
+    node.frame_handlers["fetch"] = late
 
 
 class Sieve:
@@ -63,7 +63,7 @@
     for server in sidecar.servers:
         server.close()
     sidecar.node.gossip_socket.close()
-    sidecar.node.lines.close()
+    sidecar.node.channels.close()
     if sidecar.node.server is not None:
         sidecar.node.server.close()
     await asyncio.sleep(0.05)
@@ -132,14 +132,16 @@
             async with Mesh(["one"]) as m:
                 await m.serve()
                 active = m.control.node.active
-                line = m.sidecars[0].node.line((m.core, m.port + 1))
+                line = m.sidecars[0].node.channel_to((m.core, m.port + 1))
                 answers: list[Frame | None] = []
                 for _ in range(30):
                     line.call(Frame(fetch=Fetch(index=active.index + 1)), answers.append)
                 done: list[Frame | None] = []
                 line.call(Frame(fetch=Fetch(index=1)), done.append)
                 await until(lambda: done)  # so all the others have come, too
-                m.control.node.in_force(active.index + 1, 2, active.text.replace(b'"Generation":1', b'"Generation":2'))
+                m.control.node.put_in_force(
+                    active.index + 1, 2, active.text.replace(b'"Generation":1', b'"Generation":2')
+                )
                 done.clear()
                 line.call(Frame(fetch=Fetch(index=1)), done.append)
                 await until(lambda: done)
@@ -152,8 +154,8 @@
             async with Mesh(["one"]) as m:
                 await m.serve()
                 link = mock.create_autospec(FramedConnection, instance=True)
-                with mock.patch.object(m.control.node.handout.waiting, "add", return_value=False):
-                    m.control.node.handout.on_fetch(link, Frame(stream=9, fetch=Fetch(index=99)))
+                with mock.patch.object(m.control.node.distributor.waiters, "add", return_value=False):
+                    m.control.node.distributor.on_fetch(link, Frame(stream=9, fetch=Fetch(index=99)))
                 (sent,) = link.send.call_args.args
                 self.assertEqual((sent.stream, sent.fetch_reply.index), (9, 0))
 
@@ -189,7 +191,7 @@
                 await m.serve()
                 core = m.control.node
                 lose(core, set(m.ips))
-                core.frames["fetch"] = lambda link, frame: None
+                core.frame_handlers["fetch"] = lambda link, frame: None
                 lose(m.sidecars[0].node, {m.core})
                 self.assertEqual((await m.put(config("one", "two", generation=2), 1))[0], 200)
                 await end(m.sidecars[1])
@@ -199,7 +201,7 @@
                 await until(lambda: new.ready())
                 self.assertEqual([f.node.active.generation for f in m.sidecars], [1, 1])
                 self.assertEqual((await m.ask("/one/safe/x", at=1))[0], 200)
-                core.frames["fetch"] = core.handout.on_fetch
+                core.frame_handlers["fetch"] = core.distributor.on_fetch
                 for node in (core, *(f.node for f in m.sidecars)):
                     cast(Sieve, node.gossip_socket.transport).ips.clear()
                 began = m.control.loop.time()
@@ -221,7 +223,7 @@
                 await until(lambda: all(f.node.active.generation == 2 for f in m.sidecars))
                 node = m.sidecars[0].node
                 record = node.gossip.records.get(RecordKind.VERSION, "config")
-                node.in_force(number, 1, old)
+                node.put_in_force(number, 1, old)
                 self.assertEqual(node.active.generation, 2)
                 self.assertEqual(node.gossip.records.get(RecordKind.VERSION, "config"), record)
 
--- a/tests/mesh/test_dataplane.py
+++ b/tests/mesh/test_dataplane.py
@@ -6,16 +6,16 @@
 import unittest
 
 from mesh.cases import params
-from zinclever.mesh.dataplane.queue import Queue, Waiting
-from zinclever.mesh.dataplane.retry_budget import PART, RetryBudget
-from zinclever.mesh.dataplane.returning import Returning
-from zinclever.mesh.verdict import Verdict
+from zinclever.mesh.attempt_outcome import AttemptOutcome
+from zinclever.mesh.dataplane.retry_budget import RATIO_SHARE, RetryBudget
+from zinclever.mesh.dataplane.retry_detector import RetryDetector
+from zinclever.mesh.dataplane.slot_queue import QueueEntry, SlotQueue
 
 
 def waiting(
     since: float = 0.0, aim: float = 0.6, left: float = 1.5, priority: int = 1, inner: bool = False, copy: bool = False
-) -> Waiting:
-    return Waiting(since, left, aim, priority, inner, copy)
+) -> QueueEntry:
+    return QueueEntry(since, left, aim, priority, inner, copy)
 
 
 class Turns(unittest.TestCase):
@@ -30,15 +30,15 @@
         ("a higher rank passes those that wait", 4, 8, {"priority": 0}, True),
     )
     def test_admits(self, name: str, busy: int, queued: int, told: dict[str, bool], want: bool) -> None:
-        q = Queue(4)
-        q.learn(0.1)
+        q = SlotQueue(4)
+        q.record_service_time(0.1)
         q.busy = busy
         for _ in range(queued):
             q.add(waiting())
         self.assertEqual(q.admits(0.0, waiting(**told)), want, name)
 
     def test_order_of_turns(self) -> None:
-        q = Queue(1)
+        q = SlotQueue(1)
         late, low, high, inner = (
             waiting(-1.0),
             waiting(0.1, priority=2),
@@ -50,28 +50,28 @@
         seen = []
         while (turn := q.next(0.4)) is not None:
             seen.append(turn)
-            q.left(turn)
+            q.release_slot(turn)
         self.assertEqual(seen, [inner, high, low, late])
 
     def test_never_more_than_its_slots(self) -> None:
-        q, rng, out = Queue(6), random.Random(3), []
+        q, rng, out = SlotQueue(6), random.Random(3), []
         for n in range(2000):
             q.add(waiting(n * 0.01))
             while (turn := q.next(n * 0.01)) is not None:
                 out.append(turn)
             self.assertLessEqual(q.busy, 6)
             if out and rng.random() < 0.5:
-                q.left(out.pop())
+                q.release_slot(out.pop())
             if q.waiting and rng.random() < 0.5:
-                q.drop(rng.choice(q.waiting))
+                q.remove(rng.choice(q.waiting))
 
 
 class Returned(unittest.TestCase):
     """Further tries are told from first ones by what is left of their clients' time."""
 
     def told(self, times: list[float], step: float = 0.1) -> list[float]:
-        made = Returning()
-        return [round(made.used(n * step, "r", t), 3) for n, t in enumerate(times)]
+        made = RetryDetector()
+        return [round(made.time_used(n * step, "r", t), 3) for n, t in enumerate(times)]
 
     @params(
         ("first tries alone", [1.5, 1.499, 1.5], [0.0, 0.0, 0.0]),
@@ -92,10 +92,10 @@
         self.assertEqual(self.told([1.5] * 50 + [0.8] * 600)[-1], 0.0)
 
     def test_only_what_there_is_is_kept(self) -> None:
-        made = Returning()
+        made = RetryDetector()
         for n in range(100):
-            made.used(0.0, f"r{n}", 1.0)
-        made.keep({"r5"})
+            made.time_used(0.0, f"r{n}", 1.0)
+        made.keep_only({"r5"})
         self.assertEqual(list(made.routes), ["r5"])
 
 
@@ -121,11 +121,11 @@
                 parts[rng.randrange(sidecars)] = made = RetryBudget(self.RATIO, self.WINDOW, self.SLACK)
                 made.sidecars = sidecars
             part = parts[int(rng.random() ** 2 * sidecars)]
-            part.ask(now)
+            part.on_request(now)
             asked.append(now)
             for _ in range(3):  # everything is tried again, as often as it may
-                if part.may(now):
-                    part.spend(now)
+                if part.allows_retry(now):
+                    part.charge(now)
                     further.append(now)
         self.assertGreater(len(further), 0.05 * len(asked))
         for n in range(0, 500):
@@ -138,32 +138,37 @@
     def test_what_reached_nobody_is_given_back(self) -> None:
         part = RetryBudget(0.2, 10.0, 0.0)
         for n in range(100):
-            part.ask(n * 0.01)
-        while part.may(1.0):
-            spent = part.spend(1.0)
+            part.on_request(n * 0.01)
+        while part.allows_retry(1.0):
+            spent = part.charge(1.0)
         part.refund(1.0, spent)
-        self.assertTrue(part.may(1.0))
-        part.spend(1.0)
+        self.assertTrue(part.allows_retry(1.0))
+        part.charge(1.0)
         part.refund(1.0, spent)  # the same one again
-        self.assertFalse(part.may(1.0))
+        self.assertFalse(part.allows_retry(1.0))
 
     def test_a_refund_lowers_no_window_that_does_not_hold_the_try(self) -> None:
         part = RetryBudget(0.2, 10.0, 0.0)
         for n in range(400):
-            part.ask(n * 0.1)
-        early = part.spend(20.0)
+            part.on_request(n * 0.1)
+        early = part.charge(20.0)
         part.refund(39.9, early)  # its window is over
         spent = 0
-        while part.may(39.9):
-            part.spend(39.9)
+        while part.allows_retry(39.9):
+            part.charge(39.9)
             spent += 1
-        self.assertEqual(spent, int(PART * 0.2 * part.asked.look(39.9)))
+        self.assertEqual(spent, int(RATIO_SHARE * 0.2 * part.requests.value(39.9)))
 
 
 class Verdicts(unittest.TestCase):
-    @params((Verdict.NEVER, True), (Verdict.FULL, True), (Verdict.MAYBE, False), (Verdict.RAN, False))
-    def test_what_proves_that_nothing_ran(self, verdict: Verdict, want: bool) -> None:
-        self.assertEqual(verdict.proves_not_run, want)
+    @params(
+        (AttemptOutcome.NOT_EXECUTED, True),
+        (AttemptOutcome.NO_CAPACITY, True),
+        (AttemptOutcome.UNKNOWN, False),
+        (AttemptOutcome.EXECUTED, False),
+    )
+    def test_what_proves_that_nothing_ran(self, verdict: AttemptOutcome, want: bool) -> None:
+        self.assertEqual(verdict.proves_not_executed, want)
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_endpoint_calls.py
+++ b/tests/mesh/test_endpoint_calls.py
@@ -13,7 +13,7 @@
 from zinclever.mesh.membership.records import DEPARTED_SEQ, EndpointPhase, RecordKind
 from zinclever.mesh.model.field import endpoint
 from zinclever.mesh.roles import endpoint_api
-from zinclever.mesh.roles.endpoint_calls import announcement, changes
+from zinclever.mesh.roles.heartbeats import is_news, superseding_record
 from zinclever.mesh.roles.node import Node
 from zinclever.mesh.roles.sidecar import Sidecar
 from zinclever.mesh.transport.mesh_pb2 import Record
@@ -23,7 +23,7 @@
 def cut_off(*nodes: Node) -> Iterator[None]:
     """None of their datagrams reaches anybody; receipts are waited for less long, so that the test is short."""
     with ExitStack() as stack:
-        stack.enter_context(mock.patch.object(endpoint_api, "ACKNOWLEDGED_WITHIN", 0.15))
+        stack.enter_context(mock.patch.object(endpoint_api, "ACKNOWLEDGE_TIMEOUT", 0.15))
         for node in nodes:
             stack.enter_context(mock.patch.object(node.gossip_socket, "transport", None))
         yield
@@ -61,7 +61,7 @@
                 with cut_off(m.control.node):
                     self.assertEqual([await say(), await say()], [503, 503])
                 self.assertEqual(await say(), 200)
-                self.assertFalse(m.sidecars[0].keeper.open)
+                self.assertFalse(m.sidecars[0].ingress.is_open)
 
         run(test)
 
@@ -81,7 +81,7 @@
 
                 with cut_off(m.sidecars[0].node):
                     self.assertEqual([await say(), await say()], [503, 503])
-                    self.assertFalse(m.sidecars[0].keeper.open)
+                    self.assertFalse(m.sidecars[0].ingress.is_open)
                     for _ in range(5):
                         self.assertEqual((await m.ask("/one/unsafe/x", "POST", 2))[0], 200)
                     self.assertEqual(len(app.seen), 0)
@@ -115,21 +115,21 @@
                         server.close()
                     if old.node.server is not None:
                         old.node.server.close()
-                    old.node.lines.close()
+                    old.node.channels.close()
                 record = held(m, app)
                 assert record is not None
                 self.assertEqual(record.rank, EndpointPhase.DRAINING)
                 new = Sidecar(m.boot(m.ips[0], "forager", AppAddr=app.address, Target=app.service))
                 await new.start()
                 m.sidecars[0] = new
-                with mock.patch.object(new.keeper, "admit", side_effect=AssertionError("admitted")):
+                with mock.patch.object(new.ingress, "admit", side_effect=AssertionError("admitted")):
                     await until(
                         lambda: (
                             new.node.gossip.anti_entropy.joined
                             and new.node.gossip.records.get(RecordKind.ENDPOINT, app.id) is not None
                         )
                     )
-                self.assertFalse(new.keeper.open)
+                self.assertFalse(new.ingress.is_open)
 
         run(test)
 
@@ -137,7 +137,7 @@
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                m.control.endpoints.announcer.losses = 1
+                m.control.endpoint_api.announcer.tolerated_losses = 1
                 with cut_off(m.control.node), mock.patch.object(m.control.node.gossip.members, "others", list):
                     self.assertEqual(await beat(m, m.apps[0], "draining", m.core, m.port + 2), 503)
 
@@ -175,7 +175,7 @@
                 record = held(m, app)
                 assert record is not None
                 self.assertEqual(record.rank, EndpointPhase.DRAINING)
-                self.assertFalse(m.sidecars[0].keeper.open)
+                self.assertFalse(m.sidecars[0].ingress.is_open)
 
         run(test)
 
@@ -188,13 +188,13 @@
                 app, sidecar = m.apps[0], m.sidecars[0]
                 for _ in range(5):  # they change nothing, so that nobody else hears of them
                     self.assertEqual(await m.beat(0), 200)
-                sidecar.endpoint.end(app.id)
+                sidecar.local_endpoint.declare_gone(app.id)
                 app.seq -= 2
                 self.assertEqual(await m.beat(0), 200)  # it was under way for long
-                self.assertFalse(sidecar.keeper.open)
+                self.assertFalse(sidecar.ingress.is_open)
                 app.seq += 1
                 self.assertEqual(await m.beat(0), 200)
-                self.assertTrue(sidecar.keeper.open)
+                self.assertTrue(sidecar.ingress.is_open)
                 await until(lambda: (r := held(m, app)) is not None and r.rank == EndpointPhase.READY)
 
         run(test)
@@ -205,9 +205,9 @@
                 await m.serve()
                 app, sidecar = m.apps[0], m.sidecars[0]
                 self.assertEqual(await m.beat(0, "draining"), 200)
-                sidecar.endpoint.end(app.id)
+                sidecar.local_endpoint.declare_gone(app.id)
                 self.assertEqual(await m.beat(0), 200)
-                self.assertFalse(sidecar.keeper.open)
+                self.assertFalse(sidecar.ingress.is_open)
                 self.assertEqual(await m.beat(0, "draining"), 200)
                 await until(
                     lambda: (r := held(m, app)) is not None and r.rank == EndpointPhase.GONE and r.seq == DEPARTED_SEQ
@@ -221,11 +221,11 @@
                 await m.serve()
                 sidecar, app = m.sidecars[0], m.apps[0]
                 for standing in (20.0, 0.0):  # for which the process stood still; else the endpoint was silent
-                    sidecar.endpoint.beat_at -= 20.0
-                    sidecar.endpoint.looked_at -= standing
-                    sidecar.endpoint.look()  # before anything that has come is read
-                    self.assertEqual(sidecar.keeper.endpoint, app.id if standing else "")
-                    self.assertLessEqual(sidecar.endpoint.beat_at, sidecar.loop.time())
+                    sidecar.local_endpoint.heartbeat_at -= 20.0
+                    sidecar.local_endpoint.checked_at -= standing
+                    sidecar.local_endpoint.check_heartbeats()  # before anything that has come is read
+                    self.assertEqual(sidecar.ingress.endpoint, app.id if standing else "")
+                    self.assertLessEqual(sidecar.local_endpoint.heartbeat_at, sidecar.loop.time())
 
         run(test)
 
@@ -247,9 +247,9 @@
                     rank=EndpointPhase.GONE,
                     body=known.body,
                 )
-                m.control.node.tell(gone)
+                m.control.node.broadcast(gone)
                 await until(lambda: (r := held(m, m.apps[0])) is not None and r.rank == EndpointPhase.READY)
-                self.assertTrue(m.sidecars[0].keeper.open)
+                self.assertTrue(m.sidecars[0].ingress.is_open)
 
         run(test)
 
@@ -261,12 +261,12 @@
                 await m.serve()
                 known = held(m, m.apps[0])
                 assert known is not None
-                m.control.node.tell(Record(kind=2, id="i-long-gone", seq=9, body=known.body))
+                m.control.node.broadcast(Record(kind=2, id="i-long-gone", seq=9, body=known.body))
                 sidecar = m.sidecars[0]
-                await until(lambda: "i-long-gone" in sidecar.endpoint.claims)
+                await until(lambda: "i-long-gone" in sidecar.local_endpoint.claimed_since)
                 self.assertEqual(await m.beat(0), 200)
-                sidecar.endpoint.claims["i-long-gone"] -= 20.0
-                sidecar.endpoint.look()
+                sidecar.local_endpoint.claimed_since["i-long-gone"] -= 20.0
+                sidecar.local_endpoint.check_heartbeats()
                 records = m.control.node.gossip.records
                 await until(
                     lambda: (
@@ -274,7 +274,7 @@
                         and r.rank == EndpointPhase.GONE
                     )
                 )
-                self.assertTrue(sidecar.keeper.open)
+                self.assertTrue(sidecar.ingress.is_open)
 
         run(test)
 
@@ -284,11 +284,11 @@
         async def test() -> None:
             async with Mesh(["one"]) as m:
                 await m.serve()
-                own = m.sidecars[0].endpoint
-                own.looked_at -= 20.0
+                own = m.sidecars[0].local_endpoint
+                own.checked_at -= 20.0
                 self.assertEqual(await m.beat(0), 200)
-                own.look()
-                self.assertLessEqual(own.beat_at, m.sidecars[0].loop.time())
+                own.check_heartbeats()
+                self.assertLessEqual(own.heartbeat_at, m.sidecars[0].loop.time())
 
         run(test)
 
@@ -323,7 +323,7 @@
     def test_announcements(
         self, name: str, known: Record | None, said: tuple[int, int], want: tuple[int, int, int]
     ) -> None:
-        made = announcement(known, endpoint(seq=said[0], rank=said[1]))
+        made = superseding_record(known, endpoint(seq=said[0], rank=said[1]))
         self.assertEqual((made.seq, made.rank, made.incarnation), want, name)
 
     @params(
@@ -336,7 +336,7 @@
         ("it was taken for gone later", endpoint(seq=3, rank=EndpointPhase.GONE), 3, False),
     )
     def test_ready_beats(self, name: str, known: Record | None, seq: int, want: bool) -> None:
-        self.assertIs(changes(known, endpoint(seq=seq)), want, name)
+        self.assertIs(is_news(known, endpoint(seq=seq)), want, name)
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_leaving.py
+++ b/tests/mesh/test_leaving.py
@@ -11,11 +11,11 @@
 
 from mesh.cluster import Mesh, config, run, until
 from zinclever.mesh import cli
-from zinclever.mesh.dataplane.admission import Open
+from zinclever.mesh.attempt_outcome import AttemptOutcome
+from zinclever.mesh.dataplane.admission import IngressAdmission
 from zinclever.mesh.membership.records import RecordKey, RecordKind
 from zinclever.mesh.roles import sidecar
 from zinclever.mesh.transport.mesh_pb2 import ForwardReply, ForwardRequest
-from zinclever.mesh.verdict import Verdict
 
 
 class Leaving(unittest.TestCase):
@@ -29,7 +29,7 @@
                 self.assertEqual(len(m.apps[0].seen), 0)
                 m.apps[0].seq = 0
                 self.assertEqual(await m.beat(0), 200)  # a late beat
-                self.assertFalse(m.sidecars[0].keeper.open)
+                self.assertFalse(m.sidecars[0].ingress.is_open)
 
         run(test)
 
@@ -42,7 +42,7 @@
                     f"{m.core}:{m.port + 2}", "POST", f"/v1/endpoints/{app.id}/heartbeat", app.beat("draining")
                 )
                 self.assertEqual(status, 200)
-                self.assertFalse(m.sidecars[0].keeper.open)  # its keeper knew before it was acknowledged
+                self.assertFalse(m.sidecars[0].ingress.is_open)  # its keeper knew before it was acknowledged
 
         run(test)
 
@@ -54,7 +54,7 @@
                 app.hold = asyncio.Event()
                 asked = asyncio.ensure_future(m.ask("/one/unsafe/x", "POST", 1, b"body"))
                 await until(lambda: app.seen)
-                with mock.patch.object(sidecar, "SERVES_ON", 0.05):
+                with mock.patch.object(sidecar, "MIN_DRAIN_PERIOD", 0.05):
                     stopped = asyncio.ensure_future(ending.stop(6.0))
                     await until(lambda: ending.ending)
                     ready = await m.call(f"{m.ips[1]}:{m.port + 3}", "GET", "/v1/ready")
@@ -78,8 +78,8 @@
                 load = ForwardRequest(
                     endpoint=f"i-{m.apps[0].address}", head=b"GET / HTTP/1.1\r\n", id="r", deadline_ms=1000
                 )
-                m.sidecars[0].keeper.offer(load, b"", told.append)
-                self.assertEqual([y.outcome for y in told], [Verdict.NEVER])
+                m.sidecars[0].ingress.submit(load, b"", told.append)
+                self.assertEqual([y.outcome for y in told], [AttemptOutcome.NOT_EXECUTED])
                 self.assertEqual(m.apps[0].seen, [])
 
         run(test)
@@ -90,7 +90,7 @@
         async def test() -> None:
             async with Mesh(["one"]) as m:
                 role, path = m.sidecars[0], Path(m.folder.name) / "boot.json"
-                watch = cli.Watch(role, role.boot)
+                watch = cli.SettingsWatcher(role, role.settings)
                 told = {
                     "NodeName": "n",
                     "Role": "r",
@@ -104,10 +104,10 @@
                 before = list(role.node.gossip.anti_entropy.seeds)
                 with mock.patch.dict(os.environ, {"ZINCLEVER_BOOT": str(path)}):
                     path.write_text("{")
-                    watch.look()
+                    watch.check()
                     self.assertEqual(role.node.gossip.anti_entropy.seeds, before)
                     path.write_text(json.dumps(told))
-                    watch.look()
+                    watch.check()
                     self.assertEqual(role.node.gossip.anti_entropy.seeds, [("127.0.0.9", m.port + 1)])
 
         run(test)
@@ -116,9 +116,9 @@
         async def test() -> None:
             async with Mesh(["one"]) as m:
                 await m.serve()
-                ledger = m.sidecars[0].flights.to("one").ledger
+                ledger = m.sidecars[0].clients.to("one").ledger
                 ledger.settle(True)  # what it does after standing still for a second
-                self.assertIsInstance(ledger.balancer.admission, Open)
+                self.assertIsInstance(ledger.balancer.admission, IngressAdmission)
                 told = config("one", generation=2)
                 told["Routes"]["one-safe"]["DeadlineS"] = 2.5  # a class that there was not
                 self.assertEqual((await m.put(told, 1))[0], 200)
@@ -137,7 +137,7 @@
                 body = app.beat()
                 record = m.control.node.gossip.records
                 record.by_key.pop(RecordKey(RecordKind.ENDPOINT, app.id))
-                m.control.endpoints.keeper_of = lambda address: ""  # type: ignore[method-assign]
+                m.control.endpoint_api.sidecar_at = lambda address: ""  # type: ignore[method-assign]
                 await m.call(f"{m.core}:{m.port + 2}", "POST", f"/v1/endpoints/{app.id}/heartbeat", body)
                 self.assertEqual(await m.beat(0), 200)
                 await until(
@@ -166,7 +166,7 @@
                 await m.serve()
                 await m.ask("/one/safe/x", at=1)
                 address = (m.ips[0], m.port)
-                line = m.sidecars[1].node.line(address)
+                line = m.sidecars[1].node.channel_to(address)
                 line.open_calls[999] = lambda frame: None  # something is out on it
                 m.sidecars[0].node.gossip.leave(m.sidecars[0].loop.time())
                 m.sidecars[0].node.gossip_socket.flush()
--- a/tests/mesh/test_mesh.py
+++ b/tests/mesh/test_mesh.py
@@ -9,8 +9,8 @@
 
 from mesh.cases import params
 from mesh.cluster import Mesh, Plan, away, good, run, until
-from zinclever.mesh.dataplane.keeper import Keeper
-from zinclever.mesh.roles.sidecar import Incoming, Sidecar
+from zinclever.mesh.dataplane.ingress import Ingress
+from zinclever.mesh.roles.sidecar import InboundForward, Sidecar
 from zinclever.mesh.transport.channel import Channel
 from zinclever.mesh.transport.framed_connection import FramedConnection
 from zinclever.mesh.transport.mesh_pb2 import ForwardRequest
@@ -171,15 +171,15 @@
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                queue = m.sidecars[0].keeper.queue
-                queue.mean, queue.busy = 0.05, queue.slots
+                queue = m.sidecars[0].ingress.queue
+                queue.mean_service_time, queue.busy = 0.05, queue.slots
                 first = asyncio.ensure_future(m.ask("/one/unsafe/x", "POST", 1))
                 await until(lambda: queue.waiting)
                 got, headers, _ = await m.ask("/one/unsafe/x", "POST", 1, X_Deadline_Ms="2500")
                 self.assertEqual((got, len(queue.waiting)), (503, 1))
                 self.assertGreater(float(headers["retry-after"]), 0.1)
                 queue.busy = 0
-                m.sidecars[0].keeper.move()
+                m.sidecars[0].ingress.begin_waiting()
                 self.assertEqual((await first)[0], 200)
 
         run(test)
@@ -193,7 +193,7 @@
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                app, keeper = m.apps[0], m.sidecars[0].keeper
+                app, keeper = m.apps[0], m.sidecars[0].ingress
                 for at in (0, 1, 0, 1):
                     self.assertEqual((await m.ask(f"/one/{kind}/x", "POST", at, b"body"))[0], 200)
                     app.forgotten |= app.writers
@@ -214,16 +214,16 @@
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                m.sidecars[0].keeper.queue.busy = 400
+                m.sidecars[0].ingress.queue.busy = 400
                 with mock.patch.object(Channel, "send_on_call", autospec=True) as sent:
                     got, headers, _ = await m.ask("/one/unsafe/x", "POST", 1, self.BODY)
                 self.assertEqual((got, m.runs(), sent.call_count), (503, 0, 0))
                 self.assertGreater(float(headers["retry-after"]), 0.0)
-                self.assertFalse(m.sidecars[0].incoming)
+                self.assertFalse(m.sidecars[0].inbound)
 
         run(test)
 
-    @params(("before it may come", "on_load", 200, 1), ("behind its last byte", "hand_in", 502, 0))
+    @params(("before it may come", "on_forward_request", 200, 1), ("behind its last byte", "submit", 502, 0))
     def test_the_link_is_lost(self, name: str, at: str, status: int, ran: int) -> None:
         """An unsafe request goes on to the other endpoint only where it can't have run at the first."""
 
@@ -234,7 +234,7 @@
 
                 def lose(self: Sidecar, *told: Any) -> None:
                     """The first link that has come so far ends; all others go on."""
-                    link = told[0] if at == "on_load" else told[1].link
+                    link = told[0] if at == "on_forward_request" else told[1].connection
                     if lost:
                         whole(self, *told)
                     else:
@@ -244,7 +244,7 @@
                 whole = getattr(Sidecar, at)
                 with mock.patch.object(Sidecar, at, lose):
                     for f in m.sidecars:  # handlers are bound at the start
-                        f.node.frames["forward_request"] = f.on_load
+                        f.node.frame_handlers["forward_request"] = f.on_forward_request
                     got, _, _ = await m.ask("/one/unsafe/x", "POST", 2, self.BODY)
                 self.assertEqual((got, m.runs()), (status, ran))
 
@@ -256,7 +256,7 @@
                 await m.serve()
                 keeping = m.sidecars[0]
                 coming = ForwardRequest(endpoint=m.apps[0].id, length=60 << 20, reserve_first=True, deadline_ms=1000)
-                keeping.incoming[(mock.Mock(), 1)] = Incoming(mock.Mock(), coming, 0.0)
+                keeping.inbound[(mock.Mock(), 1)] = InboundForward(mock.Mock(), coming, 0.0)
                 self.assertEqual((await m.ask("/one/unsafe/x", "POST", 1, b"b" * (8 << 20)))[0], 503)
                 self.assertEqual((await m.ask("/one/unsafe/x", "POST", 1, self.BODY))[0], 200)
 
@@ -266,9 +266,9 @@
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                with mock.patch.dict(m.sidecars[1].node.speaks, {(m.ips[0], m.port): 0}):
+                with mock.patch.dict(m.sidecars[1].node.protocol_versions, {(m.ips[0], m.port): 0}):
                     for size in (5, 4000, 300_000):
-                        with mock.patch.object(Keeper, "has_room", side_effect=AssertionError):
+                        with mock.patch.object(Ingress, "refusal", side_effect=AssertionError):
                             self.assertEqual((await m.ask("/one/unsafe/x", "POST", 1, b"b" * size))[0], 200)
                         self.assertEqual(len(m.apps[0].seen[-1][2]), size)
 
--- a/tests/mesh/test_operator_calls.py
+++ b/tests/mesh/test_operator_calls.py
@@ -10,7 +10,7 @@
 
 from mesh.cluster import Mesh, config, run, until
 from zinclever.mesh.operator_cli.control_client import CHANGE_TIMEOUT, ControlRequest, call
-from zinclever.mesh.roles.control import ControlRole
+from zinclever.mesh.roles.control import ControlNode
 from zinclever.mesh.transport.mesh_pb2 import ControlCall, ControlReply, LogEntry, Voter
 
 CALLER_TIMEOUT = 1.0  # s of silence after which an operator goes on to another member
@@ -24,21 +24,21 @@
         net = self.mesh.core.rpartition(".")[0]
         self.ips = [f"{net}.{n}" for n in (1, 2, 3)]
         self.started = started
-        self.members: list[ControlRole] = []
+        self.members: list[ControlNode] = []
 
     async def __aenter__(self) -> Core:
         seeds = [f"{ip}:{self.mesh.port + 2}" for ip in self.ips]
         for ip in self.ips[: self.started]:
             folder = str(Path(self.mesh.folder.name) / ip)
             told: dict[str, Any] = {"StateDir": folder, "SeedNodes": seeds, "FaultModel": {"HostLosses": 1}}
-            member = ControlRole(self.mesh.boot(ip, "comb", **told))
+            member = ControlNode(self.mesh.boot(ip, "comb", **told))
             await member.start()
             self.members.append(member)
         return self
 
     async def __aexit__(self, *error: object) -> None:
         for member in self.members:
-            member.turn = lambda: None  # type: ignore[method-assign]
+            member.run_tick = lambda: None  # type: ignore[method-assign]
             member.node.stop()
             if member.server is not None:
                 member.server.close()
@@ -48,35 +48,35 @@
             member.store.thread.shutdown(wait=True)
         self.mesh.folder.cleanup()
 
-    def leader(self) -> ControlRole | None:
+    def leader(self) -> ControlNode | None:
         return next((m for m in self.members if m.replica.is_established()), None)
 
-    async def led(self) -> tuple[ControlRole, ControlRole]:
+    async def led(self) -> tuple[ControlNode, ControlNode]:
         """The leader, and one that follows it."""
         await until(lambda: self.leader() is not None)
         leader = self.leader()
         assert leader is not None
-        await until(lambda: all(m.replica.leader == leader.me.disk for m in self.members))
+        await until(lambda: all(m.replica.leader == leader.own_voter.disk for m in self.members))
         return leader, next(m for m in self.members if m is not leader)
 
-    def led_by(self, member: ControlRole) -> Voter:
+    def led_by(self, member: ControlNode) -> Voter:
         """The leader, as a member knows it."""
         return next(v for v in member.replica.voters() if v.disk == member.replica.leader)
 
-    async def put(self, at: ControlRole, generation: int, base: int) -> int:
+    async def put(self, at: ControlNode, generation: int, base: int) -> int:
         text = json.dumps(config("a", generation=generation)).encode()
         return await self.replace(at, text, str(base))
 
-    async def replace(self, at: ControlRole, text: bytes, base: str) -> int:
+    async def replace(self, at: ControlNode, text: bytes, base: str) -> int:
         status, _, _ = await self.call(at, "POST", "/v1/config/replace", text, X_Base_Version=base)
         return status
 
     async def call(
-        self, at: ControlRole, method: str, path: str, body: bytes = b"", **headers: str
+        self, at: ControlNode, method: str, path: str, body: bytes = b"", **headers: str
     ) -> tuple[int, dict[str, str], bytes]:
-        return await self.mesh.call(f"{at.boot.ip}:{self.mesh.port + 2}", method, path, body, **headers)
+        return await self.mesh.call(f"{at.settings.ip}:{self.mesh.port + 2}", method, path, body, **headers)
 
-    async def read(self, at: ControlRole) -> tuple[int, bytes]:
+    async def read(self, at: ControlNode) -> tuple[int, bytes]:
         status, _, text = await self.call(at, "GET", "/v1/config/read")
         return status, text
 
@@ -139,13 +139,13 @@
         async def test() -> None:
             async with Core() as core:
                 leader, follower = await core.led()
-                await until(lambda: bool(follower.operator_calls.address_of(leader.me)))
+                await until(lambda: bool(follower.operator_calls.address_of(leader.own_voter)))
                 handed_on: list[ControlCall] = []
-                leader.node.frames["control_call"] = lambda link, frame: handed_on.append(frame.control_call)
+                leader.node.frame_handlers["control_call"] = lambda link, frame: handed_on.append(frame.control_call)
                 status, headers, _ = await core.call(
                     follower, "POST", "/v1/config/replace", self.large(1), X_Base_Version="0"
                 )
-                there = f"{leader.boot.ip}:{core.mesh.port + 2}"
+                there = f"{leader.settings.ip}:{core.mesh.port + 2}"
                 self.assertEqual((status, headers["location"]), (307, f"http://{there}/v1/config/replace"))
                 self.assertEqual(handed_on, [])
                 self.assertEqual(await core.replace(leader, self.large(1), "0"), 200)
@@ -165,7 +165,7 @@
                 self.assertEqual((await core.read(follower))[0], 200)
                 follower.replica.committed = lagging
                 status, headers, _ = await core.call(follower, "GET", "/v1/config/read")
-                there = f"{leader.boot.ip}:{core.mesh.port + 2}"
+                there = f"{leader.settings.ip}:{core.mesh.port + 2}"
                 self.assertEqual((status, headers["location"]), (307, f"http://{there}/v1/config/read"))
                 self.assertEqual((await core.read(leader))[0], 200)
 
@@ -179,14 +179,14 @@
                 response = await follower.loop.run_in_executor(
                     None,
                     lambda: call(
-                        [f"{follower.boot.ip}:{core.mesh.port + 2}"],
+                        [f"{follower.settings.ip}:{core.mesh.port + 2}"],
                         ControlRequest(
                             "POST", "/v1/config/replace", self.large(1), {"X-Base-Version": "0"}, CHANGE_TIMEOUT
                         ),
                     ),
                 )
                 self.assertEqual(response.status, 200)
-                self.assertNotIn(follower.boot.ip + ":", response.answered_by)
+                self.assertNotIn(follower.settings.ip + ":", response.answered_by)
 
         run(test)
 
@@ -194,7 +194,7 @@
 class UnclearInTime(unittest.TestCase):
     """Without a leader that a majority confirms a call has no clear answer, within the time that its caller waits."""
 
-    async def unclear(self, core: Core, at: ControlRole) -> None:
+    async def unclear(self, core: Core, at: ControlNode) -> None:
         for answer in (core.read(at), core.put(at, 9, 0)):
             began = at.loop.time()
             told = await answer
@@ -214,11 +214,11 @@
         async def test() -> None:
             async with Core() as core:
                 leader, follower = await core.led()
-                leader.node.frames["control_call"] = lambda link, frame: None
+                leader.node.frame_handlers["control_call"] = lambda link, frame: None
                 await self.unclear(core, follower)
                 for member in core.members:
                     if member is not leader:
-                        member.node.frames["consensus"] = lambda link, frame: None
+                        member.node.frame_handlers["consensus"] = lambda link, frame: None
                 await self.unclear(core, leader)
 
         run(test)
--- a/tests/mesh/test_voters.py
+++ b/tests/mesh/test_voters.py
@@ -10,7 +10,7 @@
 from zinclever.mesh.consensus.quorum import FaultModel, Location
 from zinclever.mesh.consensus.replica import Replica
 from zinclever.mesh.model.members import World
-from zinclever.mesh.roles.boot import read
+from zinclever.mesh.roles.node_settings import parse
 
 DRAWS = 18
 
@@ -155,11 +155,11 @@
             "Zones": {"a": "north", "b": "south"},
             "FaultModel": {"HostLosses": 2, "Zones": 1, "RegionLosses": 1},
         }
-        boot = read(orjson.dumps(told))
+        boot = parse(orjson.dumps(told))
         self.assertEqual(boot.fault_model, FaultModel(2, 1, 1))
         self.assertEqual(boot.regions, {"a": "north", "b": "south"})
         del told["FaultModel"]
-        self.assertEqual(read(orjson.dumps(told)).fault_model, FaultModel(1, 0, 0))
+        self.assertEqual(parse(orjson.dumps(told)).fault_model, FaultModel(1, 0, 0))
 
     def test_a_zone_lost_leaves_a_leader(self) -> None:
         """Zones of two machines: one zone is gone for so long that all of it could be dropped, comes back, and another
--- a/zinclever/mesh/verdict.py
+++ b/zinclever/mesh/attempt_outcome.py
@@ -5,18 +5,18 @@
 import enum
 
 
-class Verdict(enum.IntEnum):
+class AttemptOutcome(enum.IntEnum):
     """Ordered: of two hops that know of an attempt the higher one holds."""
 
-    NEVER = 1
+    NOT_EXECUTED = 1
     """It has not run and never will: it may go elsewhere, and it may be refused."""
-    FULL = 2
+    NO_CAPACITY = 2
     """The same, and what was asked has no room."""
-    MAYBE = 3
+    UNKNOWN = 3
     """It may have run, or may yet: an unsafe one goes nowhere else."""
-    RAN = 4
+    EXECUTED = 4
     """An endpoint has answered it."""
 
     @property
-    def proves_not_run(self) -> bool:
-        return self <= Verdict.FULL
+    def proves_not_executed(self) -> bool:
+        return self <= AttemptOutcome.NO_CAPACITY
--- a/zinclever/mesh/cli.py
+++ b/zinclever/mesh/cli.py
@@ -15,11 +15,11 @@
 from pythonjsonlogger.json import JsonFormatter
 
 from .errors import MeshError
-from .roles.boot import VARIABLE, Boot, read
+from .roles.node_settings import SETTINGS_VARIABLE, NodeSettings, parse
 
 log = logging.getLogger(__name__)
 
-LOOK_EACH = 2.0  # s between two looks at the settings file
+SETTINGS_CHECK_INTERVAL = 2.0  # s between two looks at the settings file
 
 
 class Role(Protocol):
@@ -27,7 +27,7 @@
 
     async def stop(self, grace: float) -> None: ...
 
-    def reload(self, boot: Boot) -> None: ...
+    def reload(self, boot: NodeSettings) -> None: ...
 
 
 def sidecar() -> int:
@@ -39,19 +39,19 @@
 
 def control() -> int:
     """Run a control machine: a replica of the configuration, and the calls of operators and endpoints."""
-    from .roles.control import ControlRole
+    from .roles.control import ControlNode
 
-    return run(ControlRole)
+    return run(ControlNode)
 
 
-def run(make: Callable[[Boot], Role]) -> int:
+def run(make_role: Callable[[NodeSettings], Role]) -> int:
     """Run a role until SIGTERM: 0 after an end in order, 2 for settings that can't be used, 1 for an address or a disk
     that can't be had."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
-        boot = read_boot()
+        boot = read_settings()
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(serve(make, boot))
+            runner.run(serve(make_role, boot))
     except MeshError as wrong:
         print(f"zinclever: {wrong}", file=sys.stderr)
         return 2
@@ -61,56 +61,56 @@
     return 0
 
 
-def read_boot() -> Boot:
-    path = os.environ.get(VARIABLE, "")
+def read_settings() -> NodeSettings:
+    path = os.environ.get(SETTINGS_VARIABLE, "")
     if not path:
-        raise MeshError("BOOT_MISSING", f"{VARIABLE} names no file")
+        raise MeshError("BOOT_MISSING", f"{SETTINGS_VARIABLE} names no file")
     try:
-        return read(Path(path).read_bytes())
+        return parse(Path(path).read_bytes())
     except OSError as wrong:
         raise MeshError("BOOT_UNREADABLE", str(wrong)) from None
 
 
-async def serve(make: Callable[[Boot], Role], boot: Boot) -> None:
+async def serve(make_role: Callable[[NodeSettings], Role], settings: NodeSettings) -> None:
     loop = asyncio.get_running_loop()
     ended = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, ended.set)
-    role = make(boot)
-    watch = Watch(role, boot)
-    loop.add_signal_handler(signal.SIGHUP, watch.look)
+    role = make_role(settings)
+    watch = SettingsWatcher(role, settings)
+    loop.add_signal_handler(signal.SIGHUP, watch.check)
     await role.start()
     log.info("started", extra={"code": "STARTED"})
-    watch.turn()
+    watch.run_check()
     await ended.wait()
     watch.stop()
-    await role.stop(boot.bounds.get("GraceS", 6.0))
+    await role.stop(settings.bounds.get("GraceS", 6.0))
 
 
-class Watch:
+class SettingsWatcher:
     """Looks whether the settings file has changed: on SIGHUP, and now and then, as it may change without one."""
 
-    def __init__(self, role: Role, boot: Boot) -> None:
-        self.role, self.boot = role, boot
+    def __init__(self, role: Role, boot: NodeSettings) -> None:
+        self.role, self.settings = role, boot
         self.timer: asyncio.TimerHandle | None = None
-        self.wrong = ""
+        self.logged_error = ""
 
-    def turn(self) -> None:
-        self.timer = asyncio.get_running_loop().call_later(LOOK_EACH, self.turn)
-        self.look()
+    def run_check(self) -> None:
+        self.timer = asyncio.get_running_loop().call_later(SETTINGS_CHECK_INTERVAL, self.run_check)
+        self.check()
 
-    def look(self) -> None:
+    def check(self) -> None:
         """What can't be used changes nothing, and is told once."""
         try:
-            boot = read_boot()
+            boot = read_settings()
         except MeshError as wrong:
-            if str(wrong) != self.wrong:
-                self.wrong = str(wrong)
+            if str(wrong) != self.logged_error:
+                self.logged_error = str(wrong)
                 log.error("settings not taken", extra={"code": wrong.code, "field": wrong.field, "text": wrong.text})
             return
-        self.wrong = ""
-        if boot != self.boot:
-            self.boot = boot
+        self.logged_error = ""
+        if boot != self.settings:
+            self.settings = boot
             log.info("settings taken anew", extra={"code": "BOOT_TAKEN", "seeds": [s[0] for s in boot.seeds]})
             self.role.reload(boot)
 
--- a/zinclever/mesh/control_api/desk.py
+++ b/zinclever/mesh/control_api/listener.py
@@ -18,7 +18,7 @@
 from ...http1.desk import Desk
 from ...http1.heads import Answer, Rejected
 from ..errors import MeshError
-from .matchers import Router
+from .router import Router
 
 log = logging.getLogger(__name__)
 
--- a/zinclever/mesh/dataplane/admission.py
+++ b/zinclever/mesh/dataplane/admission.py
@@ -12,10 +12,12 @@
 from ...policy.requests import Request
 from ...policy.sides import Side
 
-HELD = 0.2  # of its aim for which a request may wait here for an endpoint to appear: refused then, it may come again
+HOLD_SHARE = (
+    0.2  # of its aim for which a request may wait here for an endpoint to appear: refused then, it may come again
+)
 
 
-class Open(Admission):
+class IngressAdmission(Admission):
     """Lets everything out. The windows of a sidecar that is alone are a guess at what endpoints can carry, made of a
     few answers each; their keepers say it of each request, at once, and a request moves on from one that is full."""
 
@@ -40,10 +42,10 @@
         """No endpoint is to be had: one may be in a moment."""
         super().hold(r)
         told = r.klass.told
-        heapq.heappush(self.patience, (r.deadline - told.deadline + HELD * told.aim, self.count, r))
+        heapq.heappush(self.patience, (r.deadline - told.deadline + HOLD_SHARE * told.aim, self.count, r))
 
 
-class Unguarded(Cold):
+class IngressSlowStart(Cold):
     """Fresh endpoints need no guard here: their keepers send them no more than they have slots. What the guard of a
     sidecar that is alone goes by, what warm ones answer to it, is nothing after a start of all."""
 
@@ -57,11 +59,11 @@
         """Nothing is saved up."""
 
 
-def open_up(balancer: Balancer) -> None:
+def delegate_to_ingress(balancer: Balancer) -> None:
     """Have a balancer that has served nothing yet leave admission, and the guard of what is cold, to the keepers."""
     old = balancer.admission
-    made = Open(old.settings, old.classes, old.tenants, old.list, old.crossing, old.rng)
+    made = IngressAdmission(old.settings, old.classes, old.tenants, old.list, old.crossing, old.rng)
     balancer.admission = balancer.learning.admission = made
     made.start()
-    cold = Unguarded(balancer.settings, balancer.list)
+    cold = IngressSlowStart(balancer.settings, balancer.list)
     balancer.cold = balancer.draws.cold = balancer.learning.cold = cold
--- a/zinclever/mesh/dataplane/attempts.py
+++ b/zinclever/mesh/dataplane/attempt_count.py
@@ -11,10 +11,10 @@
 class Reservation:
     """One attempt that counts against the bound of its request until :meth:`AttemptCount.release`."""
 
-    __slots__ = ("counts",)
+    __slots__ = ("is_counted",)
 
     def __init__(self) -> None:
-        self.counts = True
+        self.is_counted = True
 
 
 class AttemptCount:
@@ -35,6 +35,6 @@
 
     def release(self, reservation: Reservation) -> None:
         """The attempt certainly reached no endpoint and never will. Has an effect once for each reservation."""
-        if reservation.counts:
-            reservation.counts = False
+        if reservation.is_counted:
+            reservation.is_counted = False
             self.reserved -= 1
--- a/zinclever/mesh/dataplane/retry_budget.py
+++ b/zinclever/mesh/dataplane/retry_budget.py
@@ -9,63 +9,63 @@
 
 from collections import deque
 
-PART = 0.45  # of the rule's ratio: a window of ours reaches back into the one before it
-FREE = 0.4  # of the rule's slack
-STEP = 0.25  # s that are counted together
+RATIO_SHARE = 0.45  # of the rule's ratio: a window of ours reaches back into the one before it
+SLACK_SHARE = 0.4  # of the rule's slack
+BUCKET_SPAN = 0.25  # s that are counted together
 
 
-class Step:
+class Bucket:
     """What was counted within one STEP of a tally."""
 
-    __slots__ = ("began", "count")
+    __slots__ = ("count", "started_at")
 
     def __init__(self, began: float) -> None:
-        self.began = began
+        self.started_at = began
         """Instant in s of the first one counted."""
         self.count = 0
 
 
-class Tally:
+class SlidingCount:
     """A count over a sliding window, rounded up to a STEP."""
 
-    __slots__ = ("span", "steps", "total")
+    __slots__ = ("buckets", "span", "total")
 
     def __init__(self, span: float) -> None:
         self.span = span
-        self.steps: deque[Step] = deque()
+        self.buckets: deque[Bucket] = deque()
         self.total = 0
 
-    def add(self, now: float) -> Step:
+    def add(self, now: float) -> Bucket:
         """Count one; the step that holds it."""
-        self.look(now)
-        if not self.steps or now - self.steps[-1].began >= STEP:
-            self.steps.append(Step(now))
-        self.steps[-1].count += 1
+        self.value(now)
+        if not self.buckets or now - self.buckets[-1].started_at >= BUCKET_SPAN:
+            self.buckets.append(Bucket(now))
+        self.buckets[-1].count += 1
         self.total += 1
-        return self.steps[-1]
+        return self.buckets[-1]
 
-    def take_out(self, now: float, step: Step) -> None:
+    def remove(self, now: float, step: Bucket) -> None:
         """One of those that a step holds did not happen. Nothing changes where the window has passed the step."""
-        self.look(now)
-        if self.steps and step.began >= self.steps[0].began:
+        self.value(now)
+        if self.buckets and step.started_at >= self.buckets[0].started_at:
             step.count -= 1
             self.total -= 1
 
-    def look(self, now: float) -> int:
+    def value(self, now: float) -> int:
         """How many the window holds."""
-        while self.steps and now - self.steps[0].began > self.span + STEP:
-            self.total -= self.steps.popleft().count
+        while self.buckets and now - self.buckets[0].started_at > self.span + BUCKET_SPAN:
+            self.total -= self.buckets.popleft().count
         return self.total
 
 
-class Spending:
+class BudgetCharge:
     """One further try that counts against the budget until :meth:`RetryBudget.refund`."""
 
-    __slots__ = ("counts", "step")
+    __slots__ = ("bucket", "is_counted")
 
-    def __init__(self, step: Step) -> None:
-        self.step = step
-        self.counts = True
+    def __init__(self, step: Bucket) -> None:
+        self.bucket = step
+        self.is_counted = True
 
 
 class RetryBudget:
@@ -73,24 +73,24 @@
 
     def __init__(self, ratio: float, window: float, slack: float) -> None:
         self.ratio, self.slack = ratio, slack
-        self.asked, self.spent = Tally(window), Tally(window)
+        self.requests, self.retries = SlidingCount(window), SlidingCount(window)
         self.sidecars = 1
 
-    def ask(self, now: float) -> None:
+    def on_request(self, now: float) -> None:
         """A client sent a request for the service."""
-        self.asked.add(now)
+        self.requests.add(now)
 
-    def may(self, now: float) -> bool:
+    def allows_retry(self, now: float) -> bool:
         """Whether one more further try is within this sidecar's part."""
-        free = FREE * self.slack / max(1, self.sidecars)
-        return self.spent.look(now) + 1 <= PART * self.ratio * self.asked.look(now) + free
+        free = SLACK_SHARE * self.slack / max(1, self.sidecars)
+        return self.retries.value(now) + 1 <= RATIO_SHARE * self.ratio * self.requests.value(now) + free
 
-    def spend(self, now: float) -> Spending:
+    def charge(self, now: float) -> BudgetCharge:
         """Count a further try, before it is sent."""
-        return Spending(self.spent.add(now))
+        return BudgetCharge(self.retries.add(now))
 
-    def refund(self, now: float, spending: Spending) -> None:
+    def refund(self, now: float, spending: BudgetCharge) -> None:
         """The try certainly reached no endpoint. Has an effect once for each try, in the window that holds it."""
-        if spending.counts:
-            spending.counts = False
-            self.spent.take_out(now, spending.step)
+        if spending.is_counted:
+            spending.is_counted = False
+            self.retries.remove(now, spending.bucket)
--- a/zinclever/mesh/roles/control.py
+++ b/zinclever/mesh/roles/control.py
@@ -15,41 +15,41 @@
 from ..consensus.quorum import Location
 from ..consensus.replica import Replica
 from ..consensus.replica_store import ReplicaStore
-from ..control_api.desk import Call, ControlApi, Handler, error_answer, json_answer
-from ..control_api.matchers import Router
+from ..control_api.listener import Call, ControlApi, Handler, error_answer, json_answer
+from ..control_api.router import Router
 from ..errors import MeshError
 from ..membership.records import EndpointPhase, MemberState, RecordKind
 from ..transport.framed_connection import FramedConnection
 from ..transport.mesh_pb2 import ControlCall, EndpointInfo, Frame, NodeInfo, Record, Voter
-from .boot import Boot
-from .consensus_links import ConsensusLinks, log_role
-from .endpoint_api import Announcer, CoreEndpointApi
+from .endpoint_api import ControlEndpointApi, EndpointAnnouncer
 from .node import CONTROL, SIDECAR, Node
-from .operator_calls import READ_PATH, REPLACE_PATH, OperatorCalls, hand_on
+from .node_settings import NodeSettings
+from .operator_calls import READ_PATH, REPLACE_PATH, OperatorCalls, forward
+from .replica_transport import ReplicaTransport, log_role
 
 log = logging.getLogger(__name__)
 
-TURN = 0.05  # s between two turns of the order
-EXPLAINED = 0.7  # s in which a sidecar says whether it remembers a request
+TICK_INTERVAL = 0.05  # s between two turns of the order
+EXPLAIN_TIMEOUT = 0.7  # s in which a sidecar says whether it remembers a request
 BACKLOG = 1024
-LEAVE_WITHIN = 0.8  # of the grace of a SIGTERM, after which this member ends whoever depends on it
+LEAVE_GRACE_SHARE = 0.8  # of the grace of a SIGTERM, after which this member ends whoever depends on it
 
 
-class ControlRole:
+class ControlNode:
     """Owns the node, the store, the order and the listener for calls."""
 
-    def __init__(self, boot: Boot) -> None:
-        if boot.state is None:
+    def __init__(self, boot: NodeSettings) -> None:
+        if boot.state_folder is None:
             raise MeshError("BOOT_INVALID", "this role needs a disk", "boot.StateDir")
-        self.boot = boot
-        self.store = ReplicaStore(Path(boot.state))
+        self.settings = boot
+        self.store = ReplicaStore(Path(boot.state_folder))
         self.store.load()
         self.node = Node(boot, CONTROL, self.store.disk)
         self.loop = self.node.loop
-        self.me = Voter(disk=self.store.disk, name=boot.name, ip=boot.ip, port=self.node.port)
+        self.own_voter = Voter(disk=self.store.disk, name=boot.name, ip=boot.ip, port=self.node.port)
         founders = [(ip, self.node.port) for ip, _ in boot.seeds]
         self.replica = Replica(
-            self.me,
+            self.own_voter,
             founders,
             boot.bootstrap,
             boot.fault_model.hosts,
@@ -57,16 +57,16 @@
             self.store.vote,
             self.store.entry,
         )
-        self.links = ConsensusLinks(self.node, self.me, self.store.entry)
-        self.known_role = self.replica.role
-        self.endpoints = CoreEndpointApi(self.node, Announcer(self.node, boot.fault_model.hosts))
-        self.operator_calls = OperatorCalls(self.node, self.replica, self.work)
+        self.replica_transport = ReplicaTransport(self.node, self.own_voter, self.store.entry)
+        self.logged_role = self.replica.role
+        self.endpoint_api = ControlEndpointApi(self.node, EndpointAnnouncer(self.node, boot.fault_model.hosts))
+        self.operator_calls = OperatorCalls(self.node, self.replica, self.run_actions)
         self.control_api: ControlApi | None = None
         self.server: asyncio.Server | None = None
         self.leader = False
-        self.working = False
-        self.node.frames.update(consensus=self.on_consensus, control_call=self.operator_calls.on_ask)
-        self.node.news.append(self.on_news)
+        self.is_running_actions = False
+        self.node.frame_handlers.update(consensus=self.on_consensus, control_call=self.operator_calls.on_control_call)
+        self.node.record_listeners.append(self.on_record)
 
     async def start(self) -> None:
         tree: Router[Handler] = Router()
@@ -77,18 +77,18 @@
             tree.add(f"GET {prefix}/endpoints", self.on_endpoints)
             tree.add(f"GET {prefix}/view", self.on_view)
             tree.add(f"GET {prefix}/requests/{{id}}", self.on_explain)
-        tree.add("POST /v1/endpoints/{id}/heartbeat", self.endpoints.on_beat)
-        tree.add("POST /v1/endpoints/{id}/departure", self.endpoints.on_departure)
+        tree.add("POST /v1/endpoints/{id}/heartbeat", self.endpoint_api.on_heartbeat)
+        tree.add("POST /v1/endpoints/{id}/departure", self.endpoint_api.on_departure)
         self.control_api = ControlApi(self.node.descriptors, self.node.host, tree)
         await self.node.start()
-        if "ControlPlane" in self.boot.bind:
+        if "ControlPlane" in self.settings.bind:
             self.server = await self.loop.create_server(
-                self.control_api.connection, *self.boot.bind["ControlPlane"], backlog=BACKLOG
+                self.control_api.connection, *self.settings.bind["ControlPlane"], backlog=BACKLOG
             )
-        self.turn()
+        self.run_tick()
         self.store.verify()
 
-    def reload(self, boot: Boot) -> None:
+    def reload(self, boot: NodeSettings) -> None:
         """Seeds of later days only say where others may be: the first view was founded by those of the start."""
         self.node.reload(boot)
 
@@ -99,7 +99,7 @@
         began = self.loop.time()
         while self.operator_calls.unanswered and self.loop.time() - began < grace / 2:
             await asyncio.sleep(0.02)
-        await self.leave(began + LEAVE_WITHIN * grace)
+        await self.leave(began + LEAVE_GRACE_SHARE * grace)
         if self.server is not None:
             self.server.close()
         if self.control_api is not None:
@@ -112,7 +112,7 @@
     async def leave(self, until: float) -> None:
         """Hand the lead on, and wait until nothing depends on this member: it may be gone for good after this."""
         self.replica.leave(self.loop.time())
-        self.work()
+        self.run_actions()
         while not self.replica.may_end(self.loop.time()):
             if self.loop.time() > until:
                 log.warning(
@@ -124,51 +124,51 @@
 
     # --- the order ---
 
-    def turn(self) -> None:
-        self.loop.call_later(TURN, self.turn)
+    def run_tick(self) -> None:
+        self.loop.call_later(TICK_INTERVAL, self.run_tick)
         self.replica.tick(self.loop.time())
-        self.links.tick()
-        self.work()
+        self.replica_transport.tick()
+        self.run_actions()
         for voter in self.replica.peers():
-            self.node.line((voter.ip, voter.port)).keep_alive()
+            self.node.channel_to((voter.ip, voter.port)).keep_alive()
 
     def on_consensus(self, link: FramedConnection, frame: Frame) -> None:
-        for message in self.links.receive(frame.consensus):
+        for message in self.replica_transport.receive(frame.consensus):
             self.replica.receive(self.loop.time(), message)
-        self.work()
+        self.run_actions()
 
-    def work(self) -> None:
+    def run_actions(self) -> None:
         """Carry out what the order wants, and what that brings."""
-        if self.working:
+        if self.is_running_actions:
             return
-        self.working = True
+        self.is_running_actions = True
         try:
             while self.replica.actions:
                 acts, self.replica.actions = self.replica.actions, []
                 for act in acts:
-                    self.carry_out(act)
+                    self.run_action(act)
         finally:
-            self.working = False
-        if self.replica.role is not self.known_role:
-            self.known_role = self.replica.role
+            self.is_running_actions = False
+        if self.replica.role is not self.logged_role:
+            self.logged_role = self.replica.role
             log_role(self.replica)
 
-    def carry_out(self, act: Action) -> None:
+    def run_action(self, act: Action) -> None:
         if isinstance(act, Send):
-            if act.to.disk == self.me.disk:
+            if act.to.disk == self.own_voter.disk:
                 self.replica.receive(self.loop.time(), act.message)
             else:
-                self.links.send(act)
+                self.replica_transport.send(act)
         elif isinstance(act, Persist):
-            self.store.save(act, self.on_saved)
+            self.store.save(act, self.on_persisted)
         elif isinstance(act, Commit):
             entry = act.entry
             if entry.text:
-                self.node.in_force(entry.index, entry.generation, entry.text)
+                self.node.put_in_force(entry.index, entry.generation, entry.text)
         elif isinstance(act, VotersChanged):
             self.log_voters(act)
         elif isinstance(act, Reply):
-            self.operator_calls.answered(act)
+            self.operator_calls.on_reply(act)
 
     def log_voters(self, act: VotersChanged) -> None:
         """One line for each change of the voters, at the leader: who, and why."""
@@ -187,11 +187,11 @@
             },
         )
 
-    def on_saved(self, token: int, good: bool) -> None:
+    def on_persisted(self, token: int, good: bool) -> None:
         self.replica.on_persisted(self.loop.time(), token, good)
-        self.work()
+        self.run_actions()
 
-    def on_news(self, record: Record) -> None:
+    def on_record(self, record: Record) -> None:
         """Where members may be, and what of the core may be lost at once."""
         if record.kind == RecordKind.NODE:
             nodes = [
@@ -199,8 +199,8 @@
             ]
             core = [n for n in nodes if n.role == CONTROL]
             self.replica.known_addresses = [(n.ip, n.port) for n in core]
-            places = [Location(n.zone, self.boot.regions.get(n.zone, "")) for n in core]
-            self.replica.tolerated_losses = self.boot.fault_model.tolerated_losses(places)
+            places = [Location(n.zone, self.settings.regions.get(n.zone, "")) for n in core]
+            self.replica.tolerated_losses = self.settings.fault_model.tolerated_losses(places)
 
     # --- what operators look at: as this member knows it, nobody else is asked ---
 
@@ -255,7 +255,7 @@
                 "Generation": replica.committed.generation,
                 "DiskRefuses": self.store.refuses_writes,
                 "Disk": asdict(self.store.counters),
-                "Texts": asdict(self.links.texts.counters),
+                "Texts": asdict(self.replica_transport.texts.counters),
                 "Voters": [{"Disk": s.disk, "Name": s.name, "Ip": s.ip} for s in replica.voters()],
             },
         )
@@ -269,7 +269,7 @@
             if (b := gossip.members.node_info(p)) and b.role == SIDECAR
         ]
         ask = ControlCall(kind="explain", text=call.path_parameters[0].encode())
-        answers = await asyncio.gather(*(hand_on(self.node, s, ask, EXPLAINED) for s in sidecars))
+        answers = await asyncio.gather(*(forward(self.node, s, ask, EXPLAIN_TIMEOUT) for s in sidecars))
         found = [orjson.loads(text) for status, text in answers if status == 200]
         silent = sum(status == 503 for status, _ in answers)
         if not found:
--- a/zinclever/mesh/roles/endpoint_calls.py
+++ b/zinclever/mesh/roles/heartbeats.py
@@ -7,22 +7,27 @@
 
 from schema import And, Optional, Or, Schema, SchemaError
 
-from ..control_api.desk import Call
+from ..control_api.listener import Call
 from ..errors import MeshError
 from ..membership.records import DEPARTED_SEQ, EndpointPhase, RecordKind
 from ..transport.mesh_pb2 import EndpointInfo, Record
-from .boot import ADDRESS, NAME
+from .node_settings import ADDRESS, NAME
 
-WHOLE: Any = And(int, lambda v: 0 <= v < DEPARTED_SEQ, error="must be a whole number from 0")
-BEAT = Schema(
+WHOLE_NUMBER: Any = And(int, lambda v: 0 <= v < DEPARTED_SEQ, error="must be a whole number from 0")
+HEARTBEAT_SCHEMA = Schema(
     {
         "Address": ADDRESS,
         "Descriptor": Schema(
-            {"Target": NAME, Optional("Generation"): Or(str, int), Optional("Zone"): str, Optional("Capacity"): WHOLE},
+            {
+                "Target": NAME,
+                Optional("Generation"): Or(str, int),
+                Optional("Zone"): str,
+                Optional("Capacity"): WHOLE_NUMBER,
+            },
             ignore_extra_keys=True,
         ),
         "Observed": Schema(
-            {"Phase": Or("ready", "draining"), "CallSeq": WHOLE, Optional("ColdLeftS"): Or(int, float)},
+            {"Phase": Or("ready", "draining"), "CallSeq": WHOLE_NUMBER, Optional("ColdLeftS"): Or(int, float)},
             ignore_extra_keys=True,
         ),
     },
@@ -30,11 +35,11 @@
 )
 
 
-def read_beat(call: Call) -> Record:
+def parse_heartbeat(call: Call) -> Record:
     """A beat as a record, but for the keeper; MeshError where it is none."""
     told = call.json()
     try:
-        BEAT.validate(told)
+        HEARTBEAT_SCHEMA.validate(told)
     except SchemaError as wrong:
         raise MeshError("BEAT_INVALID", " ".join(str(wrong.code).split())) from None
     about, seen = told["Descriptor"], told["Observed"]
@@ -57,19 +62,19 @@
     )
 
 
-def departure(endpoint: str) -> Record:
+def departure_record(endpoint: str) -> Record:
     """The record of an endpoint that says that it has gone."""
     return Record(kind=RecordKind.ENDPOINT, id=endpoint, seq=DEPARTED_SEQ, rank=EndpointPhase.GONE)
 
 
-def with_keeper(record: Record, keeper: str) -> None:
+def set_sidecar(record: Record, keeper: str) -> None:
     """Name the sidecar beside the endpoint in its record."""
     info = EndpointInfo.FromString(record.body)
     info.sidecar = keeper
     record.body = info.SerializeToString()
 
 
-def keeper_of(record: Record) -> str:
+def sidecar_of(record: Record) -> str:
     """The sidecar beside the endpoint, as its record names it."""
     return EndpointInfo.FromString(record.body).sidecar
 
@@ -79,17 +84,17 @@
     return known.rank == EndpointPhase.DRAINING or known.seq >= DEPARTED_SEQ
 
 
-def changes(known: Record | None, ready: Record) -> bool:
+def is_news(known: Record | None, ready: Record) -> bool:
     """Whether a beat of a ready endpoint is news; its record is given the life of what is known."""
     if known is None:
         return True
     ready.incarnation = known.incarnation
     if is_final(known) or known.seq >= ready.seq:
         return False  # it leaves, or the beat is a late one
-    return known.rank != EndpointPhase.READY or keeper_of(known) != keeper_of(ready)
+    return known.rank != EndpointPhase.READY or sidecar_of(known) != sidecar_of(ready)
 
 
-def announcement(known: Record | None, ending: Record) -> Record:
+def superseding_record(known: Record | None, ending: Record) -> Record:
     """The record by which a drain or a departure is told: one that stands above what is known. An endpoint that was
     taken for gone and says that it drains is gone for good."""
     if known is None:
--- a/zinclever/mesh/roles/boot.py
+++ b/zinclever/mesh/roles/node_settings.py
@@ -13,7 +13,7 @@
 from ..consensus.quorum import FaultModel
 from ..errors import MeshError
 
-VARIABLE = "ZINCLEVER_BOOT"
+SETTINGS_VARIABLE = "ZINCLEVER_BOOT"
 
 
 def is_address(text: object) -> bool:
@@ -29,9 +29,9 @@
 ADDRESS: Any = And(is_address, error="must be host:port")
 PORT: Any = And(int, lambda p: 0 < p < 65536, error="must be a port")
 NAME: Any = And(str, len, error="must be a text that is not empty")
-ABOVE: Any = And(Or(int, float), lambda v: v > 0, error="must be a number above 0")
+POSITIVE: Any = And(Or(int, float), lambda v: v > 0, error="must be a number above 0")
 
-SETTINGS = Schema(
+SETTINGS_SCHEMA = Schema(
     {
         "NodeName": NAME,
         "Role": NAME,
@@ -47,7 +47,7 @@
         Optional("Bootstrap"): bool,
         Optional("Counted"): bool,
         Optional("StateDir"): Or(None, NAME),
-        Optional("HeartbeatS"): ABOVE,
+        Optional("HeartbeatS"): POSITIVE,
         Optional("Bounds"): [str],
         Optional("Limits"): dict,
         Optional("FaultModel"): dict,
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Boot:
+class NodeSettings:
     """What this process is told."""
 
     name: str
@@ -67,37 +67,37 @@
     zone: str
     zones: tuple[str, ...]
     bind: Mapping[str, Address]
-    ports: tuple[int, int]
+    ephemeral_ports: tuple[int, int]
     seeds: tuple[Address, ...]
     bootstrap: bool
-    state: str | None
+    state_folder: str | None
     """The folder of its disk."""
-    beat: float
+    heartbeat_interval: float
     """s between two beats of an endpoint."""
     fault_model: FaultModel
     regions: Mapping[str, str]
     """By zone."""
-    descriptors: int
-    memory: int
+    max_descriptors: int
+    memory_mb: int
     """MB."""
-    link: float
+    link_mbps: float
     """Mbit/s of this machine's link; 0 where nothing is said of it."""
     bounds: Mapping[str, float]
-    app: Address | None
+    application_address: Address | None
     service: str
 
 
-def read(text: bytes) -> Boot:
+def parse(text: bytes) -> NodeSettings:
     """The settings from their text; MeshError with the path of what is wrong."""
     try:
         told: Any = orjson.loads(text)
-        SETTINGS.validate(told)
+        SETTINGS_SCHEMA.validate(told)
     except orjson.JSONDecodeError as wrong:
         raise MeshError("BOOT_UNREADABLE", str(wrong)) from None
     except SchemaError as wrong:
         raise MeshError("BOOT_INVALID", " ".join(str(wrong.code).split()), "boot") from None
     limits, fault = told.get("Limits") or {}, told.get("FaultModel") or {}
-    return Boot(
+    return NodeSettings(
         told["NodeName"],
         told["Ip"],
         told["Zone"],
@@ -113,13 +113,13 @@
         int(limits.get("MaxFds", 1024)),
         int(limits.get("MemoryMb", 256)),
         float(limits.get("LinkMbps") or 0.0),
-        read_bounds(told.get("Bounds") or []),
+        parse_bounds(told.get("Bounds") or []),
         read_address(told["AppAddr"]) if told.get("AppAddr") else None,
         told.get("Target") or "",
     )
 
 
-def read_bounds(texts: list[str]) -> dict[str, float]:
+def parse_bounds(texts: list[str]) -> dict[str, float]:
     """``name=value`` texts, or several on one line; a value may be ``true`` or ``false``."""
     found: dict[str, float] = {}
     for text in (part for line in texts for part in line.split(",")):
--- a/zinclever/mesh/roles/consensus_links.py
+++ b/zinclever/mesh/roles/replica_transport.py
@@ -13,7 +13,7 @@
 log = logging.getLogger(__name__)
 
 
-class ConsensusLinks:
+class ReplicaTransport:
     """Owns the exchange of texts; the links are the node's."""
 
     def __init__(self, node: Node, me: Voter, kept: LogEntry | None) -> None:
@@ -24,7 +24,7 @@
     def send(self, send: Send) -> None:
         """A message of the replica to another member."""
         for ready in self.texts.outgoing(self.node.loop.time(), send):
-            self.put(ready)
+            self.send_frame(ready)
 
     def receive(self, message: ConsensusMessage) -> list[ConsensusMessage]:
         """What has come whole with this message, for the replica."""
@@ -39,10 +39,10 @@
     def flush(self) -> None:
         sends, self.texts.outbox = self.texts.outbox, []
         for send in sends:
-            self.put(send)
+            self.send_frame(send)
 
-    def put(self, send: Send) -> None:
-        self.node.line((send.to.ip, send.to.port)).send_one_way(Frame(consensus=send.message))
+    def send_frame(self, send: Send) -> None:
+        self.node.channel_to((send.to.ip, send.to.port)).send_one_way(Frame(consensus=send.message))
 
 
 def log_role(replica: Replica) -> None:
