--- a/zinclever/mesh/configuration/__init__.py
+++ b/zinclever/mesh/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' configurations: parsing, checks, route lookup, the one in force."""
+"""Operators' configurations: parsing, validation, route lookup, the one in force, and who is asked for a newer one."""
--- a/zinclever/mesh/configuration/document.py
+++ b/zinclever/mesh/configuration/document.py
@@ -1,12 +1,13 @@
-"""A configuration of the operators: read, checked, and made into what requests are looked up in.
+"""A configuration of the operators: parsed, validated, and made into what requests are looked up in.
 
-A text of JSON with ``Generation``, ``Routes`` and ``Services`` (tables by name) and ``Limits``. Fields that nobody here
-knows pass.
+A text of JSON with ``Generation``, ``Routes`` and ``Services`` (tables by name) and ``Limits``. Fields that are not
+known here are ignored. Errors are :class:`..errors.MeshError` with the path of the field.
 """
 
 from __future__ import annotations
 
 import math
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 from typing import Any
 
@@ -15,47 +16,59 @@
 
 from ..errors import MeshError
 
-MAX_TEXT_BYTES = 16 << 20  # bytes of a configuration
+MAX_TEXT_BYTES = 16 << 20
 MAX_INTEGER = 2**53
 
 IDEMPOTENT, NON_IDEMPOTENT = "idempotent", "non_idempotent"
 
+DEFAULT_MAX_HEADER_BYTES = 32768
+DEFAULT_MAX_BODY_BYTES = 40 << 20
+DEFAULT_HEADER_TIMEOUT = 3  # s
+DEFAULT_IDLE_TIMEOUT = 15  # s
+DEFAULT_HEALTH_PATH = "/health"
+DEFAULT_MAX_CONNECTIONS = 100
 
-def number_schema(least: float, most: float, above: bool = False) -> Any:
-    """A finite JSON number within bounds; booleans are none."""
 
-    def check(value: object) -> bool:
+def number_schema(minimum: float, maximum: float, is_exclusive: bool = False) -> Any:
+    """A finite JSON number within bounds, without ``minimum`` itself if ``is_exclusive``; booleans are none."""
+
+    def is_within(value: object) -> bool:
         if isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value):
             return False
-        return (least < value if above else least <= value) and value <= most
+        return (minimum < value if is_exclusive else minimum <= value) and value <= maximum
 
-    return And(check, error=f"must be a number {'above' if above else 'from'} {least:g} to {most:g}")
+    return And(is_within, error=f"must be a number {'above' if is_exclusive else 'from'} {minimum:g} to {maximum:g}")
 
 
 NON_EMPTY_TEXT: Any = And(str, len, error="must be a text that is not empty")
-PATH_PREFIX: Any = And(str, lambda p: p.startswith("/") and p.endswith("/"), error="must start and end with a slash")
-WHOLE_NUMBER: Any = And(number_schema(0, MAX_INTEGER), lambda v: v == int(v), error="must be a whole number")
+PATH_PREFIX: Any = And(
+    str, lambda path: path.startswith("/") and path.endswith("/"), error="must start and end with a slash"
+)
+WHOLE_NUMBER: Any = And(
+    number_schema(0, MAX_INTEGER), lambda value: value == int(value), error="must be a whole number"
+)
 
 ROUTE = Schema(
     {
         "Authority": NON_EMPTY_TEXT,
         "PathPrefix": PATH_PREFIX,
         "RouteClass": Or(IDEMPOTENT, NON_IDEMPOTENT, error="must be 'idempotent' or 'non_idempotent'"),
-        "DeadlineS": number_schema(0, 86400, above=True),
+        "DeadlineS": number_schema(0, 86400, is_exclusive=True),
         Optional("TargetLatencyS"): number_schema(0, 86400),
         Optional("Priority"): number_schema(-1e6, 1e6),
-        Optional("MaxAttempts"): And(WHOLE_NUMBER, lambda v: v >= 1, error="must be a whole number from 1"),
+        Optional("MaxAttempts"): And(WHOLE_NUMBER, lambda value: value >= 1, error="must be a whole number from 1"),
         Optional("Target"): NON_EMPTY_TEXT,
         Optional("WeightedTargets"): And(
             [Schema({"Target": NON_EMPTY_TEXT, "Weight": number_schema(0, 1e9)}, ignore_extra_keys=True)],
-            lambda ws: sum(w["Weight"] for w in ws) > 0,
+            lambda parts: sum(part["Weight"] for part in parts) > 0,
             error="must hold a target with a weight above 0",
         ),
     },
     ignore_extra_keys=True,
 )
 SERVICE = Schema(
-    {Optional("HealthPath"): str, Optional("MaxConns"): And(WHOLE_NUMBER, lambda v: v >= 1)}, ignore_extra_keys=True
+    {Optional("HealthPath"): str, Optional("MaxConns"): And(WHOLE_NUMBER, lambda value: value >= 1)},
+    ignore_extra_keys=True,
 )
 LIMITS = Schema(
     {
@@ -74,6 +87,7 @@
 
     name: str
     host: str
+    """In lower case."""
     prefix: str
     safe: bool
     """Its requests may run more than once."""
@@ -84,12 +98,15 @@
     priority: float
     """0 is the highest rank."""
     max_attempts: int
+    """Endpoints that one request may be sent to."""
     targets: tuple[tuple[str, float], ...]
     """Services and their weights; the weights add up to 1."""
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
+    """One service as it is in force."""
+
     name: str
     health_path: str
     max_connections: int
@@ -104,10 +121,12 @@
     services: dict[str, Service]
     routes_by_host: dict[str, list[Route]] = field(default_factory=dict)
     """By host in lower case: its routes, the longest prefix first."""
-    max_header_bytes: float = 32768.0
-    max_body_bytes: float = float(40 << 20)
-    header_timeout: float = 3.0
-    idle_timeout: float = 15.0
+    max_header_bytes: float = float(DEFAULT_MAX_HEADER_BYTES)
+    max_body_bytes: float = float(DEFAULT_MAX_BODY_BYTES)
+    header_timeout: float = float(DEFAULT_HEADER_TIMEOUT)
+    """s within which the head of a request is whole."""
+    idle_timeout: float = float(DEFAULT_IDLE_TIMEOUT)
+    """s after which an idle connection of a client is closed."""
 
     def find_route(self, host: str, path: str) -> Route | None:
         """The route of a request: of its host's the one whose prefix begins the path and is longest."""
@@ -118,99 +137,113 @@
 
 
 def parse(text: bytes, is_checked: bool = False) -> Configuration:
-    """A configuration from its text; MeshError with the path of the field where it is none. ``checked``: that was done
-    before it was settled, and isn't done field by field again: 2,000 routes take a second to check, 10 ms to read."""
+    """A configuration from its text. MeshError with the path of the field that is wrong.
+
+    ``is_checked``: its fields were validated before it was committed, and aren't again: 2,000 routes take a second to
+    validate and 10 ms to parse.
+    """
     if len(text) > MAX_TEXT_BYTES:
         raise MeshError("CONFIG_TOO_LARGE", f"more than {MAX_TEXT_BYTES} bytes")
     try:
-        told = orjson.loads(text)
-    except orjson.JSONDecodeError as wrong:
-        raise MeshError("CONFIG_UNREADABLE", str(wrong)) from None
-    if not isinstance(told, dict):
+        document = orjson.loads(text)
+    except orjson.JSONDecodeError as error:
+        raise MeshError("CONFIG_UNREADABLE", str(error)) from None
+    if not isinstance(document, dict):
         raise MeshError("CONFIG_INVALID", "must be a table")
     if not is_checked:
-        validate(WHOLE_NUMBER, told.get("Generation"), "Generation")
-    routes, services = told.get("Routes"), told.get("Services")
-    if not isinstance(routes, dict):
-        raise MeshError("CONFIG_INVALID", "must be a table by name", "Routes")
-    if not isinstance(services, dict):
-        raise MeshError("CONFIG_INVALID", "must be a table by name", "Services")
-    limits = told.get("Limits", {})
+        validate(WHOLE_NUMBER, document.get("Generation"), "Generation")
+    raw_routes, raw_services = require_table(document, "Routes"), require_table(document, "Services")
+    limits = document.get("Limits", {})
     if not is_checked:
-        validate_fields(routes, services, limits)
-    made = {n: parse_service(n, s) for n, s in services.items()}
-    found = {n: parse_route(n, r, made) for n, r in routes.items()}
-    hosts: dict[str, list[Route]] = {}
-    places: dict[tuple[str, str], str] = {}
-    for route in found.values():
-        place = (route.host, route.prefix)
-        if place in places:
-            raise MeshError("CONFIG_INVALID", f"the same place as {places[place]}", f"Routes.{route.name}.PathPrefix")
-        places[place] = route.name
-        hosts.setdefault(route.host, []).append(route)
-    for listed in hosts.values():
-        listed.sort(key=lambda r: -len(r.prefix))
+        validate_fields(raw_routes, raw_services, limits)
+    services = {name: parse_service(name, raw) for name, raw in raw_services.items()}
+    routes = {name: parse_route(name, raw, services) for name, raw in raw_routes.items()}
     return Configuration(
-        int(told["Generation"]),
-        found,
-        made,
-        hosts,
-        *(
-            float(limits.get(k, d))
-            for k, d in (
-                ("MaxHeaderBytes", 32768),
-                ("MaxBodyBytes", 40 << 20),
-                ("HeaderTimeoutS", 3),
-                ("IdleTimeoutS", 15),
-            )
-        ),
+        generation=int(document["Generation"]),
+        routes=routes,
+        services=services,
+        routes_by_host=index_by_host(routes),
+        max_header_bytes=float(limits.get("MaxHeaderBytes", DEFAULT_MAX_HEADER_BYTES)),
+        max_body_bytes=float(limits.get("MaxBodyBytes", DEFAULT_MAX_BODY_BYTES)),
+        header_timeout=float(limits.get("HeaderTimeoutS", DEFAULT_HEADER_TIMEOUT)),
+        idle_timeout=float(limits.get("IdleTimeoutS", DEFAULT_IDLE_TIMEOUT)),
     )
 
 
+def require_table(document: Mapping[str, Any], field: str) -> dict[str, Any]:
+    """A table of the document. MeshError where it is missing or something else."""
+    table = document.get(field)
+    if not isinstance(table, dict):
+        raise MeshError("CONFIG_INVALID", "must be a table by name", field)
+    return table
+
+
+def index_by_host(routes: Mapping[str, Route]) -> dict[str, list[Route]]:
+    """The routes of each host, the longest prefix first. MeshError where two have the same host and prefix."""
+    by_host: dict[str, list[Route]] = {}
+    by_place: dict[tuple[str, str], str] = {}
+    for route in routes.values():
+        place = (route.host, route.prefix)
+        if place in by_place:
+            path = f"Routes.{route.name}.PathPrefix"
+            raise MeshError("CONFIG_INVALID", f"the same place as {by_place[place]}", path)
+        by_place[place] = route.name
+        by_host.setdefault(route.host, []).append(route)
+    for listed in by_host.values():
+        listed.sort(key=lambda route: -len(route.prefix))
+    return by_host
+
+
 def validate(schema: Any, value: object, path: str) -> None:
-    """Raise where a value doesn't fit, with its path."""
+    """MeshError with the path where a value doesn't fit a schema."""
     try:
         (schema if isinstance(schema, Schema) else Schema(schema)).validate(value)
-    except SchemaError as wrong:
-        autos = [str(a) for a in wrong.autos if a]
-        key = next((a.partition("Key '")[2].partition("'")[0] for a in autos if "Key '" in a), "")
-        said = [str(e) for e in wrong.errors if e] or autos
-        at = f"{path}.{key}" if key else path
-        raise MeshError("CONFIG_INVALID", said[-1] if said else "is not valid", at) from None
+    except SchemaError as error:
+        descriptions = [str(text) for text in error.autos if text]
+        key = next((text.partition("Key '")[2].partition("'")[0] for text in descriptions if "Key '" in text), "")
+        messages = [str(text) for text in error.errors if text] or descriptions
+        full_path = f"{path}.{key}" if key else path
+        raise MeshError("CONFIG_INVALID", messages[-1] if messages else "is not valid", full_path) from None
 
 
-def validate_fields(routes: dict[str, Any], services: dict[str, Any], limits: object) -> None:
-    """Raise where a field is not as it should be."""
+def validate_fields(routes: Mapping[str, Any], services: Mapping[str, Any], limits: object) -> None:
+    """MeshError where a field is not as it should be."""
     validate(LIMITS, limits, "Limits")
-    for name, told in services.items():
-        validate(SERVICE, told, f"Services.{name}")
-    for name, told in routes.items():
-        validate(ROUTE, told, f"Routes.{name}")
-
-
-def parse_service(name: str, told: dict[str, Any]) -> Service:
-    return Service(name, told.get("HealthPath", "/health"), int(told.get("MaxConns", 100)))
+    for name, raw in services.items():
+        validate(SERVICE, raw, f"Services.{name}")
+    for name, raw in routes.items():
+        validate(ROUTE, raw, f"Routes.{name}")
+
+
+def parse_service(name: str, raw: Mapping[str, Any]) -> Service:
+    """One service from its validated fields."""
+    return Service(
+        name=name,
+        health_path=raw.get("HealthPath", DEFAULT_HEALTH_PATH),
+        max_connections=int(raw.get("MaxConns", DEFAULT_MAX_CONNECTIONS)),
+    )
 
 
-def parse_route(name: str, told: dict[str, Any], services: dict[str, Service]) -> Route:
+def parse_route(name: str, raw: Mapping[str, Any], services: Mapping[str, Service]) -> Route:
+    """One route from its validated fields. MeshError where it names no service, or an unknown one."""
     path = f"Routes.{name}"
-    weighted = told.get("WeightedTargets")
-    if weighted is None and "Target" not in told:
+    weighted = raw.get("WeightedTargets")
+    if weighted is None and "Target" not in raw:
         raise MeshError("CONFIG_INVALID", "names no target", path)
-    pairs = [(w["Target"], float(w["Weight"])) for w in weighted] if weighted else [(told["Target"], 1.0)]
-    for target, _ in pairs:
+    weights = [(part["Target"], float(part["Weight"])) for part in weighted] if weighted else [(raw["Target"], 1.0)]
+    for target, _ in weights:
         if target not in services:
             raise MeshError("CONFIG_INVALID", f"names the unknown service {target!r}", f"{path}.Target")
-    whole = sum(w for _, w in pairs)
-    deadline = float(told["DeadlineS"])
+    total = sum(weight for _, weight in weights)
+    deadline = float(raw["DeadlineS"])
     return Route(
-        name,
-        told["Authority"].lower(),
-        told["PathPrefix"],
-        told["RouteClass"] == IDEMPOTENT,
-        deadline,
-        float(told.get("TargetLatencyS", 0.0)) or deadline,
-        float(told.get("Priority", 0)),
-        int(told.get("MaxAttempts", 1)),
-        tuple((t, w / whole) for t, w in pairs if w > 0),
+        name=name,
+        host=raw["Authority"].lower(),
+        prefix=raw["PathPrefix"],
+        safe=raw["RouteClass"] == IDEMPOTENT,
+        deadline=deadline,
+        latency_target=float(raw.get("TargetLatencyS", 0.0)) or deadline,
+        priority=float(raw.get("Priority", 0)),
+        max_attempts=int(raw.get("MaxAttempts", 1)),
+        targets=tuple((target, weight / total) for target, weight in weights if weight > 0),
     )
--- a/zinclever/mesh/control_api/__init__.py
+++ b/zinclever/mesh/control_api/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP calls to a node: by endpoints, operators and the platform."""
+"""The HTTP API of a node for endpoints, operators and the platform: a router of calls, and their listener."""
--- a/zinclever/mesh/control_api/listener.py
+++ b/zinclever/mesh/control_api/listener.py
@@ -1,4 +1,4 @@
-"""The desk of a role's own calls: a request goes to the handler that the tree finds, and its answer is JSON."""
+"""The listener of a role's own calls: a call goes to the handler that the router finds, and its answer is JSON."""
 
 from __future__ import annotations
 
@@ -32,24 +32,24 @@
     body: bytes
 
     def json(self) -> Any:
-        """The body read as JSON; MeshError where it is none."""
+        """The parsed body. MeshError where it is not JSON."""
         try:
             return orjson.loads(self.body)
-        except orjson.JSONDecodeError as wrong:
-            raise MeshError("CALL_UNREADABLE", str(wrong)) from None
+        except orjson.JSONDecodeError as error:
+            raise MeshError("CALL_UNREADABLE", str(error)) from None
 
 
 Handler = Callable[[Call], Answer | Awaitable[Answer]]
 
 
-def json_answer(status: int, told: object = None, headers: bytes = b"") -> Answer:
-    """An answer in JSON."""
-    return Answer(status, b"Content-Type: application/json\r\n" + headers, orjson.dumps({} if told is None else told))
+def json_answer(status: int, content: object = None) -> Answer:
+    """An answer in JSON; an empty object without ``content``."""
+    return Answer(status, b"Content-Type: application/json\r\n", orjson.dumps({} if content is None else content))
 
 
-def error_answer(status: int, wrong: MeshError) -> Answer:
-    """An error as it is told to callers."""
-    return json_answer(status, {"Error": {"Code": wrong.code, "Field": wrong.field, "Text": wrong.text}})
+def error_answer(status: int, error: MeshError) -> Answer:
+    """An error as callers are told of it."""
+    return json_answer(status, {"Error": {"Code": error.code, "Field": error.field, "Text": error.text}})
 
 
 class ControlApi(Desk):
@@ -61,54 +61,61 @@
         self.whole_only = True
         self.last_number = 0
         self.tasks: dict[str, asyncio.Task[None]] = {}
+        """The calls whose answers are awaited, by number."""
         self.counted = Replies()
 
     def read(self, method: str, target: str, headers: Headers, body: bytes | Body, waited: float) -> Incoming:
-        handler, captured, known = self.router.find(method, target)
-        if handler is None:
-            raise Rejected(405 if known else 404)
-        assert isinstance(body, bytes)
-        named: dict[str, str] = {}
+        """Find the handler of a call. Rejected with 404 or 405 where there is none."""
+        match = self.router.find(method, target)
+        if match.handler is None:
+            raise Rejected(405 if match.is_known_path else 404)
+        assert isinstance(body, bytes)  # the listener takes whole bodies only
+        by_name: dict[str, str] = {}
         for name, value in headers:
-            named.setdefault(name.decode("latin-1").lower(), value.decode("latin-1"))
+            by_name.setdefault(name.decode("latin-1").lower(), value.decode("latin-1"))
         self.last_number += 1
-        call = Call(captured, named, body)
-        return Incoming(str(self.last_number), 0, 0, "", 0.0, 0.0, False, (handler, call))
+        call = Call(match.path_parameters, by_name, body)
+        return Incoming(str(self.last_number), 0, 0, "", 0.0, 0.0, False, (match.handler, call))
 
     def take(self, told: Incoming, answer: Callable[[Final | Answer], None]) -> None:
+        """Handle a call, now or in a task."""
         handler, call = told.payload
         try:
-            made = handler(call)
-        except MeshError as wrong:
-            answer(error_answer(400, wrong))
+            result = handler(call)
+        except Exception as error:
+            answer(failure_answer(error))
             return
-        except Exception:
-            log.exception("a call failed", extra={"code": "CALL_FAILED"})
-            answer(json_answer(500))
-            return
-        if isinstance(made, Answer):
-            answer(made)
+        if isinstance(result, Answer):
+            answer(result)
         else:
-            self.tasks[told.id] = asyncio.ensure_future(self.answer_later(told.id, made, answer))
+            self.tasks[told.id] = asyncio.ensure_future(self.answer_later(told.id, result, answer))
 
     async def answer_later(
-        self, number: str, made: Awaitable[Answer], answer: Callable[[Final | Answer], None]
+        self, number: str, result: Awaitable[Answer], answer: Callable[[Final | Answer], None]
     ) -> None:
+        """Answer a call once its handler has."""
         try:
-            answer(await made)
-        except MeshError as wrong:
-            answer(error_answer(400, wrong))
-        except Exception:
-            log.exception("a call failed", extra={"code": "CALL_FAILED"})
-            answer(json_answer(500))
+            answer(await result)
+        except Exception as error:
+            answer(failure_answer(error))
         finally:
             self.tasks.pop(number, None)
 
     def abandon(self, request_id: str) -> None:
-        """Its caller has gone: what the call does is still done."""
+        """The caller has gone: what the call does is still done."""
 
     def replies(self, told: Incoming) -> Replies:
+        """The counts of answers."""
         return self.counted
 
     def unread(self, sock: Any) -> bool:
+        """Whether the kernel holds bytes of a connection that have not been read."""
         return self.host.unread(sock)
+
+
+def failure_answer(error: Exception) -> Answer:
+    """400 for what was wrong with a call, 500 for a fault of this program, which is logged."""
+    if isinstance(error, MeshError):
+        return error_answer(400, error)
+    log.error("a call failed", exc_info=error, extra={"code": "CALL_FAILED"})
+    return json_answer(500)
--- a/zinclever/mesh/control_api/router.py
+++ b/zinclever/mesh/control_api/router.py
@@ -1,42 +1,55 @@
-"""Calls as a tree of matchers: method, then the parts of the path, names captured on the way."""
+"""A router of calls: a tree of path segments with handlers by method."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass, field
 from typing import Generic, TypeVar
 
-H = TypeVar("H")
+HandlerT = TypeVar("HandlerT")
 
 
-class Router(Generic[H]):
-    """What is done with a call, by its method and path. A part in braces matches any text and is captured."""
+@dataclass(frozen=True, slots=True)
+class RouteMatch(Generic[HandlerT]):
+    """What the router finds for a call."""
+
+    handler: HandlerT | None = None
+    path_parameters: list[str] = field(default_factory=list)
+    """The segments that stand for parameters, in order."""
+    is_known_path: bool = False
+    """The path has handlers, perhaps for other methods only."""
+
+
+class Router(Generic[HandlerT]):
+    """A node of the tree. A segment in braces is a parameter and matches any text."""
 
     def __init__(self) -> None:
-        self.handlers: dict[str, H] = {}  # by method
-        self.children: dict[str, Router[H]] = {}
-        self.parameter_child: Router[H] | None = None
+        self.handlers: dict[str, HandlerT] = {}
+        """By method."""
+        self.children: dict[str, Router[HandlerT]] = {}
+        self.parameter_child: Router[HandlerT] | None = None
 
-    def add(self, call: str, handler: H) -> None:
-        """``call``: as ``POST /v1/endpoints/{id}/departure``."""
+    def add(self, call: str, handler: HandlerT) -> None:
+        """Add a handler; ``call``: as ``POST /v1/endpoints/{id}/departure``."""
         method, _, path = call.partition(" ")
         node = self
-        for part in path.strip("/").split("/"):
-            if part.startswith("{"):
+        for segment in path.strip("/").split("/"):
+            if segment.startswith("{"):
                 node.parameter_child = node.parameter_child or Router()
                 node = node.parameter_child
             else:
-                node = node.children.setdefault(part, Router())
+                node = node.children.setdefault(segment, Router())
         node.handlers[method] = handler
 
-    def find(self, method: str, path: str) -> tuple[H | None, list[str], bool]:
-        """The handler, what was captured, and whether the path is known by other methods."""
-        node: Router[H] = self
-        captured: list[str] = []
-        for part in path.partition("?")[0].strip("/").split("/"):
-            if part in node.children:
-                node = node.children[part]
-            elif node.parameter_child is not None and part:
+    def find(self, method: str, path: str) -> RouteMatch[HandlerT]:
+        """The handler of a call."""
+        node: Router[HandlerT] = self
+        path_parameters: list[str] = []
+        for segment in path.partition("?")[0].strip("/").split("/"):
+            if segment in node.children:
+                node = node.children[segment]
+            elif node.parameter_child is not None and segment:
                 node = node.parameter_child
-                captured.append(part)
+                path_parameters.append(segment)
             else:
-                return None, [], False
-        return node.handlers.get(method), captured, bool(node.handlers)
+                return RouteMatch()
+        return RouteMatch(node.handlers.get(method), path_parameters, bool(node.handlers))
--- a/zinclever/mesh/errors.py
+++ b/zinclever/mesh/errors.py
@@ -4,8 +4,14 @@
 
 
 class MeshError(Exception):
-    """``code`` is stable and documented in ``docs/operators/mesh.md``; ``field`` is the path of what is wrong."""
+    """An error that a caller, an operator or a log line is told of.
+
+    ``code`` is stable and documented in ``docs/operators/mesh.md``, ``text`` says what was wrong and ``field`` is the
+    path of the field that was.
+    """
 
     def __init__(self, code: str, text: str, field: str = "") -> None:
         super().__init__(f"{code}: {field + ': ' if field else ''}{text}")
-        self.code, self.text, self.field = code, text, field
+        self.code = code
+        self.text = text
+        self.field = field
