--- a/tests/mesh/test_configuration.py
+++ b/tests/mesh/test_configuration.py
@@ -163,7 +163,8 @@
         tree: Router[str] = Router()
         tree.add("POST /v1/endpoints/{id}/heartbeat", "beat")
         tree.add("GET /v1/ready", "ready")
-        self.assertEqual(tree.find(method, path), (want, captured, known))
+        found = tree.find(method, path)
+        self.assertEqual((found.handler, found.path_parameters, found.is_known_path), (want, captured, known))
 
 
 class Packed(unittest.TestCase):
