--- a/tests/mesh/test_attempts.py
+++ b/tests/mesh/test_attempts.py
@@ -18,8 +18,9 @@
 
 from zinclever.mesh.attempt_outcome import AttemptOutcome
 from zinclever.mesh.dataplane.attempt_count import AttemptCount
-from zinclever.mesh.dataplane.forwarding import ForwardAttempt, Forwarder, OutboundRequest
+from zinclever.mesh.dataplane.forwarding import ForwardAttempt, Forwarder
 from zinclever.mesh.dataplane.ingress import Ingress
+from zinclever.mesh.dataplane.outbound_request import OutboundRequest
 from zinclever.mesh.dataplane.retry_budget import RetryBudget
 from zinclever.mesh.transport.channel import Channel
 from zinclever.mesh.transport.framed_connection import FramedConnection
@@ -123,7 +124,16 @@
             if address is not None:
                 self.wire.place(endpoint, address)
         self.order = OutboundRequest(
-            "s", "id", b"GET / HTTP/1.1\r\n", body, bool(body), True, 0, 1.0, limit, 0.0, False
+            service="s",
+            id="id",
+            head=b"GET / HTTP/1.1\r\n",
+            body=body,
+            has_body=bool(body),
+            safe=True,
+            priority=0,
+            latency_target_at=1.0,
+            attempt_count=AttemptCount(limit),
+            received_at=0.0,
         )
 
     def reached(self) -> int:
--- a/tests/mesh/test_dataplane.py
+++ b/tests/mesh/test_dataplane.py
@@ -50,7 +50,7 @@
         seen = []
         while (turn := q.next(0.4)) is not None:
             seen.append(turn)
-            q.release_slot(turn)
+            q.release_slot()
         self.assertEqual(seen, [inner, high, low, late])
 
     def test_never_more_than_its_slots(self) -> None:
@@ -61,7 +61,8 @@
                 out.append(turn)
             self.assertLessEqual(q.busy, 6)
             if out and rng.random() < 0.5:
-                q.release_slot(out.pop())
+                out.pop()
+                q.release_slot()
             if q.waiting and rng.random() < 0.5:
                 q.remove(rng.choice(q.waiting))
 
--- a/tests/mesh/test_mesh.py
+++ b/tests/mesh/test_mesh.py
@@ -10,7 +10,7 @@
 from mesh.cases import params
 from mesh.cluster import Mesh, Plan, away, good, run, until
 from zinclever.mesh.dataplane.ingress import Ingress
-from zinclever.mesh.roles.sidecar import InboundForward, Sidecar
+from zinclever.mesh.roles.forward_server import ForwardServer, InboundForward
 from zinclever.mesh.transport.channel import Channel
 from zinclever.mesh.transport.framed_connection import FramedConnection
 from zinclever.mesh.transport.mesh_pb2 import ForwardRequest
@@ -219,11 +219,11 @@
                     got, headers, _ = await m.ask("/one/unsafe/x", "POST", 1, self.BODY)
                 self.assertEqual((got, m.runs(), sent.call_count), (503, 0, 0))
                 self.assertGreater(float(headers["retry-after"]), 0.0)
-                self.assertFalse(m.sidecars[0].inbound)
+                self.assertFalse(m.sidecars[0].forward_server.open)
 
         run(test)
 
-    @params(("before it may come", "on_forward_request", 200, 1), ("behind its last byte", "submit", 502, 0))
+    @params(("before it may come", "on_request", 200, 1), ("behind its last byte", "submit", 502, 0))
     def test_the_link_is_lost(self, name: str, at: str, status: int, ran: int) -> None:
         """An unsafe request goes on to the other endpoint only where it can't have run at the first."""
 
@@ -232,19 +232,19 @@
                 await m.serve()
                 lost: list[FramedConnection] = []
 
-                def lose(self: Sidecar, *told: Any) -> None:
+                def lose(self: ForwardServer, *told: Any) -> None:
                     """The first link that has come so far ends; all others go on."""
-                    link = told[0] if at == "on_forward_request" else told[1].connection
+                    link = told[0] if at == "on_request" else told[1].connection
                     if lost:
                         whole(self, *told)
                     else:
                         lost.append(link)
                         link.abort()
 
-                whole = getattr(Sidecar, at)
-                with mock.patch.object(Sidecar, at, lose):
+                whole = getattr(ForwardServer, at)
+                with mock.patch.object(ForwardServer, at, lose):
                     for f in m.sidecars:  # handlers are bound at the start
-                        f.node.frame_handlers["forward_request"] = f.on_forward_request
+                        f.node.frame_handlers["forward_request"] = f.forward_server.on_request
                     got, _, _ = await m.ask("/one/unsafe/x", "POST", 2, self.BODY)
                 self.assertEqual((got, m.runs()), (status, ran))
 
@@ -256,7 +256,7 @@
                 await m.serve()
                 keeping = m.sidecars[0]
                 coming = ForwardRequest(endpoint=m.apps[0].id, length=60 << 20, reserve_first=True, deadline_ms=1000)
-                keeping.inbound[(mock.Mock(), 1)] = InboundForward(mock.Mock(), coming, 0.0)
+                keeping.forward_server.open[(mock.Mock(), 1)] = InboundForward(mock.Mock(), coming, 0.0)
                 self.assertEqual((await m.ask("/one/unsafe/x", "POST", 1, b"b" * (8 << 20)))[0], 503)
                 self.assertEqual((await m.ask("/one/unsafe/x", "POST", 1, self.BODY))[0], 200)
 
--- a/tests/mesh/test_operator_calls.py
+++ b/tests/mesh/test_operator_calls.py
@@ -113,8 +113,8 @@
                 replies: list[ControlReply] = []
                 reply_to = leader.operator_calls.reply_to
 
-                async def watched(ask: ControlCall) -> ControlReply:
-                    replies.append(await reply_to(ask))
+                async def watched(call: ControlCall) -> ControlReply:
+                    replies.append(await reply_to(call))
                     return replies[-1]
 
                 leader.operator_calls.reply_to = watched  # type: ignore[method-assign]
--- a/zinclever/mesh/cli.py
+++ b/zinclever/mesh/cli.py
@@ -1,4 +1,4 @@
-"""The command line: each role is a subcommand."""
+"""The command line: each role is a subcommand, and so is each command of operators."""
 
 from __future__ import annotations
 
@@ -20,14 +20,23 @@
 log = logging.getLogger(__name__)
 
 SETTINGS_CHECK_INTERVAL = 2.0  # s between two looks at the settings file
+DEFAULT_GRACE = 6.0  # s from SIGTERM to the end
+
+EXIT_FAILED = 1  # an address or a disk that can't be had, or a call that was refused
+EXIT_USAGE = 2  # settings or a command line that can't be used
 
 
 class Role(Protocol):
-    async def start(self) -> None: ...
+    """What a process runs, from its start to SIGTERM."""
+
+    async def start(self) -> None:
+        """Take addresses and disk. OSError where they can't be had."""
 
-    async def stop(self, grace: float) -> None: ...
+    async def stop(self, grace: float) -> None:
+        """End in order, within ``grace`` s."""
 
-    def reload(self, boot: NodeSettings) -> None: ...
+    def reload(self, settings: NodeSettings) -> None:
+        """Take new settings."""
 
 
 def sidecar() -> int:
@@ -45,98 +54,101 @@
 
 
 def run(make_role: Callable[[NodeSettings], Role]) -> int:
-    """Run a role until SIGTERM: 0 after an end in order, 2 for settings that can't be used, 1 for an address or a disk
-    that can't be had."""
+    """Run a role until SIGTERM; the exit code: 0 after an end in order, else one of those above."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
-        boot = read_settings()
+        settings = read_settings()
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(serve(make_role, boot))
-    except MeshError as wrong:
-        print(f"zinclever: {wrong}", file=sys.stderr)
-        return 2
-    except OSError as wrong:
-        print(f"zinclever: {wrong}", file=sys.stderr)
-        return 1
+            runner.run(serve(make_role, settings))
+    except MeshError as error:
+        print(f"zinclever: {error}", file=sys.stderr)
+        return EXIT_USAGE
+    except OSError as error:
+        print(f"zinclever: {error}", file=sys.stderr)
+        return EXIT_FAILED
     return 0
 
 
 def read_settings() -> NodeSettings:
+    """The settings that the environment names. MeshError where they can't be used."""
     path = os.environ.get(SETTINGS_VARIABLE, "")
     if not path:
         raise MeshError("BOOT_MISSING", f"{SETTINGS_VARIABLE} names no file")
     try:
         return parse(Path(path).read_bytes())
-    except OSError as wrong:
-        raise MeshError("BOOT_UNREADABLE", str(wrong)) from None
+    except OSError as error:
+        raise MeshError("BOOT_UNREADABLE", str(error)) from None
 
 
 async def serve(make_role: Callable[[NodeSettings], Role], settings: NodeSettings) -> None:
+    """Run a role in the event loop until SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
     ended = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, ended.set)
     role = make_role(settings)
-    watch = SettingsWatcher(role, settings)
-    loop.add_signal_handler(signal.SIGHUP, watch.check)
+    watcher = SettingsWatcher(role, settings)
+    loop.add_signal_handler(signal.SIGHUP, watcher.check)
     await role.start()
     log.info("started", extra={"code": "STARTED"})
-    watch.run_check()
+    watcher.run_check()
     await ended.wait()
-    watch.stop()
-    await role.stop(settings.bounds.get("GraceS", 6.0))
+    watcher.stop()
+    await role.stop(settings.bounds.get("GraceS", DEFAULT_GRACE))
 
 
 class SettingsWatcher:
-    """Looks whether the settings file has changed: on SIGHUP, and now and then, as it may change without one."""
+    """Checks whether the settings file has changed: on SIGHUP, and periodically, as it may change without one."""
 
-    def __init__(self, role: Role, boot: NodeSettings) -> None:
-        self.role, self.settings = role, boot
+    def __init__(self, role: Role, settings: NodeSettings) -> None:
+        self.role, self.settings = role, settings
         self.timer: asyncio.TimerHandle | None = None
         self.logged_error = ""
 
     def run_check(self) -> None:
+        """Check now, and every :data:`SETTINGS_CHECK_INTERVAL`."""
         self.timer = asyncio.get_running_loop().call_later(SETTINGS_CHECK_INTERVAL, self.run_check)
         self.check()
 
     def check(self) -> None:
-        """What can't be used changes nothing, and is told once."""
+        """Take changed settings. Settings that can't be used change nothing, and are logged once."""
         try:
-            boot = read_settings()
-        except MeshError as wrong:
-            if str(wrong) != self.logged_error:
-                self.logged_error = str(wrong)
-                log.error("settings not taken", extra={"code": wrong.code, "field": wrong.field, "text": wrong.text})
+            settings = read_settings()
+        except MeshError as error:
+            if str(error) != self.logged_error:
+                self.logged_error = str(error)
+                log.error("settings not taken", extra={"code": error.code, "field": error.field, "text": error.text})
             return
         self.logged_error = ""
-        if boot != self.settings:
-            self.settings = boot
-            log.info("settings taken anew", extra={"code": "BOOT_TAKEN", "seeds": [s[0] for s in boot.seeds]})
-            self.role.reload(boot)
+        if settings != self.settings:
+            self.settings = settings
+            log.info("settings taken anew", extra={"code": "BOOT_TAKEN", "seeds": [ip for ip, _ in settings.seeds]})
+            self.role.reload(settings)
 
     def stop(self) -> None:
+        """Check no more."""
         if self.timer is not None:
             self.timer.cancel()
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """The exit code of what was asked for."""
+    """Run what the command line asks for; its exit code."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(JsonFormatter("%(asctime)s %(levelname)s %(name)s %(message)s"))
     logging.basicConfig(level=logging.INFO, handlers=[handler])
     roles = {"sidecar": sidecar, "control": control, "forager": sidecar, "comb": control}  # the last two: of 0.1
-    told = sys.argv[1:] if arguments is None else arguments
-    if len(told) == 1 and told[0] in roles:
-        return roles[told[0]]()  # a start waits for no library that reads the rest of the command line
+    given = sys.argv[1:] if arguments is None else arguments
+    if len(given) == 1 and given[0] in roles:
+        return roles[given[0]]()  # a start waits for no library that parses the rest of the command line
     import defopt
 
     from .operator_cli.commands import COMMANDS
 
     try:
         return int(defopt.run([sidecar, control, *COMMANDS], argv=arguments, cli_options="has_default") or 0)
-    except MeshError as wrong:
-        print(f"zinclever: {wrong}", file=sys.stderr)
-        return 1
-    except OSError as wrong:
-        print(f"zinclever: FILE: {wrong}", file=sys.stderr)
-        return 1
+    except MeshError as error:
+        print(f"zinclever: {error}", file=sys.stderr)
+        return EXIT_FAILED
+    except OSError as error:
+        print(f"zinclever: FILE: {error}", file=sys.stderr)
+        return EXIT_FAILED
--- a/zinclever/mesh/dataplane/__init__.py
+++ b/zinclever/mesh/dataplane/__init__.py
@@ -1,1 +1,1 @@
-"""Forwarding of requests: egress, the hop to another sidecar, and the keeper of an endpoint."""
+"""Forwarding of requests: egress for clients, attempts to other sidecars, ingress in front of the endpoint."""
--- a/zinclever/mesh/dataplane/admission.py
+++ b/zinclever/mesh/dataplane/admission.py
@@ -1,4 +1,4 @@
-"""Admission in the mesh: whoever keeps an endpoint knows its turns, so that nobody else guesses at them."""
+"""Admission in the mesh: the ingress in front of an endpoint knows its free slots, so that no sidecar has to guess."""
 
 from __future__ import annotations
 
@@ -12,58 +12,67 @@
 from ...policy.requests import Request
 from ...policy.sides import Side
 
-HOLD_SHARE = (
-    0.2  # of its aim for which a request may wait here for an endpoint to appear: refused then, it may come again
-)
+HOLD_SHARE = 0.2  # of its latency target for which a request waits for an endpoint to appear, before it is refused
 
 
 class IngressAdmission(Admission):
-    """Lets everything out. The windows of a sidecar that is alone are a guess at what endpoints can carry, made of a
-    few answers each; their keepers say it of each request, at once, and a request moves on from one that is full."""
+    """Admits everything.
+
+    The concurrency windows of a sidecar that is alone are a guess at what endpoints can carry, made of a few answers
+    each; their ingress says it of each request, at once, and a request moves on from one that has no capacity.
+    """
 
     def room(self) -> bool:
+        """There is no concurrency window."""
         return True
 
     def crowded(self) -> bool:
-        """Copies are barred by the keepers, each where it is busy."""
+        """Hedges are refused by the ingress, each where it is busy."""
         return False
 
     def admits(self, now: float, r: Request) -> bool:
+        """Every request is sent at once."""
         return True
 
     def steer(self, now: float, side: Side) -> None:
-        """There is no window."""
+        """There is no window to adapt."""
 
     def start(self) -> None:
+        """Open all windows."""
         for side in (self.list.near, self.list.far):
             side.window.size = math.inf
 
     def hold(self, r: Request) -> None:
-        """No endpoint is to be had: one may be in a moment."""
+        """No endpoint is known: one may be in a moment."""
         super().hold(r)
         told = r.klass.told
         heapq.heappush(self.patience, (r.deadline - told.deadline + HOLD_SHARE * told.aim, self.count, r))
 
 
 class IngressSlowStart(Cold):
-    """Fresh endpoints need no guard here: their keepers send them no more than they have slots. What the guard of a
-    sidecar that is alone goes by, what warm ones answer to it, is nothing after a start of all."""
+    """Doesn't protect endpoints that start: their ingress sends them no more than they have slots.
+
+    What the slow start of a sidecar that is alone goes by, what warm endpoints answer to it, is nothing after a start
+    of all.
+    """
 
     def cold(self, now: float, e: Endpoint) -> bool:
+        """No endpoint counts as cold."""
         return False
 
     def warm_enough(self, now: float, e: Endpoint) -> bool:
+        """Every endpoint counts as warm."""
         return True
 
     def sent(self, now: float, e: Endpoint) -> None:
-        """Nothing is saved up."""
+        """Nothing is counted."""
 
 
 def delegate_to_ingress(balancer: Balancer) -> None:
-    """Have a balancer that has served nothing yet leave admission, and the guard of what is cold, to the keepers."""
+    """Have a balancer that has served nothing yet leave admission and slow start to the ingress."""
     old = balancer.admission
-    made = IngressAdmission(old.settings, old.classes, old.tenants, old.list, old.crossing, old.rng)
-    balancer.admission = balancer.learning.admission = made
-    made.start()
-    cold = IngressSlowStart(balancer.settings, balancer.list)
-    balancer.cold = balancer.draws.cold = balancer.learning.cold = cold
+    admission = IngressAdmission(old.settings, old.classes, old.tenants, old.list, old.crossing, old.rng)
+    balancer.admission = balancer.learning.admission = admission
+    admission.start()
+    slow_start = IngressSlowStart(balancer.settings, balancer.list)
+    balancer.cold = balancer.draws.cold = balancer.learning.cold = slow_start
--- a/zinclever/mesh/dataplane/attempt_count.py
+++ b/zinclever/mesh/dataplane/attempt_count.py
@@ -1,8 +1,8 @@
 """How many endpoints one request may have reached. Pure.
 
 A route's ``MaxAttempts`` bounds the endpoints that one try of a client may be sent to. It is a bound on what may have
-happened, not on what is known so far: an attempt counts from before its first byte goes out until it is certain that it
-reached no endpoint. One that is in flight, waits for room at a keeper, or was cancelled but may have run still counts.
+happened, not on what is known so far: an attempt counts from before its first byte is sent until it is certain that it
+reached no endpoint. One that is in flight, waits for a slot, or was cancelled but may have run still counts.
 """
 
 from __future__ import annotations
--- a/zinclever/mesh/dataplane/ingress.py
+++ b/zinclever/mesh/dataplane/ingress.py
@@ -1,7 +1,7 @@
-"""The keeper of the endpoint beside this sidecar: the only way to it, and the place where what must hold there is kept.
+"""The ingress of the endpoint beside this sidecar: the only way to it, where what must hold there is enforced.
 
-An endpoint that drains or has gone gets nothing more, whoever asks; no other life of it gets a request meant for one;
-no more is sent to it at a time than it works on; and what is given up is ended there.
+An endpoint that drains or has gone gets nothing more, whoever asks; no other incarnation of it gets a request meant for
+one; no more is sent to it at a time than it works on; and what is cancelled is ended there.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from ... import interface as i
+from ... import interface
 from ...core.descriptors import Descriptors
 from ...core.host import Host
 from ...core.pools import ExclusivePools
@@ -22,45 +22,45 @@
 from ..transport.mesh_pb2 import ForwardReply, ForwardRequest, Header
 from .slot_queue import QueueEntry, SlotQueue
 
-MAX_ANSWER_BYTES = 16 << 20  # bytes of an answer, held whole: half an answer is never passed on
+MAX_ANSWER_BYTES = 16 << 20  # of an answer, held whole: half an answer is never passed on
 READ_TIMEOUT = 120.0  # s between two pieces of an answer: its time is bounded by the deadline alone
-CONNECT_TIMEOUT_MS = 400.0  # ms
-IDLE_TIMEOUT_MS = 9000.0  # ms for which an endpoint is taken to keep an idle connection until it says
-QUIET_PERIOD = 0.1  # s without a word from which on a connection may be forgotten by the endpoint, without notice
-LAST_BYTE_DELAY = (
-    0.002  # s for which the last byte is held back on one: what is sent there first tells whether it still stands
-)
-MAX_RECONNECTS = 2  # further connections that a request is sent on at once, after one that ended before it was whole
+CONNECT_TIMEOUT_MS = 400.0
+IDLE_TIMEOUT_MS = 9000.0  # for which an endpoint is taken to keep an idle connection until it says
+QUIET_PERIOD = 0.1  # s of silence from which on a connection may be forgotten by the endpoint, without notice
+LAST_BYTE_DELAY = 0.002  # s for which the last byte is held back on one: what is sent first tells whether it stands
+MAX_RECONNECTS = 2  # connections that a request is sent on again, after one that ended before it was whole
 ENDPOINT_HEADERS = b"X-Expected-Endpoint: %b\r\nX-Deadline-Ms: %d\r\n"
 
 OnReply = Callable[[ForwardReply], None]
 
 
 class EndpointExchange(Exchange):
-    """One request at the endpoint. What is no answer of its own proves nothing."""
+    """One request at the endpoint. An answer that is not its own proves nothing."""
 
     __slots__ = ("endpoint", "expires_at", "id")
 
-    def __init__(self, load: ForwardRequest, body: bytes, ended: Ended, expires_at: float) -> None:
-        super().__init__(load.head, body, load.framed, ended, 0.0, ignore_sent)
-        self.id = load.id.encode("latin-1")
-        self.endpoint = load.endpoint.encode()
+    def __init__(self, forward: ForwardRequest, body: bytes, ended: Ended, expires_at: float) -> None:
+        """``expires_at``: instant in s at which nobody waits for it any more."""
+        super().__init__(forward.head, body, forward.framed, ended, 0.0, ignore_sent)
+        self.id = forward.id.encode("latin-1")
+        self.endpoint = forward.endpoint.encode()
         self.expires_at = expires_at
-        """Instant in s at which nobody waits for it any more."""
 
     def run(self, connection: ClientConnection) -> None:
-        """Send it, unless its time has passed while a connection came up or this process stood still."""
+        """Send it, unless its time has passed while a connection was made or this process stood still."""
         now = asyncio.get_running_loop().time()
-        left = self.expires_at - now
-        if left <= 0.0:
+        time_left = self.expires_at - now
+        if time_left <= 0.0:
             connection.abort()
             self.end("not_sent")
             return
-        self.head += ENDPOINT_HEADERS % (self.endpoint, max(1, int(1000 * left)))
-        self.hold = LAST_BYTE_DELAY if connection.heard_at and now - connection.heard_at > QUIET_PERIOD else 0.0
+        self.head += ENDPOINT_HEADERS % (self.endpoint, max(1, int(1000 * time_left)))
+        is_quiet = bool(connection.heard_at) and now - connection.heard_at > QUIET_PERIOD
+        self.hold = LAST_BYTE_DELAY if is_quiet else 0.0
         super().run(connection)
 
     def done(self, result: Reply | Broken) -> None:
+        """The endpoint has answered, or the connection broke."""
         if self.connection is not None:
             self.connection.heard_at = asyncio.get_running_loop().time()
         if isinstance(result, Broken):
@@ -74,23 +74,29 @@
 
 
 class InboundRequest(QueueEntry):
-    """A load at this keeper, until it is answered or given up."""
+    """A request at this ingress, until it is answered or cancelled."""
 
     __slots__ = ("body", "exchange", "forward", "on_reply", "queue", "reconnects", "timer")
 
-    def __init__(self, load: ForwardRequest, body: bytes, answer: OnReply, now: float, queue: SlotQueue) -> None:
+    def __init__(
+        self, forward: ForwardRequest, body: bytes, on_reply: OnReply, received_at: float, queue: SlotQueue
+    ) -> None:
         super().__init__(
-            now,
-            load.deadline_ms / 1000.0,
-            load.latency_target_ms / 1000.0,
-            load.priority,
-            load.nested,
-            load.hedge,
-            load.may_queue,
+            received_at,
+            forward.deadline_ms / 1000.0,
+            forward.latency_target_ms / 1000.0,
+            forward.priority,
+            forward.nested,
+            forward.hedge,
+            forward.may_queue,
         )
-        self.forward, self.body, self.queue = load, body, queue
-        self.on_reply: OnReply | None = answer
+        self.forward = forward
+        self.body = body
+        self.queue = queue
+        self.on_reply: OnReply | None = on_reply
+        """None once it was answered or cancelled."""
         self.exchange: EndpointExchange | None = None
+        """While it is at the endpoint."""
         self.timer: asyncio.TimerHandle | None = None
         self.reconnects = 0
         """Connections that ended before the endpoint had it whole."""
@@ -104,9 +110,14 @@
         """Whether any of it may be at the endpoint."""
         return self.reconnects > 0 or (self.exchange is not None and self.exchange.connection is not None)
 
+    def cancel_timer(self) -> None:
+        """Nothing more is to happen by itself."""
+        if self.timer is not None:
+            self.timer.cancel()
+
 
 class Ingress:
-    """Owns the connections to the endpoint, and each job until its answer is told."""
+    """Owns the connections to the endpoint, and each request until it is answered."""
 
     def __init__(self, host: Host, descriptors: Descriptors) -> None:
         self.loop = asyncio.get_running_loop()
@@ -114,31 +125,33 @@
             partial(dial, host, most_body=MAX_ANSWER_BYTES, stall=READ_TIMEOUT), descriptors
         )
         connections = Connections(host.random())
-        connections.configure(i.Shares(), 1, 0, 0)
+        connections.configure(interface.Shares(), 1, 0, 0)
         self.pools.configure(CONNECT_TIMEOUT_MS, IDLE_TIMEOUT_MS, connections)
         self.endpoint = ""
+        """The id of the endpoint; empty where there is none."""
         self.is_open = False
         """The endpoint takes new requests."""
         self.queue = SlotQueue(1)
         self.requests: set[InboundRequest] = set()
         self.running: dict[str, set[InboundRequest]] = {}
-        """Requests that are at work at the endpoint, by id."""
+        """Requests that are at the endpoint, by id."""
         self.on_refused: Callable[[], None] | None = None
-        """Told when nobody listens at the endpoint's address."""
+        """Called when nobody listens at the endpoint's address."""
         self.counts = {"offered": 0, "ran": 0, "full": 0, "maybe": 0, "gone": 0, "dropped": 0}
+        """For the log."""
 
-    # --- which endpoint there is ---
+    # --- the endpoint ---
 
     def is_running(self, request_id: str) -> bool:
-        """Whether a request with this id is at work at the endpoint."""
+        """Whether a request with this id is at the endpoint."""
         return request_id in self.running
 
     def is_running_retry(self, request_id: str) -> bool:
-        """Whether a run of this request that is at work at the endpoint is a repeat: its calls are repeats, too."""
-        return any(job.forward.retry for job in self.running.get(request_id, ()))
+        """Whether a run of this request that is at the endpoint is a retry: the calls that it issues are, too."""
+        return any(request.forward.retry for request in self.running.get(request_id, ()))
 
     def admit(self, endpoint: str, address: Address, slots: int) -> None:
-        """The endpoint there is from now on."""
+        """Forward requests for an endpoint to its address from now on."""
         if endpoint != self.endpoint:
             self.close()
             if self.endpoint:
@@ -151,26 +164,26 @@
         self.begin_waiting()
 
     def close(self) -> None:
-        """The endpoint takes nothing new: what has not begun may go elsewhere."""
+        """The endpoint takes nothing new: requests that have not begun may go elsewhere."""
         self.is_open = False
-        for job in [j for j in self.queue.waiting if isinstance(j, InboundRequest)]:
-            self.reject(job, AttemptOutcome.NOT_EXECUTED, "draining")
+        for request in [entry for entry in self.queue.waiting if isinstance(entry, InboundRequest)]:
+            self.reject(request, AttemptOutcome.NOT_EXECUTED, "draining")
 
     def forget(self) -> None:
-        """It has gone."""
+        """The endpoint has gone."""
         self.close()
         self.pools.forget(self.endpoint)
         self.endpoint = ""
 
-    # --- jobs ---
+    # --- admission ---
 
-    def refusal(self, load: ForwardRequest) -> ForwardReply | None:
-        """Whether a load whose body is still to come would be taken now; else the verdict on it."""
-        made = InboundRequest(load, b"", ignore_reply, self.loop.time(), self.queue)
-        if load.endpoint != self.endpoint or not self.is_open:
+    def refusal(self, forward: ForwardRequest) -> ForwardReply | None:
+        """The reply to a request whose body is still to come; None where it would be admitted now."""
+        request = InboundRequest(forward, b"", ignore_reply, self.loop.time(), self.queue)
+        if forward.endpoint != self.endpoint or not self.is_open:
             self.counts["gone"] += 1
             return ForwardReply(outcome=AttemptOutcome.NOT_EXECUTED, reason="gone")
-        if not self.queue.admits(made.received_at, made):
+        if not self.queue.admits(request.received_at, request):
             self.counts["full"] += 1
             return ForwardReply(
                 outcome=AttemptOutcome.NO_CAPACITY, reason="queue", retry_after_us=self.retry_after_us()
@@ -178,175 +191,186 @@
         return None
 
     def retry_after_us(self) -> int:
-        """In about how long a turn comes free."""
+        """The time in which a slot is expected to come free."""
         return int(1e6 * self.queue.expected_service_time() / self.queue.slots)
 
     def submit(
-        self, load: ForwardRequest, body: bytes, answer: OnReply, since: float | None = None
+        self, forward: ForwardRequest, body: bytes, on_reply: OnReply, received_at: float | None = None
     ) -> InboundRequest | None:
-        """A request for the endpoint; ``answer`` is called once unless :meth:`cancel` comes before, maybe at once.
-        ``since``: when it came, where its body took a while."""
+        """Take a request for the endpoint; None where it was rejected at once.
+
+        ``on_reply`` is called once unless :meth:`cancel` comes before, maybe at once. ``received_at``: when it came,
+        where its body took a while.
+        """
         now = self.loop.time()
-        job = InboundRequest(load, body, answer, now if since is None else since, self.queue)
-        if load.endpoint != self.endpoint or not self.is_open:
+        request = InboundRequest(forward, body, on_reply, now if received_at is None else received_at, self.queue)
+        if forward.endpoint != self.endpoint or not self.is_open:
             self.counts["gone"] += 1
-            self.reply(job, ForwardReply(outcome=AttemptOutcome.NOT_EXECUTED, reason="gone"))
+            self.reply(request, ForwardReply(outcome=AttemptOutcome.NOT_EXECUTED, reason="gone"))
             return None
-        if not self.queue.admits(now, job):
+        if not self.queue.admits(now, request):
             self.counts["full"] += 1
-            self.reply(job, ForwardReply(outcome=AttemptOutcome.NO_CAPACITY, reason="queue"))
+            self.reply(request, ForwardReply(outcome=AttemptOutcome.NO_CAPACITY, reason="queue"))
             return None
-        self.requests.add(job)
-        self.queue.add(job)
-        job.timer = self.loop.call_later(self.queue.queue_timeout(job), self.on_queue_timeout, job)
+        self.requests.add(request)
+        self.queue.add(request)
+        request.timer = self.loop.call_later(self.queue.queue_timeout(request), self.on_queue_timeout, request)
         self.begin_waiting()
-        return job
+        return request
 
-    def on_queue_timeout(self, job: InboundRequest) -> None:
-        """It still waits: it is better told."""
-        if job.exchange is None and job.on_reply is not None:
+    def on_queue_timeout(self, request: InboundRequest) -> None:
+        """Reject a request that still waits."""
+        if request.exchange is None and request.on_reply is not None:
             self.counts["full"] += 1
-            self.reject(job, AttemptOutcome.NO_CAPACITY, "queue")
+            self.reject(request, AttemptOutcome.NO_CAPACITY, "queue")
+
+    def reject(self, request: InboundRequest, outcome: AttemptOutcome, reason: str) -> None:
+        """A request that has not begun goes elsewhere."""
+        request.queue.remove(request)
+        self.reply(request, ForwardReply(outcome=outcome, reason=reason))
+
+    # --- at the endpoint ---
 
     def begin_waiting(self) -> None:
-        """Begin what there is room for."""
+        """Begin the waiting requests that there are free slots for."""
         while self.is_open:
             now = self.loop.time()
-            job = self.queue.next(now)
-            if job is None:
+            request = self.queue.next(now)
+            if request is None:
                 break
-            assert isinstance(job, InboundRequest)
-            if job.expires_at <= now:  # its timer is due, but hasn't run yet
-                self.queue.release_slot(job)
-                self.reject(job, AttemptOutcome.NOT_EXECUTED, "deadline")
+            assert isinstance(request, InboundRequest)
+            if request.expires_at <= now:  # its timer is due, but hasn't run yet
+                self.queue.release_slot()
+                self.reject(request, AttemptOutcome.NOT_EXECUTED, "deadline")
             else:
-                self.begin(job)
+                self.begin(request)
 
-    def begin(self, job: InboundRequest) -> None:
-        if job.timer is not None:
-            job.timer.cancel()
-        job.timer = self.loop.call_later(max(0.0, job.expires_at - self.loop.time()), self.expire, job)
+    def begin(self, request: InboundRequest) -> None:
+        """Send a request to the endpoint, until its deadline."""
+        request.cancel_timer()
+        time_left = max(0.0, request.expires_at - self.loop.time())
+        request.timer = self.loop.call_later(time_left, self.expire, request)
         self.counts["offered"] += 1
-        self.running.setdefault(job.forward.id, set()).add(job)
-        job.begun_at = self.loop.time()
-        self.send_to_endpoint(job)
+        self.running.setdefault(request.forward.id, set()).add(request)
+        request.begun_at = self.loop.time()
+        self.send_to_endpoint(request)
 
-    def send_to_endpoint(self, job: InboundRequest) -> None:
-        """Send it, on whichever connection there is."""
-        visit = EndpointExchange(job.forward, job.body, partial(self.on_exchange_ended, job), job.expires_at)
-        job.exchange = visit
-        self.pools.carry(job.forward.endpoint, visit)
+    def send_to_endpoint(self, request: InboundRequest) -> None:
+        """Send a request, on whichever connection there is."""
+        on_ended = partial(self.on_exchange_ended, request)
+        request.exchange = EndpointExchange(request.forward, request.body, on_ended, request.expires_at)
+        self.pools.carry(request.forward.endpoint, request.exchange)
 
     def on_exchange_ended(
-        self, job: InboundRequest, outcome: i.Outcome, reply: Reply | None = None, report: object = None
+        self, request: InboundRequest, outcome: interface.Outcome, reply: Reply | None = None, report: object = None
     ) -> None:
         """The endpoint has answered, or its connection tells how far a request got."""
-        job.exchange = None
-        if outcome == "dropped" and job.reconnects < MAX_RECONNECTS and self.is_open:
-            job.reconnects += 1
+        request.exchange = None
+        if outcome == "dropped" and request.reconnects < MAX_RECONNECTS and self.is_open:
+            request.reconnects += 1
             self.counts["dropped"] += 1
-            self.send_to_endpoint(job)
+            self.send_to_endpoint(request)
             return
-        self.remove_running(job)
-        now = self.loop.time()
-        worked = now - job.begun_at
-        if reply is None:
-            proves = outcome in i.NEVER_RAN
-            made = ForwardReply(
-                outcome=AttemptOutcome.NOT_EXECUTED if proves else AttemptOutcome.UNKNOWN,
-                reason=outcome,
-                sent_to_endpoint=not proves or outcome == "dropped",  # a part of one that was dropped has arrived
-            )
-            self.counts["maybe"] += not proves
-            if outcome == "connect_failed" and self.on_refused is not None:
-                self.on_refused()
-        elif reply.header(b"x-not-executed") is not None:
+        self.remove_running(request)
+        service_time = self.loop.time() - request.begun_at
+        answer = self.reply_without_answer(outcome) if reply is None else self.reply_with_answer(reply, service_time)
+        request.queue.release_slot()
+        answer.service_ms = int(1000 * service_time)
+        answer.queued_ms = int(1000 * (request.begun_at - request.received_at))
+        self.reply(request, answer)
+        self.begin_waiting()
+
+    def reply_without_answer(self, outcome: interface.Outcome) -> ForwardReply:
+        """The reply for a request that the endpoint hasn't answered."""
+        is_proven = outcome in interface.NEVER_RAN
+        self.counts["maybe"] += not is_proven
+        if outcome == "connect_failed" and self.on_refused is not None:
+            self.on_refused()
+        return ForwardReply(
+            outcome=AttemptOutcome.NOT_EXECUTED if is_proven else AttemptOutcome.UNKNOWN,
+            reason=outcome,
+            sent_to_endpoint=not is_proven or outcome == "dropped",  # a part of one that was dropped has arrived
+        )
+
+    def reply_with_answer(self, reply: Reply, service_time: float) -> ForwardReply:
+        """The reply for a request that the endpoint has answered, after ``service_time`` s."""
+        if reply.header(b"x-not-executed") is not None:
             self.counts["full"] += 1
-            made = ForwardReply(
+            return ForwardReply(
                 outcome=AttemptOutcome.NO_CAPACITY, status=reply.status, reason="turned away", sent_to_endpoint=True
             )
-        else:
-            self.counts["ran"] += 1
-            made = ForwardReply(
-                outcome=AttemptOutcome.EXECUTED,
-                status=reply.status,
-                body=reply.body,
-                sent_to_endpoint=True,
-                headers=[Header(name=k, value=v) for k, v in reply.headers],
-            )
-            if 200 <= reply.status < 300 and not is_sealed(reply):
-                made = ForwardReply(outcome=AttemptOutcome.UNKNOWN, reason="no seal", sent_to_endpoint=True)
-            elif reply.status < 500:
-                self.queue.record_service_time(worked)
-        job.queue.release_slot(job)
-        made.service_ms, made.queued_ms = int(1000 * worked), int(1000 * (job.begun_at - job.received_at))
-        self.reply(job, made)
-        self.begin_waiting()
+        self.counts["ran"] += 1
+        if 200 <= reply.status < 300 and not is_sealed(reply):
+            return ForwardReply(outcome=AttemptOutcome.UNKNOWN, reason="no seal", sent_to_endpoint=True)
+        if reply.status < 500:
+            self.queue.record_service_time(service_time)
+        return ForwardReply(
+            outcome=AttemptOutcome.EXECUTED,
+            status=reply.status,
+            body=reply.body,
+            sent_to_endpoint=True,
+            headers=[Header(name=name, value=value) for name, value in reply.headers],
+        )
+
+    def remove_running(self, request: InboundRequest) -> None:
+        """A request is at the endpoint no more."""
+        same_id = self.running.get(request.forward.id, set())
+        same_id.discard(request)
+        if not same_id:
+            self.running.pop(request.forward.id, None)
+
+    # --- the end of a request ---
 
-    def remove_running(self, job: InboundRequest) -> None:
-        """It is at work no more."""
-        jobs = self.running.get(job.forward.id, set())
-        jobs.discard(job)
-        if not jobs:
-            self.running.pop(job.forward.id, None)
-
-    def reject(self, job: InboundRequest, verdict: AttemptOutcome, why: str) -> None:
-        """A job that has not begun goes elsewhere."""
-        job.queue.remove(job)
-        self.reply(job, ForwardReply(outcome=verdict, reason=why))
-
-    def expire(self, job: InboundRequest) -> None:
-        """Its time is up: nobody waits for it any more."""
-        if job.on_reply is None:
+    def expire(self, request: InboundRequest) -> None:
+        """The deadline of a request has passed: nobody waits for it any more."""
+        if request.on_reply is None:
             return
-        begun = self.cancel(job, silent=True)
-        job.on_reply, answer = None, job.on_reply
-        if answer is not None:
-            answer(
-                ForwardReply(
-                    outcome=AttemptOutcome.UNKNOWN if begun else AttemptOutcome.NOT_EXECUTED,
-                    reason="deadline",
-                    sent_to_endpoint=begun,
-                )
-            )
+        may_have_run = self.cancel(request, silent=True)
+        on_reply, request.on_reply = request.on_reply, None
+        if on_reply is not None:
+            outcome = AttemptOutcome.UNKNOWN if may_have_run else AttemptOutcome.NOT_EXECUTED
+            on_reply(ForwardReply(outcome=outcome, reason="deadline", sent_to_endpoint=may_have_run))
+
+    def cancel(self, request: InboundRequest, silent: bool = False) -> bool:
+        """Cancel a request: if it has not begun it never does, and a run is ended.
 
-    def cancel(self, job: InboundRequest, silent: bool = False) -> bool:
-        """It is given up: what has not begun never does, and a run is ended. Whether any may be at the endpoint."""
+        Returns whether any of it may be at the endpoint. ``silent``: its time is up without an answer.
+        """
         if not silent:
-            job.on_reply = None
-        if job.timer is not None:
-            job.timer.cancel()
-        self.requests.discard(job)
-        reached = job.may_have_reached()
-        if job.exchange is None:
-            job.queue.remove(job)
-            return reached
-        exchange, job.exchange = job.exchange, None
-        self.remove_running(job)
+            request.on_reply = None
+        request.cancel_timer()
+        self.requests.discard(request)
+        may_have_reached = request.may_have_reached()
+        if request.exchange is None:
+            request.queue.remove(request)
+            return may_have_reached
+        exchange, request.exchange = request.exchange, None
+        self.remove_running(request)
         exchange.cancel(silent)
-        job.queue.release_slot(job)
+        request.queue.release_slot()
         self.begin_waiting()
-        return reached
+        return may_have_reached
 
-    def reply(self, job: InboundRequest, made: ForwardReply) -> None:
-        if job.timer is not None:
-            job.timer.cancel()
-        self.requests.discard(job)
-        if made.outcome == AttemptOutcome.NO_CAPACITY:
-            made.retry_after_us = self.retry_after_us()
-        made.inflight, made.slots = self.queue.busy + len(self.queue.waiting), self.queue.slots
-        answer, job.on_reply = job.on_reply, None
-        if answer is not None:
-            answer(made)
+    def reply(self, request: InboundRequest, reply: ForwardReply) -> None:
+        """Answer a request, with what is known of the endpoint's load."""
+        request.cancel_timer()
+        self.requests.discard(request)
+        if reply.outcome == AttemptOutcome.NO_CAPACITY:
+            reply.retry_after_us = self.retry_after_us()
+        reply.inflight = self.queue.busy + len(self.queue.waiting)
+        reply.slots = self.queue.slots
+        on_reply, request.on_reply = request.on_reply, None
+        if on_reply is not None:
+            on_reply(reply)
 
 
 def is_sealed(reply: Reply) -> bool:
-    """Whether a success is the endpoint's own: it bears the seal, and its body is as it was made."""
+    """Whether a success is the endpoint's own: it has the endpoint's seal, and its body is as the endpoint made it."""
     return bool(reply.header(b"x-server-seal")) and reply.header(b"content-encoding") in (None, b"identity")
 
 
-def ignore_reply(made: ForwardReply) -> None:
-    """Of a job that is only thought of."""
+def ignore_reply(reply: ForwardReply) -> None:
+    """Of a request that is only checked."""
 
 
 def ignore_sent() -> None:
--- a/zinclever/mesh/membership/record_store.py
+++ b/zinclever/mesh/membership/record_store.py
@@ -62,6 +62,10 @@
         records = (record for record in self.of_kind(RecordKind.NODE) if record.rank < ENDED_RANK)
         return [(record, NodeInfo.FromString(record.body)) for record in records]
 
+    def node_infos(self) -> list[NodeInfo]:
+        """The descriptions of all nodes that are held, tombstones included."""
+        return [NodeInfo.FromString(record.body) for record in self.of_kind(RecordKind.NODE)]
+
     def config_version(self) -> list[Record]:
         """The record of the newest configuration known of, or nothing.
 
--- a/zinclever/mesh/roles/__init__.py
+++ b/zinclever/mesh/roles/__init__.py
@@ -1,1 +1,1 @@
-"""The roles of the program, put together from the other packages."""
+"""The two roles of the program, sidecar and control node, and what they are put together from."""
--- a/zinclever/mesh/roles/heartbeats.py
+++ b/zinclever/mesh/roles/heartbeats.py
@@ -1,4 +1,4 @@
-"""Beats and departures of endpoints as records, and what a record changes. Pure, but for the time of day in a beat."""
+"""Heartbeats and departures of endpoints as records, and which records are news. Pure, but for the time of day."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ..transport.mesh_pb2 import EndpointInfo, Record
 from .node_settings import ADDRESS, NAME
 
-WHOLE_NUMBER: Any = And(int, lambda v: 0 <= v < DEPARTED_SEQ, error="must be a whole number from 0")
+WHOLE_NUMBER: Any = And(int, lambda value: 0 <= value < DEPARTED_SEQ, error="must be a whole number from 0")
 HEARTBEAT_SCHEMA = Schema(
     {
         "Address": ADDRESS,
@@ -36,29 +36,28 @@
 
 
 def parse_heartbeat(call: Call) -> Record:
-    """A beat as a record, but for the keeper; MeshError where it is none."""
-    told = call.json()
+    """A heartbeat as a record, without the sidecar. MeshError where it is not proper."""
+    document = call.json()
     try:
-        HEARTBEAT_SCHEMA.validate(told)
-    except SchemaError as wrong:
-        raise MeshError("BEAT_INVALID", " ".join(str(wrong.code).split())) from None
-    about, seen = told["Descriptor"], told["Observed"]
-    cold = max(0.0, float(seen.get("ColdLeftS") or 0.0))
-    endpoint_info = EndpointInfo(
-        service=about["Target"],
-        address=told["Address"],
-        zone=about.get("Zone", ""),
-        slots=max(1, int(about.get("Capacity", 1))),
-        generation=str(about.get("Generation", "")),
-        slow_start_until=int(1000 * (time.time() + cold)) if cold > 0 else 0,
+        HEARTBEAT_SCHEMA.validate(document)
+    except SchemaError as error:
+        raise MeshError("BEAT_INVALID", " ".join(str(error.code).split())) from None
+    descriptor, observed = document["Descriptor"], document["Observed"]
+    slow_start = max(0.0, float(observed.get("ColdLeftS") or 0.0))
+    info = EndpointInfo(
+        service=descriptor["Target"],
+        address=document["Address"],
+        zone=descriptor.get("Zone", ""),
+        slots=max(1, int(descriptor.get("Capacity", 1))),
+        generation=str(descriptor.get("Generation", "")),
+        slow_start_until=int(1000 * (time.time() + slow_start)) if slow_start > 0 else 0,
     )
-    rank = EndpointPhase.DRAINING if seen["Phase"] == "draining" else EndpointPhase.READY
     return Record(
         kind=RecordKind.ENDPOINT,
         id=call.path_parameters[0],
-        seq=seen["CallSeq"],
-        rank=rank,
-        body=endpoint_info.SerializeToString(),
+        seq=observed["CallSeq"],
+        rank=EndpointPhase.DRAINING if observed["Phase"] == "draining" else EndpointPhase.READY,
+        body=info.SerializeToString(),
     )
 
 
@@ -67,15 +66,15 @@
     return Record(kind=RecordKind.ENDPOINT, id=endpoint, seq=DEPARTED_SEQ, rank=EndpointPhase.GONE)
 
 
-def set_sidecar(record: Record, keeper: str) -> None:
-    """Name the sidecar beside the endpoint in its record."""
+def set_sidecar(record: Record, sidecar: str) -> None:
+    """Name the sidecar in front of the endpoint in its record."""
     info = EndpointInfo.FromString(record.body)
-    info.sidecar = keeper
+    info.sidecar = sidecar
     record.body = info.SerializeToString()
 
 
 def sidecar_of(record: Record) -> str:
-    """The sidecar beside the endpoint, as its record names it."""
+    """The sidecar in front of the endpoint, as its record names it."""
     return EndpointInfo.FromString(record.body).sidecar
 
 
@@ -85,28 +84,42 @@
 
 
 def is_news(known: Record | None, ready: Record) -> bool:
-    """Whether a beat of a ready endpoint is news; its record is given the life of what is known."""
+    """Whether the heartbeat of a ready endpoint is news; its record is given the incarnation of what is known."""
     if known is None:
         return True
     ready.incarnation = known.incarnation
     if is_final(known) or known.seq >= ready.seq:
-        return False  # it leaves, or the beat is a late one
+        return False  # it leaves, or the heartbeat is a late one
     return known.rank != EndpointPhase.READY or sidecar_of(known) != sidecar_of(ready)
 
 
 def superseding_record(known: Record | None, ending: Record) -> Record:
-    """The record by which a drain or a departure is told: one that stands above what is known. An endpoint that was
-    taken for gone and says that it drains is gone for good."""
+    """The record by which a drain or a departure is spread: one that takes precedence over what is known.
+
+    An endpoint that was taken for gone and says that it drains is gone for good.
+    """
     if known is None:
         return ending
     if known.seq >= DEPARTED_SEQ or known.rank == ending.rank == EndpointPhase.DRAINING:
         return known
-    taken_for_gone = known.rank >= EndpointPhase.GONE
+    was_taken_for_gone = known.rank >= EndpointPhase.GONE
     return Record(
         kind=RecordKind.ENDPOINT,
         id=ending.id,
         incarnation=known.incarnation,
-        seq=DEPARTED_SEQ if taken_for_gone else max(ending.seq, known.seq),
-        rank=EndpointPhase.GONE if taken_for_gone else ending.rank,
+        seq=DEPARTED_SEQ if was_taken_for_gone else max(ending.seq, known.seq),
+        rank=EndpointPhase.GONE if was_taken_for_gone else ending.rank,
         body=ending.body or known.body,
     )
+
+
+def gone_record(known: Record, seq: int) -> Record:
+    """The record by which an endpoint is declared gone by others than itself."""
+    return Record(
+        kind=RecordKind.ENDPOINT,
+        id=known.id,
+        incarnation=known.incarnation,
+        seq=seq,
+        rank=EndpointPhase.GONE,
+        body=known.body,
+    )
--- a/zinclever/mesh/roles/local_endpoint.py
+++ b/zinclever/mesh/roles/local_endpoint.py
@@ -1,8 +1,9 @@
-"""The endpoint beside a sidecar: what it says of itself, what others say of it, and when it is taken for gone."""
+"""The endpoint beside a sidecar: its heartbeats, what others say of it, and when it is taken for gone."""
 
 from __future__ import annotations
 
 import logging
+import math
 from collections.abc import Awaitable
 
 from ...http1.heads import Answer
@@ -11,35 +12,44 @@
 from ..membership.records import DEPARTED_SEQ, EndpointPhase, RecordKind
 from ..transport.mesh_pb2 import EndpointInfo, Record
 from .endpoint_api import EndpointAnnouncer
-from .heartbeats import departure_record, is_final, is_news, parse_heartbeat, set_sidecar, superseding_record
+from .heartbeats import (
+    departure_record,
+    gone_record,
+    is_final,
+    is_news,
+    parse_heartbeat,
+    set_sidecar,
+    superseding_record,
+)
 from .node import Node
 from .node_settings import NodeSettings
 
 log = logging.getLogger(__name__)
 
-MISSED_HEARTBEATS = 3.4  # beats after which an endpoint that says nothing is taken for gone
-CHECK_INTERVAL = 0.5  # s between two looks at it
-STALL_THRESHOLD = 0.5  # s by which a look is late when this process stood still
+MISSED_HEARTBEATS = 3.4  # intervals of silence after which an endpoint is taken for gone
+CHECK_INTERVAL = 0.5  # s between two checks of its heartbeats
+STALL_THRESHOLD = 0.5  # s by which a check is late when this process stood still
 
 
 class LocalEndpoint:
-    """Owns what is known of the endpoint on this machine, and opens and closes the keeper by it."""
+    """Owns what is known of the endpoint on this machine, and opens and closes the ingress by it."""
 
-    def __init__(self, boot: NodeSettings, node: Node, keeper: Ingress) -> None:
-        self.settings, self.node, self.ingress, self.loop = boot, node, keeper, node.loop
-        self.announcer = EndpointAnnouncer(node, boot.fault_model.hosts)
-        self.heartbeat_at = -1e9
+    def __init__(self, settings: NodeSettings, node: Node, ingress: Ingress) -> None:
+        self.settings, self.node, self.ingress, self.loop = settings, node, ingress, node.loop
+        self.announcer = EndpointAnnouncer(node, settings.fault_model.hosts)
+        self.heartbeat_at = -math.inf
         """When the endpoint was last heard."""
         self.heartbeat_seq = 0
-        """Of its beats that came here, the highest number."""
+        """Of its heartbeats that came here, the highest number."""
         self.claimed_since: dict[str, float] = {}
         """Endpoints that others take to be on this machine and that don't beat here, and since when."""
         self.checked_at = self.loop.time()
-        keeper.on_refused = self.on_refused
+        ingress.on_refused = self.on_refused
 
     # --- what it says ---
 
     def on_heartbeat(self, call: Call) -> Answer | Awaitable[Answer]:
+        """Take a heartbeat; a drain is acknowledged once enough others hold it."""
         record = parse_heartbeat(call)
         known = self.node.gossip.records.get(RecordKind.ENDPOINT, record.id)
         set_sidecar(record, self.node.name)
@@ -48,7 +58,7 @@
             self.record_heartbeat(record)
             return self.announcer.acknowledge(record)
         if known is not None and (is_final(known) or known.seq > record.seq):
-            return json_answer(200)  # it leaves, or the beat is a late one
+            return json_answer(200)  # it leaves, or the heartbeat is a late one
         if known is not None and known.rank >= EndpointPhase.GONE and max(known.seq, self.heartbeat_seq) >= record.seq:
             return json_answer(200)  # said before it was taken for gone
         if is_news(known, record):
@@ -57,7 +67,7 @@
         return json_answer(200)
 
     def record_heartbeat(self, record: Record) -> None:
-        """An endpoint on this machine lives."""
+        """An endpoint on this machine is alive."""
         if record.rank == EndpointPhase.READY and record.id != self.ingress.endpoint:
             self.heartbeat_seq = record.seq
         self.update_ingress(record.id, record.rank, EndpointInfo.FromString(record.body))
@@ -65,23 +75,24 @@
             self.heartbeat_at = self.loop.time()
             self.heartbeat_seq = max(self.heartbeat_seq, record.seq)
 
-    def update_ingress(self, endpoint: str, rank: int, endpoint_info: EndpointInfo) -> None:
-        """What the keeper does by what is known of an endpoint here."""
+    def update_ingress(self, endpoint: str, rank: int, info: EndpointInfo) -> None:
+        """Open or close the ingress by what is known of an endpoint here."""
         if rank == EndpointPhase.READY:
-            old = self.ingress.endpoint
-            if old and old != endpoint:
-                self.declare_gone(old)
-            host, _, port = endpoint_info.address.rpartition(":")
+            previous = self.ingress.endpoint
+            if previous and previous != endpoint:
+                self.declare_gone(previous)
+            host, _, port = info.address.rpartition(":")
             address = self.settings.application_address or (host, int(port))
-            if endpoint != old or not self.ingress.is_open:
+            if endpoint != previous or not self.ingress.is_open:
                 log.info("endpoint admitted", extra={"code": "ENDPOINT_READY", "endpoint": endpoint})
-            self.ingress.admit(endpoint, address, endpoint_info.slots)
+            self.ingress.admit(endpoint, address, info.slots)
         elif endpoint == self.ingress.endpoint:
             if self.ingress.is_open:
                 log.info("endpoint drains", extra={"code": "ENDPOINT_DRAINS", "endpoint": endpoint})
             self.ingress.close()
 
     async def on_departure(self, call: Call) -> Answer:
+        """Take a departure, acknowledged once enough others hold it."""
         endpoint = call.path_parameters[0]
         if endpoint == self.ingress.endpoint:
             self.ingress.forget()
@@ -89,48 +100,39 @@
         return await self.announcer.acknowledge(superseding_record(known, departure_record(endpoint)))
 
     def declare_gone(self, endpoint: str) -> None:
-        """An endpoint is taken for gone: a beat that it says after its last one shows that it lives, unless it has
-        said before that it leaves."""
+        """Take an endpoint for gone.
+
+        A heartbeat that it sends after its last one shows that it is alive, unless it has said before that it leaves.
+        """
         known = self.node.gossip.records.get(RecordKind.ENDPOINT, endpoint)
-        heard = self.heartbeat_seq if endpoint == self.ingress.endpoint else 0
+        heard_seq = self.heartbeat_seq if endpoint == self.ingress.endpoint else 0
         if endpoint == self.ingress.endpoint:
             self.ingress.forget()
         if known is not None and known.rank < EndpointPhase.GONE:
-            seq = DEPARTED_SEQ if is_final(known) else max(known.seq, heard)
-            self.node.broadcast(
-                Record(
-                    kind=RecordKind.ENDPOINT,
-                    id=endpoint,
-                    incarnation=known.incarnation,
-                    seq=seq,
-                    rank=EndpointPhase.GONE,
-                    body=known.body,
-                )
-            )
+            seq = DEPARTED_SEQ if is_final(known) else max(known.seq, heard_seq)
+            self.node.broadcast(gone_record(known, seq))
 
     # --- what shows that it is gone ---
 
     def check_heartbeats(self) -> None:
-        """Whether the endpoint still beats."""
+        """Take the endpoint for gone when it falls silent; runs every :data:`CHECK_INTERVAL`."""
         self.loop.call_later(CHECK_INTERVAL, self.check_heartbeats)
-        stood_still = self.loop.time() - self.checked_at - CHECK_INTERVAL
+        stalled_for = self.loop.time() - self.checked_at - CHECK_INTERVAL
         self.checked_at = self.loop.time()
-        if stood_still > STALL_THRESHOLD:
+        if stalled_for > STALL_THRESHOLD:
             # What the endpoint said in that time is not read yet.
-            self.heartbeat_at = min(self.checked_at, self.heartbeat_at + stood_still)
+            self.heartbeat_at = min(self.checked_at, self.heartbeat_at + stalled_for)
             self.claimed_since = {
-                e: min(self.checked_at, since + stood_still) for e, since in self.claimed_since.items()
+                endpoint: min(self.checked_at, since + stalled_for) for endpoint, since in self.claimed_since.items()
             }
-        if (
-            self.ingress.endpoint
-            and self.loop.time() - self.heartbeat_at > MISSED_HEARTBEATS * self.settings.heartbeat_interval
-        ):
+        timeout = MISSED_HEARTBEATS * self.settings.heartbeat_interval
+        if self.ingress.endpoint and self.loop.time() - self.heartbeat_at > timeout:
             log.info("endpoint fell silent", extra={"code": "ENDPOINT_SILENT", "endpoint": self.ingress.endpoint})
             self.declare_gone(self.ingress.endpoint)
         for endpoint, since in list(self.claimed_since.items()):
             if endpoint == self.ingress.endpoint:
                 del self.claimed_since[endpoint]
-            elif self.loop.time() - since > MISSED_HEARTBEATS * self.settings.heartbeat_interval:
+            elif self.loop.time() - since > timeout:
                 del self.claimed_since[endpoint]
                 self.declare_gone(endpoint)
 
@@ -142,33 +144,36 @@
 
     # --- what others say ---
 
-    def on_record(self, record: Record, endpoint_info: EndpointInfo) -> None:
-        """Something is new of an endpoint that is on this machine, or is said to be."""
-        if endpoint_info.sidecar != self.node.name and record.id != self.ingress.endpoint:
+    def on_record(self, record: Record, info: EndpointInfo) -> None:
+        """A record is new of an endpoint that is on this machine, or is said to be."""
+        is_here = record.id == self.ingress.endpoint
+        if info.sidecar != self.node.name and not is_here:
             return
-        if record.id != self.ingress.endpoint:
-            if record.rank == EndpointPhase.READY and not self.ingress.endpoint and self.heartbeat_at < 0:
-                # Told after a start of this process, which has no memory of it.
-                self.heartbeat_at, self.heartbeat_seq = self.loop.time(), record.seq
-                self.update_ingress(record.id, record.rank, endpoint_info)
-            elif record.rank < EndpointPhase.GONE:
-                self.claimed_since.setdefault(record.id, self.loop.time())
-            return
-        if (
-            record.rank >= EndpointPhase.GONE
-            and record.seq < min(DEPARTED_SEQ, self.heartbeat_seq)
-            and self.ingress.is_open
-        ):
-            # Others have taken it for gone, as they didn't hear from here; its beats show that it lives.
-            body = endpoint_info.SerializeToString()
+        if not is_here:
+            self.on_claim(record, info)
+        elif self.was_taken_for_gone(record) and self.ingress.is_open:
+            # Others didn't hear from here; its heartbeats show that it is alive.
             self.node.broadcast(
                 Record(
                     kind=RecordKind.ENDPOINT,
                     id=record.id,
                     incarnation=record.incarnation,
                     seq=self.heartbeat_seq,
-                    body=body,
+                    body=info.SerializeToString(),
                 )
             )
         elif record.rank >= EndpointPhase.DRAINING:
             self.ingress.close()
+
+    def on_claim(self, record: Record, info: EndpointInfo) -> None:
+        """Others say that an endpoint is on this machine that hasn't sent heartbeats here."""
+        if record.rank == EndpointPhase.READY and not self.ingress.endpoint and self.heartbeat_at < 0:
+            # This process has started anew, and has no memory of it.
+            self.heartbeat_at, self.heartbeat_seq = self.loop.time(), record.seq
+            self.update_ingress(record.id, record.rank, info)
+        elif record.rank < EndpointPhase.GONE:
+            self.claimed_since.setdefault(record.id, self.loop.time())
+
+    def was_taken_for_gone(self, record: Record) -> bool:
+        """Whether others declared the endpoint gone, without a word of its own that it leaves."""
+        return record.rank >= EndpointPhase.GONE and record.seq < min(DEPARTED_SEQ, self.heartbeat_seq)
--- a/zinclever/mesh/roles/node.py
+++ b/zinclever/mesh/roles/node.py
@@ -1,9 +1,8 @@
-"""What every process of the mesh has: its place among the others, its links, and the configuration in force."""
+"""What every process of the mesh has: membership by gossip, channels to others, and the configuration in force."""
 
 from __future__ import annotations
 
 import asyncio
-import logging
 import time
 from collections.abc import Callable
 
@@ -21,19 +20,22 @@
 from .configuration_distributor import ConfigurationDistributor
 from .node_settings import NodeSettings
 
-log = logging.getLogger(__name__)
-
 SIDECAR, CONTROL = "forager", "comb"  # role names on the wire, kept from version 0.1
 
 PORT_OFFSETS = {SIDECAR: 0, CONTROL: 1}  # of a role's port from the first of EphemeralPorts
-GOSSIP_LINK_SHARE = 0.1  # of this machine's link that news may take
-PROTOCOL_VERSION = 3  # version of the wire
+GOSSIP_LINK_SHARE = 0.1  # of this machine's bandwidth that gossip may take
+BYTES_PER_MBIT = 125_000.0
+PROTOCOL_VERSION = 3  # of the wire: 2 has reservations, 3 root digests
+RESERVED_DESCRIPTORS = 200  # for channels, listeners and files
+MIN_DESCRIPTORS = 128
+LISTEN_BACKLOG = 512
 
 
 class Node:
-    """Owns the gossip's socket, the links and their listener, from :meth:`start` to :meth:`stop`."""
+    """Owns the gossip's socket, the channels and the listener of frames, from :meth:`start` to :meth:`stop`."""
 
     def __init__(self, settings: NodeSettings, role: str, disk: str = "") -> None:
+        """``role``: :data:`SIDECAR` or :data:`CONTROL`; ``disk``: the identity of the disk, where there is one."""
         self.settings, self.role = settings, role
         self.host = System()
         self.loop = asyncio.get_running_loop()
@@ -48,91 +50,108 @@
             protocol_version=PROTOCOL_VERSION,
             control_address=f"{control_address[0]}:{control_address[1]}" if control_address else "",
         )
-        seeds = [(ip, settings.ephemeral_ports[0] + PORT_OFFSETS[CONTROL]) for ip, _ in settings.seeds]
         self.name = f"{settings.name}/{role}"
-        life = time.time_ns() // 1_000_000
         self.gossip = Gossip(
             self.name,
-            life,
+            time.time_ns() // 1_000_000,  # rises from one start to the next
             self.info,
-            seeds,
+            seed_addresses(settings),
             self.loop.time(),
             self.host.random(),
-            GOSSIP_LINK_SHARE * settings.link_mbps * 125_000.0 if settings.link_mbps else DEFAULT_RATE,
+            GOSSIP_LINK_SHARE * settings.link_mbps * BYTES_PER_MBIT if settings.link_mbps else DEFAULT_RATE,
         )
         self.gossip_socket = GossipSocket(self.gossip, self.on_record)
         self.channels = ChannelPool(self.name)
-        self.descriptors = Descriptors(max(128, settings.max_descriptors - 200))
+        self.descriptors = Descriptors(max(MIN_DESCRIPTORS, settings.max_descriptors - RESERVED_DESCRIPTORS))
         self.active = ActiveConfiguration()
         self.server: asyncio.Server | None = None
         self.connections: set[FramedConnection] = set()
+        """Accepted connections on which a frame has come."""
         self.protocol_versions: dict[Address, int] = {}
         """What the processes at an address understand."""
         self.distributor = ConfigurationDistributor(self.gossip, self.channels, self.active, self.broadcast)
         self.record_listeners: list[Callable[[Record], None]] = []
+        """Called with each record that is new here."""
         self.frame_handlers: dict[str, Callable[[FramedConnection, Frame], None]] = {"fetch": self.distributor.on_fetch}
+        """By the field of :class:`Frame` that is set."""
         self.connection_listeners: list[Callable[[FramedConnection], None]] = []
+        """Called with each accepted connection that has closed."""
 
     async def start(self) -> None:
+        """Listen for frames and for gossip. OSError where the addresses can't be bound."""
         self.server = await self.loop.create_server(
-            lambda: FramedConnection(self.on_frame, self.on_connection_closed), self.settings.ip, self.port, backlog=512
+            lambda: FramedConnection(self.on_frame, self.on_connection_closed),
+            self.settings.ip,
+            self.port,
+            backlog=LISTEN_BACKLOG,
         )
         await self.gossip_socket.listen((self.settings.ip, self.port))
 
     def stop(self) -> None:
+        """Say that this process leaves, and release all sockets."""
         self.gossip.leave(self.loop.time())
         self.gossip_socket.flush()
         self.gossip_socket.close()
         self.channels.close()
         if self.server is not None:
             self.server.close()
-        for link in list(self.connections):
-            link.abort()
+        for connection in list(self.connections):
+            connection.abort()
 
-    def reload(self, boot: NodeSettings) -> None:
+    def reload(self, settings: NodeSettings) -> None:
         """The settings file has changed: its seeds hold from now on."""
-        self.gossip.anti_entropy.seeds = [(ip, boot.ephemeral_ports[0] + PORT_OFFSETS[CONTROL]) for ip, _ in boot.seeds]
+        self.gossip.anti_entropy.seeds = seed_addresses(settings)
 
-    # --- links ---
+    # --- frames ---
 
-    def on_frame(self, link: FramedConnection, frame: Frame) -> None:
-        self.connections.add(link)
+    def on_frame(self, connection: FramedConnection, frame: Frame) -> None:
+        """Hand a frame to its handler; frames of kinds that this role doesn't handle are ignored."""
+        self.connections.add(connection)
         handler = self.frame_handlers.get(frame.WhichOneof("what") or "")
         if handler is not None:
-            handler(link, frame)
+            handler(connection, frame)
 
-    def on_connection_closed(self, link: FramedConnection) -> None:
-        self.connections.discard(link)
-        self.distributor.waiters.drop(link)
-        for told in self.connection_listeners:
-            told(link)
+    def on_connection_closed(self, connection: FramedConnection) -> None:
+        """An accepted connection has closed."""
+        self.connections.discard(connection)
+        self.distributor.waiters.drop(connection)
+        for listener in self.connection_listeners:
+            listener(connection)
 
     def channel_to(self, address: Address) -> Channel:
+        """The channel to a process."""
         return self.channels.to(address)
 
-    # --- news ---
+    # --- records ---
 
-    def on_record(self, record: Record, teller: str) -> None:
-        """Something is new here."""
+    def on_record(self, record: Record, sender: str) -> None:
+        """A record is new here: fetch a newer configuration, keep channels to who is there, tell the listeners."""
         if record.kind == RecordKind.VERSION:
-            self.distributor.fetch_newer(teller)
+            self.distributor.fetch_newer(sender)
         if record.kind == RecordKind.NODE:
             info = NodeInfo.FromString(record.body)
+            address = (info.ip, info.port)
             if record.rank >= ENDED_RANK:
-                self.channels.retire((info.ip, info.port))
-                self.protocol_versions.pop((info.ip, info.port), None)
+                self.channels.retire(address)
+                self.protocol_versions.pop(address, None)
             else:
-                self.protocol_versions[(info.ip, info.port)] = info.protocol_version
+                self.protocol_versions[address] = info.protocol_version
         for listener in self.record_listeners:
             listener(record)
 
     def broadcast(self, record: Record) -> None:
-        """News from here, at once."""
+        """Spread a record from here, at once."""
         self.gossip.broadcast(self.loop.time(), record)
         self.gossip_socket.flush()
 
     # --- the configuration ---
 
-    def put_in_force(self, number: int, generation: int, text: bytes) -> None:
-        """A committed configuration: it holds from now on, and others are told of it at once."""
-        self.distributor.put_in_force(number, generation, text)
+    def put_in_force(self, index: int, generation: int, text: bytes) -> None:
+        """Put a committed configuration in force, and tell the others of it at once."""
+        self.distributor.put_in_force(index, generation, text)
+
+
+def seed_addresses(settings: NodeSettings) -> list[Address]:
+    """Where the control nodes that the settings name as seeds take gossip."""
+    port = settings.ephemeral_ports[0] + PORT_OFFSETS[CONTROL]
+    return [(ip, port) for ip, _ in settings.seeds]
--- a/zinclever/mesh/roles/node_settings.py
+++ b/zinclever/mesh/roles/node_settings.py
@@ -1,8 +1,8 @@
-"""The settings file that a process is told of at its start, checked."""
+"""The settings file that a process is given at its start, validated."""
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 from typing import Any
 
@@ -15,21 +15,26 @@
 
 SETTINGS_VARIABLE = "ZINCLEVER_BOOT"
 
+DEFAULT_HEARTBEAT_INTERVAL = 1.5  # s
+DEFAULT_MAX_DESCRIPTORS = 1024
+DEFAULT_MEMORY_MB = 256
 
-def is_address(text: object) -> bool:
-    if not isinstance(text, str):
+
+def is_address(value: object) -> bool:
+    """Whether a value is a text of the form host:port."""
+    if not isinstance(value, str):
         return False
     try:
-        read_address(text)
+        read_address(value)
     except ValueError:
         return False
     return True
 
 
 ADDRESS: Any = And(is_address, error="must be host:port")
-PORT: Any = And(int, lambda p: 0 < p < 65536, error="must be a port")
+PORT: Any = And(int, lambda port: 0 < port < 65536, error="must be a port")
 NAME: Any = And(str, len, error="must be a text that is not empty")
-POSITIVE: Any = And(Or(int, float), lambda v: v > 0, error="must be a number above 0")
+POSITIVE: Any = And(Or(int, float), lambda value: value > 0, error="must be a number above 0")
 
 SETTINGS_SCHEMA = Schema(
     {
@@ -39,7 +44,9 @@
         "Zone": str,
         "Serves": [str],
         "Bind": {Optional(str): ADDRESS},
-        "EphemeralPorts": And([PORT], lambda p: len(p) == 2 and p[0] < p[1], error="must be two ports, rising"),
+        "EphemeralPorts": And(
+            [PORT], lambda ports: len(ports) == 2 and ports[0] < ports[1], error="must be two ports, rising"
+        ),
         "SeedNodes": [ADDRESS],
         Optional("MachineClass"): str,
         Optional("Region"): str,
@@ -60,72 +67,84 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """What this process is told."""
+    """The settings of a process."""
 
     name: str
+    """Of its machine."""
     ip: str
     zone: str
     zones: tuple[str, ...]
+    """All zones, sorted."""
     bind: Mapping[str, Address]
+    """By purpose: the addresses to listen on."""
     ephemeral_ports: tuple[int, int]
     seeds: tuple[Address, ...]
     bootstrap: bool
+    """This is the first start of the deployment."""
     state_folder: str | None
-    """The folder of its disk."""
+    """On its disk; None where the machine has none."""
     heartbeat_interval: float
-    """s between two beats of an endpoint."""
+    """s between two heartbeats of an endpoint."""
     fault_model: FaultModel
     regions: Mapping[str, str]
     """By zone."""
     max_descriptors: int
     memory_mb: int
-    """MB."""
     link_mbps: float
-    """Mbit/s of this machine's link; 0 where nothing is said of it."""
+    """Bandwidth of this machine's link in Mbit/s; 0 where it isn't configured."""
     bounds: Mapping[str, float]
+    """Bounds of the deployment by name; those of spans in s."""
     application_address: Address | None
+    """Of the endpoint beside a sidecar."""
     service: str
+    """Of that endpoint; empty where it isn't configured."""
 
 
 def parse(text: bytes) -> NodeSettings:
-    """The settings from their text; MeshError with the path of what is wrong."""
+    """The settings from their text. MeshError with the path of what is wrong."""
     try:
-        told: Any = orjson.loads(text)
-        SETTINGS_SCHEMA.validate(told)
-    except orjson.JSONDecodeError as wrong:
-        raise MeshError("BOOT_UNREADABLE", str(wrong)) from None
-    except SchemaError as wrong:
-        raise MeshError("BOOT_INVALID", " ".join(str(wrong.code).split()), "boot") from None
-    limits, fault = told.get("Limits") or {}, told.get("FaultModel") or {}
+        document: Any = orjson.loads(text)
+        SETTINGS_SCHEMA.validate(document)
+    except orjson.JSONDecodeError as error:
+        raise MeshError("BOOT_UNREADABLE", str(error)) from None
+    except SchemaError as error:
+        raise MeshError("BOOT_INVALID", " ".join(str(error.code).split()), "boot") from None
+    limits = document.get("Limits") or {}
+    fault_model = document.get("FaultModel") or {}
+    regions = dict(document.get("Zones") or {document["Zone"]: document.get("Region", "")})
     return NodeSettings(
-        told["NodeName"],
-        told["Ip"],
-        told["Zone"],
-        tuple(sorted(told.get("Zones") or {told["Zone"]: ""})),
-        {k: read_address(v) for k, v in told["Bind"].items()},
-        tuple(told["EphemeralPorts"]),
-        tuple(read_address(s) for s in told["SeedNodes"]),
-        bool(told.get("Bootstrap")),
-        told.get("StateDir"),
-        float(told.get("HeartbeatS", 1.5)),
-        FaultModel(int(fault.get("HostLosses", 1)), int(fault.get("Zones", 0)), int(fault.get("RegionLosses", 0))),
-        dict(told.get("Zones") or {told["Zone"]: told.get("Region", "")}),
-        int(limits.get("MaxFds", 1024)),
-        int(limits.get("MemoryMb", 256)),
-        float(limits.get("LinkMbps") or 0.0),
-        parse_bounds(told.get("Bounds") or []),
-        read_address(told["AppAddr"]) if told.get("AppAddr") else None,
-        told.get("Target") or "",
+        name=document["NodeName"],
+        ip=document["Ip"],
+        zone=document["Zone"],
+        zones=tuple(sorted(regions)),
+        bind={purpose: read_address(address) for purpose, address in document["Bind"].items()},
+        ephemeral_ports=tuple(document["EphemeralPorts"]),
+        seeds=tuple(read_address(seed) for seed in document["SeedNodes"]),
+        bootstrap=bool(document.get("Bootstrap")),
+        state_folder=document.get("StateDir"),
+        heartbeat_interval=float(document.get("HeartbeatS", DEFAULT_HEARTBEAT_INTERVAL)),
+        fault_model=FaultModel(
+            hosts=int(fault_model.get("HostLosses", 1)),
+            zones=int(fault_model.get("Zones", 0)),
+            regions=int(fault_model.get("RegionLosses", 0)),
+        ),
+        regions=regions,
+        max_descriptors=int(limits.get("MaxFds", DEFAULT_MAX_DESCRIPTORS)),
+        memory_mb=int(limits.get("MemoryMb", DEFAULT_MEMORY_MB)),
+        link_mbps=float(limits.get("LinkMbps") or 0.0),
+        bounds=parse_bounds(document.get("Bounds") or []),
+        application_address=read_address(document["AppAddr"]) if document.get("AppAddr") else None,
+        service=document.get("Target") or "",
     )
 
 
-def parse_bounds(texts: list[str]) -> dict[str, float]:
-    """``name=value`` texts, or several on one line; a value may be ``true`` or ``false``."""
-    found: dict[str, float] = {}
+def parse_bounds(texts: Iterable[str]) -> dict[str, float]:
+    """Bounds from ``name=value`` texts, or several on one line; a value may be ``true`` or ``false``."""
+    bounds: dict[str, float] = {}
     for text in (part for line in texts for part in line.split(",")):
         name, _, value = text.strip().partition("=")
         try:
-            found[name] = float({"true": "1", "false": "0"}.get(value.lower(), value))
+            bounds[name] = float({"true": "1", "false": "0"}.get(value.lower(), value))
         except ValueError:
             raise MeshError("BOOT_INVALID", f"is no number: {value!r}", f"Bounds.{name}") from None
-    return found
+    return bounds
--- a/zinclever/mesh/roles/operator_calls.py
+++ b/zinclever/mesh/roles/operator_calls.py
@@ -1,9 +1,10 @@
-"""The calls of operators at a member of the core: read off the wire, answered by the leader, here or elsewhere.
+"""The calls of operators at a control node: read off the wire, answered by the leader, here or elsewhere.
 
 A call has its answer within a second, unless its configuration is large: the caller gives up after a second of silence,
-and a 503 that comes before lets it go on to another member at once. A 503 states nothing: the change may be committed.
+and a 503 that comes before lets it go on to another control node at once. A 503 states nothing: the change may be
+committed.
 
-Small configurations are handed on to the leader over the link between the members. Large ones never are, as heartbeats
+Small configurations are forwarded to the leader over the channel between the nodes. Large ones never are, as heartbeats
 would wait behind them: the caller is sent to the leader by a 307.
 """
 
@@ -17,44 +18,48 @@
 import orjson
 
 from ...http1.heads import Answer
-from ..configuration.document import parse
+from ..configuration.document import Configuration, parse
 from ..consensus.client_calls import call_timeout
 from ..consensus.messages import ReplicaRole, Reply
 from ..consensus.replica import Replica
 from ..control_api.listener import Call, error_answer, json_answer
 from ..errors import MeshError
-from ..membership.records import RecordKind
 from ..transport.framed_connection import FramedConnection
-from ..transport.mesh_pb2 import ControlCall, ControlReply, Frame, NodeInfo, Voter
+from ..transport.mesh_pb2 import ControlCall, ControlReply, Frame, Voter
 from .node import Node
 
-PUT, GET = "put", "get"  # kinds of calls
+PUT, GET = "put", "get"  # kinds of calls on the wire
 REPLACE_PATH, READ_PATH = "/v1/config/replace", "/v1/config/read"
-FORWARDING_TIME = 0.2  # s by which a call may take longer than at the leader, to find it and to be handed on
+FORWARDING_TIME = 0.2  # s by which a call may take longer than at the leader, to find it and to be forwarded
 FIND_LEADER_INTERVAL = 0.05  # s between two looks at who leads
-LARGE_BYTES = 64 * 1024  # bytes of a configuration from which on it is checked in a thread, and not handed on
+LARGE_BYTES = 64 * 1024  # of a configuration from which on it is validated in a thread, and not forwarded
 MAX_VERSION_DIGITS = 19  # of a version, so that it stays below 2 ** 64
+ERROR_CODES = {412: "CONFIG_BASE", 400: "CONFIG_INVALID"}
 
 
 class CallAnswer(NamedTuple):
-    """What a call is answered: an HTTP status, and a text; of a 307, the address of the leader."""
+    """The answer to a call: an HTTP status, and a text; of a 307, the address of the leader."""
 
     status: int
     text: bytes
 
 
 class OperatorCalls:
-    """Owns the calls that the replica has not answered yet. ``work`` carries out what the replica wants."""
+    """Owns the calls that the replica has not answered yet."""
 
-    def __init__(self, node: Node, replica: Replica, work: Callable[[], None]) -> None:
-        self.node, self.replica, self.run_actions = node, replica, work
+    def __init__(self, node: Node, replica: Replica, run_actions: Callable[[], None]) -> None:
+        """``run_actions`` carries out what the replica wants done."""
+        self.node, self.replica, self.run_actions = node, replica, run_actions
         self.loop = node.loop
         self.unanswered: dict[int, asyncio.Future[CallAnswer]] = {}
         self.last_call_id = 0
         self.tasks: set[asyncio.Task[None]] = set()
+        """The calls of other control nodes that are being answered."""
+
+    # --- at the leader ---
 
     def submit(self, begin: Callable[[int], None]) -> asyncio.Future[CallAnswer]:
-        """Ask the order something: its answer."""
+        """Begin a call at this node's replica, under an id that ``begin`` is called with: its answer."""
         self.last_call_id += 1
         waiting: asyncio.Future[CallAnswer] = self.loop.create_future()
         self.unanswered[self.last_call_id] = waiting
@@ -68,19 +73,34 @@
         if waiting is not None and not waiting.done():
             waiting.set_result(CallAnswer(reply.status, reply.text))
 
-    async def answer(self, ask: ControlCall) -> CallAnswer:
-        """Have the leader answer, here or elsewhere; 503 soon enough for the caller to go on to another member."""
-        size = len(self.replica.committed.text) if ask.kind == GET else len(ask.text)
+    async def answer_here(self, call: ControlCall) -> CallAnswer:
+        """The answer of this node's replica."""
+        now = self.loop.time()
+        if call.kind == GET:
+            return await self.submit(lambda call_id: self.replica.read(now, call_id))
+        configuration = parse(call.text, is_checked=True)  # by the node that took the call
+        digest = hashlib.blake2b(call.text, digest_size=16).digest()
+
+        def begin(call_id: int) -> None:
+            self.replica.change(now, call_id, call.base, configuration.generation, call.text, digest)
+
+        return await self.submit(begin)
+
+    # --- at any control node ---
+
+    async def answer(self, call: ControlCall) -> CallAnswer:
+        """The leader's answer, here or elsewhere; 503 soon enough for the caller to go on to another node."""
+        size = len(self.replica.committed.text) if call.kind == GET else len(call.text)
         until = self.loop.time() + call_timeout(size) + FORWARDING_TIME
-        while (left := until - self.loop.time()) > 0:
+        while (time_left := until - self.loop.time()) > 0:
             leader = self.replica.leader
             voter = next((v for v in self.replica.voters() if v.disk == leader), None)
             if self.replica.role is ReplicaRole.LEADER:
-                status, text = await self.answer_here(ask)
-            elif voter is not None and len(ask.text) > LARGE_BYTES and self.address_of(voter):
+                status, text = await self.answer_here(call)
+            elif voter is not None and len(call.text) > LARGE_BYTES and self.address_of(voter):
                 return CallAnswer(307, self.address_of(voter).encode())
             elif voter is not None:
-                status, text = await self.forward_to_leader(voter, ask, left)
+                status, text = await self.forward_to_leader(voter, call, time_left)
             else:
                 await asyncio.sleep(FIND_LEADER_INTERVAL)
                 continue
@@ -88,90 +108,88 @@
                 return CallAnswer(status, text)
         return CallAnswer(503, b"no leader answers")
 
-    async def answer_here(self, ask: ControlCall) -> CallAnswer:
-        """Have this member's replica answer."""
-        now = self.loop.time()
-        if ask.kind == GET:
-            return await self.submit(lambda n: self.replica.read(now, n))
-        configuration = parse(ask.text, is_checked=True)  # by the member that took the call
-        digest = hashlib.blake2b(ask.text, digest_size=16).digest()
-        return await self.submit(
-            lambda n: self.replica.change(now, n, ask.base, configuration.generation, ask.text, digest)
-        )
-
     def address_of(self, voter: Voter) -> str:
-        """Where a member takes calls, as host:port; empty where that isn't known."""
-        records = self.node.gossip.records.of_kind(RecordKind.NODE)
-        nodes = (NodeInfo.FromString(record.body) for record in records)
-        return next((n.control_address for n in nodes if (n.ip, n.port) == (voter.ip, voter.port)), "")
-
-    async def forward_to_leader(self, voter: Voter, ask: ControlCall, within: float) -> CallAnswer:
-        """Have the leader answer. A read takes its text from here where the leader has the same; where it has not, and
-        the text is large, the caller is sent there."""
-        if ask.kind != GET:
-            return await forward(self.node, voter, ask, within)
+        """Where a control node takes calls, as host:port; empty where that isn't known."""
+        infos = self.node.gossip.records.node_infos()
+        return next((info.control_address for info in infos if (info.ip, info.port) == (voter.ip, voter.port)), "")
+
+    async def forward_to_leader(self, voter: Voter, call: ControlCall, timeout: float) -> CallAnswer:
+        """The answer of the leader.
+
+        A read takes its text from here where the leader has committed the same; where it has not, and the text is
+        large, the caller is sent there.
+        """
+        if call.kind != GET:
+            return await forward(self.node, voter, call, timeout)
         committed = self.replica.committed
-        asked = ControlCall(kind=GET, index=committed.index, digest=self.replica.committed_digest)
-        reply = await forward_call(self.node, voter, asked, within)
+        conditional = ControlCall(kind=GET, index=committed.index, digest=self.replica.committed_digest)
+        reply = await forward_call(self.node, voter, conditional, timeout)
         if reply.status == 307:
             address = self.address_of(voter)
-            return (
-                CallAnswer(307, address.encode()) if address else CallAnswer(503, b"the leader's address is not known")
-            )
+            if not address:
+                return CallAnswer(503, b"the leader's address is not known")
+            return CallAnswer(307, address.encode())
         return CallAnswer(reply.status, committed.text if reply.unchanged else reply.text)
 
-    def on_control_call(self, link: FramedConnection, frame: Frame) -> None:
-        """A call that another member hands on."""
-        ask = ControlCall()
-        ask.CopyFrom(frame.control_call)
+    def on_control_call(self, connection: FramedConnection, frame: Frame) -> None:
+        """Answer a call that another control node forwards."""
+        call = ControlCall()
+        call.CopyFrom(frame.control_call)
 
         async def run() -> None:
-            reply = await self.reply_to(ask)
-            link.send(Frame(stream=frame.stream, control_reply=reply))
+            reply = await self.reply_to(call)
+            connection.send(Frame(stream=frame.stream, control_reply=reply))
 
         task = self.loop.create_task(run())
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def reply_to(self, ask: ControlCall) -> ControlReply:
+    async def reply_to(self, call: ControlCall) -> ControlReply:
+        """The answer to a forwarded call, without a text that the other node has."""
         if self.replica.role is not ReplicaRole.LEADER:
             return ControlReply(status=503, text=b"does not lead")
         try:
-            status, text = await self.answer_here(ask)
-        except MeshError as wrong:
-            return ControlReply(status=400, text=str(wrong).encode())
+            status, text = await self.answer_here(call)
+        except MeshError as error:
+            return ControlReply(status=400, text=str(error).encode())
         committed = self.replica.committed
-        held = (ask.index, ask.digest) == (committed.index, self.replica.committed_digest)
-        if ask.kind == GET and status == 200 and held and text == committed.text:
+        is_same = (call.index, call.digest) == (committed.index, self.replica.committed_digest)
+        if call.kind == GET and status == 200 and is_same and text == committed.text:
             return ControlReply(status=200, unchanged=True)
-        if ask.kind == GET and ask.digest and len(text) > LARGE_BYTES:
-            return ControlReply(status=307)  # one that names what it holds understands that
+        if call.kind == GET and call.digest and len(text) > LARGE_BYTES:
+            return ControlReply(status=307)  # a node that says what it has committed understands that
         return ControlReply(status=status, text=text)
 
+    # --- of operators ---
+
     async def on_replace(self, call: Call) -> Answer:
+        """Replace the configuration."""
         base = call.headers.get("x-base-version", "")
         if not base.isascii() or not base.isdecimal() or len(base) > MAX_VERSION_DIGITS:
-            wrong = MeshError("BASE_MISSING", "must be the version that this one builds on", "X-Base-Version")
-            return error_answer(400, wrong)
-        # In a thread: a large one takes a second, and this member's word is waited for ten times in that.
-        large = len(call.body) > LARGE_BYTES
-        configuration = await self.loop.run_in_executor(None, parse, call.body) if large else parse(call.body)
+            error = MeshError("BASE_MISSING", "must be the version that this one builds on", "X-Base-Version")
+            return error_answer(400, error)
+        configuration = await self.validated(call.body)
         # As the text is kept: what is the same but for blanks and order is the same entry.
         text = orjson.dumps(orjson.loads(call.body), option=orjson.OPT_SORT_KEYS)
-        status, why = await self.answer(ControlCall(kind=PUT, base=int(base), text=text))
+        status, reason = await self.answer(ControlCall(kind=PUT, base=int(base), text=text))
         if status == 200:
             return json_answer(200, {"Generation": configuration.generation})
         if status == 307:
-            return redirect_to_leader(why, REPLACE_PATH)
-        return error_answer(
-            status,
-            MeshError(
-                {412: "CONFIG_BASE", 400: "CONFIG_INVALID"}.get(status, "CONFIG_UNCLEAR"),
-                why.decode("utf-8", "replace"),
-            ),
-        )
+            return redirect_to_leader(reason, REPLACE_PATH)
+        code = ERROR_CODES.get(status, "CONFIG_UNCLEAR")
+        return error_answer(status, MeshError(code, reason.decode("utf-8", "replace")))
+
+    async def validated(self, text: bytes) -> Configuration:
+        """A configuration, validated. MeshError where it is not proper.
+
+        A large one is validated in a thread: it takes a second, in which ten heartbeats of this node are due.
+        """
+        if len(text) > LARGE_BYTES:
+            return await self.loop.run_in_executor(None, parse, text)
+        return parse(text)
 
     async def on_read(self, call: Call) -> Answer:
+        """Read the configuration in force."""
         status, text = await self.answer(ControlCall(kind=GET))
         if status == 200:
             return Answer(200, b"Content-Type: application/json\r\n", text)
@@ -185,26 +203,27 @@
     return Answer(307, b"Location: http://%b%b\r\n" % (address, path.encode()), b"")
 
 
-async def forward(node: Node, voter: Voter, ask: ControlCall, within: float) -> CallAnswer:
-    """Ask another process: the status and text of its answer."""
-    reply = await forward_call(node, voter, ask, within)
+async def forward(node: Node, voter: Voter, call: ControlCall, timeout: float) -> CallAnswer:
+    """Call another process: the status and text of its answer."""
+    reply = await forward_call(node, voter, call, timeout)
     return CallAnswer(reply.status, reply.text)
 
 
-async def forward_call(node: Node, voter: Voter, ask: ControlCall, within: float) -> ControlReply:
-    """Ask another process, and wait for its answer for so many s."""
-    line = node.channel_to((voter.ip, voter.port))
-    told: asyncio.Future[ControlReply] = node.loop.create_future()
+async def forward_call(node: Node, voter: Voter, call: ControlCall, timeout: float) -> ControlReply:
+    """Call another process, and wait for its answer for ``timeout`` s; 503 without one."""
+    channel = node.channel_to((voter.ip, voter.port))
+    reply: asyncio.Future[ControlReply] = node.loop.create_future()
 
-    def answer(frame: Frame | None) -> None:
-        if not told.done():
-            told.set_result(frame.control_reply if frame is not None else ControlReply(status=503, text=b"link lost"))
+    def on_answer(frame: Frame | None) -> None:
+        if not reply.done():
+            lost = ControlReply(status=503, text=b"link lost")
+            reply.set_result(frame.control_reply if frame is not None else lost)
 
-    stream = line.call(Frame(control_call=ask), answer)
+    stream = channel.call(Frame(control_call=call), on_answer)
     try:
-        async with asyncio.timeout(within):
-            return await told
+        async with asyncio.timeout(timeout):
+            return await reply
     except TimeoutError:
         return ControlReply(status=503, text=b"no answer in time")
     finally:
-        line.finish_call(stream)
+        channel.finish_call(stream)
