--- a/benchmarks/jsonrpc.py
+++ b/benchmarks/jsonrpc.py
@@ -28,8 +28,7 @@
 
 import uvloop
 
-from zinclever import Balancer
-from zinclever import interface as i
+from zinclever import Balancer, interface
 from zinclever.assembly import JsonRpc
 from zinclever.configuration.check import check_operator
 from zinclever.configuration.operator import build
@@ -364,11 +363,11 @@
 class SendAll(Balancer):
     """Puts every call on an endpoint in turn: the real one would hold most back."""
 
-    def handle(self, now: float, event: i.Event) -> list[i.Action]:
-        if isinstance(event, i.MembershipNews):
+    def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
+        if isinstance(event, interface.MembershipNews):
             self.names = itertools.cycle([e.endpoint for e in event.entries])
-        elif isinstance(event, i.RequestArrived):
-            return [i.Send(event.request, next(self.names), 0.0)]
+        elif isinstance(event, interface.RequestArrived):
+            return [interface.Send(event.request, next(self.names), 0.0)]
         return []
 
 
--- a/zinclever/admin/figures.py
+++ b/zinclever/admin/figures.py
@@ -33,7 +33,7 @@
 
 def avoided(balancer: Balancer, now: float) -> int:
     """Listed endpoints that get nothing new at this instant (ms): they drain or are taken to be down."""
-    return sum(1 for e in balancer.list.endpoints.values() if e.phase == "draining" or e.down_until > now)
+    return sum(1 for e in balancer.endpoint_list.endpoints.values() if e.phase == "draining" or e.down_until > now)
 
 
 def lines(counts: Counts, classes: Mapping[str, int], levels: Levels) -> Iterator[str]:
--- a/zinclever/configuration/operator.py
+++ b/zinclever/configuration/operator.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from .. import interface as i
+from .. import interface
 from ..core.protocol import Address, Entry, read_address
 from ..jsonrpc.codec import read_pointer
 from ..jsonrpc.connection import Proofs
@@ -14,7 +14,7 @@
 
 Clean = dict[str, Any]
 #: Of the four rules, where no platform tells them.
-RULES = i.Rules(drain_grace=1000.0, ask_within=10000.0, cold_share=0.2, cold_for=10000.0)
+RULES = interface.Rules(drain_grace=1000.0, ask_within=10000.0, cold_share=0.2, cold_for=10000.0)
 STREAMS = 64  # calls that a connection carries before another one is opened
 
 
@@ -24,7 +24,7 @@
 
     name: str
     listen: Address
-    settings: i.Settings
+    settings: interface.Settings
     zones: tuple[str, ...]
     endpoints: tuple[Entry, ...]
     """Empty where ``discovery`` is asked."""
@@ -39,18 +39,18 @@
 
     services: Mapping[str, JsonRpcService]
     sockets: int
-    shares: i.Shares
+    shares: interface.Shares
     """For the platform's service, too."""
 
 
 def build(clean: Clean) -> Operator:
     """From cleaned values without an error."""
-    shares = i.Shares(**clean["shares"])
+    shares = interface.Shares(**clean["shares"])
     services = {name: service(name, told, shares) for name, told in clean["services"].items()}
     return Operator(services, clean["limits"]["sockets"], shares)
 
 
-def service(name: str, told: Clean, shares: i.Shares) -> JsonRpcService:
+def service(name: str, told: Clean, shares: interface.Shares) -> JsonRpcService:
     classes = tuple(request_class(n, c) for n, c in told["classes"].items())
     numbers = {c.name: n for n, c in enumerate(classes)}
     zones, entries = endpoints(told)
@@ -75,8 +75,8 @@
     )
 
 
-def request_class(name: str, told: Clean) -> i.RequestClass:
-    return i.RequestClass(
+def request_class(name: str, told: Clean) -> interface.RequestClass:
+    return interface.RequestClass(
         aim=told["aim_ms"],
         deadline=told["deadline_ms"],
         value=told["value"],
@@ -104,13 +104,17 @@
     entries = []
     for row in rows:
         to = read_address(row["address"])
-        listed = i.Listed(f"{to[0]}:{to[1]}", size=row["weight"], zone=zones.index(row["zone"]), cell=row["cell"])
+        listed = interface.Listed(
+            f"{to[0]}:{to[1]}", size=row["weight"], zone=zones.index(row["zone"]), cell=row["cell"]
+        )
         entries.append((listed, to))
     return zones, tuple(entries)
 
 
-def settings(told: Clean, classes: tuple[i.RequestClass, ...], zones: tuple[str, ...], shares: i.Shares) -> i.Settings:
-    limits = i.Limits(
+def settings(
+    told: Clean, classes: tuple[interface.RequestClass, ...], zones: tuple[str, ...], shares: interface.Shares
+) -> interface.Settings:
+    limits = interface.Limits(
         max_attempts=told["max_attempts"],
         cancel=True,
         second_copies=told["copies"],
@@ -120,7 +124,7 @@
         connection_idle=told["connection_idle_ms"],
         streams_per_connection=STREAMS,
     )
-    return i.Settings(
+    return interface.Settings(
         classes=classes,
         limits=limits,
         rules=RULES,
--- a/zinclever/core/pools.py
+++ b/zinclever/core/pools.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable, Sequence
 from typing import Generic, Protocol, TypeVar
 
-from .. import interface as i
+from .. import interface
 from ..fleet.limits import Connections
 from .descriptors import Descriptors
 from .protocol import Address
@@ -36,7 +36,7 @@
 
     def run(self, connection: C_contra) -> None: ...
 
-    def end(self, outcome: i.Outcome) -> None: ...
+    def end(self, outcome: interface.Outcome) -> None: ...
 
 
 #: Dials an address within so many seconds; told of the connection's being free, and of its end.
--- a/zinclever/core/protocol.py
+++ b/zinclever/core/protocol.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any, NamedTuple, Protocol
 
-from .. import interface as i
+from .. import interface
 from ..fleet.limits import Connections
 
 Address = tuple[str, int]
 #: An endpoint as its source lists it, and where it is found.
-Entry = tuple[i.Listed, Address]
+Entry = tuple[interface.Listed, Address]
 #: Takes news of the list of endpoints: a whole one, changes, or (``refused``) that there is none.
-OnList = Callable[[i.ListKind, Sequence[Entry]], None]
+OnList = Callable[[interface.ListKind, Sequence[Entry]], None]
 
 
 def read_address(text: str) -> Address:
@@ -66,7 +66,7 @@
 class Ended(Protocol):
     """Told once how an attempt ended, unless it is cancelled before."""
 
-    def __call__(self, outcome: i.Outcome, reply: Any = None, report: Mapping[str, float] = {}) -> None: ...
+    def __call__(self, outcome: interface.Outcome, reply: Any = None, report: Mapping[str, float] = {}) -> None: ...
 
 
 class Exchange(Protocol):
--- a/zinclever/core/shared.py
+++ b/zinclever/core/shared.py
@@ -8,7 +8,7 @@
 from collections.abc import Awaitable, Callable, Sequence
 from typing import Generic, Protocol, TypeVar
 
-from .. import interface as i
+from .. import interface
 from ..fleet.limits import Connections
 from .descriptors import Descriptors
 from .pools import IDLE_SHARE, Carried
@@ -142,7 +142,7 @@
             self.resting.pop(connection, None)
             attempt.run(connection)
             return
-        why: i.Outcome | None = "connect_failed" if len(pool.waiting) >= MOST_PENDING else None
+        why: interface.Outcome | None = "connect_failed" if len(pool.waiting) >= MOST_PENDING else None
         if why is None and not pool.dialling:
             why = self.open_one(pool)
         if why is None:
@@ -161,7 +161,7 @@
             self.open_one(pool)
         return connection
 
-    def open_one(self, pool: Pool[C]) -> i.Outcome | None:
+    def open_one(self, pool: Pool[C]) -> interface.Outcome | None:
         """Dial one more; or how an attempt ends that can't go out without."""
         if len(pool.connections) >= MOST_CONNECTIONS:
             return "connect_failed"
--- a/zinclever/core/view.py
+++ b/zinclever/core/view.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from .. import interface as i
+from .. import interface
 from ..fleet.subset import Shape, Subset
 from .protocol import Address, Entry
 
@@ -13,7 +13,7 @@
 NOWHERE: Address = ("", 0)  # of one that is gone
 
 
-def shape_of(settings: i.Settings) -> Shape:
+def shape_of(settings: interface.Settings) -> Shape:
     """What a subset has to hold under these settings."""
     minded = settings.prices.cross_zone >= MINDED
     return Shape(
@@ -29,7 +29,7 @@
 class View:
     """The whole list, and the subset of it that is in use. Costs the width for each change, not the fleet."""
 
-    def __init__(self, settings: i.Settings) -> None:
+    def __init__(self, settings: interface.Settings) -> None:
         self.subset = Subset(shape_of(settings))
         self.addresses: dict[str, Address] = {}
 
@@ -37,7 +37,7 @@
         """Endpoints in all that may be sent to."""
         return len(self.subset.home) + len(self.subset.away)
 
-    def news(self, now: float, kind: i.ListKind, entries: Sequence[Entry]) -> list[Entry]:
+    def news(self, now: float, kind: interface.ListKind, entries: Sequence[Entry]) -> list[Entry]:
         """What of the news the module and the wire are to hear, in the same kind."""
         if kind == "refused":
             return []
@@ -61,5 +61,5 @@
         self.subset.changes(now)
         return [self.entry(x) for x in self.subset.members.values()]
 
-    def entry(self, x: i.Listed) -> Entry:
+    def entry(self, x: interface.Listed) -> Entry:
         return x, self.addresses.get(x.endpoint, NOWHERE)
--- a/zinclever/discovery/catalog.py
+++ b/zinclever/discovery/catalog.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from .. import interface as i
+from .. import interface
 from ..core.host import Host
 from ..core.protocol import Address, Entry, OnList, read_address
 from ..fleet.limits import Calls
@@ -24,7 +24,7 @@
 CALL = 3000.0  # ms to wait for an answer beyond what the call itself may wait
 MOST_LIST = 4 << 20  # bytes: some ten thousand entries
 AGAIN = 500.0  # ms between two tries where lists are pushed and the balancer doesn't ask
-PHASES: dict[str, i.Phase] = {"in_service": "ready", "terminating": "draining", "terminated": "gone"}
+PHASES: dict[str, interface.Phase] = {"in_service": "ready", "terminating": "draining", "terminated": "gone"}
 
 
 def read_hosts(hosts: Sequence[dict[str, Any]], zones: Sequence[str]) -> list[Entry]:
@@ -34,7 +34,7 @@
     """
     return [
         (
-            i.Listed(
+            interface.Listed(
                 endpoint=h["host"],
                 phase=PHASES[h["health"]],
                 size=h.get("share") or 1.0,
@@ -54,7 +54,7 @@
 
 
 #: What came of a call: kind, version, entries.
-News = tuple[i.ListKind, int, list[dict[str, Any]]]
+News = tuple[interface.ListKind, int, list[dict[str, Any]]]
 
 
 class Call:
@@ -130,7 +130,7 @@
     def __init__(
         self,
         address: Address,
-        settings: i.Settings,
+        settings: interface.Settings,
         zones: Sequence[str],
         known: dict[str, Any],
         on_list: OnList,
@@ -149,7 +149,7 @@
         self.watching = False
         self.connect(address)
 
-    def configure(self, settings: i.Settings, zones: Sequence[str]) -> None:
+    def configure(self, settings: interface.Settings, zones: Sequence[str]) -> None:
         """Read the list by these names from now on."""
         self.pushed, self.zones = settings.discovery == "pushed", zones
         least = min(max(WATCH_EACH * settings.group_size, WATCH_LEAST), WATCH_MOST)
@@ -187,11 +187,11 @@
             for (listed, address), site in self.hosts.values()
         ]
 
-    def tell(self, kind: i.ListKind, hosts: list[dict[str, Any]]) -> None:
+    def tell(self, kind: interface.ListKind, hosts: list[dict[str, Any]]) -> None:
         """Hand on what discovery has answered."""
         self.on_list(*self.read(kind, hosts))
 
-    def read(self, kind: i.ListKind, hosts: list[dict[str, Any]]) -> tuple[i.ListKind, list[Entry]]:
+    def read(self, kind: interface.ListKind, hosts: list[dict[str, Any]]) -> tuple[interface.ListKind, list[Entry]]:
         """Take news into the list; those that can't be read are none."""
         entries: list[Entry] = []
         try:
--- a/zinclever/fleet/layout.py
+++ b/zinclever/fleet/layout.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterable, Mapping
 from hashlib import blake2b
 
-from .. import interface as i
+from .. import interface
 
 FULLEST = 0.85  # part of the table in use from which on it grows: beyond, a change moves ever more servers
 EMPTIEST = 0.4  # below which it shrinks; apart from FULLEST, as a list that flaps must not lay out anew each time
@@ -47,7 +47,7 @@
 
     __slots__ = ("listed", "mark", "tried")
 
-    def __init__(self, listed: i.Listed) -> None:
+    def __init__(self, listed: interface.Listed) -> None:
         self.listed, self.mark = listed, mark_of(listed.endpoint)
         self.tried = 0
 
@@ -69,7 +69,7 @@
     has grown or shrunk may keep another size for a while, so that instances needn't agree on it.
     """
 
-    def __init__(self, listed: Iterable[i.Listed] = ()) -> None:
+    def __init__(self, listed: Iterable[interface.Listed] = ()) -> None:
         self.seats: dict[str, Seat] = {x.endpoint: Seat(x) for x in listed}
         self.lay_out()
 
@@ -97,7 +97,7 @@
             self.wanting.setdefault(slot, []).append((number, seat))
             number += 1
 
-    def put(self, listed: i.Listed) -> None:
+    def put(self, listed: interface.Listed) -> None:
         """A server, new or with other news of it."""
         known = self.seats.get(listed.endpoint)
         if known is not None:
--- a/zinclever/fleet/subset.py
+++ b/zinclever/fleet/subset.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
-from .. import interface as i
+from .. import interface
 from .layout import GOLDEN, MASK, Layout, Seat, mix
 from .limits import EQUAL
 
@@ -89,7 +89,7 @@
         self.home = home if home is not None else Layout()
         self.away = away if away is not None else Layout()
         self.cells: dict[int, dict[str, Seat]] = {}
-        self.members: dict[str, i.Listed] = {}
+        self.members: dict[str, interface.Listed] = {}
         self.failing: dict[str, float] = {}
         """Servers that couldn't be reached, and until when they are made up for."""
         self.ends: list[tuple[float, str]] = []
@@ -102,7 +102,7 @@
     def layout(self, zone: int) -> Layout:
         return self.home if self.shape.zone is None or zone == self.shape.zone else self.away
 
-    def whole(self, listed: Sequence[i.Listed]) -> None:
+    def whole(self, listed: Sequence[interface.Listed]) -> None:
         """A whole list; what it doesn't hold is gone."""
         names = {x.endpoint for x in listed}
         for layout in (self.home, self.away):
@@ -110,7 +110,7 @@
                 self.remove(name)
         self.change(listed)
 
-    def change(self, listed: Sequence[i.Listed]) -> None:
+    def change(self, listed: Sequence[interface.Listed]) -> None:
         """News of some servers."""
         for x in listed:
             known = self.find(x.endpoint)
@@ -179,7 +179,7 @@
             wide = min(wide, max(FEWEST, int(EQUAL * shape.connections * servers / shape.group)))
         return wide
 
-    def changes(self, now: float) -> list[i.Listed]:
+    def changes(self, now: float) -> list[interface.Listed]:
         """What the module is to be told: servers to take up or with other news, and those to leave as ``gone``.
 
         What is out on one that is left ends by itself. Costs the width, not the fleet.
@@ -194,7 +194,7 @@
         self.members = wanted
         return news
 
-    def wanted(self) -> dict[str, i.Listed]:
+    def wanted(self) -> dict[str, interface.Listed]:
         near = self.walk(self.home, max(self.base(self.home), math.ceil(self.wide)))
         away = self.walk(self.away, FAR_LEAST if near else max(FAR_LEAST, math.ceil(self.wide)))
         found = near | away
--- a/zinclever/http1/wire.py
+++ b/zinclever/http1/wire.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from .. import interface as i
+from .. import interface
 from ..core.descriptors import Descriptors
 from ..core.host import Host
 from ..core.pools import ExclusivePools
@@ -29,7 +29,7 @@
     """It says how long its body is, also where that is empty."""
 
 
-def outcome_of(reply: Reply) -> i.Outcome:
+def outcome_of(reply: Reply) -> interface.Outcome:
     """What an endpoint's whole answer means; only a marked 503 or 504 proves that nothing ran."""
     if reply.status == 200:
         return "served"
@@ -59,7 +59,7 @@
     def waiting(self) -> bool:
         return self.ended is not None
 
-    def end(self, outcome: i.Outcome, reply: Reply | None = None) -> None:
+    def end(self, outcome: interface.Outcome, reply: Reply | None = None) -> None:
         ended, self.ended = self.ended, None
         self.connection = None
         self.leave()
--- a/zinclever/jsonrpc/connection.py
+++ b/zinclever/jsonrpc/connection.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from .. import interface as i
+from .. import interface
 from ..core.host import Host, Socket
 from ..core.protocol import Address, Ended
 from ..core.shared import Watcher
@@ -48,7 +48,7 @@
     never_ran: frozenset[int]
     failed: frozenset[int]
 
-    def outcome(self, response: Response) -> i.Outcome:
+    def outcome(self, response: Response) -> interface.Outcome:
         if not response.error:
             return "served"
         if response.code in self.never_ran:
@@ -82,7 +82,7 @@
     def run(self, connection: ClientConnection) -> None:
         connection.carry(self)
 
-    def end(self, outcome: i.Outcome, reply: Reply | None = None) -> None:
+    def end(self, outcome: interface.Outcome, reply: Reply | None = None) -> None:
         ended, self.ended = self.ended, None
         self.connection = None
         if ended is not None:
@@ -109,7 +109,7 @@
         self,
         sock: Socket,
         framing: Framing,
-        outcome: Callable[[Response], i.Outcome],
+        outcome: Callable[[Response], interface.Outcome],
         watcher: Watcher[ClientConnection],
         counts: Counter[str],
     ) -> None:
@@ -360,7 +360,7 @@
     address: Address,
     timeout: float,
     framing: Framing,
-    outcome: Callable[[Response], i.Outcome],
+    outcome: Callable[[Response], interface.Outcome],
     watcher: Watcher[ClientConnection],
     counts: Counter[str],
 ) -> ClientConnection:
--- a/zinclever/jsonrpc/wire.py
+++ b/zinclever/jsonrpc/wire.py
@@ -4,7 +4,7 @@
 
 from collections import Counter
 
-from .. import interface as i
+from .. import interface
 from ..core.descriptors import Descriptors
 from ..core.host import Host
 from ..core.protocol import Address, Ended
@@ -26,7 +26,7 @@
     async def open(self, address: Address, timeout: float, watcher: Watcher[ClientConnection]) -> ClientConnection:
         return await dial(self.host, address, timeout, self.framing, self.outcome, watcher, self.counts)
 
-    def outcome(self, response: Response) -> i.Outcome:
+    def outcome(self, response: Response) -> interface.Outcome:
         """By what holds now: a reload changes it for connections that are open, too."""
         return self.proofs.outcome(response)
 
--- a/zinclever/mesh/dataplane/admission.py
+++ b/zinclever/mesh/dataplane/admission.py
@@ -7,10 +7,10 @@
 
 from ...policy import Balancer
 from ...policy.admission import Admission
-from ...policy.cold import Cold
 from ...policy.endpoints import Endpoint
+from ...policy.partition import ZonePartition
 from ...policy.requests import Request
-from ...policy.sides import Side
+from ...policy.slow_start import SlowStart
 
 HOLD_SHARE = 0.2  # of its latency target for which a request waits for an endpoint to appear, before it is refused
 
@@ -22,11 +22,11 @@
     each; their ingress says it of each request, at once, and a request moves on from one that has no capacity.
     """
 
-    def room(self) -> bool:
+    def has_room(self) -> bool:
         """There is no concurrency window."""
         return True
 
-    def crowded(self) -> bool:
+    def is_crowded(self) -> bool:
         """Hedges are refused by the ingress, each where it is busy."""
         return False
 
@@ -34,45 +34,45 @@
         """Every request is sent at once."""
         return True
 
-    def steer(self, now: float, side: Side) -> None:
+    def adapt_window(self, now: float, side: ZonePartition) -> None:
         """There is no window to adapt."""
 
     def start(self) -> None:
         """Open all windows."""
-        for side in (self.list.near, self.list.far):
+        for side in (self.endpoint_list.near, self.endpoint_list.far):
             side.window.size = math.inf
 
     def hold(self, r: Request) -> None:
         """No endpoint is known: one may be in a moment."""
         super().hold(r)
-        told = r.klass.told
-        heapq.heappush(self.patience, (r.deadline - told.deadline + HOLD_SHARE * told.aim, self.count, r))
+        told = r.klass.settings
+        heapq.heappush(self.hold_deadlines, (r.deadline - told.deadline + HOLD_SHARE * told.aim, self.sequence, r))
 
 
-class IngressSlowStart(Cold):
+class IngressSlowStart(SlowStart):
     """Doesn't protect endpoints that start: their ingress sends them no more than they have slots.
 
     What the slow start of a sidecar that is alone goes by, what warm endpoints answer to it, is nothing after a start
     of all.
     """
 
-    def cold(self, now: float, e: Endpoint) -> bool:
+    def is_cold(self, now: float, e: Endpoint) -> bool:
         """No endpoint counts as cold."""
         return False
 
-    def warm_enough(self, now: float, e: Endpoint) -> bool:
+    def admits(self, now: float, e: Endpoint) -> bool:
         """Every endpoint counts as warm."""
         return True
 
-    def sent(self, now: float, e: Endpoint) -> None:
+    def on_sent(self, now: float, e: Endpoint) -> None:
         """Nothing is counted."""
 
 
 def delegate_to_ingress(balancer: Balancer) -> None:
     """Have a balancer that has served nothing yet leave admission and slow start to the ingress."""
     old = balancer.admission
-    admission = IngressAdmission(old.settings, old.classes, old.tenants, old.list, old.crossing, old.rng)
-    balancer.admission = balancer.learning.admission = admission
+    admission = IngressAdmission(old.settings, old.classes, old.tenants, old.endpoint_list, old.zone_crossing, old.rng)
+    balancer.admission = balancer.learner.admission = admission
     admission.start()
-    slow_start = IngressSlowStart(balancer.settings, balancer.list)
-    balancer.cold = balancer.draws.cold = balancer.learning.cold = slow_start
+    slow_start = IngressSlowStart(balancer.settings, balancer.endpoint_list)
+    balancer.slow_start = balancer.selector.slow_start = balancer.learner.slow_start = slow_start
--- a/zinclever/mesh/dataplane/service_clients.py
+++ b/zinclever/mesh/dataplane/service_clients.py
@@ -12,7 +12,7 @@
 from ...core.ledger import Ledger
 from ...core.protocol import Entry, OnList
 from ...policy import Balancer
-from ...policy.requests import Klass
+from ...policy.requests import ClassState
 from ..configuration.document import Route
 from .admission import delegate_to_ingress
 from .forwarding import Forwarder
@@ -143,14 +143,14 @@
     """Make a balancer that has served nothing yet one of the mesh."""
     delegate_to_ingress(balancer)
     for klass in balancer.classes:
-        klass.delay = HEDGE_DELAY_SHARE * klass.told.aim
+        klass.hedge_delay = HEDGE_DELAY_SHARE * klass.settings.aim
 
 
 def add_class(balancer: Balancer, request_class: interface.RequestClass) -> None:
     """Add a class to a balancer that runs: what it has learnt stays."""
     if len(balancer.classes) < len(balancer.settings.classes):
-        balancer.classes.append(Klass(request_class))
-        balancer.classes[-1].delay = HEDGE_DELAY_SHARE * request_class.aim
+        balancer.classes.append(ClassState(request_class))
+        balancer.classes[-1].hedge_delay = HEDGE_DELAY_SHARE * request_class.aim
         for tenant in balancer.tenants:
             tenant.queues.append(type(tenant.queues[0])())
 
--- a/zinclever/policy/cold.py
+++ b/zinclever/policy/slow_start.py
@@ -4,38 +4,39 @@
 
 import itertools
 
-from .. import interface as i
+from .. import interface
 from ..fleet.returns import presumed
 from ..fleet.smooth import MEMORY, NEVER, Smooth
+from .endpoint_list import EndpointList
 from .endpoints import Endpoint
-from .membership import Membership
 
-LEAD = 1.25  # times the share that answers tell, and half of what pushes a cold endpoint over at the most
-MEASURED = 256  # warm endpoints by whose answers the cold ones are measured at the most
-HOLD_STEP = 10.0  # ms between two looks at the held requests
+CAPACITY_FACTOR = 1.25  # times the share that answers tell, and half of what pushes a cold endpoint over at the most
+MAX_MEASURED = 256  # warm endpoints by whose answers the cold ones are measured at the most
+HELD_CHECK_INTERVAL = 10.0  # ms between two looks at the held requests
 
 
-class Cold:
+class SlowStart:
     """How much of its capacity a cold endpoint may be sent by this balancer."""
 
-    def __init__(self, settings: i.Settings, members: Membership) -> None:
-        self.rules, self.list = settings.rules, members
+    def __init__(self, settings: interface.Settings, members: EndpointList) -> None:
+        self.rules, self.endpoint_list = settings.rules, members
         self.demand = Smooth(MEMORY)
         self.warm_rate = 0.0  # answers a millisecond and size of a warm endpoint
         self.warm_at = -NEVER
 
-    def cold(self, now: float, e: Endpoint) -> bool:
+    def is_cold(self, now: float, e: Endpoint) -> bool:
+        """Whether an endpoint has started lately, or is presumed to have."""
         # A start at 0 is long past: guards against a clock near 0, by which all would be cold.
-        if presumed(now - self.rules.cold_for, e.presumed_at, e.failures, self.list.refusals):
+        if presumed(now - self.rules.cold_for, e.presumed_cold_at, e.failures, self.endpoint_list.refusals):
             return True
         return e.started_at != 0.0 and e.started_at + self.rules.cold_for > now
 
-    def ramp(self, now: float, e: Endpoint) -> float:
+    def capacity_share(self, now: float, e: Endpoint) -> float:
         """Share of its capacity that a cold endpoint has at least."""
-        age = max(0.0, now - max(e.started_at, e.presumed_at))
+        age = max(0.0, now - max(e.started_at, e.presumed_cold_at))
         return self.rules.cold_share + (1.0 - self.rules.cold_share) * age / self.rules.cold_for
 
-    def warm_enough(self, now: float, e: Endpoint) -> bool:
+    def admits(self, now: float, e: Endpoint) -> bool:
         """A cold endpoint gets LEAD times its ramp's share of what a warm one of its size answers to this balancer.
 
         Warm ones answer what is asked, which is less than they could.
@@ -43,36 +44,38 @@
         Answers, not sends: guards against a crowd whose many attempts would set the measure. What is saved
         up starts at a random part of one send, as one each from hundreds of balancers is a burst.
         """
-        if not self.cold(now, e):
+        if not self.is_cold(now, e):
             return True
-        if now - self.warm_at > HOLD_STEP:
+        if now - self.warm_at > HELD_CHECK_INTERVAL:
             self.measure_warm(now)
-        rate = min(LEAD, self.rules.overload_factor / 2) * self.ramp(now, e) * e.size * self.warm_rate
+        rate = (
+            min(CAPACITY_FACTOR, self.rules.overload_factor / 2) * self.capacity_share(now, e) * e.size * self.warm_rate
+        )
         burst = max(1.0, rate * self.rules.overload_for / 8)
         e.tokens = min(burst, e.tokens + rate * (now - e.tokens_at))
         e.tokens_at = now
         return e.tokens >= 1.0
 
-    def presume(self, now: float, zone: int, since: float) -> None:
+    def presume_cold(self, now: float, zone: int, since: float) -> None:
         """What a zone has not been heard of since an instant is cold from now on, whatever the list says."""
-        for e in self.list.ready:
+        for e in self.endpoint_list.ready:
             if e.zone == zone and e.served_at <= since:
-                self.take_for_cold(now, e, now)
+                self.mark_cold(now, e, now)
 
-    def take_for_cold(self, now: float, e: Endpoint, since: float) -> None:
+    def mark_cold(self, now: float, e: Endpoint, since: float) -> None:
         """One is cold since an instant, whatever the list says. NEVER: it may be when it answers, and its tries until
         then are sent as to a cold one: guards one that comes back unseen against a first try from each balancer."""
-        e.presumed_at, e.tokens, e.tokens_at = since, self.list.rng.random(), now
+        e.presumed_cold_at, e.tokens, e.tokens_at = since, self.endpoint_list.rng.random(), now
         if since > -NEVER:
-            self.list.side(e).cold.add(now + self.rules.cold_for, e.rank, e)
+            self.endpoint_list.partition_of(e).cold.add(now + self.rules.cold_for, e.rank, e)
 
-    def dispel(self, now: float, zone: int, since: float) -> None:
+    def withdraw_presumption(self, now: float, zone: int, since: float) -> None:
         """A zone that was presumed to be cold since its return was not."""
-        for e in self.list.ready:
-            if e.zone == zone and e.presumed_at == since:
-                e.presumed_at = -NEVER
-                if not self.cold(now, e):
-                    self.list.side(e).cold.members.discard(e)
+        for e in self.endpoint_list.ready:
+            if e.zone == zone and e.presumed_cold_at == since:
+                e.presumed_cold_at = -NEVER
+                if not self.is_cold(now, e):
+                    self.endpoint_list.partition_of(e).cold.members.discard(e)
 
     def measure_warm(self, now: float) -> None:
         """Answers of the warm endpoints in use, by size. Where few are warm the last figure stands.
@@ -81,19 +84,21 @@
         do, when it comes back from an outage to clients that repeat all they ask.
         """
         self.warm_at = now
-        enough = int(min(self.list.enough(), MEASURED))
+        enough = int(min(self.endpoint_list.pool_size(), MAX_MEASURED))
         rates: list[float] = []
-        for side in (self.list.near, self.list.far):
-            if 3 * side.warm(now) >= len(side.ready) > 0:
-                warm = list(itertools.islice((e for e in side.ready if not self.cold(now, e)), enough))
+        for side in (self.endpoint_list.near, self.endpoint_list.far):
+            if 3 * side.warm_count(now) >= len(side.ready) > 0:
+                warm = list(itertools.islice((e for e in side.ready if not self.is_cold(now, e)), enough))
                 served = sum((e.served.rate(now) for e in warm), 0.0)
                 rates.append(served / sum((e.size for e in warm), 0.0))
         if rates:
             self.warm_rate = max(rates)
-        elif self.list.ready and self.warm_rate == 0.0:  # all is cold: it starts with an even part of the demand
-            self.warm_rate = self.demand.rate(now) / sum((e.size for e in self.list.ready[:enough]), 0.0)
+        elif (
+            self.endpoint_list.ready and self.warm_rate == 0.0
+        ):  # all is cold: it starts with an even part of the demand
+            self.warm_rate = self.demand.rate(now) / sum((e.size for e in self.endpoint_list.ready[:enough]), 0.0)
 
-    def sent(self, now: float, e: Endpoint) -> None:
+    def on_sent(self, now: float, e: Endpoint) -> None:
         """One more goes there."""
-        if self.cold(now, e):
+        if self.is_cold(now, e):
             e.tokens -= 1.0
--- a/zinclever/settings.py
+++ b/zinclever/settings.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from . import interface as i
+from . import interface
 
 
 def _given(source: Any, names: dict[str, str]) -> dict[str, Any]:
@@ -12,7 +12,7 @@
     return {ours: source[wire] for wire, ours in names.items() if source.get(wire) is not None}
 
 
-def read_settings(told: dict[str, Any]) -> i.Settings:
+def read_settings(told: dict[str, Any]) -> interface.Settings:
     """Settings from the wire's object; keys not known here are skipped."""
     same = ("aim", "deadline", "value", "repeat", "group", "window", "streamed", "name")
     per_class = {k: k for k in same} | {"late-worth": "late_worth", "aim-stretch": "aim_stretch"}
@@ -51,12 +51,12 @@
     }
     family: dict[str, Any] = told.get("family-info") or {}
     report: dict[str, Any] = told.get("report") or {}
-    return i.Settings(
-        classes=tuple(i.RequestClass(**_given(c, per_class)) for c in told.get("classes") or ()),
-        tenants=tuple(i.Tenant(**_given(t, tenants)) for t in told.get("realms") or ()),
-        limits=i.Limits(**_given(told.get("limits") or {}, limits)),
-        prices=i.Prices(**_given(told.get("prices") or {}, prices)),
-        rules=i.Rules(**_given(told.get("rules") or {}, rules)),
+    return interface.Settings(
+        classes=tuple(interface.RequestClass(**_given(c, per_class)) for c in told.get("classes") or ()),
+        tenants=tuple(interface.Tenant(**_given(t, tenants)) for t in told.get("realms") or ()),
+        limits=interface.Limits(**_given(told.get("limits") or {}, limits)),
+        prices=interface.Prices(**_given(told.get("prices") or {}, prices)),
+        rules=interface.Rules(**_given(told.get("rules") or {}, rules)),
         reports=report.get("how", "silent"),
         report_fields=tuple(report.get("fields") or ()),
         warm_keys=bool(family.get("warm-keys")),
--- a/zinclever/standins/simulation.py
+++ b/zinclever/standins/simulation.py
@@ -13,14 +13,13 @@
 from random import Random
 from typing import Any
 
-from zinclever import Balancer
-from zinclever import interface as i
+from zinclever import Balancer, interface
 
 from .faults import UNDONE, Fault
 from .log import Answered, Asked, Kind, Log, Received
 
 EARLY = 15.0  # ms before the deadline that the module is told
-OUTCOMES: Mapping[Fault, i.Outcome] = {
+OUTCOMES: Mapping[Fault, interface.Outcome] = {
     Fault.NONE: "served",
     Fault.BEYOND: "served",
     Fault.DECLINE: "full",
@@ -45,11 +44,11 @@
 
     def __init__(
         self,
-        settings: i.Settings,
-        endpoints: Sequence[i.Listed],
+        settings: interface.Settings,
+        endpoints: Sequence[interface.Listed],
         shares: Mapping[Fault, float],
         seed: int,
-        make: Callable[[i.Settings, int], Balancer] = Balancer,
+        make: Callable[[interface.Settings, int], Balancer] = Balancer,
     ) -> None:
         self.settings, self.shares, self.rng = settings, shares, Random(seed)
         self.balancer = make(settings, seed)
@@ -58,10 +57,10 @@
         self.log = Log(lambda: self.now)
         self.due: list[tuple[float, int, Any]] = []
         self.serial = itertools.count()
-        self.open: dict[str, i.RequestClass] = {}
-        self.classes: dict[str, i.RequestClass] = {}
+        self.open: dict[str, interface.RequestClass] = {}
+        self.classes: dict[str, interface.RequestClass] = {}
         self.attempts: dict[str, list[_Attempt]] = {}
-        self.feed(i.MembershipNews("whole", list(endpoints)))
+        self.feed(interface.MembershipNews("whole", list(endpoints)))
 
     def at(self, when: float, act: Any) -> None:
         heapq.heappush(self.due, (when, next(self.serial), act))
@@ -85,12 +84,12 @@
         self.open[name] = self.classes[name] = told
         self.attempts[name] = []
         self.at(self.now + told.deadline - EARLY / 2, lambda: self.guard(name))
-        self.feed(i.RequestArrived(name, klass, self.now + told.deadline - EARLY, key=name))
+        self.feed(interface.RequestArrived(name, klass, self.now + told.deadline - EARLY, key=name))
 
     def guard(self, name: str) -> None:
         if name in self.open:
             self.answer(name, "failed")
-            self.feed(i.RequestClosed(name))
+            self.feed(interface.RequestClosed(name))
 
     def answer(self, name: str, kind: Kind, made: str = "") -> None:
         if self.open.pop(name, None) is not None:
@@ -98,21 +97,21 @@
 
     # --- actions ---
 
-    def feed(self, event: i.Event) -> None:
+    def feed(self, event: interface.Event) -> None:
         for action in self.balancer.handle(self.now, event):
             match action:
-                case i.Send():
+                case interface.Send():
                     self.send(action)
-                case i.Cancel():
+                case interface.Cancel():
                     self.end(self.attempts[action.request][action.attempt], "cancelled")
-                case i.Refuse():
+                case interface.Refuse():
                     self.answer(action.request, "refused")
-                case i.Fail():
+                case interface.Fail():
                     self.answer(action.request, "failed")
-                case i.SetTimer():
-                    self.at(max(action.at, self.now), lambda token=action.token: self.feed(i.TimerFired(token)))
+                case interface.SetTimer():
+                    self.at(max(action.at, self.now), lambda token=action.token: self.feed(interface.TimerFired(token)))
 
-    def send(self, action: i.Send) -> None:
+    def send(self, action: interface.Send) -> None:
         tried = self.attempts[action.request]
         attempt = _Attempt(action.request, len(tried), action.endpoint, self.now)
         tried.append(attempt)
@@ -147,14 +146,14 @@
         if (outcome := OUTCOMES.get(fault)) is not None:
             self.at(self.now + left, lambda: self.end(attempt, outcome, made))
 
-    def end(self, attempt: _Attempt, outcome: i.Outcome, made: str = "") -> None:
+    def end(self, attempt: _Attempt, outcome: interface.Outcome, made: str = "") -> None:
         if attempt.over:
             return
         attempt.over = True
         if outcome == "served":
             self.answer(attempt.request, "served", made)
         self.feed(
-            i.AttemptEnded(
+            interface.AttemptEnded(
                 attempt.request,
                 attempt.number,
                 attempt.endpoint,
