--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -5,6 +5,7 @@
 import asyncio
 import contextlib
 import itertools
+import math
 import socket
 from collections.abc import AsyncIterator, Awaitable, Callable, Iterable
 from typing import Any
@@ -192,6 +193,18 @@
             await self.changed.wait()
 
 
+def script(ledger: Ledger, balancer: Scripted) -> None:
+    """Have a scripted balancer decide, however slow the machine is.
+
+    A stall of this process for more than a second would put a real balancer in its place, and a dial that takes longer
+    than the settings allow would end an attempt that the test waits for.
+    """
+    ledger.balancer = balancer
+    ledger.renewed_at = math.inf
+    limits = balancer.settings.limits
+    ledger.wire.configure(1000.0 * PATIENCE, limits.connection_idle, ledger.connections)
+
+
 def host(name: str, dial: str, health: str = "in_service", **more: Any) -> dict[str, Any]:
     entry = {"host": name, "dial": dial, "site": "a", "class": "m", "block": 0, "share": 1.0, "born_ms": 0}
     return entry | {"health": health} | more
--- a/tests/rpc.py
+++ b/tests/rpc.py
@@ -8,7 +8,7 @@
 from collections.abc import AsyncIterator
 from typing import Any
 
-from loopback import Reaction, Scripted
+from loopback import Reaction, Scripted, script
 
 from zinclever.assembly import JsonRpc
 from zinclever.configuration.check import check_operator
@@ -118,7 +118,7 @@
         (spec,) = build(report.clean).services.values()
         made = JsonRpc(spec, 1, Descriptors(sockets), System())
         if react is not None:
-            made.ledger.balancer = Scripted(spec.settings, react)
+            script(made.ledger, Scripted(spec.settings, react))
         loop = asyncio.get_running_loop()
         server = await loop.create_server(made.front.connection, "127.0.0.1", 0)
         made.ledger.start()
