--- a/zinclever/mesh/consensus/__init__.py
+++ b/zinclever/mesh/consensus/__init__.py
@@ -1,4 +1,5 @@
-"""Consensus: a replicated log of configurations and voters among the control nodes.
+"""Consensus among the control nodes: a replicated log of the configuration and the voter set.
 
-:class:`.replica.Replica` is one replica as a pure state machine; :mod:`.replica_store` keeps its state on disk.
+:class:`.replica.Replica` implements the protocol as a state machine without I/O; :mod:`.replica_store` persists its
+state.
 """
--- a/zinclever/mesh/consensus/client_calls.py
+++ b/zinclever/mesh/consensus/client_calls.py
@@ -1,10 +1,11 @@
-"""The calls of operators at the leader: which one is proposed next, which is answered without a log entry. Pure.
-
-Every call gets exactly one answer, an HTTP status and a text. The statuses that state what is current, 200 of a read
-and 200, 400 and 412 of a change that is not proposed, wait for a round of confirmations that began after the call came
-(:mod:`.leadership_confirmations`). A change that is proposed needs none: the voters that have its entry under the
-leader's term confirm the term as well, and the entry follows directly on the one that it was checked against. 503
-states nothing: the change may be committed, now or later, and is sent again as it was.
+"""The queue of client calls on the leader: reads and changes of the configuration. No I/O.
+
+Every call gets exactly one answer, an HTTP status and a body. Answers that depend on the current state, which are 200
+and 404 to a read and 200, 400 and 412 to a change that is not proposed, wait for a round of leadership confirmations
+that began after the call was received (:mod:`.leadership_confirmations`). A change that is proposed needs no such
+round: the voters that accept its entry confirm the leader's term too, and the entry directly follows the one that the
+change was checked against. A 503 leaves the outcome open: the change may be committed already or later, and the caller
+sends it again unmodified.
 """
 
 from __future__ import annotations
@@ -16,19 +17,19 @@
 from .leadership_confirmations import LeadershipConfirmations
 from .messages import ChangeCall, DirectAnswer, ReadCall, UnconfirmedCall
 
-CALL_TIMEOUT = 0.6  # s in which a call has an answer: a caller gives up after 1 s of silence, on its way here included
-LARGE_CALL_TIMEOUT = 2.5  # s for the largest configurations, whose callers wait longer
-LARGE_BYTES = 32 * 1024  # of a configuration from which on it takes longer ...
-TRANSFER_RATE = 100_000.0  # ... by the time that its entry takes to voters and disks, in bytes/s
-MAX_CALLS = 64  # calls that wait at once; further ones get no clear answer at once
-MAX_CALL_BYTES = 32 << 20  # of their configurations together
-MAX_APPLIED_CALLS = 256  # committed changes whose repetition is recognized
+CALL_TIMEOUT = 0.6  # seconds until a call is answered; its caller gives up 1 s after sending it
+LARGE_CALL_TIMEOUT = 2.5  # seconds for the largest configurations, whose callers wait longer
+LARGE_BYTES = 32 * 1024  # size of a configuration above which the timeout grows
+TRANSFER_RATE = 100_000.0  # bytes/s to voters and their disks, which determines how much the timeout grows
+MAX_CALLS = 64  # waiting calls; further ones are answered 503 at once
+MAX_CALL_BYTES = 32 << 20  # total size of the configurations in waiting calls
+MAX_APPLIED_CALLS = 256  # committed changes that are remembered to recognize repeated calls
 
 TOO_MANY_CALLS = b"too many calls are waiting"
 
 
 def call_timeout(size: int) -> float:
-    """The time in which a call with a configuration of ``size`` bytes has an answer, in s."""
+    """The timeout of a call with a configuration of ``size`` bytes, in seconds."""
     return min(LARGE_CALL_TIMEOUT, CALL_TIMEOUT + max(0, size - LARGE_BYTES) / TRANSFER_RATE)
 
 
@@ -36,24 +37,33 @@
     """The calls that the leader has not answered yet."""
 
     def __init__(self, reply: Callable[[int, int, bytes], None]) -> None:
-        """``reply`` is called with the id of a call, its HTTP status and text."""
+        """Create an empty queue.
+
+        Args:
+            reply: Answers a call; takes its ID, an HTTP status and a body.
+        """
         self.reply = reply
         self.confirmations = LeadershipConfirmations()
         self.queued_changes: deque[ChangeCall] = deque()
-        """Changes that wait for their turn to be proposed."""
+        """Changes that wait until the entries before them are committed."""
         self.proposed_change: ChangeCall | None = None
         self.unconfirmed: list[UnconfirmedCall] = []
-        """Calls that are answered from what is committed, once the leader is confirmed."""
+        """Calls that are answered from the committed state once the leadership is confirmed."""
 
     def read(self, now: float, call_id: int) -> None:
-        """Read the configuration in force."""
+        """Accept a call to read the current configuration."""
         if self.has_room(0):
             self.await_confirmation(ReadCall(call_id, now))
         else:
             self.reply(call_id, 503, TOO_MANY_CALLS)
 
     def change(self, call: ChangeCall, committed: LogEntry | None) -> None:
-        """Replace the configuration; ``committed``: None while the leader doesn't know what is."""
+        """Accept a call to replace the configuration.
+
+        Args:
+            call: The call.
+            committed: The committed entry; None until the leader is established in its term.
+        """
         if not self.has_room(len(call.text)):
             self.reply(call.call_id, 503, TOO_MANY_CALLS)
         elif committed is not None and not may_be_proposed(call, committed):
@@ -62,13 +72,13 @@
             self.queued_changes.append(call)
 
     def has_room(self, size: int) -> bool:
-        """Whether one more call, with a configuration of ``size`` bytes, may wait."""
+        """Whether the limits allow one more waiting call, with a configuration of ``size`` bytes."""
         calls = [*self.queued_changes, *(entry.call for entry in self.unconfirmed)]
         held = sum(len(call.text) for call in calls if isinstance(call, ChangeCall))
         return len(calls) < MAX_CALLS and held + size <= MAX_CALL_BYTES
 
     def next_change(self, committed: LogEntry) -> ChangeCall | None:
-        """The next change that needs an entry; those before it that need none are answered."""
+        """Take the next change that needs an entry off the queue, and answer the ones before it that need none."""
         while self.queued_changes:
             call = self.queued_changes.popleft()
             if direct_answer(call, committed) is None:
@@ -78,7 +88,7 @@
         return None
 
     def answer_directly(self, call: ChangeCall, committed: LogEntry) -> None:
-        """Answer a change without an entry. A 503 states nothing, and needs nobody's confirmation."""
+        """Answer a change that needs no entry: a 503 at once, other statuses after the next confirmation."""
         answer = direct_answer(call, committed)
         if answer is not None and answer.status == 503:
             self.reply(call.call_id, answer.status, answer.text)
@@ -86,17 +96,22 @@
             self.await_confirmation(call)
 
     def await_confirmation(self, call: ChangeCall | ReadCall) -> None:
-        """Answer a call once a round that begins now is confirmed."""
+        """Hold a call until a round of confirmations that begins now is complete."""
         self.unconfirmed.append(UnconfirmedCall(call, self.confirmations.begin()))
 
     def on_committed(self) -> None:
-        """What was proposed is committed."""
+        """Answer the proposed change, whose entry is committed now."""
         call, self.proposed_change = self.proposed_change, None
         if call is not None:
             self.reply(call.call_id, 200, b"")
 
     def answer_confirmed(self, committed: LogEntry, own: Collection[str]) -> None:
-        """Answer the calls whose round a majority has confirmed, from what is committed by now."""
+        """Answer the calls whose round a majority has confirmed, from the committed state.
+
+        Args:
+            committed: The committed entry.
+            own: Disks that count as confirmed without a request.
+        """
         unconfirmed, self.unconfirmed = self.unconfirmed, []
         for entry in unconfirmed:
             if not self.confirmations.is_confirmed(entry.round, committed.voters, own):
@@ -107,14 +122,14 @@
                 self.answer_change(entry.call, committed)
 
     def answer_read(self, call: ReadCall, committed: LogEntry) -> None:
-        """Answer a confirmed read."""
+        """Answer a read after its confirmation."""
         if committed.generation:
             self.reply(call.call_id, 200, committed.text)
         else:
             self.reply(call.call_id, 404, b"there is none yet")
 
     def answer_change(self, call: ChangeCall, committed: LogEntry) -> None:
-        """Answer a confirmed change, checked anew: its base may have been committed while the voters were asked."""
+        """Answer a change after its confirmation, or queue it if its base has been committed in the meantime."""
         answer = direct_answer(call, committed)
         if answer is not None:
             self.reply(call.call_id, answer.status, answer.text)
@@ -122,11 +137,11 @@
             self.queued_changes.append(call)
 
     def unconfirmed_round(self) -> int:
-        """The newest round that a call waits for; 0 where none does."""
+        """The newest round that a call waits for; 0 if there is none."""
         return max((entry.round for entry in self.unconfirmed), default=0)
 
     def tick(self, now: float) -> None:
-        """Answer 503 to the calls whose time is up."""
+        """Answer 503 to the calls whose timeout has expired."""
         for call in [call for call in self.queued_changes if is_expired(call, now)]:
             self.queued_changes.remove(call)
             self.reply(call.call_id, 503, b"not committed in time")
@@ -138,7 +153,7 @@
             self.reply(entry.call.call_id, 503, b"no majority confirms that this member leads")
 
     def fail_all(self) -> None:
-        """Answer 503 to all calls: this replica leads no more."""
+        """Answer 503 to all calls when this replica ceases to be the leader."""
         proposed = [self.proposed_change] if self.proposed_change is not None else []
         for call in [*self.queued_changes, *proposed, *(entry.call for entry in self.unconfirmed)]:
             self.reply(call.call_id, 503, b"leads no more: a change may be committed")
@@ -149,13 +164,13 @@
 
 
 def is_expired(call: ChangeCall | ReadCall, now: float) -> bool:
-    """Whether the time of a call is up."""
+    """Whether the timeout of a call has expired."""
     size = len(call.text) if isinstance(call, ChangeCall) else 0
     return now - call.received_at > call_timeout(size)
 
 
 def direct_answer(call: ChangeCall, committed: LogEntry) -> DirectAnswer | None:
-    """The answer to a change that needs no entry; None where it is to be proposed."""
+    """The answer to a change that needs no entry; None if the change must be proposed."""
     if was_applied(call, committed):
         return DirectAnswer(200, b"")
     if may_have_been_applied(call, committed):
@@ -168,7 +183,7 @@
 
 
 def was_applied(call: ChangeCall, committed: LogEntry) -> bool:
-    """Whether this very change is among those remembered: same generation, same base, same text."""
+    """Whether this change, with the same generation, base and text, is among the remembered ones."""
     return any(
         applied.digest == call.digest and applied.generation == call.generation and applied.base == call.base
         for applied in committed.applied_calls
@@ -176,20 +191,20 @@
 
 
 def may_have_been_applied(call: ChangeCall, committed: LogEntry) -> bool:
-    """Whether a change that isn't remembered may have been applied all the same.
+    """Whether a change that is no longer remembered may have been applied.
 
-    Each change that is applied builds on the generation that the one before it made, so generations only rise: those
-    applied before the oldest that is remembered made generations up to the one that it builds on. A change with a
-    higher generation is remembered, or was never applied; with a lower one nobody can tell, and a change that was
-    applied is never refused.
+    Generations only rise, because the base of each applied change is the generation of the one before. Changes older
+    than the oldest remembered one therefore have generations up to its base. A change with a higher generation is
+    either remembered or was never applied; for a lower one this can't be decided, and it must not be answered as
+    rejected.
     """
     oldest = committed.applied_calls[0].base if committed.applied_calls else committed.generation
     return call.base < call.generation <= oldest
 
 
 def may_be_proposed(call: ChangeCall, committed: LogEntry) -> bool:
-    """Whether a change may be proposed now or after others that are under way.
+    """Whether a change can be proposed now, or once its base is committed.
 
-    Generations only rise: a change that builds on a lower one than the committed one never will.
+    Generations only rise, so a base below the committed generation can't become current again.
     """
     return call.base > committed.generation or direct_answer(call, committed) is None
--- a/zinclever/mesh/consensus/election.py
+++ b/zinclever/mesh/consensus/election.py
@@ -1,4 +1,4 @@
-"""The part of a replica that elects a leader: who stands, who gets a vote, what a new leader goes on from. Pure."""
+"""Leader election: candidacy, votes, and the entry that a new leader continues from. No I/O."""
 
 from __future__ import annotations
 
@@ -10,27 +10,30 @@
 
 
 class Election(Replication):
-    """Voters stand for election in their order, beginning after the leader that is gone."""
+    """The part of a replica that takes part in elections.
+
+    Voters become candidates one after another, in the order of the voter set beginning after the failed leader.
+    """
 
     # --- candidates ---
 
     def check_leader(self, now: float) -> None:
-        """Stand for election once the leader is not heard any more; the next live voter in order goes first."""
+        """Start an election after the election timeout, delayed by this voter's position in election order."""
         if not self.is_voter() or self.leaving:
             return
         voters = disk_ids(self.voters())
         if self.own_voter.disk not in voters:
             return
         if not has_majority(self.voters(), self.heard_within(ELECTION_TIMEOUT, now)):
-            return  # one that hears no majority can't win, and would only raise the term
+            return  # without contact to a majority it can't win, and would only raise the term
         delay = ELECTION_STAGGER * self.live_voters_before(voters, now)
         if now - self.leader_last_heard > ELECTION_TIMEOUT + delay and now - self.role_since > delay:
             self.start_election(now)
 
     def live_voters_before(self, voters: list[str], now: float) -> int:
-        """How many live voters stand before this one, in order after the leader.
+        """The number of reachable voters between the leader and this voter in election order.
 
-        The dead are passed over; right after its own start a replica knows of nobody that it is dead.
+        During :data:`.timing.STARTUP_GRACE` after its start, a replica presumes all voters reachable.
         """
         start = voters.index(self.leader) if self.leader in voters else -1
         count = 0
@@ -44,7 +47,7 @@
         return count
 
     def start_election(self, now: float) -> None:
-        """Ask for votes under a higher term, once this replica's own vote is durable."""
+        """Become a candidate in a higher term; votes are requested once the vote for itself is durable."""
         self.change_role(ReplicaRole.CANDIDATE, now)
         self.term = self.vote.term + 1
         self.vote = Vote(self.term, self.own_voter.disk)
@@ -53,7 +56,7 @@
         self.votes_requested_at = now
 
     def pending_vote_requests(self) -> list[Send]:
-        """Requests to those that have not answered."""
+        """Vote requests to the voters that have not granted their vote."""
         return [
             Send(voter, self.message_with_voter(MessageKind.VOTE_REQUEST, self.term))
             for voter in self.other_voters()
@@ -61,18 +64,18 @@
         ]
 
     def request_votes(self, now: float) -> None:
-        """Ask again: a voter may have come up only now."""
-        if self.own_voter.disk in self.votes:  # else its own vote is not durable yet
+        """Repeat the vote requests, as messages may be lost and voters may have started in the meantime."""
+        if self.own_voter.disk in self.votes:  # otherwise its own vote is not durable yet
             self.votes_requested_at = now
             self.actions += self.pending_vote_requests()
 
     def on_vote_reply(self, now: float, m: ConsensusMessage) -> None:
-        """Lead once a majority of the voters of the newest entry have given their votes."""
+        """Count a vote, and become the leader once the required majorities have granted theirs."""
         if self.role is not ReplicaRole.CANDIDATE or m.term != self.term:
             return
         if not m.granted:
             if m.index > self.vote.term:
-                self.vote = Vote(m.index, "")  # the next try is above it
+                self.vote = Vote(m.index, "")  # the next election uses a higher term
             return
         self.votes[m.disk] = m
         committed = max([self.committed, *(v.committed for v in self.votes.values())], key=lambda entry: entry.index)
@@ -89,13 +92,16 @@
         self.propose(now, self.under_own_term(newest))
 
     def newest_of_votes(self, committed: LogEntry) -> LogEntry:
-        """The newest entry that a voter has accepted, or the committed one: what a new leader goes on from."""
+        """The entry that a new leader proposes again: the newest that a voter has accepted, or the committed one."""
         accepted = [vote.entry for vote in self.votes.values() if vote.HasField("entry")]
         newest = max(accepted, key=lambda entry: (entry.index, entry.term), default=committed)
         return committed if newest.index < committed.index else newest
 
     def has_won(self, newest: LogEntry, committed: LogEntry) -> bool:
-        """Whether a majority of the voters have voted: of those before a newer entry than the committed one, too."""
+        """Whether a majority of the voters has granted its votes.
+
+        If an entry newer than the committed one changes the voter set, a majority of the previous set is needed too.
+        """
         if newest.index > committed.index:
             voter_sets = [list(voters) for voters in (newest.previous_voters, newest.voters) if voters]
         else:
@@ -103,10 +109,9 @@
         return bool(voter_sets) and all(has_majority(voters, self.votes) for voters in voter_sets)
 
     def yield_election(self, now: float) -> None:
-        """Let the others stand first.
+        """Let the other voters become candidates before this replica does again.
 
-        The entry to go on from has other voters: each of them stands before this replica does again, as its requests
-        for votes would put theirs off.
+        This replica is no voter in the entry to continue from, and its vote requests would delay the actual voters.
         """
         self.leader = ""
         self.leader_last_heard = now + ELECTION_STAGGER * len(self.voters())
@@ -114,7 +119,10 @@
     # --- voters ---
 
     def on_vote_request(self, now: float, m: ConsensusMessage) -> None:
-        """Vote for a candidate, once that is durable; not in a lower term, not twice, not while the leader is heard."""
+        """Grant a vote once it is durable.
+
+        It is denied in a lower term, after a vote for another candidate in this term, and while the leader is alive.
+        """
         is_sticky = self.leader not in ("", m.disk) and now - self.leader_last_heard < LEADER_STICKINESS
         has_voted = m.term == self.vote.term and self.vote.candidate not in ("", m.disk)
         if is_sticky or m.term < self.vote.term or has_voted:
@@ -128,7 +136,7 @@
         self.persist(None, [Send(voter, self.vote_reply(True, m.term))] if voter is not None else [])
 
     def vote_reply(self, granted: bool, term: int) -> ConsensusMessage:
-        """The answer to a request; its entries are put in by :meth:`on_persisted`, once the vote is durable."""
+        """A reply to a vote request; :meth:`on_persisted` adds the entries once the vote is durable."""
         reply = self.message(MessageKind.VOTE_REPLY, term)
         reply.granted = granted
         reply.index = self.vote.term
--- a/zinclever/mesh/consensus/lag_monitor.py
+++ b/zinclever/mesh/consensus/lag_monitor.py
@@ -1,33 +1,34 @@
-"""Which voters are to be sent a snapshot, as they don't get to the committed entry by themselves. Pure."""
+"""Decides which lagging voters the leader sends a snapshot. No I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-SNAPSHOT_AFTER = 0.3  # s for which a voter lacks an entry before it is sent the committed one
+SNAPSHOT_AFTER = 0.3  # seconds that a voter may lack an entry before it is sent a snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class Lag:
-    """The entry that a voter lacks, and since when."""
+    """The first committed entry that a voter is known to lack, and since when."""
 
     index: int
     since: float
+    """In seconds."""
 
 
 class LagMonitor:
-    """The leader's view of the others.
+    """Tracks, on the leader, how long each voter has lacked an entry.
 
-    A voter that is always one entry behind, as every voter is while changes come fast, is not sent anything: only the
-    time counts for which it lacks one and the same entry.
+    Only the time for which a voter lacks the same entry counts. A voter that trails by one entry but keeps advancing,
+    which is normal under a high rate of changes, needs no snapshot.
     """
 
     def __init__(self) -> None:
         self.lags: dict[str, Lag] = {}
-        """By disk."""
+        """By disk ID."""
 
     def is_due(self, now: float, disk: str, reported: int, committed: int) -> bool:
-        """Whether a voter that has reported index ``reported`` is to be sent the entry at index ``committed``."""
+        """Whether a voter that reports commit index ``reported`` needs a snapshot of the entry at ``committed``."""
         lag = self.lags.get(disk)
         if lag is None or reported >= lag.index:
             lag = self.lags[disk] = Lag(committed, now)
@@ -37,18 +38,18 @@
         return self.has_lasted(now, disk, lag)
 
     def differs(self, now: float, disk: str, committed: int) -> bool:
-        """Whether a voter that has another entry than the majority at index ``committed`` is to be sent it."""
+        """Whether a voter whose entry at index ``committed`` differs from the majority's needs a snapshot."""
         lag = self.lags.setdefault(disk, Lag(committed + 1, now))
         return self.has_lasted(now, disk, lag)
 
     def has_lasted(self, now: float, disk: str, lag: Lag) -> bool:
-        """Whether a lag has lasted for :data:`SNAPSHOT_AFTER`; if so, its time begins anew."""
+        """Whether a lag has lasted longer than :data:`SNAPSHOT_AFTER`; if so, restarts its timer."""
         if now - lag.since <= SNAPSHOT_AFTER:
             return False
         self.lags[disk] = Lag(lag.index, now)
         return True
 
     def keep_only(self, disks: set[str]) -> None:
-        """Forget whoever is no voter any more."""
+        """Forget the lags of all other disks, which are no longer voters."""
         for disk in self.lags.keys() - disks:
             del self.lags[disk]
--- a/zinclever/mesh/consensus/leader_calls.py
+++ b/zinclever/mesh/consensus/leader_calls.py
@@ -1,4 +1,4 @@
-"""The part of a replica that answers operators' calls at the leader, and confirms another's leadership. Pure."""
+"""Reads on the leader, and the confirmation of its leadership by the other voters. No I/O."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 class LeaderCalls(ReplicaState):
-    """Reads, and the rounds of confirmations that reads and refusals wait for."""
+    """The part of a replica that confirms leadership and answers the calls that depend on it."""
 
     def is_established(self) -> bool:
-        """Whether this replica leads and has committed an entry under its own term.
+        """Whether this replica leads and has committed an entry in its own term.
 
-        Before that, what the previous leader has acknowledged may be accepted here, but not committed yet.
+        Until then, a change that the previous leader has acknowledged may be accepted here but not committed.
         """
         return self.role is ReplicaRole.LEADER and self.established_term == self.term
 
     def read(self, now: float, call_id: int) -> None:
-        """Read the newest configuration. Without the lead the answer is 503."""
+        """Answer a call with the current configuration; with 503 if this replica is not the leader."""
         if self.role is not ReplicaRole.LEADER:
             self.actions.append(Reply(call_id, 503, NOT_LEADER))
             return
@@ -29,9 +29,10 @@
         self.answer_confirmed()
 
     def request_confirmations(self, now: float) -> None:
-        """Ask the voters that have not confirmed the newest round that a call waits for.
+        """Request the newest round that a call waits for from the voters that have not confirmed it.
 
-        A new round is requested at once, and again after a while, as requests and confirmations may be lost.
+        Requests are repeated every :data:`.leadership_confirmations.CONFIRM_RESEND_INTERVAL`, since messages may be
+        lost.
         """
         confirmations = self.calls.confirmations
         wanted = self.calls.unconfirmed_round()
@@ -45,20 +46,20 @@
                 self.send(voter, request)
 
     def on_confirm_leadership(self, m: ConsensusMessage) -> None:
-        """The leader of a term asks whether this replica has promised itself to a higher one."""
+        """Confirm the leadership of the sender unless this replica is a candidate or has seen a higher term."""
         confirmation = self.message(MessageKind.LEADERSHIP_CONFIRMED, m.term)
         confirmation.round = m.round
         confirmation.granted = m.term >= self.vote.term and self.role is not ReplicaRole.CANDIDATE
         self.respond(m, confirmation)
 
     def on_leadership_confirmed(self, m: ConsensusMessage) -> None:
-        """A voter confirms a round."""
+        """Record a voter's confirmation of a round."""
         if self.role is ReplicaRole.LEADER and m.term == self.term and m.granted:
             self.calls.confirmations.record(m.disk, m.round)
             self.answer_confirmed()
 
     def answer_confirmed(self) -> None:
-        """Answer what a majority has confirmed, once this leader knows what is committed."""
+        """Answer the calls whose round is confirmed, once this leader is established in its term."""
         if self.is_established():
             own = {self.own_voter.disk} if self.vote.term <= self.term else set()
             self.calls.answer_confirmed(self.committed, own)
--- a/zinclever/mesh/consensus/messages.py
+++ b/zinclever/mesh/consensus/messages.py
@@ -1,4 +1,4 @@
-"""Kinds of messages between replicas, roles, the actions that a replica asks for, and the calls that it answers."""
+"""Message kinds, replica roles, the actions that a replica emits, and the client calls that it answers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class MessageKind(enum.IntEnum):
-    """Messages between replicas: ``kind`` of a :class:`ConsensusMessage`."""
+    """Values of :attr:`ConsensusMessage.kind`."""
 
     HEARTBEAT = 1
     VOTE_REQUEST = 2
@@ -28,36 +28,36 @@
 
 
 class ReplicaRole(enum.Enum):
-    """What a replica is doing."""
+    """Role of a replica in the protocol."""
 
-    LEARNER = "has no vote: founds the cluster, or waits to become a voter"
-    FOLLOWER = "follows the leader"
-    CANDIDATE = "asks the others for their votes"
-    LEADER = "proposes entries and answers calls"
+    LEARNER = "has no vote: bootstraps the cluster or waits to become a voter"
+    FOLLOWER = "accepts entries from the leader"
+    CANDIDATE = "requests votes"
+    LEADER = "proposes entries and answers client calls"
 
 
 class Vote(NamedTuple):
-    """The lowest term that a replica still takes part in, and the candidate that it voted for in that term."""
+    """The current term of a replica, below which it rejects messages, and its vote in that term."""
 
     term: int
     candidate: str
-    """Its disk; empty where the replica has not voted in that term."""
+    """Disk ID of the candidate that got the vote; empty if the replica has not voted in this term."""
 
 
-# --- actions: what a replica asks its surroundings for ---
+# --- actions: side effects that the caller of the replica carries out ---
 
 
 class Send(NamedTuple):
-    """Send a message to another replica, or to the replica itself."""
+    """Send a message to another replica, or back to this one."""
 
     to: Voter
     message: ConsensusMessage
 
 
 class Persist(NamedTuple):
-    """Make the vote durable, and the entry if there is one.
+    """Write the vote, and the entry if there is one, to stable storage.
 
-    Answered by :meth:`.replica_state.ReplicaState.on_persisted`, in the order in which this was asked for.
+    The caller reports each result to :meth:`.replica_state.ReplicaState.on_persisted`, in the order of the actions.
     """
 
     vote: Vote
@@ -66,13 +66,13 @@
 
 
 class Commit(NamedTuple):
-    """An entry is committed: the next one in the log."""
+    """Apply an entry that is committed now."""
 
     entry: LogEntry
 
 
 class Reply(NamedTuple):
-    """The answer to a call: an HTTP status, and a text."""
+    """Answer a client call with an HTTP status and a body."""
 
     call_id: int
     status: int
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VotersChanged:
-    """The leader has committed a change of the voters at this index. For the log."""
+    """Log that this leader has committed a change of the voter set, at log index ``index``."""
 
     index: int
     change: VoterChange
@@ -90,15 +90,15 @@
 Action = Send | Persist | Commit | Reply | VotersChanged
 
 
-# --- calls of operators ---
+# --- client calls ---
 
 
 class ChangeCall(NamedTuple):
-    """A checked configuration that is to replace the one of generation ``base``."""
+    """A call to replace the configuration of generation ``base`` by a validated one."""
 
     call_id: int
     received_at: float
-    """In s."""
+    """In seconds."""
     base: int
     generation: int
     text: bytes
@@ -106,22 +106,22 @@
 
 
 class ReadCall(NamedTuple):
-    """A read of the configuration in force."""
+    """A call to read the current configuration."""
 
     call_id: int
     received_at: float
-    """In s."""
+    """In seconds."""
 
 
 class UnconfirmedCall(NamedTuple):
-    """A call that is answered once a majority has confirmed this round, or a later one."""
+    """A call that is answered once a majority has confirmed the leadership in this round or a later one."""
 
     call: ChangeCall | ReadCall
     round: int
 
 
 class DirectAnswer(NamedTuple):
-    """The answer to a change that needs no log entry: an HTTP status, and a text."""
+    """The answer, an HTTP status and a body, to a change call that needs no log entry."""
 
     status: int
     text: bytes
--- a/zinclever/mesh/consensus/quorum.py
+++ b/zinclever/mesh/consensus/quorum.py
@@ -1,7 +1,9 @@
-"""Voters: how many disks commit an entry, who joins the set of voters and who leaves it. Pure.
+"""Quorum sizes and membership changes of the voter set. No I/O.
 
-The set has a target size, :func:`target_size`. Silence alone never takes it below that: a voter is removed only for a
-learner that takes its place, or where there are more voters than the target.
+The voter set has a target size, :func:`target_size`. An unreachable voter is removed only if a learner replaces it or
+if there are more voters than the target, so that unreachability alone never shrinks the set below the target.
+
+Voters are identified by their disk IDs: a node that returns with an empty disk is a different voter.
 """
 
 from __future__ import annotations
@@ -16,26 +18,26 @@
 
 from ..transport.mesh_pb2 import LogEntry, Voter
 
-UNHEARD_TIMEOUT = 0.8  # s unheard after which a voter is doubted: no voter is added beyond the target meanwhile
-VOTER_LOST_TIMEOUT = 2.0  # s unheard after which a learner takes a voter's place, or one beyond the target is removed
-EXTRA_VOTER_DELAY = 1.6  # s that a learner waits for a place to come free, before the voters are one more than needed
+SUSPECT_TIMEOUT = 0.8  # seconds without contact to a voter, after which no voter is added beyond the target size
+VOTER_LOST_TIMEOUT = 2.0  # seconds without contact, after which a voter is replaced, or removed if beyond the target
+EXTRA_VOTER_DELAY = 1.6  # seconds that a learner waits to replace a voter before it is added beyond the target size
 
 
 class VoterChangeReason(enum.Enum):
-    """Why the set of voters changes."""
+    """Why the voter set changes."""
 
-    NEW_DISK = "a machine came back with another disk"
-    REPLACES_LEAVING = "a newcomer takes the place of a voter that leaves"
-    REPLACES_LOST = "a newcomer takes the place of a voter that was not heard for long"
-    BELOW_TARGET = "there are fewer voters than the fault model needs"
-    JOINED = "a newcomer joins a set in which nobody is missing"
-    LEFT = "a voter beyond the target leaves"
-    LOST = "a voter beyond the target was not heard for long"
+    NEW_DISK = "a node came back with a different disk"
+    REPLACES_LEAVING = "a learner replaces a voter that is leaving"
+    REPLACES_LOST = "a learner replaces an unreachable voter"
+    BELOW_TARGET = "there are fewer voters than the fault model requires"
+    JOINED = "a learner joins while all voters are reachable"
+    LEFT = "a voter beyond the target size is leaving"
+    LOST = "a voter beyond the target size is unreachable"
 
 
 @dataclass(frozen=True, slots=True)
 class VoterChange:
-    """One step from a set of voters to the next."""
+    """A change of the voter set that adds a voter, removes one, or replaces one."""
 
     voters: list[Voter]
     reason: VoterChangeReason
@@ -44,14 +46,15 @@
 
 
 class Learner(NamedTuple):
-    """A replica that has no vote yet, and since when it waits for one, in s."""
+    """A replica without a vote that waits to become a voter."""
 
     voter: Voter
     since: float
+    """When it was first seen, in seconds."""
 
 
 class Location(NamedTuple):
-    """Where a control node is."""
+    """The zone and the region of a control node."""
 
     zone: str
     region: str
@@ -59,17 +62,17 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultModel:
-    """What may be lost at once with nothing lost of what was acknowledged: machines, or zones, or regions."""
+    """The simultaneous failures that no acknowledged change may be lost to: hosts, zones or regions."""
 
     hosts: int = 1
     zones: int = 0
     regions: int = 0
 
     def tolerated_losses(self, control_nodes: Collection[Location]) -> int:
-        """Control nodes that the voters have to bear the loss of.
+        """The number of control nodes whose simultaneous loss the voters must tolerate.
 
-        A zone or a region is lost with all its machines; no more can be borne than leaves a majority of the control
-        nodes, whatever is asked for.
+        A failed zone or region takes all its nodes with it; the largest ones are assumed to fail. For zones and
+        regions the result is limited to the largest minority of the control nodes.
         """
         zones = Counter(location.zone for location in control_nodes)
         regions = Counter(location.region for location in control_nodes)
@@ -81,35 +84,38 @@
 
 
 def disk_ids(voters: Iterable[Voter]) -> list[str]:
-    """The identities of the voters' disks."""
+    """The disk IDs of the voters."""
     return [voter.disk for voter in voters]
 
 
 def majority(count: int) -> int:
-    """The least number that is more than half of ``count``."""
+    """The smallest majority of ``count`` voters."""
     return count // 2 + 1
 
 
 def commit_quorum(count: int, tolerated_losses: int) -> int:
-    """How many disks of ``count`` voters have to have an entry.
+    """The number of disks, out of ``count`` voters, that must hold an entry before it is committed.
 
-    A majority, and enough that after the tolerated losses one of them is left.
+    A majority, and at least one more than the tolerated failures, so that one copy survives them.
     """
     return min(count, max(majority(count), tolerated_losses + 1))
 
 
 def has_commit_quorum(voters: Sequence[Voter], holders: Collection[str], tolerated_losses: int) -> bool:
-    """Whether these disks are enough to commit an entry."""
+    """Whether the disks in ``holders`` are enough to commit an entry."""
     return sum(disk in holders for disk in disk_ids(voters)) >= commit_quorum(len(voters), tolerated_losses)
 
 
 def has_majority(voters: Sequence[Voter], disks: Collection[str]) -> bool:
-    """Whether these are a majority of the voters: they meet every set of disks that committed something among them."""
+    """Whether these disks include a majority of the voters, which intersects every commit quorum."""
     return sum(disk in disks for disk in disk_ids(voters)) >= majority(len(voters))
 
 
 def digest(entry: LogEntry) -> int:
-    """The digest of a committed entry without its term: 64 bits, alike on all replicas that have it at its index."""
+    """A 64-bit digest of a committed entry, equal on all replicas.
+
+    The term is left out, because a new leader proposes the same entry again in its own term.
+    """
     hashed = hashlib.blake2b(b"%d %d %d" % (entry.index, entry.generation, entry.founding_size), digest_size=8)
     disks = (disk.encode() for disk in disk_ids(entry.voters))
     calls = (call.digest for call in entry.applied_calls)
@@ -119,12 +125,15 @@
 
 
 def changes_voters(entry: LogEntry) -> bool:
-    """Whether an entry changes the voters: those before it still have a say until another entry follows."""
+    """Whether an entry changes the voter set.
+
+    Until the next entry is committed, elections also need a majority of the previous voters.
+    """
     return bool(entry.previous_voters) and disk_ids(entry.previous_voters) != disk_ids(entry.voters)
 
 
 def target_size(founding_size: int, tolerated_losses: int) -> int:
-    """The least size of the set of voters: after the tolerated losses, the rest are a majority of it."""
+    """The smallest voter set in which a majority survives the tolerated failures; at least the initial size."""
     return max(1, founding_size, 2 * tolerated_losses + 1)
 
 
@@ -137,21 +146,30 @@
     tolerated_losses: int = 1,
     leaving: Collection[str] = (),
 ) -> VoterChange | None:
-    """The one change that is due, or None where the voters should stay as they are.
-
-    ``learners`` have the state already. Each takes the first of these that there is: the place of its own machine's
-    former disk, of a voter that leaves, of one that was not heard for long, a place that is missing to the target, one
-    more place. Then, above the target, a voter that leaves is removed, or one that was not heard for long: whoever is
-    gone, a smaller set needs fewer of the rest.
+    """The next change of the voter set, or None if it should stay as it is.
+
+    A learner, in order of waiting time, gets the first of these that applies: it replaces the voter with the former
+    disk of its own node, a voter that is leaving, or an unreachable voter; it fills the set up to the target size; it
+    joins as an extra voter. Otherwise, above the target size, a voter that is leaving or unreachable is removed,
+    because a smaller set has a smaller quorum.
+
+    Args:
+        committed: The committed entry, which holds the current voters.
+        leader: Disk ID of the leader, which is never replaced or removed as unreachable or leaving.
+        learners: By disk ID; only those that hold the committed state.
+        last_heard: When each voter was last heard from, by disk ID.
+        now: The current time in seconds.
+        tolerated_losses: The number of simultaneous failures to tolerate.
+        leaving: Disk IDs of the replicas that are shutting down.
     """
     voters = list(committed.voters)
     target = target_size(committed.founding_size, tolerated_losses)
 
-    def is_unheard(voter: Voter, timeout: float) -> bool:
+    def is_unreachable(voter: Voter, timeout: float) -> bool:
         return voter.disk != leader and now - last_heard.get(voter.disk, -math.inf) > timeout
 
     left = next((v for v in voters if v.disk in leaving and v.disk != leader), None)
-    lost = next((v for v in voters if is_unheard(v, VOTER_LOST_TIMEOUT)), None)
+    lost = next((v for v in voters if is_unreachable(v, VOTER_LOST_TIMEOUT)), None)
     for voter, since in sorted(learners.values(), key=lambda learner: (learner.since, learner.voter.disk)):
         if voter.disk in disk_ids(voters) or voter.disk in leaving:
             continue
@@ -164,8 +182,8 @@
             return replacement(voters, lost, voter, VoterChangeReason.REPLACES_LOST)
         if len(voters) < target:
             return VoterChange([*voters, voter], VoterChangeReason.BELOW_TARGET, added=voter)
-        is_anybody_doubted = any(is_unheard(v, UNHEARD_TIMEOUT) for v in voters)
-        if not is_anybody_doubted and now - since > EXTRA_VOTER_DELAY:
+        is_any_suspected = any(is_unreachable(v, SUSPECT_TIMEOUT) for v in voters)
+        if not is_any_suspected and now - since > EXTRA_VOTER_DELAY:
             return VoterChange([*voters, voter], VoterChangeReason.JOINED, added=voter)
     if len(voters) > target:
         removed, reason = (left, VoterChangeReason.LEFT) if left is not None else (lost, VoterChangeReason.LOST)
@@ -175,5 +193,5 @@
 
 
 def replacement(voters: Sequence[Voter], old: Voter, new: Voter, reason: VoterChangeReason) -> VoterChange:
-    """The change that puts a new voter in the place of an old one."""
+    """The change that replaces one voter by another."""
     return VoterChange([new if v.disk == old.disk else v for v in voters], reason, added=new, removed=old)
--- a/zinclever/mesh/consensus/replica.py
+++ b/zinclever/mesh/consensus/replica.py
@@ -1,14 +1,14 @@
-"""The replicated log: one replica, as a pure state machine.
+"""One replica of the replicated log, as a state machine without I/O.
 
-What is committed is one value, the configuration in force and the voters, at an index that rises by one with each
-entry. One replica leads, under a term that the others refuse to go below; it proposes the entry after the committed
-one, and that one is committed once enough disks have it (:meth:`.replication.Replication.is_committed`). A replica that
-takes over first asks a majority for what they have, proposes the newest anew under its own term, and goes on from
-there.
+The replicated state is a single value: the current configuration and the voter set. Each log entry contains the whole
+state, at an index that rises by one. The leader proposes the entry after the committed one, in its term; the entry is
+committed once enough disks hold it (:meth:`.replication.Replication.is_committed`). A new leader collects the accepted
+entries of a majority with their votes, proposes the newest again in its own term, and continues from there.
 
-Instants are in s; nothing here depends on the clocks of two machines agreeing. Sources: Viewstamped Replication
-Revisited (Liskov and Cowling, 2012) for changes of the voters and for a replica without its disk; Paxos Made Simple
-(Lamport, 2001) for why the newest by term of a majority is safe; Raft (Ongaro, 2014) for terms and ReadIndex.
+Times are in seconds of the local monotonic clock; clocks of different machines are never compared. Sources: Viewstamped
+Replication Revisited (Liskov and Cowling, 2012) for changes of the voter set and for replicas that have lost their
+disk; Paxos Made Simple (Lamport, 2001) for the safety of continuing from the accepted entry with the newest term; Raft
+(Ongaro, 2014) for terms and ReadIndex.
 """
 
 from __future__ import annotations
@@ -26,17 +26,17 @@
 
 
 class Replica(Election, LeaderCalls):
-    """One replica.
+    """One replica of the log.
 
-    Call :meth:`tick` at least every :data:`.timing.HEARTBEAT_INTERVAL`, :meth:`receive` with each message,
-    :meth:`on_persisted` after each save, and :meth:`read` and :meth:`change` with operators' calls. Afterwards carry
-    out what is in ``actions``.
+    The caller invokes :meth:`tick` at least every :data:`.timing.HEARTBEAT_INTERVAL`, :meth:`receive` for each message,
+    :meth:`on_persisted` after each save, and :meth:`read` and :meth:`change` for client calls. After each of them it
+    carries out the collected ``actions``.
     """
 
     # --- ticks ---
 
     def tick(self, now: float) -> None:
-        """Do what is due in the present role."""
+        """Send heartbeats and handle the timeouts of the current role."""
         self.voter_changes.tick(now)
         self.notice_stall(now)
         if now - self.heartbeat_sent_at >= HEARTBEAT_INTERVAL:
@@ -58,25 +58,25 @@
         self.calls.tick(now)
 
     def notice_stall(self, now: float) -> None:
-        """After a stall of this process, don't take the leader for silent before its unread heartbeats are read.
+        """Extend the election timeout after a stall of this process, as heartbeats of the leader may wait unread.
 
-        Who leads depends on terms alone; this spares a healthy leader an election.
+        This avoids needless elections; safety depends on terms alone.
         """
         if now - self.ticked_at > STALL_THRESHOLD:
             self.leader_last_heard = max(self.leader_last_heard, now - ELECTION_TIMEOUT / 2)
         self.ticked_at = now
 
     def tick_candidate(self, now: float) -> None:
-        """Ask for votes again, or end a round that nobody has won."""
+        """Repeat the vote requests, or give up after :data:`.timing.ELECTION_ROUND`."""
         if now - self.role_since > ELECTION_ROUND:
             self.change_role(ReplicaRole.FOLLOWER, now)
-            self.leader_last_heard = now - ELECTION_TIMEOUT  # the next in order gets its turn, too
-            self.leader = ""  # candidates that took different replicas for the leader agree on the order now
+            self.leader_last_heard = now - ELECTION_TIMEOUT  # so that the next voter in election order can start
+            self.leader = ""  # so that replicas which followed different leaders use the same election order
         elif now - self.votes_requested_at > HEARTBEAT_INTERVAL:
             self.request_votes(now)
 
     def tick_leader(self, now: float) -> None:
-        """Step down without a majority; else resend the proposal, help whoever lags, and propose what is due."""
+        """Step down without contact to a majority; otherwise resend the proposal, or send snapshots and propose."""
         voters = self.committed.voters or self.voters()
         has_led_for = now - self.role_since
         if has_led_for > QUORUM_TIMEOUT and not has_majority(voters, self.heard_within(QUORUM_TIMEOUT, now)):
@@ -89,15 +89,15 @@
             self.propose_what_is_due(now)
 
     def check_proposal(self, now: float, entry: LogEntry) -> None:
-        """Finish the proposal if it is committed by now, or send it again."""
-        if self.is_committed(now, entry):  # a voter that left may count again, or be out
+        """Finish the proposal if it is committed by now, or resend it."""
+        if self.is_committed(now, entry):  # the disks that count depend on which replicas are leaving or reachable
             self.finish_proposal(now, entry)
         elif now - self.proposed_at > RESEND_AFTER:
             self.proposed_at = now
             self.send_appends(entry, self.acknowledged_by)
 
     def propose_what_is_due(self, now: float) -> None:
-        """Propose a change of the voters, an operator's change, or the end of a change of the voters, in this order."""
+        """Propose the next entry: a change of the voter set, a client's change, or the completion of a voter change."""
         is_settled = not changes_voters(self.committed)
         change = self.next_voter_change(now) if is_settled else None
         if change is not None:
@@ -106,15 +106,15 @@
         if self.calls.queued_changes:
             self.propose_next_change(now)
         if self.proposed is None and not is_settled:
-            # One more entry that needs the new voters alone: until it is on enough disks, a replica that starts and
-            # finds the entry before can't know that it was committed, and would need a majority of the old ones, too.
+            # Another entry with the same voters completes the change. Until it is on enough disks, a restarted replica
+            # can't know that the entry before was committed, and an election also needs a majority of the old voters.
             self.propose(now, self.next_entry(list(self.committed.voters)))
         if self.proposed is None:
             self.replicate_committed(now)
             self.release_leaving()
 
     def next_voter_change(self, now: float) -> VoterChange | None:
-        """The change of the voters that is due."""
+        """The next change of the voter set, or None."""
         return self.voter_changes.next_change(
             self.committed, self.own_voter.disk, self.last_heard, now, self.tolerated_losses
         )
@@ -122,12 +122,12 @@
     # --- heartbeats and snapshots ---
 
     def peers(self) -> list[Voter]:
-        """Whom this replica sends to: the other voters, and learners that it knows of."""
+        """The replicas that this one sends messages to: the other voters and the known learners."""
         learners = [learner.voter for learner in self.voter_changes.learners.values()]
         return [*self.other_voters(), *learners]
 
     def heartbeat(self) -> ConsensusMessage:
-        """What this replica has committed; of the leader, also that it leads."""
+        """A heartbeat with this replica's committed index and digest; from the leader also with its term."""
         leads = self.role is ReplicaRole.LEADER
         return ConsensusMessage(
             kind=MessageKind.HEARTBEAT,
@@ -141,7 +141,7 @@
         )
 
     def on_heartbeat(self, now: float, m: ConsensusMessage) -> None:
-        """Record what the sender has committed; from the leader, follow it."""
+        """Record what the sender has committed; if it leads, follow it and commit the accepted entry."""
         voter = m.voter
         if m.disk == self.own_voter.disk:
             return
@@ -157,7 +157,7 @@
             self.voter_changes.on_heartbeat(now, voter)
 
     def send_snapshots(self, now: float) -> None:
-        """Send the committed entry to voters that lack it for a while, or have another than the majority."""
+        """Send a snapshot to voters that lag behind, or whose committed entry differs from the majority's."""
         own = ReportedCommit(self.committed.index, self.committed_digest)
         alike = {disk for disk, reported in self.reported.items() if reported == own} | {self.own_voter.disk}
         others = self.other_voters()
@@ -173,13 +173,13 @@
                 self.send_snapshot(voter)
 
     def send_snapshot(self, voter: Voter) -> None:
-        """Send the committed entry, which is all the state that there is."""
+        """Send the committed entry, which contains the complete state, with a heartbeat."""
         message = self.heartbeat()
         message.committed.CopyFrom(self.committed)
         self.send(voter, message)
 
     def on_snapshot(self, now: float, entry: LogEntry) -> None:
-        """The leader sends the committed entry: put it in force, and on disk."""
+        """Commit and persist an entry that the leader has committed."""
         differs = entry.index == self.committed.index and digest(entry) != self.committed_digest
         if entry.index <= self.committed.index and not differs:
             return
@@ -190,13 +190,13 @@
         elif differs and last.index == entry.index:
             copy = LogEntry()
             copy.CopyFrom(entry)
-            copy.term = max(entry.term, last.term)  # what was promised under it stays promised
+            copy.term = max(entry.term, last.term)  # never lower the term of an accepted entry
             self.persist(copy, [])
 
     # --- proposals ---
 
     def on_append_reply(self, now: float, m: ConsensusMessage) -> None:
-        """A replica has accepted an entry, or refuses this leader's term."""
+        """Count an acknowledgement of the proposed entry, or step down after a rejection."""
         if not m.granted and m.round >= self.term and self.role is ReplicaRole.LEADER:
             self.on_append_refused(now, m)
             return
@@ -211,17 +211,17 @@
             self.finish_proposal(now, entry)
 
     def on_append_refused(self, now: float, m: ConsensusMessage) -> None:
-        """Step down: a replica has promised itself to another leader."""
+        """Step down, because a replica has accepted a higher term or another leader."""
         self.change_role(ReplicaRole.FOLLOWER, now)
         if m.round > self.vote.term:
-            self.vote = Vote(m.round, "")  # the next try is above it
+            self.vote = Vote(m.round, "")  # the next election uses a higher term
         elif self.is_voter() and not self.leaving:
-            # It stood under the same term and has voted for itself: it follows this one now, and would refuse it for
-            # good. Only a term above can have both.
+            # The sender was a candidate in the same term and voted for itself. It follows this replica now, but would
+            # reject its entries throughout the term. Only a higher term resolves that.
             self.start_election(now)
 
     def finish_proposal(self, now: float, entry: LogEntry) -> None:
-        """The proposed entry is committed."""
+        """Commit the proposed entry and answer the calls that waited for it."""
         self.proposed = None
         change, self.voter_changes.proposed_change = self.voter_changes.proposed_change, None
         if change is not None and changes_voters(entry):
@@ -230,22 +230,22 @@
         self.established_term = self.term
         self.calls.on_committed()
         self.answer_confirmed()
-        self.heartbeat_sent_at = -math.inf  # the others hear of it at once
+        self.heartbeat_sent_at = -math.inf  # announce the commit at once
         if self.role is ReplicaRole.LEADER:
             self.tick(now)
 
-    # --- changes of the voters ---
+    # --- changes of the voter set ---
 
     def replicate_committed(self, now: float) -> None:
-        """Send the committed entry to learners, and while a voter leaves to voters that may lack it.
+        """Send the committed entry to learners and, while a replica is leaving, to voters that may lack it.
 
-        It goes as a proposal, since that is acknowledged once it is durable.
+        It is sent as an append request, which is acknowledged once the entry is durable.
         """
         for voter in self.voter_changes.due_appends(now, self.committed):
             self.send_append(voter, self.under_own_term(self.committed))
 
     def release_leaving(self) -> None:
-        """Let those that leave end, once what is committed is on enough other disks."""
+        """Allow leaving replicas to shut down once enough other disks hold the committed entry."""
         if not self.voter_changes.is_durable_without_leaving(self.committed, self.tolerated_losses):
             return
         for disk in self.voter_changes.leaving_since:
@@ -257,7 +257,7 @@
                 self.send(heartbeat.voter, reply)
 
     def transfer_leadership(self, now: float) -> None:
-        """Give up the lead: the next voter in order stands for election at once."""
+        """Step down and make the next voter in election order start an election at once."""
         if self.role is ReplicaRole.LEADER:
             for voter in self.other_voters():
                 self.send(voter, self.message_with_voter(MessageKind.TRANSFER_LEADERSHIP, self.term))
@@ -265,9 +265,10 @@
             self.leader_last_heard = now
 
     def leave(self, now: float) -> None:
-        """Prepare the end of this replica, which may be for good: it can't know.
+        """Prepare to shut down, possibly for good.
 
-        It gives up the lead and asks the leader, with each heartbeat, to make sure that nothing depends on it.
+        Gives up leadership. A LEAVE message with each heartbeat then makes the leader replicate the committed entry to
+        enough other disks.
         """
         self.leaving = True
         if self.role is ReplicaRole.CANDIDATE:
@@ -275,24 +276,27 @@
         self.transfer_leadership(now)
 
     def may_end(self, now: float) -> bool:
-        """Whether nothing depends on this replica any more, or nobody is there whom waiting would help."""
+        """Whether this replica is no longer needed, or no other voter that stays is reachable."""
         staying = [voter for voter in self.other_voters() if voter.disk not in self.voter_changes.leaving_since]
         is_anybody_heard = any(now - self.last_heard.get(voter.disk, -math.inf) < ELECTION_TIMEOUT for voter in staying)
         return self.released or not self.is_voter() or not is_anybody_heard
 
     def on_leave_reply(self, m: ConsensusMessage) -> None:
-        """The leader has made sure that entries up to an index are on enough other disks.
+        """Handle the leader's confirmation that enough other disks hold all entries up to an index.
 
-        From now on this replica acknowledges no further one, as nothing would make sure of that.
+        From then on this replica accepts no further entries, since its disk may be gone before others hold them.
         """
         last = self.last_accepted()
         if last is None or last.index <= m.index:
             self.released = self.leaving
 
-    # --- founding the cluster ---
+    # --- bootstrap ---
 
     def found_cluster(self, now: float) -> None:
-        """Propose the first voters, as the first founder, once all founders are there and none knows of a cluster."""
+        """Announce this replica and, if it is the first initial member, propose the first voter set.
+
+        It proposes once all initial members have sent a heartbeat and none of them knows of an existing cluster.
+        """
         own_address = (self.own_voter.ip, self.own_voter.port)
         if now - self.heartbeat_sent_at < HEARTBEAT_INTERVAL / 2:
             for ip, port in dict.fromkeys([*self.founding_addresses, *self.known_addresses]):
@@ -314,10 +318,10 @@
             self.last_heard[voter.disk] = now
         self.propose(now, LogEntry(term=1, index=1, voters=voters, founding_size=len(voters)))
 
-    # --- messages of others ---
+    # --- received messages ---
 
     def receive(self, now: float, m: ConsensusMessage) -> None:
-        """Handle a message of another replica, or of this one to itself."""
+        """Handle a message from another replica, or from this one to itself."""
         if m.disk != self.own_voter.disk:
             self.last_heard[m.disk] = now
         from_leader = m.disk == self.leader and m.term >= self.vote.term
@@ -336,17 +340,20 @@
         elif m.kind == MessageKind.LEADERSHIP_CONFIRMED:
             self.on_leadership_confirmed(m)
         elif m.kind == MessageKind.TRANSFER_LEADERSHIP and from_leader:
-            self.last_heard.pop(m.disk, None)  # it is passed over in the order of voters ...
-            self.leader_last_heard = now - ELECTION_TIMEOUT  # ... and the next one needn't wait for its silence
+            self.last_heard.pop(m.disk, None)  # skip the old leader in election order ...
+            self.leader_last_heard = now - ELECTION_TIMEOUT  # ... and don't wait for the election timeout
         elif m.kind == MessageKind.LEAVE:
             self.voter_changes.on_leave(now, m.disk)
         elif m.kind == MessageKind.LEAVE_REPLY and m.granted and from_leader:
             self.on_leave_reply(m)
 
-    # --- calls of operators ---
+    # --- client calls ---
 
     def change(self, now: float, call_id: int, base: int, generation: int, text: bytes, digest: bytes) -> None:
-        """Replace the configuration of generation ``base`` by a checked one. Without the lead the answer is 503."""
+        """Accept a call to replace the configuration of generation ``base`` by a validated one.
+
+        It is answered 503 if this replica is not the leader.
+        """
         if self.role is not ReplicaRole.LEADER:
             self.actions.append(Reply(call_id, 503, NOT_LEADER))
             return
@@ -358,7 +365,7 @@
         self.answer_confirmed()
 
     def propose_next_change(self, now: float) -> None:
-        """Propose the next change that needs an entry."""
+        """Propose the next queued change that needs an entry."""
         call = self.calls.next_change(self.committed)
         if call is not None:
             entry = self.next_entry(list(self.committed.voters))
--- a/zinclever/mesh/consensus/replica_state.py
+++ b/zinclever/mesh/consensus/replica_state.py
@@ -1,6 +1,6 @@
-"""The state of a replica: its voter and disk, the voters that it knows, its role. The protocol is in :mod:`.replica`.
+"""State of a replica and the transitions shared by all parts of the protocol. No I/O.
 
-Pure. Instants are in s, of the replica's own monotonic clock.
+The protocol itself is in :mod:`.replica`. Times are in seconds of the replica's own monotonic clock.
 """
 
 from __future__ import annotations
@@ -18,14 +18,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedCommit:
-    """What another replica has committed, as its latest heartbeat says."""
+    """The committed index and entry digest in the latest heartbeat of another replica."""
 
     index: int
     digest: int
 
 
 class ReplicaState:
-    """The state of a replica, with one method for each kind of change of it. What it wants done is in ``actions``."""
+    """State of a replica.
+
+    Side effects, such as messages and writes, are collected in ``actions`` for the caller to carry out.
+    """
 
     def __init__(
         self,
@@ -37,9 +40,16 @@
         vote: Vote | None = None,
         accepted: LogEntry | None = None,
     ) -> None:
-        """``founding_addresses``: of the replicas that found the cluster if ``bootstrap`` is set.
-
-        ``tolerated_losses``: disks that may be lost at once. ``vote`` and ``accepted``: as read from the disk.
+        """Create a follower if the state from disk includes a vote for this replica, otherwise a learner.
+
+        Args:
+            own_voter: Disk ID, name and address of this replica.
+            founding_addresses: Addresses of the initial members, used if ``bootstrap`` is set.
+            bootstrap: Whether this replica may take part in creating a new cluster.
+            tolerated_losses: The number of simultaneous disk failures to tolerate.
+            now: The current time in seconds.
+            vote: The vote as read from disk.
+            accepted: The accepted entry as read from disk.
         """
         self.own_voter = own_voter
         self.founding_addresses = sorted(founding_addresses)
@@ -48,7 +58,7 @@
         self.actions: list[Action] = []
         self.started_at = self.ticked_at = now
 
-        # What is on disk, and what is committed.
+        # Durable and committed state.
         self.vote = vote or Vote(0, "")
         self.accepted = accepted
         self.committed = LogEntry()
@@ -56,48 +66,48 @@
         self.last_token = 0
         self.persisting: dict[int, Persist] = {}
         self.after_persist: dict[int, list[Send]] = {}
-        """By token: what is sent once that save is durable."""
+        """Messages to send once a save is durable, by token."""
 
-        # The others.
+        # Other replicas.
         self.leader = ""
-        """Disk of the leader, as far as is known; empty where it isn't."""
+        """Disk ID of the leader; empty if unknown."""
         self.leader_last_heard = -math.inf
         self.last_heard: dict[str, float] = {}
         self.reported: dict[str, ReportedCommit] = {}
         self.latest_heartbeats: dict[tuple[str, int], ConsensusMessage] = {}
-        """By address."""
+        """By IP address and port."""
         self.known_addresses: list[tuple[str, int]] = []
-        """Where replicas may be, besides the founding ones."""
+        """Addresses of control nodes from gossip, to contact in addition to the initial members."""
         self.lag_monitor = LagMonitor()
         self.voter_changes = VoterChanges(now)
 
-        # The role.
+        # Role, election and leadership.
         self.role = ReplicaRole.LEARNER
         self.role_since = now
         self.heartbeat_sent_at = -math.inf
         self.votes_requested_at = now
         self.votes: dict[str, ConsensusMessage] = {}
-        """Of a candidate: the votes that it was given, by disk."""
+        """Votes granted to this candidate, by disk ID."""
         self.term = 0
-        """That this replica leads or stands for."""
+        """The term in which this replica is or was last leader or candidate."""
         self.established_term = 0
-        """The newest under which this replica, as leader, has committed an entry."""
+        """The newest term in which this replica, as leader, has committed an entry."""
         self.proposed: LogEntry | None = None
         self.proposed_at = 0.0
         self.acknowledged_by: set[str] = set()
-        """Disks that have the proposed entry."""
+        """Disks that hold the proposed entry."""
         self.calls = ClientCalls(self.reply)
         self.leaving = False
-        """This replica is about to end: it takes no more part in elections."""
+        """Whether this replica is shutting down: it no longer starts elections."""
         self.released = False
-        """The leader has said that nothing depends on this replica any more."""
+        """Whether the leader has confirmed that this replica is no longer needed."""
         if self.is_voter():
             self.change_role(ReplicaRole.FOLLOWER, now)
 
     # --- role and voters ---
 
     def change_role(self, role: ReplicaRole, now: float) -> None:
-        """The one place where the role changes. Whoever gives up the lead fails all calls."""
+        """Change the role and reset what belongs to the previous one; a leader fails its pending calls."""
         if role is not ReplicaRole.LEADER and self.role is ReplicaRole.LEADER:
             self.calls.fail_all()
         if role is not ReplicaRole.CANDIDATE:
@@ -112,7 +122,7 @@
         self.role, self.role_since = role, now
 
     def voters(self) -> list[Voter]:
-        """The newest voters that this replica knows of: committed, or at least accepted."""
+        """The voters of the committed entry; if there is none, of the accepted entry."""
         if self.committed.voters:
             return list(self.committed.voters)
         return list(self.accepted.voters) if self.accepted is not None else []
@@ -122,11 +132,11 @@
         return [*self.committed.voters, *(self.accepted.voters if self.accepted is not None else [])]
 
     def is_voter(self) -> bool:
-        """Whether this replica has a vote in the committed or in the accepted entry."""
+        """Whether this replica is a voter in the committed or the accepted entry."""
         return self.own_voter.disk in disk_ids(self.committed_and_accepted_voters())
 
     def other_voters(self) -> list[Voter]:
-        """All other replicas with a vote now, or under an entry that is accepted or proposed here."""
+        """All other voters of the committed entry, and of a later accepted or proposed one."""
         voters = {voter.disk: voter for voter in self.committed.voters}
         for entry in (self.accepted, self.proposed):
             if entry is not None and entry.index > self.committed.index:
@@ -135,13 +145,19 @@
         return list(voters.values())
 
     def heard_within(self, timeout: float, now: float) -> set[str]:
-        """Disks of the replicas that were heard lately, this one among them."""
+        """Disk IDs of the replicas that were heard from within ``timeout`` seconds, including this one."""
         return {disk for disk, at in self.last_heard.items() if now - at < timeout} | {self.own_voter.disk}
 
     # --- the log ---
 
     def commit(self, now: float, entry: LogEntry, repairs: bool = False) -> None:
-        """Put the next entry of the log in force here; ``repairs``: the same one, as the others have it."""
+        """Commit an entry that is newer than the committed one.
+
+        Args:
+            now: The current time in seconds.
+            entry: The entry.
+            repairs: Whether the entry may also replace a deviating committed entry at the same index.
+        """
         if entry.index < self.committed.index or (entry.index == self.committed.index and not repairs):
             return
         self.committed = LogEntry()
@@ -156,7 +172,7 @@
             self.change_role(ReplicaRole.LEARNER, now)
 
     def persist(self, entry: LogEntry | None, after: list[Send]) -> None:
-        """Make the vote durable, and the entry if there is one; then send ``after``."""
+        """Persist the vote, and the entry if there is one; send the messages in ``after`` once they are durable."""
         self.last_token += 1
         action = Persist(self.vote, entry, self.last_token)
         self.after_persist[self.last_token] = after
@@ -164,12 +180,15 @@
         self.actions.append(action)
 
     def last_accepted(self) -> LogEntry | None:
-        """The entry that is on the disk once the saves under way are done."""
+        """The entry that will be on disk after all pending saves."""
         pending = [action.entry for action in self.persisting.values() if action.entry is not None]
         return pending[-1] if pending else self.accepted
 
     def on_persisted(self, now: float, token: int, is_durable: bool) -> None:
-        """A save is done, or has failed: then nothing is promised, and what was to be sent is sent as a refusal."""
+        """Handle the result of a save.
+
+        After a failure the accepted entry stays unchanged, and replies that depend on the save are sent as rejections.
+        """
         action, after = self.persisting.pop(token), self.after_persist.pop(token)
         if is_durable and action.entry is not None:
             self.accepted = action.entry
@@ -186,21 +205,21 @@
                     m.entry.CopyFrom(self.accepted)
                 m.committed.CopyFrom(self.committed)
             if m.kind in (MessageKind.APPEND_REPLY, MessageKind.VOTE_REPLY) and m.term < self.vote.term:
-                m.granted = False  # it has voted in a higher term while the disk was at work
+                m.granted = False  # this replica has voted in a higher term during the save
             self.send(send.to, m)
 
     # --- messages ---
 
     def message(self, kind: MessageKind, term: int = 0) -> ConsensusMessage:
-        """A message of this replica."""
+        """A new message from this replica."""
         return ConsensusMessage(kind=kind, disk=self.own_voter.disk, term=term)
 
     def message_with_voter(self, kind: MessageKind, term: int = 0) -> ConsensusMessage:
-        """A message that says where this replica is, for a receiver that may not know it."""
+        """A new message that includes this replica's address, for receivers that may not know it."""
         return ConsensusMessage(kind=kind, disk=self.own_voter.disk, term=term, voter=self.own_voter)
 
     def sender_of(self, m: ConsensusMessage) -> Voter | None:
-        """Where to answer a message; None where that isn't known."""
+        """Disk ID and address of the sender of a message; None if the address is unknown."""
         if m.disk == self.own_voter.disk:
             return self.own_voter
         if m.HasField("voter"):
@@ -211,7 +230,7 @@
         return next((h.voter for h in self.latest_heartbeats.values() if h.disk == m.disk), None)
 
     def respond(self, m: ConsensusMessage, answer: ConsensusMessage) -> None:
-        """Answer a message, if it is known where to."""
+        """Send an answer to the sender of a message, if its address is known."""
         voter = self.sender_of(m)
         if voter is not None:
             self.send(voter, answer)
@@ -221,5 +240,5 @@
         self.actions.append(Send(to, m))
 
     def reply(self, call_id: int, status: int, text: bytes) -> None:
-        """Answer a call."""
+        """Answer a client call."""
         self.actions.append(Reply(call_id, status, text))
--- a/zinclever/mesh/consensus/replica_store.py
+++ b/zinclever/mesh/consensus/replica_store.py
@@ -1,4 +1,4 @@
-"""What a replica keeps on its disk: its identity, its vote and its newest entry. Saves are made one after another."""
+"""Durable storage of a replica: its disk ID, its vote and its newest entry. Writes are serialized in one thread."""
 
 from __future__ import annotations
 
@@ -18,31 +18,31 @@
 
 log = logging.getLogger(__name__)
 
-# Names on disk, kept from version 0.1: a disk that it wrote is read as it is.
+# File and record names are part of the disk format, unchanged since version 0.1.
 VOTE_FILES, ENTRY_FILES = "vow", "comb"
 DISK_KEY, VOTE_KEY, ENTRY_KEY = b"disk", b"vow", b"change"
 
-VERIFY_INTERVAL = 30.0  # s between two checks whether the files are as they were saved
+VERIFY_INTERVAL = 30.0  # seconds between two verifications of the files
 
 
 @dataclass(slots=True)
 class StoreCounters:
-    """Counts since the start."""
+    """Counters since the start of the process."""
 
     saves: int = 0
     refused: int = 0
-    """Saves that failed."""
+    """Failed saves."""
     verified: int = 0
-    """Checks whether the files are as they were saved."""
+    """Verifications of the files."""
     repaired: int = 0
-    """Files that were not, and were written anew."""
+    """Damaged files found by a verification and rewritten."""
     unmarked: int = 0
-    """Saves without a mark: damage to one of them could not be told from a save that was cut short."""
+    """Saves without a sync mark: if damaged later, they can't be distinguished from interrupted saves."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredState:
-    """What a replica has on its disk."""
+    """The state of a replica as read from its disk."""
 
     disk: str
     vote: Vote
@@ -50,10 +50,14 @@
 
 
 class ReplicaStore:
-    """Owns the folder's files, and the one thread that writes them."""
+    """Reads and writes the files of a replica, writes in a thread of its own."""
 
     def __init__(self, folder: Path, file_system: FileSystem | None = None) -> None:
-        """OSError where the folder can't be made or read."""
+        """Open the folder, and create it if it doesn't exist.
+
+        Raises:
+            OSError: The folder can't be created or read.
+        """
         ensure_folder(folder)
         self.vote_file = GenerationFile(folder, VOTE_FILES, file_system)
         self.entry_file = GenerationFile(folder, ENTRY_FILES, file_system)
@@ -68,7 +72,14 @@
         self.closed = False
 
     def load(self) -> None:
-        """Read what is there; a disk that holds nothing gets an identity of its own. OSError where it can't be used."""
+        """Load the state from disk, and assign a new disk ID if there is none.
+
+        If data that was known to be durable is lost, the replica starts with a new disk ID: it must not vote in place
+        of the old one, whose promises it no longer knows.
+
+        Raises:
+            OSError: The disk can't be read or written.
+        """
         vote_records = self.vote_file.load()
         entry_records = self.entry_file.load()
         if vote_records is not None:
@@ -77,9 +88,8 @@
         if entry_records is not None and vote_records is not None:
             self.entry = LogEntry.FromString(entry_records[ENTRY_KEY])
         elif self.has_lost_data():
-            # It has promised more than can be read: it must not vote as if it never had.
             log.error(
-                "the disk has lost what it promised: it begins anew", extra={"code": "DISK_LOST", "disk": self.disk}
+                "durable data was lost: starting with a new disk ID", extra={"code": "DISK_LOST", "disk": self.disk}
             )
             self.disk, self.vote = "", Vote(0, "")
         if not self.disk:
@@ -88,44 +98,54 @@
             self.mark()
 
     def has_lost_data(self) -> bool:
-        """Whether files that were promised can't be read, or a vote is missing beside several entries."""
+        """Whether durable files can't be read, or the vote is missing although there are several entry files."""
         return self.vote_file.has_lost_data or self.entry_file.has_lost_data or len(self.entry_file.numbers()) > 1
 
     def write_vote(self, vote: Vote) -> None:
-        """Make the identity and a vote durable. Blocks; OSError where the disk refuses it."""
+        """Make the disk ID and a vote durable. Blocks.
+
+        Raises:
+            OSError: The write failed.
+        """
         self.vote_file.save({DISK_KEY: self.disk.encode(), VOTE_KEY: f"{vote.term} {vote.candidate}".encode()})
         self.vote = vote
 
     def write(self, action: Persist) -> None:
-        """Make the vote durable, where it is another one or isn't known to be durable, and then the entry. Blocks."""
+        """Make the vote durable unless it already is, and then the entry. Blocks.
+
+        Raises:
+            OSError: A write failed.
+        """
         if action.vote != self.vote or not self.vote_file.is_durable:
             self.write_vote(action.vote)
         if action.entry is not None:
             self.entry_file.save({ENTRY_KEY: action.entry.SerializeToString()})
 
     def save(self, action: Persist, done: Callable[[int, bool], None]) -> None:
-        """Write in the thread, after the saves before.
+        """Write in the storage thread, after all earlier saves.
 
-        ``done`` is called on the event loop with the token of the action and whether it is durable, unless the store is
-        closed before: then nothing is promised.
+        Args:
+            action: The vote and the entry to write.
+            done: Called on the event loop with the action's token and whether the write is durable. It is not called if
+                the store is closed before the write starts.
         """
         if self.closed:
             return
         self.counters.saves += 1
 
         def written(future: asyncio.Future[None]) -> None:
-            if not future.cancelled():  # the store was closed before its turn came
+            if not future.cancelled():  # cancelled if the store was closed before the write started
                 done(action.token, self.record_result(future.exception()))
 
         self.loop.run_in_executor(self.thread, self.write, action).add_done_callback(written)
         self.thread.submit(self.mark)
 
     def mark(self) -> None:
-        """Mark, in the thread, what was saved as durable: nobody waits for the marks."""
+        """Write the sync marks of the latest saves, in the storage thread. No save waits for them."""
         self.counters.unmarked += [self.vote_file.mark(), self.entry_file.mark()].count(False)
 
     def verify(self) -> None:
-        """Check in the thread, now and again, whether the files are as they were saved, and repair them."""
+        """Verify and repair the files in the storage thread, now and every :data:`VERIFY_INTERVAL`."""
         self.verify_timer = self.loop.call_later(VERIFY_INTERVAL, self.verify)
 
         def verify_files() -> list[bool]:
@@ -140,21 +160,21 @@
         self.thread.submit(self.mark)
 
     def record_result(self, error: BaseException | None) -> bool:
-        """Log where the disk begins or ends to refuse writes; whether the save succeeded."""
+        """Count a save, log when writes begin to fail or succeed again, and return whether this one succeeded."""
         is_refused = error is not None
         self.counters.refused += is_refused
         if error is not None and not isinstance(error, OSError):
-            log.error("not saved", exc_info=error, extra={"code": "DISK_FAILED"})
+            log.error("unexpected error while saving", exc_info=error, extra={"code": "DISK_FAILED"})
         elif is_refused != self.refuses_writes:
             self.refuses_writes = is_refused
             log.warning(
-                "the disk refuses writes" if is_refused else "the disk accepts writes again",
+                "writes to the disk fail" if is_refused else "writes to the disk succeed again",
                 extra={"code": "DISK_REFUSES", "error": str(error)},
             )
         return not is_refused
 
     def close(self) -> None:
-        """Stop the timer and the thread; saves that have not begun are dropped."""
+        """Stop the verification timer and the thread; saves that have not started are discarded."""
         self.closed = True
         if self.verify_timer is not None:
             self.verify_timer.cancel()
@@ -162,13 +182,17 @@
 
 
 def parse_vote(encoded: bytes) -> Vote:
-    """A vote as it is stored: its term and the candidate's disk."""
+    """Decode a stored vote: the term and the candidate's disk ID, separated by a space."""
     term, _, candidate = encoded.decode().partition(" ")
     return Vote(int(term), candidate)
 
 
 def ensure_folder(folder: Path) -> None:
-    """Make the folder where it isn't there. OSError where it can't be used."""
+    """Create the folder if it doesn't exist.
+
+    Raises:
+        OSError: The folder can't be created or listed.
+    """
     try:
         os.listdir(folder)
     except FileNotFoundError:
@@ -176,13 +200,17 @@
 
 
 def read_folder(folder: Path) -> StoredState:
-    """What a replica has on its disk, read without changing anything. MeshError where there is no state."""
+    """Read the state of a replica without modifying its files.
+
+    Raises:
+        MeshError: The folder can't be read, or holds no state.
+    """
     try:
         vote_records = GenerationFile(folder, VOTE_FILES).load(repair=False)
         entry_records = GenerationFile(folder, ENTRY_FILES).load(repair=False)
     except OSError as error:
         raise MeshError("DISK_UNREADABLE", str(error)) from None
     if vote_records is None:
-        raise MeshError("DISK_EMPTY", "holds no state of a member", str(folder))
+        raise MeshError("DISK_EMPTY", "holds no replica state", str(folder))
     entry = LogEntry.FromString(entry_records[ENTRY_KEY]) if entry_records is not None else None
     return StoredState(vote_records[DISK_KEY].decode(), parse_vote(vote_records[VOTE_KEY]), entry)
--- a/zinclever/mesh/consensus/replication.py
+++ b/zinclever/mesh/consensus/replication.py
@@ -1,4 +1,4 @@
-"""The part of a replica that proposes entries, accepts them, and decides when one is committed. Pure."""
+"""Log replication: proposing, accepting and committing entries. No I/O."""
 
 from __future__ import annotations
 
@@ -10,12 +10,15 @@
 
 
 class Replication(ReplicaState):
-    """Entries, one after another. Each holds the whole state that is in force after it."""
+    """The part of a replica that replicates entries.
+
+    Entries are proposed one at a time. Each contains the complete state, so that it replaces the one before.
+    """
 
     # --- the leader ---
 
     def next_entry(self, voters: list[Voter]) -> LogEntry:
-        """The entry after the committed one: these voters, and all else as it is."""
+        """A new entry that follows the committed one, with the given voters and otherwise the same content."""
         entry = LogEntry()
         entry.CopyFrom(self.committed)
         entry.term, entry.index = self.term, self.committed.index + 1
@@ -25,28 +28,28 @@
         return entry
 
     def propose(self, now: float, entry: LogEntry) -> None:
-        """Send an entry to all voters, before and after it."""
+        """Propose an entry to the voters before and after it."""
         self.proposed, self.proposed_at = entry, now
         self.acknowledged_by = set()
         self.send_appends(entry, self.acknowledged_by)
 
     def send_appends(self, entry: LogEntry, acknowledged_by: set[str]) -> None:
-        """Send an entry to all voters, before and after it, that have not acknowledged it."""
+        """Send an entry to the voters before and after it that have not acknowledged it."""
         voters = {voter.disk: voter for voter in (*entry.previous_voters, *entry.voters)}
         for disk, voter in voters.items():
             if disk not in acknowledged_by:
                 self.send_append(voter, entry)
 
     def send_append(self, voter: Voter, entry: LogEntry) -> None:
-        """Ask a replica to accept an entry."""
+        """Send an append request for an entry to one replica."""
         append = self.message_with_voter(MessageKind.APPEND, self.term)
         append.entry.CopyFrom(entry)
         self.send(voter, append)
 
     def under_own_term(self, entry: LogEntry) -> LogEntry:
-        """A committed entry as this leader proposes it.
+        """A copy of an entry in this leader's term.
 
-        A replica that has accepted a later one of an earlier term, which was never committed, accepts it in its place.
+        The higher term makes replicas accept it in place of a later, uncommitted entry from an earlier term.
         """
         copy = LogEntry()
         copy.CopyFrom(entry)
@@ -54,10 +57,10 @@
         return copy
 
     def is_committed(self, now: float, entry: LogEntry) -> bool:
-        """Whether enough disks have a proposed entry.
+        """Whether enough disks hold a proposed entry.
 
-        Of the voters after it as many as the fault model asks for, of those before it a majority, which meets every
-        quorum of theirs. The first entry has to be on all disks.
+        It needs a commit quorum of the voters after it, and a majority of the voters before it, which intersects each
+        of their quorums. The first entry of the log must be on all disks.
         """
         is_founding = entry.index == 1 and not self.committed.index and entry.term == 1
         tolerated_losses = len(entry.voters) - 1 if is_founding else self.tolerated_losses
@@ -68,12 +71,15 @@
         counted = self.voter_changes.counted(entry.voters, self.acknowledged_by, live, tolerated_losses)
         return has_commit_quorum(entry.voters, counted, tolerated_losses)
 
-    # --- the others ---
+    # --- followers and learners ---
 
     def on_append(self, now: float, m: ConsensusMessage) -> None:
-        """Accept the leader's entry, acknowledged once it is durable. A lower term or a second founding is refused."""
+        """Accept an entry and acknowledge it once it is durable.
+
+        Entries from a lower term and entries that would bootstrap a second cluster are rejected.
+        """
         if self.released:
-            return  # it may end at any moment, for good: an entry that counted on its disk could be lost with it
+            return  # it may shut down for good at any moment, so that its disk must not count for new entries
         entry = m.entry
         last = self.last_accepted()
         promised = max(self.vote.term, last.term if last is not None else 0)
@@ -87,27 +93,27 @@
         if m.disk != self.own_voter.disk:
             self.follow_leader(now, m.disk, m.term)
         if last is not None and last.index > entry.index and last.term >= entry.term:
-            return  # late: its leader has committed it since, and what was accepted after it stays promised
+            return  # outdated: its leader has committed it since, and the accepted later entry must be kept
         self.vote = Vote(m.term, m.disk)
         voter = self.sender_of(m)
         self.persist(entry, [Send(voter, self.append_reply(m, granted=True))] if voter is not None else [])
 
     def append_reply(self, m: ConsensusMessage, granted: bool) -> ConsensusMessage:
-        """The answer to an append."""
+        """A reply to an append request."""
         reply = self.message(MessageKind.APPEND_REPLY, m.term)
         reply.index = m.entry.index
         reply.granted = granted
         return reply
 
     def follow_leader(self, now: float, disk: str, term: int) -> None:
-        """Another leads under a term that this replica doesn't refuse."""
+        """Follow the leader of a term that this replica accepts."""
         if self.role in (ReplicaRole.LEADER, ReplicaRole.CANDIDATE) and term > self.term:
             self.change_role(ReplicaRole.FOLLOWER, now)
         if self.role is ReplicaRole.FOLLOWER or self.role is ReplicaRole.LEARNER:
             self.leader, self.leader_last_heard = disk, now
 
     def conflicts_with_founding(self, entry: LogEntry) -> bool:
-        """Whether this would found the cluster a second time."""
+        """Whether an entry would bootstrap a second cluster."""
         if entry.index != 1:
             return False
         own = self.accepted or self.committed
--- a/zinclever/mesh/consensus/text_blocks.py
+++ b/zinclever/mesh/consensus/text_blocks.py
@@ -1,8 +1,8 @@
-"""A configuration's text as blocks that are named by their digests. Pure.
+"""Content-defined chunking of configuration texts into blocks named by their digests. No I/O.
 
-Blocks end behind items of the text that are chosen by their own content, so that a change of a few routes leaves nearly
-all blocks as they were, wherever in the text it is made. The list of a text's blocks is its manifest; the digest of the
-manifest names the text.
+Block boundaries depend on the content of the item before them, so that a change of a few routes leaves nearly all
+blocks unchanged, even if items are inserted or removed. The manifest of a text lists the names of its blocks; the
+digest of the manifest is the name of the text.
 """
 
 from __future__ import annotations
@@ -10,18 +10,18 @@
 import hashlib
 import zlib
 
-ITEM_END = b'},"'  # what an item of a configuration's text ends with, and how the next one begins
-ITEM_END_KEPT = 2  # bytes of ITEM_END that belong to the item before
-BOUNDARY_MASK = 63  # one item in 64 ends a block
+ITEM_END = b'},"'  # the end of an item in the JSON text, and the beginning of the next one
+ITEM_END_KEPT = 2  # bytes of ITEM_END that belong to the item that ends
+BOUNDARY_MASK = 63  # on average, one item in 64 ends a block
 MAX_BLOCK_BYTES = 16 << 10
 DIGEST_BYTES = 16
 MAX_MANIFEST_BYTES = DIGEST_BYTES << 16
-MAX_TEXT_BYTES = 24 << 20  # as in a frame of a connection
-COMPRESSION_LEVEL = 1  # of zlib: the fastest
+MAX_TEXT_BYTES = 24 << 20  # matches the maximum frame size of a connection
+COMPRESSION_LEVEL = 1  # fastest zlib level
 
 
 def digest_of(data: bytes, purpose: bytes) -> bytes:
-    """The digest of a block or of a manifest; those of the same bytes differ by purpose."""
+    """The digest of a block or manifest; ``purpose`` makes the two kinds differ for the same bytes."""
     return hashlib.blake2b(data, digest_size=DIGEST_BYTES, person=purpose).digest()
 
 
@@ -31,7 +31,7 @@
 
 
 def manifest_name(manifest: bytes) -> bytes:
-    """The name of a manifest, and of its text."""
+    """The name of a manifest, which is also the name of its text."""
     return digest_of(manifest, b"manifest")
 
 
@@ -52,7 +52,7 @@
 
 
 def slices(data: bytes) -> list[bytes]:
-    """Data in pieces of at most :data:`MAX_BLOCK_BYTES`."""
+    """Split data into pieces of at most :data:`MAX_BLOCK_BYTES`."""
     return [data[start : start + MAX_BLOCK_BYTES] for start in range(0, len(data), MAX_BLOCK_BYTES)]
 
 
@@ -62,17 +62,17 @@
 
 
 def block_names(manifest: bytes) -> list[bytes]:
-    """The names of the blocks of a text, in order."""
+    """The block names in a manifest, in order."""
     return [manifest[start : start + DIGEST_BYTES] for start in range(0, len(manifest), DIGEST_BYTES)]
 
 
 def compress(data: bytes) -> bytes:
-    """Data compressed by zlib."""
+    """Compress data with zlib."""
     return zlib.compress(data, COMPRESSION_LEVEL)
 
 
 def decompress(compressed: bytes, max_bytes: int) -> bytes | None:
-    """The data; None where it is damaged or longer than ``max_bytes``."""
+    """Decompress data; None if it is damaged or longer than ``max_bytes``."""
     engine = zlib.decompressobj()
     try:
         data = engine.decompress(compressed, max_bytes)
--- a/zinclever/mesh/consensus/text_exchange.py
+++ b/zinclever/mesh/consensus/text_exchange.py
@@ -1,14 +1,14 @@
-"""How texts of log entries travel between replicas: in place, compressed, or by name and then block by block. Pure.
+"""Transfer of the configuration texts in log entries: inline, compressed, or by name and block by block. No I/O.
 
-It stands between :class:`.replica.Replica` and the channels. A message whose texts are large is sent with their names
-in place of the texts. A receiver that holds a text of that name inserts it at once; else it holds the message and
-requests the blocks that it lacks, one request at a time, and what it requests follows how fast answers come: the
-messages of the protocol, heartbeats above all, are never behind more than one such answer. To the replica this looks
-like a message that was late, which it tolerates in any case.
+This layer sits between :class:`.replica.Replica` and the connections. In a message with large texts, it replaces each
+text by its name. A receiver that has the text inserts it at once. Otherwise it holds the message and requests the
+missing blocks, with one request in flight at a time. The size of requests adapts to the response time, so that protocol
+messages, above all heartbeats, never queue behind more than one response. To the replica, a held message looks like a
+delayed one, which the protocol tolerates.
 
-A transfer that was begun is finished, also when newer texts are named meanwhile, as long as its source still has it;
-the blocks that have come stay, so that the next one requests only what differs. Replicas of a version before get texts
-whole, as they always did.
+A transfer in progress is completed even if newer texts are announced meanwhile, as long as its source still has the
+text. Received blocks are kept, so that the next transfer requests only blocks that differ. Replicas of versions without
+this protocol get texts inline.
 """
 
 from __future__ import annotations
@@ -28,47 +28,51 @@
 )
 from .text_store import TextStore
 
-TEXT_PROTOCOL = 1  # version of what a replica understands of this: told in each of its messages
-MAX_PLAIN_BYTES = 4 << 10  # up to which a text goes as it is
-MAX_COMPRESSIBLE_BYTES = 64 << 10  # up to which a text may go compressed in its message ...
-MAX_INLINE_BYTES = 16 << 10  # ... if it is no longer than this then
-RESEND_INTERVAL = 0.3  # s for which the same message with a large text isn't sent to the same replica again
-MAX_SENT_RECORDS = 64  # messages of which it is known when they were sent last
-MAX_KNOWN_PEERS = 64  # replicas of which it is known what they understand
+TEXT_PROTOCOL = 1  # supported version of this protocol, announced in each message
+MAX_PLAIN_BYTES = 4 << 10  # texts up to this size are sent inline
+MAX_COMPRESSIBLE_BYTES = 64 << 10  # texts up to this size are compressed ...
+MAX_INLINE_BYTES = 16 << 10  # ... and sent inline if the compressed size is within this limit
+RESEND_INTERVAL = 0.3  # seconds during which the same message with a large text isn't resent to the same replica
+MAX_SENT_RECORDS = 64  # remembered messages for RESEND_INTERVAL
+MAX_KNOWN_PEERS = 64  # replicas whose protocol version is remembered
 MAX_HELD_MESSAGES = 16  # messages that wait for their texts
-INITIAL_WINDOW = 2  # blocks that are requested first
-MAX_WINDOW = 64  # blocks that are requested at once
-QUICK_ANSWER = 0.06  # s within which an answer lets the next request ask for twice as much ...
-SLOW_ANSWER = 0.2  # ... and beyond which for half
-REQUEST_TIMEOUT = 2.0  # s without an answer after which blocks are requested again
-MAX_UNANSWERED_REQUESTS = 3  # after which a transfer is abandoned
+INITIAL_WINDOW = 2  # blocks in the first request
+MAX_WINDOW = 64  # blocks in a request at most
+QUICK_ANSWER = 0.06  # seconds; a faster answer doubles the window
+SLOW_ANSWER = 0.2  # seconds; a slower answer halves the window
+REQUEST_TIMEOUT = 2.0  # seconds until an unanswered request is repeated
+MAX_UNANSWERED_REQUESTS = 3  # consecutive unanswered requests until a transfer is abandoned
 
 
 @dataclass
 class HeldMessage:
-    """A message that came without its texts."""
+    """A received message that waits for texts."""
 
     message: ConsensusMessage
     missing_texts: list[bytes]
+    """Names of the texts."""
 
 
 @dataclass
 class Transfer:
-    """A text that is being fetched."""
+    """A text that is being fetched from another replica."""
 
     name: bytes
     source: Voter
     manifest: bytes | None = None
     round: int = 0
-    """The number of the latest request: only its answer is followed by another one."""
+    """Number of the latest request; answers to earlier ones are ignored."""
     window: int = INITIAL_WINDOW
+    """Blocks in the next request."""
     requested_at: float = 0.0
+    """In seconds."""
     unanswered: int = 0
+    """Consecutive unanswered requests."""
 
 
 @dataclass
 class TransferCounters:
-    """Counts of the transfers to this replica, since the start: shown to operators."""
+    """Counters of the transfers to this replica since the start of the process."""
 
     begun: int = 0
     finished: int = 0
@@ -77,7 +81,7 @@
 
 
 class SentKey(NamedTuple):
-    """Identifies a message with a large text that was sent to a replica."""
+    """Identifies a message that was sent to a replica, apart from its texts."""
 
     disk: str
     kind: int
@@ -93,33 +97,39 @@
 
 @dataclass
 class TextExchange:
-    """One replica's end of it.
+    """One replica's end of the text transfer protocol.
 
-    Outgoing messages pass through :meth:`outgoing`, received ones through :meth:`incoming`; what it wants sent by
-    itself is left in ``outbox``.
+    Outgoing messages pass through :meth:`outgoing`, received ones through :meth:`incoming`. The protocol's own messages
+    are collected in ``outbox`` for the caller to send.
     """
 
     own_voter: Voter
     store: TextStore = field(default_factory=TextStore)
     outbox: list[Send] = field(default_factory=list)
     protocol_versions: dict[str, int] = field(default_factory=dict)
-    """By disk: what a replica has told that it understands."""
+    """The latest protocol version that each replica has announced, by disk ID."""
     sent_at: dict[SentKey, float] = field(default_factory=dict)
     last_compressed: tuple[bytes, bytes] = (b"", b"")
-    """A text, and the same compressed."""
+    """The text that was compressed last, and the result."""
     held: list[HeldMessage] = field(default_factory=list)
     transfer: Transfer | None = None
     round: int = 0
+    """Number of the latest request of any transfer."""
     counters: TransferCounters = field(default_factory=TransferCounters)
 
     # --- outgoing messages ---
 
     def outgoing(self, now: float, send: Send) -> list[Send]:
-        """What goes on the connection for a message: one, or none where it has just gone or can't yet."""
+        """Encode a message for its receiver.
+
+        Returns:
+            The encoded message. Empty for a message with a large text if it was just sent or if the protocol version of
+            the receiver is unknown.
+        """
         is_large = any(len(entry.text) > MAX_PLAIN_BYTES for entry in entries_of(send.message))
         understood = self.protocol_versions.get(send.to.disk)
         if is_large and (understood is None or self.was_just_sent(now, send)):
-            return []  # a replica that was never heard gets large texts once it is: it can't want them before
+            return []  # a replica that has never sent a message may be down; it gets the text after its first one
         message = ConsensusMessage()
         message.CopyFrom(send.message)
         message.protocol_version = TEXT_PROTOCOL
@@ -131,7 +141,7 @@
         return [Send(send.to, message)]
 
     def replace_text(self, entry: LogEntry) -> None:
-        """Put a compressed text, or its name, in place of a large text."""
+        """Replace a large text by its compressed form or by its name."""
         text = entry.text
         if len(text) <= MAX_PLAIN_BYTES:
             return
@@ -143,13 +153,13 @@
             entry.text_name = self.store.add(text)
 
     def compressed(self, text: bytes) -> bytes:
-        """A text, compressed. The last one is cached: a text is mostly sent to several replicas in turn."""
+        """Compress a text. The last result is cached, since a text is usually sent to several replicas in a row."""
         if self.last_compressed[0] != text:
             self.last_compressed = text, compress(text)
         return self.last_compressed[1]
 
     def was_just_sent(self, now: float, send: Send) -> bool:
-        """Whether the same message was sent to the same replica within :data:`RESEND_INTERVAL`; if not, it is now."""
+        """Whether the same message was sent to this replica within :data:`RESEND_INTERVAL`; if not, record it."""
         m = send.message
         key = SentKey(send.to.disk, m.kind, m.term, m.entry.index, m.committed.index)
         if now - self.sent_at.get(key, -RESEND_INTERVAL) < RESEND_INTERVAL:
@@ -163,7 +173,7 @@
     # --- received messages ---
 
     def incoming(self, now: float, message: ConsensusMessage) -> list[ConsensusMessage]:
-        """The messages that are whole now."""
+        """Handle a received message and return the messages that are complete now."""
         self.record_protocol_version(message)
         if message.kind == MessageKind.BLOCK_REQUEST:
             self.serve_blocks(message)
@@ -176,20 +186,24 @@
         if not missing:
             return [message]
         if not message.HasField("voter"):
-            return []  # nobody could be asked for the text
+            return []  # without the sender's address the text can't be requested
         self.hold(HeldMessage(message, missing))
         self.begin_next_transfer(now)
         return []
 
     def record_protocol_version(self, message: ConsensusMessage) -> None:
-        """Remember what the sender understands, for the latest :data:`MAX_KNOWN_PEERS` senders."""
+        """Remember the sender's protocol version, for the latest :data:`MAX_KNOWN_PEERS` senders."""
         self.protocol_versions.pop(message.disk, None)
         self.protocol_versions[message.disk] = message.protocol_version
         if len(self.protocol_versions) > MAX_KNOWN_PEERS:
             del self.protocol_versions[next(iter(self.protocol_versions))]
 
     def insert_texts(self, message: ConsensusMessage) -> list[bytes] | None:
-        """Insert the texts that are here; the names of those that aren't. None where a text is damaged."""
+        """Insert the texts that are available into a message.
+
+        Returns:
+            The names of the missing texts; None if an inline text is damaged.
+        """
         missing: list[bytes] = []
         for entry in entries_of(message):
             text: bytes | None = entry.text
@@ -210,9 +224,9 @@
         return missing
 
     def hold(self, new: HeldMessage) -> None:
-        """Hold a message in place of the one of the same kind from the same replica.
+        """Hold a message, replacing an earlier one of the same kind from the same replica.
 
-        Unless that one's text is just being fetched and is another one.
+        The earlier one stays if it needs the text in transfer and the new one doesn't.
         """
         fetched = self.transfer.name if self.transfer is not None else b""
         origin = (new.message.disk, new.message.kind)
@@ -230,7 +244,7 @@
     # --- transfers ---
 
     def begin_next_transfer(self, now: float) -> None:
-        """Fetch the first text that a message waits for, unless another transfer is under way."""
+        """Start to fetch the first text that a message waits for, unless a transfer is in progress."""
         if self.transfer is None and self.held:
             first = self.held[0]
             self.transfer = Transfer(first.missing_texts[0], first.message.voter)
@@ -238,7 +252,7 @@
             self.request_blocks(now, self.transfer)
 
     def request_blocks(self, now: float, transfer: Transfer) -> None:
-        """Send one request: for the manifest, or for as many blocks as the window allows."""
+        """Request the manifest, or as many missing blocks as the window allows."""
         if transfer.manifest is None:
             wanted = [transfer.name]
         else:
@@ -251,13 +265,16 @@
         self.outbox.append(Send(transfer.source, request))
 
     def message(self, kind: MessageKind, round: int) -> ConsensusMessage:
-        """A message of the exchange itself."""
+        """A new message of this protocol."""
         return ConsensusMessage(
             kind=kind, disk=self.own_voter.disk, voter=self.own_voter, protocol_version=TEXT_PROTOCOL, round=round
         )
 
     def serve_blocks(self, message: ConsensusMessage) -> None:
-        """Answer a request. What isn't here goes without its data, and the other looks elsewhere."""
+        """Answer a request for blocks or a manifest.
+
+        Unavailable ones are returned without data, upon which the requester abandons the transfer.
+        """
         if not message.HasField("voter"):
             return
         reply = self.message(MessageKind.BLOCK_REPLY, message.round)
@@ -267,7 +284,7 @@
         self.outbox.append(Send(message.voter, reply))
 
     def on_blocks(self, now: float, message: ConsensusMessage) -> list[ConsensusMessage]:
-        """Take in the answer to the latest request; the messages that are whole now."""
+        """Handle the answer to the latest request and return the messages that are complete now."""
         transfer = self.transfer
         if transfer is None or message.disk != transfer.source.disk or message.round != transfer.round:
             return []
@@ -282,7 +299,7 @@
         return []
 
     def add_block(self, transfer: Transfer, block: TextBlock) -> bool:
-        """Whether this is a sound part of the text; if so, it is held."""
+        """Store a received block or manifest; False if it is missing or doesn't match its name."""
         data = decompress(block.compressed, MAX_MANIFEST_BYTES) if block.compressed else None
         if data is None:
             return False
@@ -296,7 +313,7 @@
         return True
 
     def adapt_window(self, transfer: Transfer, took: float) -> None:
-        """Request more where answers are quick, less where others wait behind them."""
+        """Adapt the request size to the response time, so that other messages don't queue behind large answers."""
         transfer.unanswered = 0
         if took < QUICK_ANSWER:
             transfer.window = min(2 * transfer.window, MAX_WINDOW)
@@ -304,7 +321,7 @@
             transfer.window = max(transfer.window // 2, 1)
 
     def finish_transfer(self, now: float, transfer: Transfer, manifest: bytes) -> list[ConsensusMessage]:
-        """A text is whole: the messages that waited for it alone."""
+        """Complete a text and return the messages that need no other text."""
         self.store.complete(transfer.name, manifest)
         self.transfer = None
         self.counters.finished += 1
@@ -321,13 +338,16 @@
         return whole
 
     def abandon_transfer(self, transfer: Transfer) -> None:
-        """The source has the text no more, or doesn't answer: what waits for it is as if lost, and is sent anew."""
+        """Give up a text that its source no longer has or doesn't send.
+
+        Messages that wait for it are dropped; the protocol resends them like lost ones.
+        """
         self.transfer = None
         self.held = [held for held in self.held if transfer.name not in held.missing_texts]
         self.counters.given_up += 1
 
     def tick(self, now: float) -> None:
-        """Send an unanswered request again, or abandon the transfer."""
+        """Repeat an unanswered request, or abandon the transfer after too many of them."""
         transfer = self.transfer
         if transfer is None or now - transfer.requested_at < REQUEST_TIMEOUT:
             return
--- a/zinclever/mesh/consensus/text_store.py
+++ b/zinclever/mesh/consensus/text_store.py
@@ -1,4 +1,4 @@
-"""The texts that a replica can serve and build others from: the last few, as blocks that they share. Pure."""
+"""Cache of recent configuration texts, stored as shared blocks. No I/O."""
 
 from __future__ import annotations
 
@@ -7,29 +7,30 @@
 
 from .text_blocks import MAX_TEXT_BYTES, block_name, block_names, make_manifest, manifest_name, split_blocks
 
-MAX_TEXTS = 64  # in a storm of changes a follower still requests a text that others have followed ...
-TEXTS_AFTER_EVICTION = 48  # ... and so many stay when some are evicted
-MAX_HELD_BYTES = 32 << 20  # of blocks from which on texts are evicted: texts that follow each other share most blocks
-MIN_TEXTS = 2  # that stay in any case: the committed and the proposed one
+MAX_TEXTS = 64  # under a high rate of changes, a follower may still request a text that has been superseded
+TEXTS_AFTER_EVICTION = 48  # texts that remain when MAX_TEXTS is exceeded
+MAX_HELD_BYTES = 32 << 20  # total size of blocks above which texts are evicted; successive texts share most blocks
+MIN_TEXTS = 2  # never evicted: the committed and the proposed text
 
 
 class TextStore:
-    """Holds at most :data:`MAX_TEXTS` texts, and the blocks of one transfer under way.
+    """An LRU cache of at most :data:`MAX_TEXTS` texts, which also holds the blocks of a transfer in progress.
 
-    The least recently used texts are evicted first.
+    A replica serves blocks from it to others, and builds new texts from blocks that it already has.
     """
 
     def __init__(self) -> None:
         self.manifests: OrderedDict[bytes, bytes] = OrderedDict()
-        """By the name of a text, least recently used first."""
+        """By name of the text, least recently used first."""
         self.names: dict[bytes, bytes] = {}
-        """The names of the texts by the digests of the texts."""
+        """Names of the texts, by digest of the whole text; avoids splitting a known text again."""
         self.blocks: dict[bytes, bytes] = {}
+        """By block name."""
         self.held_bytes = 0
-        """Size of the blocks together."""
+        """Total size of the blocks."""
 
     def add(self, text: bytes) -> bytes:
-        """Hold a text; its name."""
+        """Add a text and return its name."""
         key = hashlib.blake2b(text, digest_size=16).digest()
         name = self.names.get(key)
         if name is None:
@@ -43,7 +44,7 @@
         return name
 
     def text(self, name: bytes) -> bytes | None:
-        """The whole text; None where it isn't held."""
+        """A text by its name; None if it isn't cached."""
         manifest = self.manifests.get(name)
         if manifest is None:
             return None
@@ -51,11 +52,11 @@
         return b"".join(self.blocks[block] for block in block_names(manifest))
 
     def missing_blocks(self, manifest: bytes) -> list[bytes]:
-        """The names of the blocks that are still to come, each once."""
+        """The names of the blocks in a manifest that aren't cached, without duplicates."""
         return [name for name in dict.fromkeys(block_names(manifest)) if name not in self.blocks]
 
     def add_block(self, data: bytes) -> None:
-        """Hold a block. What comes for transfers that are abandoned is bounded, too."""
+        """Add a block. Blocks of abandoned transfers are dropped when the size limit is reached."""
         name = block_name(data)
         if name in self.blocks:
             return
@@ -65,7 +66,7 @@
         self.held_bytes += len(data)
 
     def complete(self, name: bytes, manifest: bytes) -> None:
-        """All blocks of a text are held."""
+        """Register a text whose blocks are all cached, and evict older texts beyond the limits."""
         self.manifests[name] = manifest
         if len(self.manifests) > MAX_TEXTS:
             self.evict(TEXTS_AFTER_EVICTION)
@@ -73,20 +74,20 @@
             self.evict(max(len(self.manifests) // 2, MIN_TEXTS))
 
     def evict(self, remaining: int) -> None:
-        """Drop the least recently used texts until so many remain."""
+        """Drop the least recently used texts until ``remaining`` are left."""
         while len(self.manifests) > remaining:
             self.manifests.popitem(last=False)
         self.names = {key: name for key, name in self.names.items() if name in self.manifests}
         self.drop_unused_blocks()
 
     def drop_unused_blocks(self) -> None:
-        """Drop the blocks of no text that is held."""
+        """Drop the blocks that belong to no cached text."""
         used = {block for manifest in self.manifests.values() for block in block_names(manifest)}
         self.blocks = {name: block for name, block in self.blocks.items() if name in used}
         self.held_bytes = sum(len(block) for block in self.blocks.values())
 
     def find(self, name: bytes) -> bytes | None:
-        """A block or manifest by its name; None where it isn't held."""
+        """A manifest or block by its name; None if it isn't cached."""
         if name in self.manifests:
             self.manifests.move_to_end(name)
             return self.manifests[name]
--- a/zinclever/mesh/consensus/timing.py
+++ b/zinclever/mesh/consensus/timing.py
@@ -1,13 +1,13 @@
-"""Timeouts and intervals of the protocol between replicas, in s, each by a replica's own monotonic clock."""
+"""Timeouts and intervals of the consensus protocol, in seconds of a replica's own monotonic clock."""
 
 from __future__ import annotations
 
-HEARTBEAT_INTERVAL = 0.1  # between two heartbeats to the others
-ELECTION_TIMEOUT = 0.7  # without a heartbeat of the leader after which the next voter in order stands for election ...
-ELECTION_STAGGER = 0.35  # ... and each further one so much later
-STARTUP_GRACE = 0.25  # after its own start for which a replica takes the others to be up, before it has heard them
-LEADER_STICKINESS = 0.45  # since the leader's last heartbeat for which no vote is given to another
-QUORUM_TIMEOUT = 0.9  # without a heartbeat of a majority after which the leader steps down
-ELECTION_ROUND = 0.5  # for which a candidate asks for votes before it tries a higher term
-RESEND_AFTER = 0.15  # after which an unanswered message is sent again
-STALL_THRESHOLD = 0.3  # between two ticks from which on this process stood still, or was not given the processor
+HEARTBEAT_INTERVAL = 0.1
+ELECTION_TIMEOUT = 0.7  # without contact to the leader, until the first voter in election order becomes a candidate
+ELECTION_STAGGER = 0.35  # additional delay of each further voter in election order
+STARTUP_GRACE = 0.25  # after the start of a replica, during which it presumes that the other voters are up
+LEADER_STICKINESS = 0.45  # after a heartbeat of the leader, during which votes for other candidates are denied
+QUORUM_TIMEOUT = 0.9  # without contact to a majority, until the leader steps down
+ELECTION_ROUND = 0.5  # until a candidate without a majority gives up its term
+RESEND_AFTER = 0.15  # until a proposal is resent to voters that have not acknowledged it
+STALL_THRESHOLD = 0.3  # gap between two ticks that is treated as a stall of this process
--- a/zinclever/mesh/consensus/voter_changes.py
+++ b/zinclever/mesh/consensus/voter_changes.py
@@ -1,8 +1,8 @@
-"""What a leader knows of changes of the voters that are due: who joins, who leaves, what is durable on whose disk.
+"""The leader's bookkeeping for changes of the voter set: learners, leaving replicas, durable entries. No I/O.
 
-A newcomer is a learner first: it gets the committed entry and acknowledges it as durable, before it is proposed as a
-voter. A replica that leaves is released once the committed entry is on enough disks of the others. Pure; the rules of
-which voters follow are in :mod:`.quorum`.
+A new replica begins as a learner: it is proposed as a voter only after it has acknowledged the committed entry as
+durable. A leaving replica may shut down once enough other disks hold the committed entry. The rules for the next voter
+set are in :func:`.quorum.next_voters`.
 """
 
 from __future__ import annotations
@@ -13,45 +13,48 @@
 from ..transport.mesh_pb2 import LogEntry, Voter
 from .quorum import Learner, VoterChange, commit_quorum, disk_ids, has_commit_quorum, next_voters
 
-LEAVE_TIMEOUT = 0.5  # s after its last LEAVE for which a replica counts as leaving
-STALL_THRESHOLD = 0.5  # s between two ticks from which on this process itself stood still
-RESEND_INTERVAL = 0.5  # s after which an entry that wasn't acknowledged is sent again ...
-RESEND_RATE = 100_000  # bytes/s: ... and the time that its size takes on the slowest link
+LEAVE_TIMEOUT = 0.5  # seconds after its last LEAVE message until a replica no longer counts as leaving
+STALL_THRESHOLD = 0.5  # seconds between two ticks that are treated as a stall of this process
+RESEND_INTERVAL = 0.5  # seconds until an unacknowledged entry is resent, plus its transfer time at RESEND_RATE
+RESEND_RATE = 100_000  # bytes/s of the slowest link
 MAX_LEARNERS = 64
-LEARNER_TIMEOUT = 2.0  # s without a heartbeat after which a learner is forgotten
+LEARNER_TIMEOUT = 2.0  # seconds without a heartbeat until a learner is forgotten
 
 
 class VoterChanges:
-    """Kept by each replica, used while it leads: :meth:`begin_term` starts a term."""
+    """Learners, leaving replicas and durable entries, as known to this replica.
+
+    Every replica has one; it is consulted only while the replica is the leader. :meth:`begin_term` resets it.
+    """
 
     def __init__(self, now: float) -> None:
         self.started_at = self.resumed_at = self.ticked_at = now
         self.learners: dict[str, Learner] = {}
-        """By disk."""
+        """By disk ID."""
         self.leaving_since: dict[str, float] = {}
-        """By disk: when a replica that is about to end last said so."""
+        """When each leaving replica last sent a LEAVE message, by disk ID."""
         self.durable_index: dict[str, int] = {}
-        """By disk: the newest entry that it has acknowledged as durable under this leader's term."""
+        """The newest entry that each replica has acknowledged as durable in this leader's term, by disk ID."""
         self.sent_at: dict[str, float] = {}
-        """By disk: when :meth:`due_appends` last named it."""
+        """When :meth:`due_appends` last returned each replica, by disk ID."""
         self.proposed_change: VoterChange | None = None
 
     def begin_term(self) -> None:
-        """This replica leads a new term: nothing that was acknowledged under another one counts."""
+        """Reset at the start of a leader's term, because acknowledgements from other terms don't count."""
         self.learners.clear()
         self.durable_index.clear()
         self.sent_at.clear()
         self.proposed_change = None
 
     def tick(self, now: float) -> None:
-        """Forget who has not said lately that it leaves. After a stall of this process, silence is counted anew."""
+        """Expire old LEAVE messages. After a stall of this process, restart the timers of unreachable voters."""
         if now - self.ticked_at > STALL_THRESHOLD:
             self.resumed_at = now
         self.ticked_at = now
         self.leaving_since = {disk: at for disk, at in self.leaving_since.items() if now - at < LEAVE_TIMEOUT}
 
     def on_heartbeat(self, now: float, voter: Voter) -> None:
-        """A replica without a vote is there; at an address counts the newest disk only."""
+        """Record a replica without a vote as a learner; a new disk at the same address replaces the old one."""
         if voter.disk in self.leaving_since:
             return
         known = self.learners.get(voter.disk)
@@ -65,27 +68,27 @@
             self.learners[voter.disk] = Learner(voter, known.since if known is not None else now)
 
     def on_acknowledged(self, disk: str, index: int) -> None:
-        """An entry is durable on a disk."""
+        """Record that an entry is durable on a disk."""
         self.durable_index[disk] = max(index, self.durable_index.get(disk, 0))
 
     def on_leave(self, now: float, disk: str) -> None:
-        """A replica is about to end."""
+        """Record that a replica is about to shut down."""
         self.leaving_since[disk] = now
         self.learners.pop(disk, None)
 
     def on_admitted(self, voters: Iterable[Voter]) -> None:
-        """These have a vote."""
+        """Remove learners that have become voters."""
         for disk in disk_ids(voters):
             self.learners.pop(disk, None)
 
     def last_heard_here(self, voters: Iterable[Voter], last_heard: Mapping[str, float]) -> dict[str, float]:
-        """When each was last heard, as far as this process was there to hear it."""
+        """When each voter was last heard from, but not before this process started or resumed from a stall."""
         return {voter.disk: max(last_heard.get(voter.disk, self.started_at), self.resumed_at) for voter in voters}
 
     def next_change(
         self, committed: LogEntry, leader: str, last_heard: Mapping[str, float], now: float, tolerated_losses: int
     ) -> VoterChange | None:
-        """The change of the voters that is due: only learners that have the state take part."""
+        """The next change of the voter set; only learners that hold the committed state are considered."""
         self.learners = {
             disk: learner
             for disk, learner in self.learners.items()
@@ -97,7 +100,10 @@
         return self.proposed_change
 
     def due_appends(self, now: float, committed: LogEntry) -> list[Voter]:
-        """Whom to send the committed entry now: learners without it, and all voters while one of them leaves."""
+        """The replicas to send the committed entry to now.
+
+        These are learners that lack it and, while a replica is leaving, all voters that have not acknowledged it.
+        """
         lacking = [learner.voter for disk, learner in self.learners.items() if disk not in self.durable_index]
         if self.leaving_since:
             lacking += [v for v in committed.voters if self.durable_index.get(v.disk, 0) < committed.index]
@@ -108,7 +114,7 @@
         return due
 
     def is_durable_without_leaving(self, committed: LogEntry, tolerated_losses: int) -> bool:
-        """Whether the committed entry is on enough disks of voters that don't leave."""
+        """Whether enough voters that are not leaving hold the committed entry durably."""
         staying = [disk for disk in disk_ids(committed.voters) if disk not in self.leaving_since]
         durable = sum(self.durable_index.get(disk, 0) >= committed.index for disk in staying)
         return durable >= min(commit_quorum(len(committed.voters), tolerated_losses), len(staying))
@@ -116,7 +122,16 @@
     def counted(
         self, voters: Sequence[Voter], holders: Collection[str], live: Collection[str], tolerated_losses: int
     ) -> set[str]:
-        """Of the disks that have an entry, those that count: not the ones that leave, if the rest can be enough."""
+        """The disks, out of those that hold an entry, that count towards its commit quorum.
+
+        Leaving disks don't count as long as the reachable voters that stay can form a quorum without them.
+
+        Args:
+            voters: The voters after the entry.
+            holders: Disks that hold the entry.
+            live: Disks that were heard from recently.
+            tolerated_losses: The number of simultaneous failures to tolerate.
+        """
         staying = {disk for disk in live if disk not in self.leaving_since}
         if self.leaving_since and has_commit_quorum(voters, staying, tolerated_losses):
             return {disk for disk in holders if disk not in self.leaving_since}
--- a/zinclever/mesh/storage/__init__.py
+++ b/zinclever/mesh/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable files: sets of records that are whole or not there, whenever power is lost."""
+"""Durable storage: sets of records that are saved atomically even if power fails."""
--- a/zinclever/mesh/storage/generation_file.py
+++ b/zinclever/mesh/storage/generation_file.py
@@ -1,13 +1,14 @@
-"""Sets of records on disk that are whole or not there, on ``dbm.dumb``.
+"""Atomic and durable storage of a set of records, on top of ``dbm.dumb``.
 
-``dbm.dumb`` rewrites its index in place and syncs nothing. So nothing is ever written to files that count: each change
-makes a new generation under the next number, synced with its folder before anything is promised; the generation before
-the last is removed only then. At a start the highest generation that is whole is current.
+``dbm.dumb`` rewrites its index in place and never syncs, so files in use are never modified. Each save writes a new
+generation under the next number and syncs it with its folder before it returns; only then older generations than the
+previous one are removed. After a restart, the highest complete generation is current.
 
-Each record is there twice under a checksum of its own (:mod:`.record_codec`), with a seal over all of them: a damaged
-copy is repaired from the other one. Once a generation is synced a mark is put beside it. A generation without a mark
-that can't be read is a save that power cut short, and the one before it is current; a generation with a mark was
-promised, and nothing older may stand for it. Source: ALICE (Pillai and others, 2014).
+Each record is stored twice with its own checksum (:mod:`.record_codec`), and a seal, which is a checksum over all
+records, detects incomplete generations. A damaged copy is repaired from the other one. After the sync, a mark file is
+written next to the generation. An unreadable generation without a mark is an interrupted save, and the previous one is
+current. An unreadable generation with a mark is lost durable data, and no older generation may be used in its place.
+See ALICE (Pillai and others, 2014).
 """
 
 from __future__ import annotations
@@ -24,50 +25,53 @@
 log = logging.getLogger(__name__)
 
 SEAL = b"seal"
-KEPT_GENERATIONS = 2  # the current one, and the one before
-INDEX_ERRORS = (OSError, ValueError, KeyError, SyntaxError, TypeError)  # what a damaged index makes the library raise
+KEPT_GENERATIONS = 2  # the current and the previous one
+INDEX_ERRORS = (OSError, ValueError, KeyError, SyntaxError, TypeError)  # raised by ``dbm.dumb`` for a damaged index
 
 
 class FileSystem(Protocol):
-    """What is asked of the file system, so that tests can stop it between any two calls."""
+    """File system operations on generations; an interface so that tests can inject failures between any two calls.
+
+    A path names a generation without the suffixes of its files. All methods may raise OSError.
+    """
 
     def write(self, path: Path, values: dict[bytes, bytes]) -> None:
-        """Write a new generation. OSError where that can't be."""
+        """Write a new generation."""
 
     def sync(self, path: Path) -> None:
-        """Make a generation durable. OSError where that can't be."""
+        """Make a generation durable."""
 
     def mark(self, path: Path) -> None:
-        """Make it durable that a generation was synced. OSError where that can't be."""
+        """Write a durable mark that a generation was synced."""
 
     def is_marked(self, path: Path) -> bool:
         """Whether a generation has a mark."""
 
     def read(self, path: Path) -> list[StoredRecord]:
-        """The sound records of a generation, one for each copy. Nothing where there is no file."""
+        """Read the undamaged copies of all records of a generation; empty if there is no file."""
 
     def remove(self, path: Path) -> None:
         """Remove a generation and its mark."""
 
     def list(self, folder: Path) -> list[str]:
-        """The names of all generations in a folder, of all sets of records."""
+        """The names of all generations in a folder, whatever set of records they belong to."""
 
 
 class PlainDatabase(dbm.dumb._Database):
-    """``dbm.dumb`` without its changes of file modes, which the disks of the mesh don't offer."""
+    """``dbm.dumb`` without changes of file modes, which the disks of the mesh don't support."""
 
     def __init__(self, path: Path, flag: str) -> None:
         super().__init__(os.fspath(path), "", flag)
 
     def _chmod(self, file: str) -> None:
-        """Called by the library after it has made a file: the mode stays as it is."""
+        """Leave the mode of a newly created file unchanged; called by the base class."""
 
 
 class OsFileSystem:
-    """:class:`FileSystem` of the operating system.
+    """:class:`FileSystem` on the operating system.
 
-    Uses only what the machines of the mesh offer: open, read, write, rename, remove, list, and sync of a file or a
-    folder. ``Path.touch`` and ``Path.exists`` set or ask a file's attributes, which these disks may take no notice of.
+    Uses only operations that the disks of the mesh support: open, read, write, rename, remove, list, and sync of a file
+    or a folder. ``Path.touch`` and ``Path.exists`` are avoided, since these disks may not maintain file attributes.
     """
 
     SUFFIXES = (".dat", ".dir", ".bak")
@@ -83,7 +87,7 @@
         path.with_suffix(".bak").unlink(missing_ok=True)
 
     def sync(self, path: Path) -> None:
-        """See :meth:`FileSystem.sync`. The index isn't synced: records are found without it."""
+        """See :meth:`FileSystem.sync`. The index isn't synced, because records can be read without it."""
         fsync(path.with_suffix(".dat"))
         fsync(path.parent)
 
@@ -111,10 +115,14 @@
             return scan(data)
 
     def read_indexed(self, path: Path) -> list[StoredRecord]:
-        """Read by the index; nothing where anything is wrong with what it says. OSError where there is none."""
+        """Read the records by the index; empty if any of them is damaged.
+
+        Raises:
+            OSError: There is no index. A damaged index raises any of :data:`INDEX_ERRORS`.
+        """
         with PlainDatabase(path, "r") as database:
             values = {key: database[key] for key in database.keys() if isinstance(key, bytes)}  # noqa: SIM118
-        if SEAL in values:  # as version 1 wrote them: each record once, without a checksum of its own
+        if SEAL in values:  # format of version 1: each record once, without its own checksum
             return [StoredRecord(name, value) for name, value in values.items() for _ in range(COPIES)]
         decoded = [decode(value) for value in values.values()]
         return [record for record in decoded if record is not None] if None not in decoded else []
@@ -139,7 +147,7 @@
 
 
 def seal(records: dict[bytes, bytes]) -> bytes:
-    """A checksum over all records."""
+    """The checksum over all records of a generation."""
     hashed = hashlib.blake2b(digest_size=16)
     for name in sorted(records):
         hashed.update(len(name).to_bytes(4, "big") + name + len(records[name]).to_bytes(8, "big") + records[name])
@@ -147,15 +155,15 @@
 
 
 class Generation(NamedTuple):
-    """What was read of a generation that is whole."""
+    """A complete generation as read from disk."""
 
     records: dict[bytes, bytes]
     is_sound: bool
-    """All copies of it are."""
+    """Whether all copies of all records are undamaged."""
 
 
 def verify(found: list[StoredRecord]) -> Generation | None:
-    """The records of a generation that its seal vouches for; None where it is not whole."""
+    """Check the records of a generation against its seal; None if it is incomplete."""
     counts = count_copies(found)
     records = {name: max(values, key=lambda value: values[value]) for name, values in counts.items()}
     sealed = records.pop(SEAL, None)
@@ -165,36 +173,39 @@
 
 
 class GenerationFile:
-    """One set of records under a name. Blocks while the disk works: to be called from a thread of its own."""
+    """A named set of records, stored as numbered generations.
+
+    Methods block on disk I/O and must be called from a thread of their own.
+    """
 
     def __init__(self, folder: Path, name: str, file_system: FileSystem | None = None) -> None:
         self.folder, self.name = folder, name
         self.file_system = file_system or OsFileSystem()
         self.latest_number = 0
-        """The highest number that was used."""
+        """The highest generation number in use."""
         self.records: dict[bytes, bytes] | None = None
-        """As they were saved or read last."""
+        """The records as last saved or loaded."""
         self.current_number = 0
-        """The number of the generation that ``records`` is in."""
+        """The number of the generation that holds ``records``."""
         self.has_lost_data = False
-        """What was synced can't be read any more."""
+        """Whether a generation that was synced can no longer be read."""
         self.is_durable = False
-        """The current generation is known to be synced.
+        """Whether the current generation is known to be synced.
 
-        One that was read without a mark may be the unsynced work of a process that was killed: nothing may be promised
-        on it before it is saved anew.
+        A generation without a mark may have been written but not synced by a process that was killed. It must be saved
+        again before anything relies on it.
         """
         self.unmarked_number: int | None = None
-        """The number of the latest generation, while it is synced and not marked yet."""
+        """The number of the latest generation if it is synced but not marked yet."""
         self.marking_fails = False
-        """The last mark could not be made."""
+        """Whether the last mark could not be written."""
 
     def path(self, number: int) -> Path:
         """The path of a generation, without the suffixes of its files."""
         return self.folder / f"{self.name}-{number:012d}"
 
     def numbers(self) -> list[int]:
-        """Of the generations that are there, whole or not, highest first."""
+        """The numbers of all generations on disk, complete or not, highest first."""
         found: list[int] = []
         for stem in self.file_system.list(self.folder):
             name, _, number = stem.rpartition("-")
@@ -203,10 +214,16 @@
         return sorted(set(found), reverse=True)
 
     def load(self, repair: bool = True) -> dict[bytes, bytes] | None:
-        """The records of the highest generation that is whole.
+        """Load the records of the highest complete generation.
 
-        None where there is none, or where it is older than what was promised (:attr:`has_lost_data`). A damaged copy is
-        written anew, unless ``repair`` is False: then nothing is changed. OSError where the folder can't be read.
+        Args:
+            repair: Whether to save the records again if a copy is damaged; without it, no file is modified.
+
+        Returns:
+            The records; None if there are none or if durable data was lost (:attr:`has_lost_data`).
+
+        Raises:
+            OSError: The folder can't be read.
         """
         numbers = self.numbers()
         self.latest_number = max(self.latest_number, numbers[0] if numbers else 0)
@@ -220,14 +237,14 @@
                     self.rewrite(path)
                 return generation.records
             if self.file_system.is_marked(path):
-                log.error("files that were promised are damaged", extra={"code": "DISK_SEAL", "pair": str(path)})
+                log.error("durable files are damaged", extra={"code": "DISK_SEAL", "pair": str(path)})
                 self.has_lost_data = True
                 return None
             log.warning("a save was cut short", extra={"code": "DISK_TORN", "pair": str(path)})
         return None
 
     def read(self, path: Path) -> Generation | None:
-        """A generation; None where it is not whole, or can't be read."""
+        """Read a generation; None if it is incomplete or can't be read."""
         try:
             return verify(self.file_system.read(path))
         except OSError:
@@ -235,17 +252,21 @@
             return None
 
     def rewrite(self, path: Path) -> None:
-        """Save anew what a damaged generation held."""
-        log.warning("a damaged copy is repaired", extra={"code": "DISK_MENDED", "pair": str(path)})
+        """Save the records of a damaged generation again, as a new generation."""
+        log.warning("repairing a damaged copy", extra={"code": "DISK_MENDED", "pair": str(path)})
         if self.records is None:
             return
         try:
             self.save(self.records)
         except OSError:
-            log.warning("it can't be repaired now", extra={"code": "DISK_REFUSES"})
+            log.warning("repairing a damaged copy failed", extra={"code": "DISK_REFUSES"})
 
     def verify_and_repair(self) -> bool:
-        """Whether the current generation is as it was saved; where it is not, it is written anew from memory."""
+        """Compare the current generation with the records in memory, and save these again if it differs.
+
+        Returns:
+            Whether the generation was undamaged.
+        """
         if self.records is None:
             return True
         path = self.path(self.current_number)
@@ -256,9 +277,10 @@
         return is_good
 
     def save(self, records: dict[bytes, bytes]) -> None:
-        """Save a new generation: whole and durable when this returns.
+        """Save records as a new generation, which is durable when this returns.
 
-        OSError: what was current still is, and these files are never used again.
+        Raises:
+            OSError: The save failed. The previous generation stays current, and the new number is not reused.
         """
         self.latest_number += 1
         number = self.latest_number
@@ -275,17 +297,20 @@
             self.discard(old)
 
     def mark(self) -> bool:
-        """Mark the latest generation as synced; whether that could be done.
+        """Mark the latest generation as synced.
+
+        Durability doesn't depend on the mark, but without it a damaged generation looks like an interrupted save.
+        Failed saves are never marked.
 
-        Not waited for by anybody: without a mark a generation that is damaged looks like a save that was cut short. A
-        save that failed is never marked, as nothing was promised under its number.
+        Returns:
+            Whether the generation is marked, or there was nothing to mark.
         """
         if self.unmarked_number is None:
             return True
         path, self.unmarked_number = self.path(self.unmarked_number), None
         try:
             self.file_system.mark(path)
-            error = "" if self.file_system.is_marked(path) else "made, and not there"
+            error = "" if self.file_system.is_marked(path) else "written, but not found in the folder"
         except OSError as raised:
             error = repr(raised)
         if bool(error) != self.marking_fails:
@@ -294,17 +319,17 @@
         return not error
 
     def log_marking(self, path: Path, error: str) -> None:
-        """One line when marks begin to fail, and one when they can be made again."""
+        """Log that marks begin to fail, or that they succeed again."""
         if error:
             log.error(
-                "no mark can be made: damage to what was promised would look like a save that was cut short",
+                "generations can't be marked: later damage would look like an interrupted save",
                 extra={"code": "DISK_UNMARKED", "pair": str(path), "error": error},
             )
         else:
-            log.warning("marks can be made again", extra={"code": "DISK_MARKED", "pair": str(path)})
+            log.warning("generations can be marked again", extra={"code": "DISK_MARKED", "pair": str(path)})
 
     def discard(self, number: int) -> None:
-        """Remove a generation."""
+        """Remove a generation; failures are logged."""
         try:
             self.file_system.remove(self.path(number))
         except OSError:
--- a/zinclever/mesh/storage/record_codec.py
+++ b/zinclever/mesh/storage/record_codec.py
@@ -1,8 +1,8 @@
-"""The encoding of records in a file: each has its own length and checksum, and is there twice. Pure.
+"""Encoding of records in a file. No I/O.
 
-So a record that was half written is told from one that has been damaged since, a damaged copy is repaired from the
-other one, and a file can be read without its index, which is what ``dbm.dumb`` keeps least safe. Source:
-Protocol-Aware Recovery (Alagappan and others, 2018).
+Each record is stored twice, each copy with its own length and checksum. A damaged copy is repaired from the other one,
+partial writes are distinguished from later damage, and a file can be read without its index, the least reliable part of
+``dbm.dumb``. See Protocol-Aware Recovery (Alagappan and others, 2018).
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 MAGIC = b"WAX2"
 COPIES = 2
-BLOCK_BYTES = 512  # ``dbm.dumb`` begins each value at a multiple of this
+BLOCK_BYTES = 512  # ``dbm.dumb`` aligns each value to a multiple of this
 CHECKSUM_BYTES = 16
 NAME_LENGTH_BYTES = 2
 VALUE_LENGTH_BYTES = 8
@@ -29,7 +29,7 @@
 
 
 def checksum(name: bytes, value: bytes) -> bytes:
-    """The checksum of a record: :data:`CHECKSUM_BYTES` bytes."""
+    """The checksum of a record, of :data:`CHECKSUM_BYTES` bytes."""
     hashed = hashlib.blake2b(len(name).to_bytes(NAME_LENGTH_BYTES, "big"), digest_size=CHECKSUM_BYTES)
     hashed.update(name)
     hashed.update(value)
@@ -37,19 +37,19 @@
 
 
 def encode(records: Mapping[bytes, bytes]) -> dict[bytes, bytes]:
-    """The values of a file by their keys: each record as many times as there are copies."""
+    """Encode records as the keys and values of a ``dbm`` file, with :data:`COPIES` copies of each record."""
     encoded = {name: encode_record(name, value) for name, value in records.items()}
     return {b"%d %b" % (copy, name): value for copy in range(COPIES) for name, value in encoded.items()}
 
 
 def encode_record(name: bytes, value: bytes) -> bytes:
-    """One copy of a record."""
+    """Encode one copy of a record."""
     lengths = len(name).to_bytes(NAME_LENGTH_BYTES, "big") + len(value).to_bytes(VALUE_LENGTH_BYTES, "big")
     return MAGIC + lengths + checksum(name, value) + name + value
 
 
 def decode(data: bytes, offset: int = 0) -> StoredRecord | None:
-    """The record that begins at an offset; None unless it is there whole and sound."""
+    """Decode the record at an offset; None if it is incomplete or damaged."""
     if data[offset : offset + len(MAGIC)] != MAGIC or len(data) - offset < HEADER_BYTES:
         return None
     offset += len(MAGIC)
@@ -67,13 +67,13 @@
 
 
 def scan(data: bytes) -> list[StoredRecord]:
-    """Every sound record of a file, read without its index."""
+    """Find all undamaged records in the data of a file, without its index."""
     decoded = (decode(data, offset) for offset in range(0, len(data), BLOCK_BYTES))
     return [record for record in decoded if record is not None]
 
 
 def count_copies(records: Iterable[tuple[bytes, bytes]]) -> dict[bytes, dict[bytes, int]]:
-    """By name: the values that were found, and how many copies of each."""
+    """The number of copies of each value, by record name."""
     counts: dict[bytes, dict[bytes, int]] = {}
     for name, value in records:
         copies = counts.setdefault(name, {})
