--- a/tests/mesh/test_client_calls.py
+++ b/tests/mesh/test_client_calls.py
@@ -205,7 +205,7 @@
         (old,) = w.leaders()
         replica = w.machines[old].replica
         assert replica is not None
-        replica.calls.confirmations.record("d2", replica.calls.confirmations.begin())
+        replica.calls.confirmations.record("d2", replica.calls.confirmations.begin_round())
         replica.change_role(type(replica.role).FOLLOWER, w.now)
         self.assertFalse(replica.calls.confirmations.confirmed)
 
--- a/tests/mesh/test_storage.py
+++ b/tests/mesh/test_storage.py
@@ -12,7 +12,7 @@
 from mesh.cases import params
 from zinclever.mesh.consensus.messages import Persist, Vote
 from zinclever.mesh.consensus.replica_store import ReplicaStore
-from zinclever.mesh.storage.generation_file import SEAL, GenerationFile, OsFileSystem, seal
+from zinclever.mesh.storage.generation_file import SEAL, GenerationFile, OsFileSystem, seal_checksum
 from zinclever.mesh.storage.record_codec import StoredRecord, decode
 from zinclever.mesh.transport.mesh_pb2 import LogEntry
 
@@ -241,7 +241,7 @@
     def test_pairs_of_version_1_are_read(self) -> None:
         records = {b"change": b"text"}
         with dbm.dumb.open(str(self.folder / "comb-000000000007"), "n") as pair:
-            for name, value in {**records, SEAL: seal(records)}.items():
+            for name, value in {**records, SEAL: seal_checksum(records)}.items():
                 pair[name] = value
         made = self.again()
         self.assertEqual((made.records, made.latest_number), (records, 7))
--- a/zinclever/mesh/consensus/client_calls.py
+++ b/zinclever/mesh/consensus/client_calls.py
@@ -52,7 +52,7 @@
 
     def read(self, now: float, call_id: int) -> None:
         """Accept a call to read the current configuration."""
-        if self.has_room(0):
+        if self.can_accept(0):
             self.await_confirmation(ReadCall(call_id, now))
         else:
             self.reply(call_id, 503, TOO_MANY_CALLS)
@@ -64,18 +64,18 @@
             call: The call.
             committed: The committed entry; None until the leader is established in its term.
         """
-        if not self.has_room(len(call.text)):
+        if not self.can_accept(len(call.text)):
             self.reply(call.call_id, 503, TOO_MANY_CALLS)
         elif committed is not None and not may_be_proposed(call, committed):
             self.answer_directly(call, committed)
         else:
             self.queued_changes.append(call)
 
-    def has_room(self, size: int) -> bool:
+    def can_accept(self, size: int) -> bool:
         """Whether the limits allow one more waiting call, with a configuration of ``size`` bytes."""
         calls = [*self.queued_changes, *(entry.call for entry in self.unconfirmed)]
-        held = sum(len(call.text) for call in calls if isinstance(call, ChangeCall))
-        return len(calls) < MAX_CALLS and held + size <= MAX_CALL_BYTES
+        queued_bytes = sum(len(call.text) for call in calls if isinstance(call, ChangeCall))
+        return len(calls) < MAX_CALLS and queued_bytes + size <= MAX_CALL_BYTES
 
     def next_change(self, committed: LogEntry) -> ChangeCall | None:
         """Take the next change that needs an entry off the queue, and answer the ones before it that need none."""
@@ -97,7 +97,7 @@
 
     def await_confirmation(self, call: ChangeCall | ReadCall) -> None:
         """Hold a call until a round of confirmations that begins now is complete."""
-        self.unconfirmed.append(UnconfirmedCall(call, self.confirmations.begin()))
+        self.unconfirmed.append(UnconfirmedCall(call, self.confirmations.begin_round()))
 
     def on_committed(self) -> None:
         """Answer the proposed change, whose entry is committed now."""
@@ -105,16 +105,16 @@
         if call is not None:
             self.reply(call.call_id, 200, b"")
 
-    def answer_confirmed(self, committed: LogEntry, own: Collection[str]) -> None:
+    def answer_confirmed(self, committed: LogEntry, own_disks: Collection[str]) -> None:
         """Answer the calls whose round a majority has confirmed, from the committed state.
 
         Args:
             committed: The committed entry.
-            own: Disks that count as confirmed without a request.
+            own_disks: Disks that count as confirmed without a request.
         """
         unconfirmed, self.unconfirmed = self.unconfirmed, []
         for entry in unconfirmed:
-            if not self.confirmations.is_confirmed(entry.round, committed.voters, own):
+            if not self.confirmations.is_confirmed(entry.round, committed.voters, own_disks):
                 self.unconfirmed.append(entry)
             elif isinstance(entry.call, ReadCall):
                 self.answer_read(entry.call, committed)
--- a/zinclever/mesh/consensus/election.py
+++ b/zinclever/mesh/consensus/election.py
@@ -24,7 +24,7 @@
         voters = disk_ids(self.voters())
         if self.own_voter.disk not in voters:
             return
-        if not has_majority(self.voters(), self.heard_within(ELECTION_TIMEOUT, now)):
+        if not has_majority(self.voters(), self.recently_active(ELECTION_TIMEOUT, now)):
             return  # without contact to a majority it can't win, and would only raise the term
         delay = ELECTION_STAGGER * self.live_voters_before(voters, now)
         if now - self.leader_last_heard > ELECTION_TIMEOUT + delay and now - self.role_since > delay:
@@ -41,8 +41,8 @@
             disk = voters[(start + offset) % len(voters)]
             if disk == self.own_voter.disk:
                 break
-            assumed = self.started_at + STARTUP_GRACE - ELECTION_TIMEOUT
-            if now - self.last_heard.get(disk, assumed) < ELECTION_TIMEOUT:
+            presumed_contact = self.started_at + STARTUP_GRACE - ELECTION_TIMEOUT
+            if now - self.last_heard.get(disk, presumed_contact) < ELECTION_TIMEOUT:
                 count += 1
         return count
 
@@ -69,29 +69,29 @@
             self.votes_requested_at = now
             self.actions += self.pending_vote_requests()
 
-    def on_vote_reply(self, now: float, m: ConsensusMessage) -> None:
+    def on_vote_reply(self, now: float, message: ConsensusMessage) -> None:
         """Count a vote, and become the leader once the required majorities have granted theirs."""
-        if self.role is not ReplicaRole.CANDIDATE or m.term != self.term:
+        if self.role is not ReplicaRole.CANDIDATE or message.term != self.term:
             return
-        if not m.granted:
-            if m.index > self.vote.term:
-                self.vote = Vote(m.index, "")  # the next election uses a higher term
+        if not message.granted:
+            if message.index > self.vote.term:
+                self.vote = Vote(message.index, "")  # the next election uses a higher term
             return
-        self.votes[m.disk] = m
+        self.votes[message.disk] = message
         committed = max([self.committed, *(v.committed for v in self.votes.values())], key=lambda entry: entry.index)
-        newest = self.newest_of_votes(committed)
+        newest = self.newest_entry_in_votes(committed)
         if not self.has_won(newest, committed):
             return
         if committed.index > self.committed.index:
             self.commit(now, committed)
         if self.own_voter.disk not in disk_ids(newest.voters):
             self.change_role(ReplicaRole.FOLLOWER if self.is_voter() else ReplicaRole.LEARNER, now)
-            self.yield_election(now)
+            self.defer_to_other_candidates(now)
             return
         self.change_role(ReplicaRole.LEADER, now)
-        self.propose(now, self.under_own_term(newest))
+        self.propose(now, self.in_own_term(newest))
 
-    def newest_of_votes(self, committed: LogEntry) -> LogEntry:
+    def newest_entry_in_votes(self, committed: LogEntry) -> LogEntry:
         """The entry that a new leader proposes again: the newest that a voter has accepted, or the committed one."""
         accepted = [vote.entry for vote in self.votes.values() if vote.HasField("entry")]
         newest = max(accepted, key=lambda entry: (entry.index, entry.term), default=committed)
@@ -108,7 +108,7 @@
             voter_sets = [list(newest.voters)] if newest.voters else []
         return bool(voter_sets) and all(has_majority(voters, self.votes) for voters in voter_sets)
 
-    def yield_election(self, now: float) -> None:
+    def defer_to_other_candidates(self, now: float) -> None:
         """Let the other voters become candidates before this replica does again.
 
         This replica is no voter in the entry to continue from, and its vote requests would delay the actual voters.
@@ -118,22 +118,22 @@
 
     # --- voters ---
 
-    def on_vote_request(self, now: float, m: ConsensusMessage) -> None:
+    def on_vote_request(self, now: float, message: ConsensusMessage) -> None:
         """Grant a vote once it is durable.
 
         It is denied in a lower term, after a vote for another candidate in this term, and while the leader is alive.
         """
-        is_sticky = self.leader not in ("", m.disk) and now - self.leader_last_heard < LEADER_STICKINESS
-        has_voted = m.term == self.vote.term and self.vote.candidate not in ("", m.disk)
-        if is_sticky or m.term < self.vote.term or has_voted:
-            self.respond(m, self.vote_reply(False, m.term))
+        is_sticky = self.leader not in ("", message.disk) and now - self.leader_last_heard < LEADER_STICKINESS
+        has_voted = message.term == self.vote.term and self.vote.candidate not in ("", message.disk)
+        if is_sticky or message.term < self.vote.term or has_voted:
+            self.respond(message, self.vote_reply(False, message.term))
             return
         if self.role in (ReplicaRole.LEADER, ReplicaRole.CANDIDATE):
             self.change_role(ReplicaRole.FOLLOWER, now)
         self.leader_last_heard = max(self.leader_last_heard, now - ELECTION_TIMEOUT / 2)
-        self.vote = Vote(m.term, m.disk)
-        voter = self.sender_of(m)
-        self.persist(None, [Send(voter, self.vote_reply(True, m.term))] if voter is not None else [])
+        self.vote = Vote(message.term, message.disk)
+        voter = self.sender_of(message)
+        self.persist(None, [Send(voter, self.vote_reply(True, message.term))] if voter is not None else [])
 
     def vote_reply(self, granted: bool, term: int) -> ConsensusMessage:
         """A reply to a vote request; :meth:`on_persisted` adds the entries once the vote is durable."""
--- a/zinclever/mesh/consensus/lag_monitor.py
+++ b/zinclever/mesh/consensus/lag_monitor.py
@@ -27,7 +27,7 @@
         self.lags: dict[str, Lag] = {}
         """By disk ID."""
 
-    def is_due(self, now: float, disk: str, reported: int, committed: int) -> bool:
+    def needs_snapshot(self, now: float, disk: str, reported: int, committed: int) -> bool:
         """Whether a voter that reports commit index ``reported`` needs a snapshot of the entry at ``committed``."""
         lag = self.lags.get(disk)
         if lag is None or reported >= lag.index:
@@ -37,7 +37,7 @@
             return False
         return self.has_lasted(now, disk, lag)
 
-    def differs(self, now: float, disk: str, committed: int) -> bool:
+    def needs_repair(self, now: float, disk: str, committed: int) -> bool:
         """Whether a voter whose entry at index ``committed`` differs from the majority's needs a snapshot."""
         lag = self.lags.setdefault(disk, Lag(committed + 1, now))
         return self.has_lasted(now, disk, lag)
@@ -49,7 +49,7 @@
         self.lags[disk] = Lag(lag.index, now)
         return True
 
-    def keep_only(self, disks: set[str]) -> None:
+    def retain(self, disks: set[str]) -> None:
         """Forget the lags of all other disks, which are no longer voters."""
         for disk in self.lags.keys() - disks:
             del self.lags[disk]
--- a/zinclever/mesh/consensus/leader_calls.py
+++ b/zinclever/mesh/consensus/leader_calls.py
@@ -45,21 +45,21 @@
                 request.round = wanted
                 self.send(voter, request)
 
-    def on_confirm_leadership(self, m: ConsensusMessage) -> None:
+    def on_confirm_leadership(self, message: ConsensusMessage) -> None:
         """Confirm the leadership of the sender unless this replica is a candidate or has seen a higher term."""
-        confirmation = self.message(MessageKind.LEADERSHIP_CONFIRMED, m.term)
-        confirmation.round = m.round
-        confirmation.granted = m.term >= self.vote.term and self.role is not ReplicaRole.CANDIDATE
-        self.respond(m, confirmation)
+        confirmation = self.message(MessageKind.LEADERSHIP_CONFIRMED, message.term)
+        confirmation.round = message.round
+        confirmation.granted = message.term >= self.vote.term and self.role is not ReplicaRole.CANDIDATE
+        self.respond(message, confirmation)
 
-    def on_leadership_confirmed(self, m: ConsensusMessage) -> None:
+    def on_leadership_confirmed(self, message: ConsensusMessage) -> None:
         """Record a voter's confirmation of a round."""
-        if self.role is ReplicaRole.LEADER and m.term == self.term and m.granted:
-            self.calls.confirmations.record(m.disk, m.round)
+        if self.role is ReplicaRole.LEADER and message.term == self.term and message.granted:
+            self.calls.confirmations.record(message.disk, message.round)
             self.answer_confirmed()
 
     def answer_confirmed(self) -> None:
         """Answer the calls whose round is confirmed, once this leader is established in its term."""
         if self.is_established():
-            own = {self.own_voter.disk} if self.vote.term <= self.term else set()
-            self.calls.answer_confirmed(self.committed, own)
+            own_disks = {self.own_voter.disk} if self.vote.term <= self.term else set()
+            self.calls.answer_confirmed(self.committed, own_disks)
--- a/zinclever/mesh/consensus/leadership_confirmations.py
+++ b/zinclever/mesh/consensus/leadership_confirmations.py
@@ -34,7 +34,7 @@
         self.confirmed: dict[str, int] = {}
         """The newest round that each voter has confirmed, by disk ID."""
 
-    def begin(self) -> int:
+    def begin_round(self) -> int:
         """Begin a round and return its number."""
         self.round += 1
         return self.round
@@ -56,16 +56,16 @@
         """Whether a voter has confirmed round ``wanted`` or a later one."""
         return self.confirmed.get(disk, 0) >= wanted
 
-    def is_confirmed(self, wanted: int, voters: Sequence[Voter], own: Collection[str]) -> bool:
+    def is_confirmed(self, wanted: int, voters: Sequence[Voter], own_disks: Collection[str]) -> bool:
         """Whether a majority has confirmed a round.
 
         Args:
             wanted: The round.
             voters: The current voters.
-            own: Disks that count as confirmed without a request.
+            own_disks: Disks that count as confirmed without a request.
         """
         confirmed = {disk for disk in self.confirmed if self.has_confirmed(disk, wanted)}
-        return has_majority(voters, confirmed | set(own))
+        return has_majority(voters, confirmed | set(own_disks))
 
     def reset(self) -> None:
         """Discard the confirmations at the end of a term."""
--- a/zinclever/mesh/consensus/quorum.py
+++ b/zinclever/mesh/consensus/quorum.py
@@ -168,25 +168,29 @@
     def is_unreachable(voter: Voter, timeout: float) -> bool:
         return voter.disk != leader and now - last_heard.get(voter.disk, -math.inf) > timeout
 
-    left = next((v for v in voters if v.disk in leaving and v.disk != leader), None)
-    lost = next((v for v in voters if is_unreachable(v, VOTER_LOST_TIMEOUT)), None)
+    leaving_voter = next((v for v in voters if v.disk in leaving and v.disk != leader), None)
+    lost_voter = next((v for v in voters if is_unreachable(v, VOTER_LOST_TIMEOUT)), None)
     for voter, since in sorted(learners.values(), key=lambda learner: (learner.since, learner.voter.disk)):
         if voter.disk in disk_ids(voters) or voter.disk in leaving:
             continue
         former = next((v for v in voters if (v.ip, v.port) == (voter.ip, voter.port)), None)
         if former is not None:
             return replacement(voters, former, voter, VoterChangeReason.NEW_DISK)
-        if left is not None:
-            return replacement(voters, left, voter, VoterChangeReason.REPLACES_LEAVING)
-        if lost is not None:
-            return replacement(voters, lost, voter, VoterChangeReason.REPLACES_LOST)
+        if leaving_voter is not None:
+            return replacement(voters, leaving_voter, voter, VoterChangeReason.REPLACES_LEAVING)
+        if lost_voter is not None:
+            return replacement(voters, lost_voter, voter, VoterChangeReason.REPLACES_LOST)
         if len(voters) < target:
             return VoterChange([*voters, voter], VoterChangeReason.BELOW_TARGET, added=voter)
         is_any_suspected = any(is_unreachable(v, SUSPECT_TIMEOUT) for v in voters)
         if not is_any_suspected and now - since > EXTRA_VOTER_DELAY:
             return VoterChange([*voters, voter], VoterChangeReason.JOINED, added=voter)
     if len(voters) > target:
-        removed, reason = (left, VoterChangeReason.LEFT) if left is not None else (lost, VoterChangeReason.LOST)
+        removed, reason = (
+            (leaving_voter, VoterChangeReason.LEFT)
+            if leaving_voter is not None
+            else (lost_voter, VoterChangeReason.LOST)
+        )
         if removed is not None:
             return VoterChange([v for v in voters if v.disk != removed.disk], reason, removed=removed)
     return None
--- a/zinclever/mesh/consensus/replica.py
+++ b/zinclever/mesh/consensus/replica.py
@@ -38,7 +38,7 @@
     def tick(self, now: float) -> None:
         """Send heartbeats and handle the timeouts of the current role."""
         self.voter_changes.tick(now)
-        self.notice_stall(now)
+        self.detect_stall(now)
         if now - self.heartbeat_sent_at >= HEARTBEAT_INTERVAL:
             self.heartbeat_sent_at = now
             for voter in self.other_voters():
@@ -46,7 +46,7 @@
                 if self.leaving:
                     self.send(voter, self.message_with_voter(MessageKind.LEAVE))
         if self.role is ReplicaRole.LEARNER:
-            self.found_cluster(now)
+            self.bootstrap_cluster(now)
         elif self.role is ReplicaRole.FOLLOWER:
             self.check_leader(now)
         elif self.role is ReplicaRole.CANDIDATE:
@@ -57,7 +57,7 @@
         self.answer_confirmed()
         self.calls.tick(now)
 
-    def notice_stall(self, now: float) -> None:
+    def detect_stall(self, now: float) -> None:
         """Extend the election timeout after a stall of this process, as heartbeats of the leader may wait unread.
 
         This avoids needless elections; safety depends on terms alone.
@@ -78,15 +78,15 @@
     def tick_leader(self, now: float) -> None:
         """Step down without contact to a majority; otherwise resend the proposal, or send snapshots and propose."""
         voters = self.committed.voters or self.voters()
-        has_led_for = now - self.role_since
-        if has_led_for > QUORUM_TIMEOUT and not has_majority(voters, self.heard_within(QUORUM_TIMEOUT, now)):
+        time_as_leader = now - self.role_since
+        if time_as_leader > QUORUM_TIMEOUT and not has_majority(voters, self.recently_active(QUORUM_TIMEOUT, now)):
             self.change_role(ReplicaRole.FOLLOWER, now)
             self.leader_last_heard = now
         elif self.proposed is not None:
             self.check_proposal(now, self.proposed)
         else:
             self.send_snapshots(now)
-            self.propose_what_is_due(now)
+            self.propose_next_entry(now)
 
     def check_proposal(self, now: float, entry: LogEntry) -> None:
         """Finish the proposal if it is committed by now, or resend it."""
@@ -96,7 +96,7 @@
             self.proposed_at = now
             self.send_appends(entry, self.acknowledged_by)
 
-    def propose_what_is_due(self, now: float) -> None:
+    def propose_next_entry(self, now: float) -> None:
         """Propose the next entry: a change of the voter set, a client's change, or the completion of a voter change."""
         is_settled = not changes_voters(self.committed)
         change = self.next_voter_change(now) if is_settled else None
@@ -111,7 +111,7 @@
             self.propose(now, self.next_entry(list(self.committed.voters)))
         if self.proposed is None:
             self.replicate_committed(now)
-            self.release_leaving()
+            self.confirm_leaves()
 
     def next_voter_change(self, now: float) -> VoterChange | None:
         """The next change of the voter set, or None."""
@@ -140,35 +140,38 @@
             bootstrap=self.bootstrap and not self.voters(),
         )
 
-    def on_heartbeat(self, now: float, m: ConsensusMessage) -> None:
+    def on_heartbeat(self, now: float, message: ConsensusMessage) -> None:
         """Record what the sender has committed; if it leads, follow it and commit the accepted entry."""
-        voter = m.voter
-        if m.disk == self.own_voter.disk:
+        voter = message.voter
+        if message.disk == self.own_voter.disk:
             return
-        self.latest_heartbeats[(voter.ip, voter.port)] = m
-        self.reported[m.disk] = ReportedCommit(m.index, m.digest)
-        if m.granted and m.term >= self.vote.term:
-            self.follow_leader(now, m.disk, m.term)
-            if m.HasField("committed"):
-                self.on_snapshot(now, m.committed)
-            elif self.accepted is not None and (m.index, m.term) == (self.accepted.index, self.accepted.term):
+        self.latest_heartbeats[(voter.ip, voter.port)] = message
+        self.reported[message.disk] = ReportedCommit(message.index, message.digest)
+        if message.granted and message.term >= self.vote.term:
+            self.follow_leader(now, message.disk, message.term)
+            if message.HasField("committed"):
+                self.on_snapshot(now, message.committed)
+            elif self.accepted is not None and (message.index, message.term) == (
+                self.accepted.index,
+                self.accepted.term,
+            ):
                 self.commit(now, self.accepted)
-        if self.role is ReplicaRole.LEADER and m.disk not in disk_ids(self.committed.voters):
+        if self.role is ReplicaRole.LEADER and message.disk not in disk_ids(self.committed.voters):
             self.voter_changes.on_heartbeat(now, voter)
 
     def send_snapshots(self, now: float) -> None:
         """Send a snapshot to voters that lag behind, or whose committed entry differs from the majority's."""
         own = ReportedCommit(self.committed.index, self.committed_digest)
-        alike = {disk for disk, reported in self.reported.items() if reported == own} | {self.own_voter.disk}
+        matching_disks = {disk for disk, reported in self.reported.items() if reported == own} | {self.own_voter.disk}
         others = self.other_voters()
-        self.lag_monitor.keep_only(set(disk_ids(others)))
+        self.lag_monitor.retain(set(disk_ids(others)))
         for voter in others:
             reported = self.reported.get(voter.disk, ReportedCommit(0, 0))
-            has_other_entry = reported.index == own.index and reported.digest != own.digest
-            if has_other_entry and has_majority(self.committed.voters, alike):
-                is_due = self.lag_monitor.differs(now, voter.disk, reported.index)
+            deviates = reported.index == own.index and reported.digest != own.digest
+            if deviates and has_majority(self.committed.voters, matching_disks):
+                is_due = self.lag_monitor.needs_repair(now, voter.disk, reported.index)
             else:
-                is_due = self.lag_monitor.is_due(now, voter.disk, reported.index, self.committed.index)
+                is_due = self.lag_monitor.needs_snapshot(now, voter.disk, reported.index, self.committed.index)
             if is_due:
                 self.send_snapshot(voter)
 
@@ -195,26 +198,26 @@
 
     # --- proposals ---
 
-    def on_append_reply(self, now: float, m: ConsensusMessage) -> None:
+    def on_append_reply(self, now: float, message: ConsensusMessage) -> None:
         """Count an acknowledgement of the proposed entry, or step down after a rejection."""
-        if not m.granted and m.round >= self.term and self.role is ReplicaRole.LEADER:
-            self.on_append_refused(now, m)
+        if not message.granted and message.round >= self.term and self.role is ReplicaRole.LEADER:
+            self.on_append_refused(now, message)
             return
-        if self.role is not ReplicaRole.LEADER or m.term != self.term or not m.granted:
+        if self.role is not ReplicaRole.LEADER or message.term != self.term or not message.granted:
             return
-        self.voter_changes.on_acknowledged(m.disk, m.index)
+        self.voter_changes.on_acknowledged(message.disk, message.index)
         entry = self.proposed
-        if entry is None or m.index != entry.index:
+        if entry is None or message.index != entry.index:
             return
-        self.acknowledged_by.add(m.disk)
+        self.acknowledged_by.add(message.disk)
         if self.is_committed(now, entry):
             self.finish_proposal(now, entry)
 
-    def on_append_refused(self, now: float, m: ConsensusMessage) -> None:
+    def on_append_refused(self, now: float, message: ConsensusMessage) -> None:
         """Step down, because a replica has accepted a higher term or another leader."""
         self.change_role(ReplicaRole.FOLLOWER, now)
-        if m.round > self.vote.term:
-            self.vote = Vote(m.round, "")  # the next election uses a higher term
+        if message.round > self.vote.term:
+            self.vote = Vote(message.round, "")  # the next election uses a higher term
         elif self.is_voter() and not self.leaving:
             # The sender was a candidate in the same term and voted for itself. It follows this replica now, but would
             # reject its entries throughout the term. Only a higher term resolves that.
@@ -242,9 +245,9 @@
         It is sent as an append request, which is acknowledged once the entry is durable.
         """
         for voter in self.voter_changes.due_appends(now, self.committed):
-            self.send_append(voter, self.under_own_term(self.committed))
+            self.send_append(voter, self.in_own_term(self.committed))
 
-    def release_leaving(self) -> None:
+    def confirm_leaves(self) -> None:
         """Allow leaving replicas to shut down once enough other disks hold the committed entry."""
         if not self.voter_changes.is_durable_without_leaving(self.committed, self.tolerated_losses):
             return
@@ -278,35 +281,35 @@
     def may_end(self, now: float) -> bool:
         """Whether this replica is no longer needed, or no other voter that stays is reachable."""
         staying = [voter for voter in self.other_voters() if voter.disk not in self.voter_changes.leaving_since]
-        is_anybody_heard = any(now - self.last_heard.get(voter.disk, -math.inf) < ELECTION_TIMEOUT for voter in staying)
-        return self.released or not self.is_voter() or not is_anybody_heard
+        is_any_reachable = any(now - self.last_heard.get(voter.disk, -math.inf) < ELECTION_TIMEOUT for voter in staying)
+        return self.released or not self.is_voter() or not is_any_reachable
 
-    def on_leave_reply(self, m: ConsensusMessage) -> None:
+    def on_leave_reply(self, message: ConsensusMessage) -> None:
         """Handle the leader's confirmation that enough other disks hold all entries up to an index.
 
         From then on this replica accepts no further entries, since its disk may be gone before others hold them.
         """
         last = self.last_accepted()
-        if last is None or last.index <= m.index:
+        if last is None or last.index <= message.index:
             self.released = self.leaving
 
     # --- bootstrap ---
 
-    def found_cluster(self, now: float) -> None:
+    def bootstrap_cluster(self, now: float) -> None:
         """Announce this replica and, if it is the first initial member, propose the first voter set.
 
         It proposes once all initial members have sent a heartbeat and none of them knows of an existing cluster.
         """
         own_address = (self.own_voter.ip, self.own_voter.port)
         if now - self.heartbeat_sent_at < HEARTBEAT_INTERVAL / 2:
-            for ip, port in dict.fromkeys([*self.founding_addresses, *self.known_addresses]):
+            for ip, port in dict.fromkeys([*self.bootstrap_addresses, *self.known_addresses]):
                 if (ip, port) != own_address:
                     self.send(Voter(ip=ip, port=port), self.heartbeat())
-        if not self.bootstrap or self.voters() or not self.founding_addresses:
+        if not self.bootstrap or self.voters() or not self.bootstrap_addresses:
             return
-        if self.founding_addresses[0] != own_address:
+        if self.bootstrap_addresses[0] != own_address:
             return
-        others = [address for address in self.founding_addresses if address != own_address]
+        others = [address for address in self.bootstrap_addresses if address != own_address]
         heartbeats = [self.latest_heartbeats.get(address) for address in others]
         if not all(h is not None and h.bootstrap for h in heartbeats):
             return
@@ -320,32 +323,32 @@
 
     # --- received messages ---
 
-    def receive(self, now: float, m: ConsensusMessage) -> None:
+    def receive(self, now: float, message: ConsensusMessage) -> None:
         """Handle a message from another replica, or from this one to itself."""
-        if m.disk != self.own_voter.disk:
-            self.last_heard[m.disk] = now
-        from_leader = m.disk == self.leader and m.term >= self.vote.term
-        if m.kind == MessageKind.HEARTBEAT:
-            self.on_heartbeat(now, m)
-        elif m.kind == MessageKind.VOTE_REQUEST:
-            self.on_vote_request(now, m)
-        elif m.kind == MessageKind.VOTE_REPLY:
-            self.on_vote_reply(now, m)
-        elif m.kind == MessageKind.APPEND:
-            self.on_append(now, m)
-        elif m.kind == MessageKind.APPEND_REPLY:
-            self.on_append_reply(now, m)
-        elif m.kind == MessageKind.CONFIRM_LEADERSHIP:
-            self.on_confirm_leadership(m)
-        elif m.kind == MessageKind.LEADERSHIP_CONFIRMED:
-            self.on_leadership_confirmed(m)
-        elif m.kind == MessageKind.TRANSFER_LEADERSHIP and from_leader:
-            self.last_heard.pop(m.disk, None)  # skip the old leader in election order ...
+        if message.disk != self.own_voter.disk:
+            self.last_heard[message.disk] = now
+        from_leader = message.disk == self.leader and message.term >= self.vote.term
+        if message.kind == MessageKind.HEARTBEAT:
+            self.on_heartbeat(now, message)
+        elif message.kind == MessageKind.VOTE_REQUEST:
+            self.on_vote_request(now, message)
+        elif message.kind == MessageKind.VOTE_REPLY:
+            self.on_vote_reply(now, message)
+        elif message.kind == MessageKind.APPEND:
+            self.on_append(now, message)
+        elif message.kind == MessageKind.APPEND_REPLY:
+            self.on_append_reply(now, message)
+        elif message.kind == MessageKind.CONFIRM_LEADERSHIP:
+            self.on_confirm_leadership(message)
+        elif message.kind == MessageKind.LEADERSHIP_CONFIRMED:
+            self.on_leadership_confirmed(message)
+        elif message.kind == MessageKind.TRANSFER_LEADERSHIP and from_leader:
+            self.last_heard.pop(message.disk, None)  # skip the old leader in election order ...
             self.leader_last_heard = now - ELECTION_TIMEOUT  # ... and don't wait for the election timeout
-        elif m.kind == MessageKind.LEAVE:
-            self.voter_changes.on_leave(now, m.disk)
-        elif m.kind == MessageKind.LEAVE_REPLY and m.granted and from_leader:
-            self.on_leave_reply(m)
+        elif message.kind == MessageKind.LEAVE:
+            self.voter_changes.on_leave(now, message.disk)
+        elif message.kind == MessageKind.LEAVE_REPLY and message.granted and from_leader:
+            self.on_leave_reply(message)
 
     # --- client calls ---
 
--- a/zinclever/mesh/consensus/replica_state.py
+++ b/zinclever/mesh/consensus/replica_state.py
@@ -33,7 +33,7 @@
     def __init__(
         self,
         own_voter: Voter,
-        founding_addresses: list[tuple[str, int]],
+        bootstrap_addresses: list[tuple[str, int]],
         bootstrap: bool,
         tolerated_losses: int,
         now: float,
@@ -44,7 +44,7 @@
 
         Args:
             own_voter: Disk ID, name and address of this replica.
-            founding_addresses: Addresses of the initial members, used if ``bootstrap`` is set.
+            bootstrap_addresses: Addresses of the initial members, used if ``bootstrap`` is set.
             bootstrap: Whether this replica may take part in creating a new cluster.
             tolerated_losses: The number of simultaneous disk failures to tolerate.
             now: The current time in seconds.
@@ -52,7 +52,7 @@
             accepted: The accepted entry as read from disk.
         """
         self.own_voter = own_voter
-        self.founding_addresses = sorted(founding_addresses)
+        self.bootstrap_addresses = sorted(bootstrap_addresses)
         self.bootstrap = bootstrap
         self.tolerated_losses = tolerated_losses
         self.actions: list[Action] = []
@@ -65,7 +65,7 @@
         self.committed_digest = 0
         self.last_token = 0
         self.persisting: dict[int, Persist] = {}
-        self.after_persist: dict[int, list[Send]] = {}
+        self.sends_after_persist: dict[int, list[Send]] = {}
         """Messages to send once a save is durable, by token."""
 
         # Other replicas.
@@ -144,7 +144,7 @@
         voters.pop(self.own_voter.disk, None)
         return list(voters.values())
 
-    def heard_within(self, timeout: float, now: float) -> set[str]:
+    def recently_active(self, timeout: float, now: float) -> set[str]:
         """Disk IDs of the replicas that were heard from within ``timeout`` seconds, including this one."""
         return {disk for disk, at in self.last_heard.items() if now - at < timeout} | {self.own_voter.disk}
 
@@ -175,7 +175,7 @@
         """Persist the vote, and the entry if there is one; send the messages in ``after`` once they are durable."""
         self.last_token += 1
         action = Persist(self.vote, entry, self.last_token)
-        self.after_persist[self.last_token] = after
+        self.sends_after_persist[self.last_token] = after
         self.persisting[self.last_token] = action
         self.actions.append(action)
 
@@ -189,24 +189,24 @@
 
         After a failure the accepted entry stays unchanged, and replies that depend on the save are sent as rejections.
         """
-        action, after = self.persisting.pop(token), self.after_persist.pop(token)
+        action, after = self.persisting.pop(token), self.sends_after_persist.pop(token)
         if is_durable and action.entry is not None:
             self.accepted = action.entry
         if is_durable and self.role is ReplicaRole.LEARNER and self.is_voter():
             self.change_role(ReplicaRole.FOLLOWER, now)
         for send in after:
-            m = send.message
+            message = send.message
             if not is_durable:
-                if m.kind == MessageKind.VOTE_REQUEST or not m.granted:
+                if message.kind == MessageKind.VOTE_REQUEST or not message.granted:
                     continue
-                m.granted = False
-            if m.kind == MessageKind.VOTE_REPLY and m.granted:
+                message.granted = False
+            if message.kind == MessageKind.VOTE_REPLY and message.granted:
                 if self.accepted is not None:
-                    m.entry.CopyFrom(self.accepted)
-                m.committed.CopyFrom(self.committed)
-            if m.kind in (MessageKind.APPEND_REPLY, MessageKind.VOTE_REPLY) and m.term < self.vote.term:
-                m.granted = False  # this replica has voted in a higher term during the save
-            self.send(send.to, m)
+                    message.entry.CopyFrom(self.accepted)
+                message.committed.CopyFrom(self.committed)
+            if message.kind in (MessageKind.APPEND_REPLY, MessageKind.VOTE_REPLY) and message.term < self.vote.term:
+                message.granted = False  # this replica has voted in a higher term during the save
+            self.send(send.to, message)
 
     # --- messages ---
 
@@ -218,26 +218,26 @@
         """A new message that includes this replica's address, for receivers that may not know it."""
         return ConsensusMessage(kind=kind, disk=self.own_voter.disk, term=term, voter=self.own_voter)
 
-    def sender_of(self, m: ConsensusMessage) -> Voter | None:
+    def sender_of(self, message: ConsensusMessage) -> Voter | None:
         """Disk ID and address of the sender of a message; None if the address is unknown."""
-        if m.disk == self.own_voter.disk:
+        if message.disk == self.own_voter.disk:
             return self.own_voter
-        if m.HasField("voter"):
-            return m.voter
+        if message.HasField("voter"):
+            return message.voter
         for voter in self.committed_and_accepted_voters():
-            if voter.disk == m.disk:
+            if voter.disk == message.disk:
                 return voter
-        return next((h.voter for h in self.latest_heartbeats.values() if h.disk == m.disk), None)
+        return next((h.voter for h in self.latest_heartbeats.values() if h.disk == message.disk), None)
 
-    def respond(self, m: ConsensusMessage, answer: ConsensusMessage) -> None:
+    def respond(self, message: ConsensusMessage, answer: ConsensusMessage) -> None:
         """Send an answer to the sender of a message, if its address is known."""
-        voter = self.sender_of(m)
+        voter = self.sender_of(message)
         if voter is not None:
             self.send(voter, answer)
 
-    def send(self, to: Voter, m: ConsensusMessage) -> None:
+    def send(self, to: Voter, message: ConsensusMessage) -> None:
         """Send a message."""
-        self.actions.append(Send(to, m))
+        self.actions.append(Send(to, message))
 
     def reply(self, call_id: int, status: int, text: bytes) -> None:
         """Answer a client call."""
--- a/zinclever/mesh/consensus/replica_store.py
+++ b/zinclever/mesh/consensus/replica_store.py
@@ -121,23 +121,23 @@
         if action.entry is not None:
             self.entry_file.save({ENTRY_KEY: action.entry.SerializeToString()})
 
-    def save(self, action: Persist, done: Callable[[int, bool], None]) -> None:
+    def save(self, action: Persist, on_saved: Callable[[int, bool], None]) -> None:
         """Write in the storage thread, after all earlier saves.
 
         Args:
             action: The vote and the entry to write.
-            done: Called on the event loop with the action's token and whether the write is durable. It is not called if
-                the store is closed before the write starts.
+            on_saved: Called on the event loop with the action's token and whether the write is durable. It is not
+                called if the store is closed before the write starts.
         """
         if self.closed:
             return
         self.counters.saves += 1
 
-        def written(future: asyncio.Future[None]) -> None:
+        def on_written(future: asyncio.Future[None]) -> None:
             if not future.cancelled():  # cancelled if the store was closed before the write started
-                done(action.token, self.record_result(future.exception()))
+                on_saved(action.token, self.record_result(future.exception()))
 
-        self.loop.run_in_executor(self.thread, self.write, action).add_done_callback(written)
+        self.loop.run_in_executor(self.thread, self.write, action).add_done_callback(on_written)
         self.thread.submit(self.mark)
 
     def mark(self) -> None:
@@ -151,27 +151,27 @@
         def verify_files() -> list[bool]:
             return [self.vote_file.verify_and_repair(), self.entry_file.verify_and_repair()]
 
-        def verified(future: asyncio.Future[list[bool]]) -> None:
+        def on_verified(future: asyncio.Future[list[bool]]) -> None:
             self.counters.verified += 1
             if not future.cancelled() and future.exception() is None:
                 self.counters.repaired += future.result().count(False)
 
-        self.loop.run_in_executor(self.thread, verify_files).add_done_callback(verified)
+        self.loop.run_in_executor(self.thread, verify_files).add_done_callback(on_verified)
         self.thread.submit(self.mark)
 
     def record_result(self, error: BaseException | None) -> bool:
         """Count a save, log when writes begin to fail or succeed again, and return whether this one succeeded."""
-        is_refused = error is not None
-        self.counters.refused += is_refused
+        has_failed = error is not None
+        self.counters.refused += has_failed
         if error is not None and not isinstance(error, OSError):
             log.error("unexpected error while saving", exc_info=error, extra={"code": "DISK_FAILED"})
-        elif is_refused != self.refuses_writes:
-            self.refuses_writes = is_refused
+        elif has_failed != self.refuses_writes:
+            self.refuses_writes = has_failed
             log.warning(
-                "writes to the disk fail" if is_refused else "writes to the disk succeed again",
+                "writes to the disk fail" if has_failed else "writes to the disk succeed again",
                 extra={"code": "DISK_REFUSES", "error": str(error)},
             )
-        return not is_refused
+        return not has_failed
 
     def close(self) -> None:
         """Stop the verification timer and the thread; saves that have not started are discarded."""
--- a/zinclever/mesh/consensus/replication.py
+++ b/zinclever/mesh/consensus/replication.py
@@ -46,7 +46,7 @@
         append.entry.CopyFrom(entry)
         self.send(voter, append)
 
-    def under_own_term(self, entry: LogEntry) -> LogEntry:
+    def in_own_term(self, entry: LogEntry) -> LogEntry:
         """A copy of an entry in this leader's term.
 
         The higher term makes replicas accept it in place of a later, uncommitted entry from an earlier term.
@@ -62,46 +62,46 @@
         It needs a commit quorum of the voters after it, and a majority of the voters before it, which intersects each
         of their quorums. The first entry of the log must be on all disks.
         """
-        is_founding = entry.index == 1 and not self.committed.index and entry.term == 1
-        tolerated_losses = len(entry.voters) - 1 if is_founding else self.tolerated_losses
+        is_bootstrap_entry = entry.index == 1 and not self.committed.index and entry.term == 1
+        tolerated_losses = len(entry.voters) - 1 if is_bootstrap_entry else self.tolerated_losses
         before = entry.previous_voters if entry.index > self.committed.index else []
         if before and not has_majority(before, self.acknowledged_by):
             return False
-        live = self.heard_within(ELECTION_TIMEOUT, now)
-        counted = self.voter_changes.counted(entry.voters, self.acknowledged_by, live, tolerated_losses)
+        live = self.recently_active(ELECTION_TIMEOUT, now)
+        counted = self.voter_changes.counted_holders(entry.voters, self.acknowledged_by, live, tolerated_losses)
         return has_commit_quorum(entry.voters, counted, tolerated_losses)
 
     # --- followers and learners ---
 
-    def on_append(self, now: float, m: ConsensusMessage) -> None:
+    def on_append(self, now: float, message: ConsensusMessage) -> None:
         """Accept an entry and acknowledge it once it is durable.
 
         Entries from a lower term and entries that would bootstrap a second cluster are rejected.
         """
         if self.released:
             return  # it may shut down for good at any moment, so that its disk must not count for new entries
-        entry = m.entry
+        entry = message.entry
         last = self.last_accepted()
-        promised = max(self.vote.term, last.term if last is not None else 0)
-        voted_for_sender = self.vote.candidate in ("", m.disk) or m.term > self.vote.term
-        is_refused = m.term < promised or not voted_for_sender
-        if is_refused or self.conflicts_with_founding(entry):
-            refusal = self.append_reply(m, granted=False)
-            refusal.round = promised if is_refused else 0
-            self.respond(m, refusal)
+        promised_term = max(self.vote.term, last.term if last is not None else 0)
+        voted_for_sender = self.vote.candidate in ("", message.disk) or message.term > self.vote.term
+        is_rejected = message.term < promised_term or not voted_for_sender
+        if is_rejected or self.conflicts_with_bootstrap(entry):
+            rejection = self.append_reply(message, granted=False)
+            rejection.round = promised_term if is_rejected else 0
+            self.respond(message, rejection)
             return
-        if m.disk != self.own_voter.disk:
-            self.follow_leader(now, m.disk, m.term)
+        if message.disk != self.own_voter.disk:
+            self.follow_leader(now, message.disk, message.term)
         if last is not None and last.index > entry.index and last.term >= entry.term:
             return  # outdated: its leader has committed it since, and the accepted later entry must be kept
-        self.vote = Vote(m.term, m.disk)
-        voter = self.sender_of(m)
-        self.persist(entry, [Send(voter, self.append_reply(m, granted=True))] if voter is not None else [])
+        self.vote = Vote(message.term, message.disk)
+        voter = self.sender_of(message)
+        self.persist(entry, [Send(voter, self.append_reply(message, granted=True))] if voter is not None else [])
 
-    def append_reply(self, m: ConsensusMessage, granted: bool) -> ConsensusMessage:
+    def append_reply(self, message: ConsensusMessage, granted: bool) -> ConsensusMessage:
         """A reply to an append request."""
-        reply = self.message(MessageKind.APPEND_REPLY, m.term)
-        reply.index = m.entry.index
+        reply = self.message(MessageKind.APPEND_REPLY, message.term)
+        reply.index = message.entry.index
         reply.granted = granted
         return reply
 
@@ -112,7 +112,7 @@
         if self.role is ReplicaRole.FOLLOWER or self.role is ReplicaRole.LEARNER:
             self.leader, self.leader_last_heard = disk, now
 
-    def conflicts_with_founding(self, entry: LogEntry) -> bool:
+    def conflicts_with_bootstrap(self, entry: LogEntry) -> bool:
         """Whether an entry would bootstrap a second cluster."""
         if entry.index != 1:
             return False
--- a/zinclever/mesh/consensus/text_blocks.py
+++ b/zinclever/mesh/consensus/text_blocks.py
@@ -20,19 +20,19 @@
 COMPRESSION_LEVEL = 1  # fastest zlib level
 
 
-def digest_of(data: bytes, purpose: bytes) -> bytes:
+def named_digest(data: bytes, purpose: bytes) -> bytes:
     """The digest of a block or manifest; ``purpose`` makes the two kinds differ for the same bytes."""
     return hashlib.blake2b(data, digest_size=DIGEST_BYTES, person=purpose).digest()
 
 
 def block_name(data: bytes) -> bytes:
     """The name of a block."""
-    return digest_of(data, b"block")
+    return named_digest(data, b"block")
 
 
 def manifest_name(manifest: bytes) -> bytes:
     """The name of a manifest, which is also the name of its text."""
-    return digest_of(manifest, b"manifest")
+    return named_digest(manifest, b"manifest")
 
 
 def split_blocks(text: bytes) -> list[bytes]:
@@ -43,15 +43,15 @@
         item_end += ITEM_END_KEPT
         is_boundary = zlib.crc32(text[item_start:item_end]) & BOUNDARY_MASK == 0
         if is_boundary or item_end - block_start >= MAX_BLOCK_BYTES:
-            blocks += slices(text[block_start:item_end])
+            blocks += fixed_size_slices(text[block_start:item_end])
             block_start = item_end
         item_start = item_end
     if block_start < len(text):
-        blocks += slices(text[block_start:])
+        blocks += fixed_size_slices(text[block_start:])
     return blocks
 
 
-def slices(data: bytes) -> list[bytes]:
+def fixed_size_slices(data: bytes) -> list[bytes]:
     """Split data into pieces of at most :data:`MAX_BLOCK_BYTES`."""
     return [data[start : start + MAX_BLOCK_BYTES] for start in range(0, len(data), MAX_BLOCK_BYTES)]
 
--- a/zinclever/mesh/consensus/text_exchange.py
+++ b/zinclever/mesh/consensus/text_exchange.py
@@ -66,7 +66,7 @@
     """Blocks in the next request."""
     requested_at: float = 0.0
     """In seconds."""
-    unanswered: int = 0
+    unanswered_requests: int = 0
     """Consecutive unanswered requests."""
 
 
@@ -160,8 +160,8 @@
 
     def was_just_sent(self, now: float, send: Send) -> bool:
         """Whether the same message was sent to this replica within :data:`RESEND_INTERVAL`; if not, record it."""
-        m = send.message
-        key = SentKey(send.to.disk, m.kind, m.term, m.entry.index, m.committed.index)
+        message = send.message
+        key = SentKey(send.to.disk, message.kind, message.term, message.entry.index, message.committed.index)
         if now - self.sent_at.get(key, -RESEND_INTERVAL) < RESEND_INTERVAL:
             return True
         self.sent_at.pop(key, None)
@@ -179,7 +179,7 @@
             self.serve_blocks(message)
             return []
         if message.kind == MessageKind.BLOCK_REPLY:
-            return self.on_blocks(now, message)
+            return self.on_block_reply(now, message)
         missing = self.insert_texts(message)
         if missing is None:
             return []
@@ -228,18 +228,18 @@
 
         The earlier one stays if it needs the text in transfer and the new one doesn't.
         """
-        fetched = self.transfer.name if self.transfer is not None else b""
+        text_in_transfer = self.transfer.name if self.transfer is not None else b""
         origin = (new.message.disk, new.message.kind)
 
-        def stays(held: HeldMessage) -> bool:
+        def must_stay(held: HeldMessage) -> bool:
             if (held.message.disk, held.message.kind) != origin:
                 return True
-            return fetched in held.missing_texts and fetched not in new.missing_texts
+            return text_in_transfer in held.missing_texts and text_in_transfer not in new.missing_texts
 
-        self.held = [held for held in self.held if stays(held)]
+        self.held = [held for held in self.held if must_stay(held)]
         self.held.append(new)
         if len(self.held) > MAX_HELD_MESSAGES:
-            self.held.remove(next((held for held in self.held if fetched not in held.missing_texts), new))
+            self.held.remove(next((held for held in self.held if text_in_transfer not in held.missing_texts), new))
 
     # --- transfers ---
 
@@ -259,7 +259,7 @@
             wanted = self.store.missing_blocks(transfer.manifest)[: transfer.window]
         self.round += 1
         transfer.round, transfer.requested_at = self.round, now
-        transfer.unanswered += 1
+        transfer.unanswered_requests += 1
         request = self.message(MessageKind.BLOCK_REQUEST, self.round)
         request.wanted.extend(wanted)
         self.outbox.append(Send(transfer.source, request))
@@ -283,7 +283,7 @@
             reply.blocks.append(TextBlock(name=name, compressed=compress(data) if data is not None else b""))
         self.outbox.append(Send(message.voter, reply))
 
-    def on_blocks(self, now: float, message: ConsensusMessage) -> list[ConsensusMessage]:
+    def on_block_reply(self, now: float, message: ConsensusMessage) -> list[ConsensusMessage]:
         """Handle the answer to the latest request and return the messages that are complete now."""
         transfer = self.transfer
         if transfer is None or message.disk != transfer.source.disk or message.round != transfer.round:
@@ -312,12 +312,12 @@
         self.counters.blocks += 1
         return True
 
-    def adapt_window(self, transfer: Transfer, took: float) -> None:
+    def adapt_window(self, transfer: Transfer, response_time: float) -> None:
         """Adapt the request size to the response time, so that other messages don't queue behind large answers."""
-        transfer.unanswered = 0
-        if took < QUICK_ANSWER:
+        transfer.unanswered_requests = 0
+        if response_time < QUICK_ANSWER:
             transfer.window = min(2 * transfer.window, MAX_WINDOW)
-        elif took > SLOW_ANSWER:
+        elif response_time > SLOW_ANSWER:
             transfer.window = max(transfer.window // 2, 1)
 
     def finish_transfer(self, now: float, transfer: Transfer, manifest: bytes) -> list[ConsensusMessage]:
@@ -325,17 +325,17 @@
         self.store.complete(transfer.name, manifest)
         self.transfer = None
         self.counters.finished += 1
-        whole: list[ConsensusMessage] = []
+        complete: list[ConsensusMessage] = []
         still_held: list[HeldMessage] = []
         for held in self.held:
             held.missing_texts = self.insert_texts(held.message) or []
             if held.missing_texts:
                 still_held.append(held)
             else:
-                whole.append(held.message)
+                complete.append(held.message)
         self.held = still_held
         self.begin_next_transfer(now)
-        return whole
+        return complete
 
     def abandon_transfer(self, transfer: Transfer) -> None:
         """Give up a text that its source no longer has or doesn't send.
@@ -351,7 +351,7 @@
         transfer = self.transfer
         if transfer is None or now - transfer.requested_at < REQUEST_TIMEOUT:
             return
-        if transfer.unanswered >= MAX_UNANSWERED_REQUESTS:
+        if transfer.unanswered_requests >= MAX_UNANSWERED_REQUESTS:
             self.abandon_transfer(transfer)
             self.begin_next_transfer(now)
             return
--- a/zinclever/mesh/consensus/voter_changes.py
+++ b/zinclever/mesh/consensus/voter_changes.py
@@ -81,7 +81,7 @@
         for disk in disk_ids(voters):
             self.learners.pop(disk, None)
 
-    def last_heard_here(self, voters: Iterable[Voter], last_heard: Mapping[str, float]) -> dict[str, float]:
+    def observed_last_contact(self, voters: Iterable[Voter], last_heard: Mapping[str, float]) -> dict[str, float]:
         """When each voter was last heard from, but not before this process started or resumed from a stall."""
         return {voter.disk: max(last_heard.get(voter.disk, self.started_at), self.resumed_at) for voter in voters}
 
@@ -95,8 +95,10 @@
             if now - last_heard.get(disk, now) < LEARNER_TIMEOUT
         }
         ready = {disk: learner for disk, learner in self.learners.items() if disk in self.durable_index}
-        heard = self.last_heard_here(committed.voters, last_heard)
-        self.proposed_change = next_voters(committed, leader, ready, heard, now, tolerated_losses, self.leaving_since)
+        last_contact = self.observed_last_contact(committed.voters, last_heard)
+        self.proposed_change = next_voters(
+            committed, leader, ready, last_contact, now, tolerated_losses, self.leaving_since
+        )
         return self.proposed_change
 
     def due_appends(self, now: float, committed: LogEntry) -> list[Voter]:
@@ -107,8 +109,8 @@
         lacking = [learner.voter for disk, learner in self.learners.items() if disk not in self.durable_index]
         if self.leaving_since:
             lacking += [v for v in committed.voters if self.durable_index.get(v.disk, 0) < committed.index]
-        pause = RESEND_INTERVAL + len(committed.text) / RESEND_RATE
-        due = [voter for voter in lacking if now - self.sent_at.get(voter.disk, -math.inf) > pause]
+        resend_delay = RESEND_INTERVAL + len(committed.text) / RESEND_RATE
+        due = [voter for voter in lacking if now - self.sent_at.get(voter.disk, -math.inf) > resend_delay]
         for voter in due:
             self.sent_at[voter.disk] = now
         return due
@@ -116,10 +118,10 @@
     def is_durable_without_leaving(self, committed: LogEntry, tolerated_losses: int) -> bool:
         """Whether enough voters that are not leaving hold the committed entry durably."""
         staying = [disk for disk in disk_ids(committed.voters) if disk not in self.leaving_since]
-        durable = sum(self.durable_index.get(disk, 0) >= committed.index for disk in staying)
-        return durable >= min(commit_quorum(len(committed.voters), tolerated_losses), len(staying))
+        durable_count = sum(self.durable_index.get(disk, 0) >= committed.index for disk in staying)
+        return durable_count >= min(commit_quorum(len(committed.voters), tolerated_losses), len(staying))
 
-    def counted(
+    def counted_holders(
         self, voters: Sequence[Voter], holders: Collection[str], live: Collection[str], tolerated_losses: int
     ) -> set[str]:
         """The disks, out of those that hold an entry, that count towards its commit quorum.
--- a/zinclever/mesh/storage/generation_file.py
+++ b/zinclever/mesh/storage/generation_file.py
@@ -57,7 +57,7 @@
         """The names of all generations in a folder, whatever set of records they belong to."""
 
 
-class PlainDatabase(dbm.dumb._Database):
+class DatabaseWithoutChmod(dbm.dumb._Database):
     """``dbm.dumb`` without changes of file modes, which the disks of the mesh don't support."""
 
     def __init__(self, path: Path, flag: str) -> None:
@@ -81,7 +81,7 @@
     def write(self, path: Path, values: dict[bytes, bytes]) -> None:
         """See :meth:`FileSystem.write`."""
         self.remove(path)
-        with PlainDatabase(path, "n") as database:
+        with DatabaseWithoutChmod(path, "n") as database:
             for key, value in values.items():
                 database[key] = value
         path.with_suffix(".bak").unlink(missing_ok=True)
@@ -120,7 +120,7 @@
         Raises:
             OSError: There is no index. A damaged index raises any of :data:`INDEX_ERRORS`.
         """
-        with PlainDatabase(path, "r") as database:
+        with DatabaseWithoutChmod(path, "r") as database:
             values = {key: database[key] for key in database.keys() if isinstance(key, bytes)}  # noqa: SIM118
         if SEAL in values:  # format of version 1: each record once, without its own checksum
             return [StoredRecord(name, value) for name, value in values.items() for _ in range(COPIES)]
@@ -146,7 +146,7 @@
         os.close(descriptor)
 
 
-def seal(records: dict[bytes, bytes]) -> bytes:
+def seal_checksum(records: dict[bytes, bytes]) -> bytes:
     """The checksum over all records of a generation."""
     hashed = hashlib.blake2b(digest_size=16)
     for name in sorted(records):
@@ -158,16 +158,16 @@
     """A complete generation as read from disk."""
 
     records: dict[bytes, bytes]
-    is_sound: bool
+    is_intact: bool
     """Whether all copies of all records are undamaged."""
 
 
-def verify(found: list[StoredRecord]) -> Generation | None:
+def verify(stored: list[StoredRecord]) -> Generation | None:
     """Check the records of a generation against its seal; None if it is incomplete."""
-    counts = count_copies(found)
+    counts = count_copies(stored)
     records = {name: max(values, key=lambda value: values[value]) for name, values in counts.items()}
-    sealed = records.pop(SEAL, None)
-    if sealed is None or sealed != seal(records):
+    stored_seal = records.pop(SEAL, None)
+    if stored_seal is None or stored_seal != seal_checksum(records):
         return None
     return Generation(records, all(sum(values.values()) >= COPIES for values in counts.values()))
 
@@ -233,7 +233,7 @@
             if generation is not None:
                 self.records, self.current_number = generation.records, number
                 self.is_durable = self.file_system.is_marked(path)
-                if repair and not generation.is_sound:
+                if repair and not generation.is_intact:
                     self.rewrite(path)
                 return generation.records
             if self.file_system.is_marked(path):
@@ -271,10 +271,10 @@
             return True
         path = self.path(self.current_number)
         generation = self.read(path)
-        is_good = generation is not None and generation.is_sound and generation.records == self.records
-        if not is_good:
+        is_undamaged = generation is not None and generation.is_intact and generation.records == self.records
+        if not is_undamaged:
             self.rewrite(path)
-        return is_good
+        return is_undamaged
 
     def save(self, records: dict[bytes, bytes]) -> None:
         """Save records as a new generation, which is durable when this returns.
@@ -286,7 +286,7 @@
         number = self.latest_number
         path = self.path(number)
         try:
-            self.file_system.write(path, encode({**records, SEAL: seal(records)}))
+            self.file_system.write(path, encode({**records, SEAL: seal_checksum(records)}))
             self.file_system.sync(path)
         except OSError:
             self.discard(number)
@@ -311,8 +311,8 @@
         try:
             self.file_system.mark(path)
             error = "" if self.file_system.is_marked(path) else "written, but not found in the folder"
-        except OSError as raised:
-            error = repr(raised)
+        except OSError as os_error:
+            error = repr(os_error)
         if bool(error) != self.marking_fails:
             self.marking_fails = bool(error)
             self.log_marking(path, error)
