--- a/tests/mesh/test_catch_up.py
+++ b/tests/mesh/test_catch_up.py
@@ -1,4 +1,4 @@
-"""Members that are behind: how long they stay it, what that costs the others, and that nothing grows with changes."""
+"""Catch-up of lagging replicas over slow links: duration, effect on the other replicas, and bounded state."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 from zinclever.mesh.storage.generation_file import GenerationFile
 from zinclever.mesh.transport.mesh_pb2 import ControlCall, Record
 
-SMALL, MIDDLE, LARGE = 20_000, 1_000_000, 4_000_000  # bytes of a configuration
-FAST = 1e9  # bytes per s
-MOST_LATE = 0.25  # s that a heartbeat may be late by, of the 0.7 s after which a leader is replaced
-CHANGE_FOR = 0.06  # s in which a change is committed on fast links
-BASE_TIME = 1.0  # s of a catch-up besides the bytes
+SMALL, MEDIUM, LARGE = 20_000, 1_000_000, 4_000_000  # size of a configuration in bytes
+FAST = 1e9  # bytes/s
+MAX_HEARTBEAT_DELAY = 0.25  # seconds; a leader is replaced after 0.7 s without heartbeats
+COMMIT_TIME = 0.06  # seconds until a change is committed on fast links
+CATCH_UP_OVERHEAD = 1.0  # seconds of a catch-up in addition to the transfer time
 
 
-def founded(size: int, exchange: bool = True, seed: int = 1, old: tuple[str, ...] = ()) -> SlowWorld:
-    """Three members on fast links, with a configuration."""
+def started_cluster(size: int, exchange: bool = True, seed: int = 1, old: tuple[str, ...] = ()) -> SlowWorld:
+    """Three replicas on fast links, with a committed configuration of ``size`` bytes."""
     world = SlowWorld(seed, FAST, exchange, old)
     world.run(1.5)
     world.change(size)
@@ -47,39 +47,39 @@
     world.queued = world.heartbeat_late = 0.0
 
 
-def stated_time(size: int) -> float:
-    """A whole new text over 1 Mbit/s, a fifth beyond its packed blocks."""
-    return BASE_TIME + 1.2 * sum(len(compress(block)) for block in split_blocks(config_text(size, 1))) / MEGABIT
+def max_catch_up_time(size: int) -> float:
+    """The time to transfer a completely new text over 1 Mbit/s, with 20% overhead on its compressed blocks."""
+    return CATCH_UP_OVERHEAD + 1.2 * sum(len(compress(block)) for block in split_blocks(config_text(size, 1))) / MEGABIT
 
 
 class CatchUp(unittest.TestCase):
     @params(
         (SMALL, 1, False),
         (SMALL, 300, True),
-        (MIDDLE, 1, True),
+        (MEDIUM, 1, True),
         (200_000, 300, True),
         (LARGE, 1, True),
     )
-    def test_after_changes(self, size: int, away: int, storm: bool) -> None:
-        """A member comes back after so many changes, beside changes that go on."""
-        world = founded(size)
+    def test_replica_catches_up_after_missed_changes(self, size: int, missed: int, changes_continue: bool) -> None:
+        """A replica comes back after ``missed`` changes, while further changes may be made."""
+        world = started_cluster(size)
         leader = world.leaders()[0]
         follower = [ip for ip in world.machines if ip != leader][-1]
         world.kill(follower)
-        for _ in range(away):
+        for _ in range(missed):
             world.change(size)
-            world.run(CHANGE_FOR)
-        self.assertGreaterEqual(world.confirmed, away)
+            world.run(COMMIT_TIME)
+        self.assertGreaterEqual(world.confirmed, missed)
         slow_down(world)
         world.start(follower)
-        took = world.until_caught_up(follower, size if storm else 0)
-        self.assertLess(took, stated_time(size))
-        self.judge(world, leader)
-
-    @params((SMALL, False), (MIDDLE, True), (LARGE, True))
-    def test_all_of_it(self, size: int, wiped: bool) -> None:
-        """Nothing of the text is known to the follower: its disk is lost, or every route has been changed."""
-        world = founded(size)
+        duration = world.until_caught_up(follower, size if changes_continue else 0)
+        self.assertLess(duration, max_catch_up_time(size))
+        self.check_leader_undisturbed(world, leader)
+
+    @params((SMALL, False), (MEDIUM, True), (LARGE, True))
+    def test_follower_without_any_current_block_catches_up(self, size: int, wiped: bool) -> None:
+        """The follower has no block of the text, because its disk is lost or every route has been changed."""
+        world = started_cluster(size)
         leader = world.leaders()[0]
         follower = [ip for ip in world.machines if ip != leader][-1]
         (world.wipe if wiped else world.kill)(follower)
@@ -88,51 +88,57 @@
         world.run(0.5)
         slow_down(world)
         world.start(follower)
-        self.assertLess(world.until_caught_up(follower, size, kind=1), stated_time(size))
-        self.judge(world, leader)
+        self.assertLess(world.until_caught_up(follower, size, kind=1), max_catch_up_time(size))
+        self.check_leader_undisturbed(world, leader)
 
-    def judge(self, world: SlowWorld, leader: str) -> None:
+    def check_leader_undisturbed(self, world: SlowWorld, leader: str) -> None:
         self.assertEqual(world.leaders(), [leader])
-        self.assertLess(world.heartbeat_late, MOST_LATE)
-        self.assertLess(world.queued, MOST_LATE)
+        self.assertLess(world.heartbeat_late, MAX_HEARTBEAT_DELAY)
+        self.assertLess(world.queued, MAX_HEARTBEAT_DELAY)
         for texts in world.texts.values():
             self.assertLessEqual(texts.store.held_bytes, MAX_HELD_BYTES)
             self.assertEqual(texts.counters.given_up, 0)
 
-    def test_whole_texts_are_the_fault(self) -> None:
-        """The judge finds what the exchange mends: with texts in their messages, 1 MB delays a leader's heartbeats
-        until it is lost, the follower never catches up, and what waits on the link grows and grows."""
-        world = founded(MIDDLE, exchange=False)
+    def test_inline_texts_delay_heartbeats_until_the_leader_is_replaced(self) -> None:
+        """Without the text exchange, 1 MB texts queue on the link and delay the leader's heartbeats.
+
+        The leader is replaced and the follower never catches up. Shows that the checks above detect this failure.
+        """
+        world = started_cluster(MEDIUM, exchange=False)
         leader = world.leaders()[0]
         follower = [ip for ip in world.machines if ip != leader][-1]
         world.kill(follower)
-        world.change(MIDDLE)
+        world.change(MEDIUM)
         world.run(0.5)
         slow_down(world)
         world.start(follower)
-        took = world.until_caught_up(follower, MIDDLE, most=5.0)
-        self.assertGreater(took, 5.0)
+        duration = world.until_caught_up(follower, MEDIUM, most=5.0)
+        self.assertGreater(duration, 5.0)
         self.assertGreater(world.heartbeat_late, 5.0)
         self.assertNotEqual(world.leaders(), [leader])
 
-    @params((MIDDLE, True), (LARGE, True), (MIDDLE, False))
-    def test_a_leader_is_found(self, size: int, exchange: bool) -> None:
-        """Votes carry what a member has. The two that are left lead and take a change within 3 s; with whole texts each
-        round of votes is over before its votes have come."""
-        world = founded(size, exchange)
+    @params((MEDIUM, True), (LARGE, True), (MEDIUM, False))
+    def test_new_leader_is_elected_over_slow_links(self, size: int, exchange: bool) -> None:
+        """After the leader fails, the remaining two elect one and commit a change within 3 s.
+
+        Votes carry the accepted entry: with inline texts, each election round ends before the votes arrive.
+        """
+        world = started_cluster(size, exchange)
         slow_down(world)
         world.kill(world.leaders()[0])
-        began, generation = world.now, 0
-        while world.now - began < 8.0 and not (generation and world.confirmed >= generation):
+        started_at, generation = world.now, 0
+        while world.now - started_at < 8.0 and not (generation and world.confirmed >= generation):
             world.run(0.1)
             generation = generation or world.change(size)
-        self.assertEqual(world.now - began < 3.0, exchange)
+        self.assertEqual(world.now - started_at < 3.0, exchange)
+
+    def test_no_stale_read_after_election_with_an_outdated_replica(self) -> None:
+        """Only a replica with an old text and one with the newest remain, and both receive reads throughout.
 
-    def test_old_state_never_leads(self) -> None:
-        """A member with an old text and one with the newest are left. Reads are asked of both all the while: none is
-        answered with less than was acknowledged, and a leader is found."""
+        A leader is elected, and no read returns a version older than an acknowledged one.
+        """
         for seed in range(6):
-            world = founded(200_000, seed=seed)
+            world = started_cluster(200_000, seed=seed)
             leader = world.leaders()[0]
             stale = [ip for ip in world.machines if ip != leader][seed % 2]
             world.kill(stale)
@@ -143,8 +149,8 @@
             slow_down(world)
             world.kill(leader)
             world.start(stale)
-            began = world.now
-            while world.now - began < 8.0 and not world.leaders():
+            started_at = world.now
+            while world.now - started_at < 8.0 and not world.leaders():
                 world.run(0.1)
                 for ip in world.machines:
                     if ip != leader:
@@ -156,27 +162,27 @@
                 self.assertEqual(world.stale_reads, [])
                 self.assertEqual(world.newest().generation, world.confirmed)
 
-    def test_the_judge_finds_old_reads(self) -> None:
-        """A variant that answers reads without asking the others: the judge of the test above finds it."""
+    def test_stale_reads_are_detected(self) -> None:
+        """The check of the test above detects a replica that answers reads without confirming its leadership."""
 
-        class Hasty(Replica):
+        class UnconfirmedReads(Replica):
             def read(self, now: float, call: int) -> None:
                 self.actions.append(Reply(call, 200, self.committed.text))
 
-        world = SlowWorld(1, FAST, kind=Hasty)
+        world = SlowWorld(1, FAST, kind=UnconfirmedReads)
         world.run(1.5)
         world.change(200_000)
         world.run(1.0)
         leader = world.leaders()[0]
-        away = next(ip for ip in world.machines if ip != leader)
-        world.cut = {(ip, away) for ip in world.machines}
+        partitioned = next(ip for ip in world.machines if ip != leader)
+        world.cut = {(ip, partitioned) for ip in world.machines}
         world.change(200_000)
         world.run(1.0)
-        world.read(away)
+        world.read(partitioned)
         self.assertEqual(len(world.stale_reads), 1)
 
-    def test_who_follows_is_sent_nothing(self) -> None:
-        """Changes that come so fast that every follower is always one behind: nobody is sent whole entries for it."""
+    def test_followers_one_entry_behind_get_no_snapshots(self) -> None:
+        """Under a high rate of changes every follower always lags by one entry, which must not trigger snapshots."""
         world = SlowWorld(2, FAST)
         world.synced = 0.3
         world.run(1.5)
@@ -187,30 +193,29 @@
         self.assertGreater(world.confirmed, 50)
         self.assertEqual(world.snapshots, before)
 
-    def test_losses_and_kills(self) -> None:
-        """Messages and parts of texts are lost, members are killed while they fetch: all come together after it."""
+    def test_replicas_converge_after_message_loss_and_kills_during_transfers(self) -> None:
         for seed in range(12):
-            world = founded(100_000, seed=seed)
-            drawn = random.Random(seed)
+            world = started_cluster(100_000, seed=seed)
+            rng = random.Random(seed)
             world.rate, world.loss = 4 * MEGABIT, 0.1
             for _ in range(8):
-                world.change(100_000, kind=drawn.randrange(3))
-                world.run(drawn.random())
-                ip = drawn.choice(sorted(world.machines))
+                world.change(100_000, kind=rng.randrange(3))
+                world.run(rng.random())
+                ip = rng.choice(sorted(world.machines))
                 if world.machines[ip].replica is None:
                     world.start(ip)
                 elif all(m.replica is not None for m in world.machines.values()):
                     world.kill(ip)
             world.quiet(12.0)
             with self.subTest(seed=seed):
-                numbers = {world.replica(ip).committed.index for ip in world.machines}
-                self.assertEqual(len(numbers), 1)
+                indexes = {world.replica(ip).committed.index for ip in world.machines}
+                self.assertEqual(len(indexes), 1)
                 self.assertGreaterEqual(world.newest().generation, world.confirmed)
 
     @params("10.0.0.0", "10.0.0.1", "10.0.0.2")
-    def test_a_member_of_the_version_before(self, old: str) -> None:
-        """It gets texts whole, and the others take whole texts from it, whoever leads."""
-        world = founded(200_000, old=(old,))
+    def test_replica_without_the_text_protocol_interoperates(self, old: str) -> None:
+        """A replica of the previous version sends and receives inline texts, whichever replica leads."""
+        world = started_cluster(200_000, old=(old,))
         for victim in sorted(world.machines):
             world.kill(victim)
             world.run(3.0)
@@ -223,48 +228,48 @@
         self.assertEqual(texts, {config_text(200_000, world.confirmed, 1)})
 
 
-class Processes(unittest.TestCase):
-    """Three control roles on links of this machine."""
+class ControlNodes(unittest.TestCase):
+    """Three control nodes that communicate over loopback connections."""
 
-    def test_a_member_that_was_away(self) -> None:
+    def test_restarted_follower_fetches_only_changed_blocks(self) -> None:
         async def test() -> None:
             with tempfile.TemporaryDirectory() as folder:
-                members = ThreeMembers(Path(folder))
+                nodes = ThreeControlNodes(Path(folder))
                 try:
-                    await self.away_for_a_change(members)
+                    await self.restart_follower_after_change(nodes)
                 finally:
-                    members.end_all()
+                    nodes.stop_all()
 
         run(test)
 
-    async def away_for_a_change(self, members: ThreeMembers) -> None:
+    async def restart_follower_after_change(self, nodes: ThreeControlNodes) -> None:
         for n in range(3):
-            await members.start(n)
-        await members.put(1, 0)
-        controls = members.controls
+            await nodes.start(n)
+        await nodes.put(1, 0)
+        controls = nodes.controls
         await until(lambda: all(c.replica.committed.generation == 1 for c in controls.values()))
-        away = next(n for n, c in controls.items() if c.replica.role is not ReplicaRole.LEADER)
-        members.end(away)
-        await members.put(2, 1)
-        back = await members.start(away)
-        await until(lambda: back.replica.committed.generation == 2)
-        self.assertEqual(back.replica.committed.text, members.text(2))
-        counters = back.replica_transport.texts.counters
+        follower = next(n for n, c in controls.items() if c.replica.role is not ReplicaRole.LEADER)
+        nodes.stop(follower)
+        await nodes.put(2, 1)
+        restarted = await nodes.start(follower)
+        await until(lambda: restarted.replica.committed.generation == 2)
+        self.assertEqual(restarted.replica.committed.text, nodes.text(2))
+        counters = restarted.replica_transport.texts.counters
         self.assertGreater(counters.finished, 0)
         self.assertLess(counters.blocks, 20)
-        self.assertEqual(back.store.counters.unmarked, 0)
+        self.assertEqual(restarted.store.counters.unmarked, 0)
 
 
-class ThreeMembers:
-    """Settings and calls of three members of the core, each with an address and a folder of its own."""
+class ThreeControlNodes:
+    """Starts, stops and calls three control nodes, each with its own address and state folder."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.controls: dict[int, ControlNode] = {}
         self.addresses = [f"127.88.{os.getpid() % 200}.{n + 1}" for n in range(3)]
-        with socket.socket() as free:
-            free.bind((self.addresses[0], 0))
-            self.port = min(free.getsockname()[1], 65_000)
+        with socket.socket() as probe:
+            probe.bind((self.addresses[0], 0))
+            self.port = min(probe.getsockname()[1], 65_000)
 
     async def start(self, n: int) -> ControlNode:
         settings = {
@@ -286,11 +291,11 @@
         await control.start()
         return control
 
-    def end_all(self) -> None:
+    def stop_all(self) -> None:
         for n in list(self.controls):
-            self.end(n)
+            self.stop(n)
 
-    def end(self, n: int) -> None:
+    def stop(self, n: int) -> None:
         control = self.controls.pop(n)
         control.node.stop()
         control.store.close()
@@ -308,19 +313,18 @@
         return b'{"Generation":%d,"Routes":{%b},%b}' % (generation, b",".join(routes), services)
 
     async def put(self, generation: int, base: int) -> None:
-        """As an operator does: again, at any member, until there is a clear answer."""
-        order = ControlCall(kind="put", base=base, text=self.text(generation))
-        status, why = 503, b""
+        """Replace the configuration, repeating the call at random nodes until it gets a definite answer."""
+        call = ControlCall(kind="put", base=base, text=self.text(generation))
+        status, body = 503, b""
         while status == 503:
-            status, why = await random.choice(list(self.controls.values())).operator_calls.answer(order)
-        assert status == 200, (status, why)
+            status, body = await random.choice(list(self.controls.values())).operator_calls.answer(call)
+        assert status == 200, (status, body)
 
 
-class Bounded(unittest.TestCase):
-    """What 5,000 changes leave."""
+class BoundedState(unittest.TestCase):
+    """State must not grow over 5,000 changes."""
 
-    def test_on_disk(self) -> None:
-        """Two pairs of each set, with their marks; of 5,000 saves."""
+    def test_only_two_generations_remain_on_disk(self) -> None:
         with tempfile.TemporaryDirectory() as folder, mock.patch("os.fsync"):
             store = GenerationFile(Path(folder), "comb")
             for n in range(5000):
@@ -331,10 +335,9 @@
             self.assertLess(sum(f.stat().st_size for f in files), 2 * (4 * 1024 + 512))
             self.assertEqual((GenerationFile(Path(folder), "comb").load() or {})[b"change"][:5], b"04999")
 
-    def test_in_an_entry(self) -> None:
-        """The snapshot is one entry, with the text and the orders that are remembered. A member that was away for all
-        of 5,000 changes has it as soon as one that was away for one."""
-        world = founded(SMALL)
+    def test_snapshot_size_is_independent_of_missed_changes(self) -> None:
+        """A snapshot is a single entry: a replica catches up as fast after 5,000 missed changes as after one."""
+        world = started_cluster(SMALL)
         leader = world.leaders()[0]
         follower = [ip for ip in world.machines if ip != leader][-1]
         world.kill(follower)
@@ -345,19 +348,19 @@
         self.assertGreaterEqual(world.confirmed, 4900)
         self.assertLessEqual(len(entry.applied_calls), MAX_APPLIED_CALLS)
         self.assertLess(entry.ByteSize() - len(entry.text), 12_000)
-        acting = world.replica(leader)
-        self.assertLess(len(acting.sends_after_persist) + len(acting.persisting), 4)
-        self.assertLess(len(acting.calls.unconfirmed) + len(acting.calls.queued_changes), 2)
+        leading_replica = world.replica(leader)
+        self.assertLess(len(leading_replica.sends_after_persist) + len(leading_replica.persisting), 4)
+        self.assertLess(len(leading_replica.calls.unconfirmed) + len(leading_replica.calls.queued_changes), 2)
         slow_down(world)
         world.start(follower)
-        self.assertLess(world.until_caught_up(follower, SMALL), stated_time(SMALL))
+        self.assertLess(world.until_caught_up(follower, SMALL), max_catch_up_time(SMALL))
         self.assertEqual(world.leaders(), [leader])
-        self.assertLess(world.heartbeat_late, MOST_LATE)
+        self.assertLess(world.heartbeat_late, MAX_HEARTBEAT_DELAY)
 
-    def test_of_endpoints(self) -> None:
-        """5,000 endpoints that come and go, one every 2 s: records of those that are gone are forgotten."""
+    def test_records_of_ended_endpoints_expire(self) -> None:
+        """5,000 endpoints start and end, one every 2 s."""
         records = RecordStore()
-        most = 0
+        max_records = 0
         for n in range(5000):
             now = 2.0 * n
             records.apply(now, Record(kind=RecordKind.ENDPOINT, id=f"i-{n}", incarnation=1, seq=1, rank=0))
@@ -365,8 +368,8 @@
                 now + 1.0, Record(kind=RecordKind.ENDPOINT, id=f"i-{n}", incarnation=1, seq=2, rank=ENDED_RANK)
             )
             records.expire(now + 1.0)
-            most = max(most, len(records.by_key))
-        self.assertLess(most, 1000)
+            max_records = max(max_records, len(records.by_key))
+        self.assertLess(max_records, 1000)
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_client_calls.py
+++ b/tests/mesh/test_client_calls.py
@@ -1,5 +1,4 @@
-"""The calls of operators: what they are told by a leader that was replaced, cut off or unlucky, and what a change that
-is sent again is told."""
+"""Answers to client calls: from replaced or partitioned leaders, under message loss, and to repeated changes."""
 
 from __future__ import annotations
 
@@ -21,11 +20,11 @@
 from zinclever.mesh.model.members import World
 from zinclever.mesh.transport.mesh_pb2 import AppliedCall, LogEntry
 
-CALLER_TIMEOUT = 1.0  # s of silence after which an operator goes on to another member
+CALLER_TIMEOUT = 1.0  # seconds until a caller gives up and tries another replica
 
 
-def up(seed: int = 1, members: int = 3) -> World:
-    """A world with a leader, in which version 1 was acknowledged."""
+def started_cluster(seed: int = 1, members: int = 3) -> World:
+    """A cluster with a leader, in which generation 1 was acknowledged."""
     w = World(seed, members)
     w.run(2.0)
     (ip,) = w.leaders()
@@ -36,7 +35,7 @@
 
 
 def isolate(w: World, ip: str) -> None:
-    """Cut a machine off, both ways."""
+    """Partition a replica from all others, in both directions."""
     w.cut = {(a, b) for a in w.machines for b in w.machines if ip in (a, b) and a != b}
 
 
@@ -45,10 +44,10 @@
     return call.told
 
 
-def put_until_told(w: World, base: int, generation: int, variant: int = 0, within: float = 6.0) -> Told:
-    """An operator that sends a change to whoever leads until it has a clear answer."""
-    until = w.now + within
-    while w.now < until:
+def put_until_answered(w: World, base: int, generation: int, variant: int = 0, within: float = 6.0) -> Told:
+    """Send a change to the current leaders until one gives a definite answer."""
+    deadline = w.now + within
+    while w.now < deadline:
         for ip in w.leaders():
             call = w.put(ip, base, generation, variant)
             w.run(0.3)
@@ -58,25 +57,25 @@
     return Told.UNCLEAR
 
 
-class Bounded(unittest.TestCase):
-    """What waits at a leader is bounded, in calls and in bytes: what is more has no clear answer at once."""
+class QueueLimits(unittest.TestCase):
+    """The number and the total size of waiting calls are limited; further calls are answered 503 at once."""
 
-    def asked(self, count: int, size: int) -> list[int]:
-        """The statuses that calls got at once, of so many with configurations of so many bytes."""
+    def immediate_statuses(self, count: int, size: int) -> list[int]:
+        """The immediate answers to ``count`` changes with configurations of ``size`` bytes."""
         replies: list[int] = []
         calls = ClientCalls(lambda call, status, text: replies.append(status))
         for n in range(count):
             calls.change(ChangeCall(n, 0.0, 0, n + 1, b"x" * size, b"%d" % n), None)
         return replies
 
-    def test_calls(self) -> None:
-        self.assertEqual(self.asked(MAX_CALLS, 10), [])
-        self.assertEqual(self.asked(MAX_CALLS + 3, 10), [503] * 3)
+    def test_number_of_changes_is_limited(self) -> None:
+        self.assertEqual(self.immediate_statuses(MAX_CALLS, 10), [])
+        self.assertEqual(self.immediate_statuses(MAX_CALLS + 3, 10), [503] * 3)
 
-    def test_bytes(self) -> None:
-        self.assertEqual(self.asked(5, MAX_CALL_BYTES // 4), [503])
+    def test_total_size_is_limited(self) -> None:
+        self.assertEqual(self.immediate_statuses(5, MAX_CALL_BYTES // 4), [503])
 
-    def test_reads(self) -> None:
+    def test_number_of_reads_is_limited(self) -> None:
         replies: list[int] = []
         calls = ClientCalls(lambda call, status, text: replies.append(status))
         for n in range(MAX_CALLS + 1):
@@ -85,11 +84,11 @@
 
 
 class ReplacedLeader(unittest.TestCase):
-    """A leader that doesn't know yet that it was replaced states nothing."""
+    """A leader that has been replaced without noticing must not answer from its stale state."""
 
-    def replaced(self, seed: int) -> tuple[World, str]:
-        """A leader stood still for 10 s. Another was elected, and version 2 acknowledged. It runs again."""
-        w = up(seed)
+    def replaced_leader(self, seed: int) -> tuple[World, str]:
+        """A leader that resumes after a pause of 10 s, in which another was elected and committed generation 2."""
+        w = started_cluster(seed)
         (old,) = w.leaders()
         w.pause(old)
         w.run(10.0)
@@ -102,25 +101,25 @@
         return w, old
 
     @params(*range(6))
-    def test_on_top_of_a_version_that_it_does_not_know(self, seed: int) -> None:
-        w, old = self.replaced(seed)
-        call = w.put(old, 2, 3)  # at the first instant: before a message, before a turn
+    def test_change_on_a_generation_it_has_not_seen_is_not_rejected(self, seed: int) -> None:
+        w, old = self.replaced_leader(seed)
+        call = w.put(old, 2, 3)  # before the old leader has handled a message or a tick
         w.run(1.0)
         self.assertIsNot(told(call), Told.STALE)
         self.assertTrue(linearizable(w.history))
-        self.assertIs(put_until_told(w, 2, 3), Told.DONE)
+        self.assertIs(put_until_answered(w, 2, 3), Told.DONE)
 
     @params(*range(6))
-    def test_a_number_that_is_not_above_the_one_that_it_knows(self, seed: int) -> None:
-        w, old = self.replaced(seed)
+    def test_generation_not_above_its_own_is_not_rejected(self, seed: int) -> None:
+        w, old = self.replaced_leader(seed)
         call = w.put(old, 1, 1)
         w.run(1.0)
         self.assertIsNot(told(call), Told.NOT_ABOVE)
         self.assertTrue(linearizable(w.history))
 
     @params(*range(6))
-    def test_calls_that_came_while_it_stood_still(self, seed: int) -> None:
-        w = up(seed)
+    def test_calls_received_during_its_pause(self, seed: int) -> None:
+        w = started_cluster(seed)
         (old,) = w.leaders()
         w.pause(old)
         w.run(4.0)
@@ -136,28 +135,28 @@
         self.assertTrue(linearizable(w.history))
 
     @params(*range(6))
-    def test_cut_off_both_ways(self, seed: int) -> None:
-        """Between the election of the next leader and its own stepping down two lead."""
-        w = up(seed)
+    def test_partitioned_leader_before_it_steps_down(self, seed: int) -> None:
+        """After the election of the new leader, both replicas lead until the old one steps down."""
+        w = started_cluster(seed)
         (old,) = w.leaders()
         isolate(w, old)
-        asked = 0
+        calls_to_old = 0
         for generation in range(2, 100):
             w.run(0.02)
             newest = max(w.acked)
             for ip in w.leaders():
                 if ip != old:
                     w.put(ip, newest, generation)
-                elif newest > 1:  # one that it could only refuse: it knows of version 1
+                elif newest > 1:  # the old leader only has generation 1 and could only reject this
                     w.put(old, newest, generation)
-                    asked += 1
-        self.assertGreater(asked, 0)
+                    calls_to_old += 1
+        self.assertGreater(calls_to_old, 0)
         self.assertTrue(linearizable(w.history))
 
     @params(*range(6))
-    def test_refusals_of_a_leader_that_nobody_hears(self, seed: int) -> None:
-        """It hears the others and is not heard: no answer of theirs is one to its question."""
-        w = up(seed)
+    def test_leader_that_can_receive_but_not_send_gives_no_definite_answer(self, seed: int) -> None:
+        """Messages received from the other voters must not count as confirmations."""
+        w = started_cluster(seed)
         (old,) = w.leaders()
         w.cut = {(old, ip) for ip in w.machines if ip != old}
         call = w.put(old, 0, 9)
@@ -166,14 +165,14 @@
 
 
 class Confirmations(unittest.TestCase):
-    @params("all are up", "one is lost")
-    def test_messages_that_are_lost(self, case: str) -> None:
-        """A tenth of the messages is lost: the leader asks again those that have not answered."""
+    @params("all are up", "one is down")
+    def test_lost_confirmation_requests_are_repeated(self, case: str) -> None:
+        """With 10% message loss, calls are still answered in time."""
         unanswered = []
         for seed in range(30):
-            w = up(seed)
+            w = started_cluster(seed)
             (ip,) = w.leaders()
-            if case == "one is lost":
+            if case == "one is down":
                 w.kill(next(other for other in w.machines if other != ip))
             w.loss = 0.1
             read, refusal = w.get(ip), w.put(ip, 0, 9)
@@ -182,9 +181,9 @@
                 unanswered.append(seed)
         self.assertEqual(unanswered, [])
 
-    def test_one_that_began_before_the_call_is_none(self) -> None:
-        """The questions of an earlier call are answered late: they say nothing for a later one."""
-        w = up()
+    def test_confirmation_of_an_earlier_round_does_not_count(self) -> None:
+        """Late confirmations of a round that began before the call must not confirm it."""
+        w = started_cluster()
         (old,) = w.leaders()
         replica = w.machines[old].replica
         assert replica is not None
@@ -200,8 +199,8 @@
         self.assertIs(told(later), Told.UNCLEAR)
         self.assertEqual(later.ended if later else 0.0, math.inf)
 
-    def test_those_of_an_earlier_term_are_none(self) -> None:
-        w = up()
+    def test_confirmations_are_discarded_at_the_end_of_a_term(self) -> None:
+        w = started_cluster()
         (old,) = w.leaders()
         replica = w.machines[old].replica
         assert replica is not None
@@ -209,25 +208,27 @@
         replica.change_role(type(replica.role).FOLLOWER, w.now)
         self.assertFalse(replica.calls.confirmations.confirmed)
 
-    @params("get", "put", "refusal")
-    def test_without_a_majority_the_caller_can_go_on_soon(self, kind: str) -> None:
-        w = up()
+    @params("get", "put", "rejected put")
+    def test_without_a_majority_calls_fail_before_the_caller_times_out(self, kind: str) -> None:
+        w = started_cluster()
         (ip,) = w.leaders()
         isolate(w, ip)
-        call = {"get": lambda: w.get(ip), "put": lambda: w.put(ip, 1, 2), "refusal": lambda: w.put(ip, 0, 2)}[kind]()
+        call = {"get": lambda: w.get(ip), "put": lambda: w.put(ip, 1, 2), "rejected put": lambda: w.put(ip, 0, 2)}[
+            kind
+        ]()
         w.run(CALL_TIMEOUT + 0.1)
         assert call is not None
         self.assertIs(call.told, Told.UNCLEAR)
         self.assertLess(call.ended - call.began, CALLER_TIMEOUT - 0.2)
 
     @params((0, 0.6), (32 * 1024, 0.6), (132_768, 1.6), (4_000_000, 2.5))
-    def test_larger_configurations_may_take_longer(self, size: int, want: float) -> None:
+    def test_timeout_grows_with_configuration_size(self, size: int, want: float) -> None:
         self.assertAlmostEqual(call_timeout(size), want, places=6)
 
 
-class TwoOperators(unittest.TestCase):
-    def test_one_number_with_two_texts(self) -> None:
-        w = up()
+class ConcurrentAndRepeatedChanges(unittest.TestCase):
+    def test_same_generation_with_different_texts(self) -> None:
+        w = started_cluster()
         (ip,) = w.leaders()
         first, second = w.put(ip, 1, 5, 1), w.put(ip, 1, 5, 2)
         w.run(0.5)
@@ -241,83 +242,83 @@
             self.assertIs(told(again), want)
         self.assertTrue(linearizable(w.history))
 
-    def test_one_text_under_two_numbers(self) -> None:
+    def test_same_text_with_different_generations(self) -> None:
         committed = LogEntry(generation=5, applied_calls=[AppliedCall(generation=5, base=1, digest=b"text")])
         again = direct_answer(ChangeCall(1, 0.0, 1, 5, b"text", b"text"), committed)
         other = direct_answer(ChangeCall(2, 0.0, 1, 6, b"text", b"text"), committed)
         self.assertEqual((again and again.status, other and other.status), (200, 412))
         self.assertIsNone(direct_answer(ChangeCall(3, 0.0, 5, 6, b"text", b"text"), committed))
 
-    def test_sent_at_once_to_three_members(self) -> None:
-        """Two of them hand it on to the leader: it comes there three times."""
-        w = up()
+    def test_change_received_three_times_at_once_is_committed_once(self) -> None:
+        """A caller that sends a change to three replicas reaches the leader three times, as followers forward it."""
+        w = started_cluster()
         (ip,) = w.leaders()
-        number = w.newest().index
+        index = w.newest().index
         calls = [w.put(ip, 1, 2) for _ in range(3)]
         w.run(0.5)
         self.assertEqual([told(c) for c in calls], [Told.DONE] * 3)
-        self.assertEqual(w.newest().index, number + 1)
+        self.assertEqual(w.newest().index, index + 1)
 
-    def test_one_that_builds_on_one_under_way(self) -> None:
-        w = up()
+    def test_change_based_on_a_pending_change(self) -> None:
+        w = started_cluster()
         (ip,) = w.leaders()
         calls = [w.put(ip, n, n + 1) for n in range(1, 5)]
         w.run(0.5)
         self.assertEqual([told(c) for c in calls], [Told.DONE] * 4)
 
-    def test_one_that_lost_its_race_stays_refused(self) -> None:
-        w = up()
+    def test_change_that_lost_to_a_concurrent_one_stays_rejected(self) -> None:
+        w = started_cluster()
         (ip,) = w.leaders()
         w.put(ip, 1, 2)
         w.run(0.5)
         for _ in range(3):
-            self.assertIs(put_until_told(w, 1, 3), Told.STALE)
+            self.assertIs(put_until_answered(w, 1, 3), Told.STALE)
         for base in range(2, 60):
-            self.assertIs(put_until_told(w, base, base + 1), Told.DONE)
-        self.assertIs(put_until_told(w, 1, 70), Told.STALE)
+            self.assertIs(put_until_answered(w, base, base + 1), Told.DONE)
+        self.assertIs(put_until_answered(w, 1, 70), Told.STALE)
 
     @params(1, 50, 300)
-    def test_again_after_other_changes(self, others: int) -> None:
-        """One that was taken is acknowledged again, or has no clear answer once it is forgotten."""
-        w = up()
+    def test_repeated_change_after_later_changes(self, others: int) -> None:
+        """An applied change is acknowledged again, or gets no definite answer once it is no longer remembered."""
+        w = started_cluster()
         w.synced = 1.0
         (ip,) = w.leaders()
         for base in range(1, others + 1):
             w.put(ip, base, base + 1)
             while base + 1 not in w.acked:
                 w.run(0.01)
-        again = w.put(ip, 0, 1)
-        lost = w.put(ip, 0, others + 7)  # never taken: its number is above all that are forgotten
+        repeated = w.put(ip, 0, 1)
+        never_applied = w.put(ip, 0, others + 7)  # its generation is above all that are no longer remembered
         w.run(0.5)
-        self.assertIs(told(again), Told.DONE if others < MAX_APPLIED_CALLS else Told.UNCLEAR)
-        self.assertIs(told(lost), Told.STALE)
+        self.assertIs(told(repeated), Told.DONE if others < MAX_APPLIED_CALLS else Told.UNCLEAR)
+        self.assertIs(told(never_applied), Told.STALE)
 
     @params(*range(4))
-    def test_again_across_a_change_of_leader(self, seed: int) -> None:
-        w = up(seed)
+    def test_repeated_change_after_a_leader_change(self, seed: int) -> None:
+        w = started_cluster(seed)
         (old,) = w.leaders()
         w.answer_loss = 1.0
         w.put(old, 1, 2)
         w.run(0.01 * seed)
         w.kill(old)
         w.answer_loss = 0.0
-        self.assertIs(put_until_told(w, 1, 2), Told.DONE)
+        self.assertIs(put_until_answered(w, 1, 2), Told.DONE)
         w.start(old)
-        self.assertIs(put_until_told(w, 2, 3), Told.DONE)
-        self.assertIs(put_until_told(w, 1, 2), Told.DONE)
+        self.assertIs(put_until_answered(w, 2, 3), Told.DONE)
+        self.assertIs(put_until_answered(w, 1, 2), Told.DONE)
         self.assertTrue(linearizable(w.history))
 
     @params(*range(4))
-    def test_again_after_all_power_was_lost(self, seed: int) -> None:
-        w = up(seed)
+    def test_repeated_change_after_a_power_failure_of_all_replicas(self, seed: int) -> None:
+        w = started_cluster(seed)
         w.answer_loss = 1.0
         w.put(w.leaders()[0], 1, 2)
         w.run(0.5)
         for ip in list(w.machines):
             w.kill(ip)
         w.quiet(2.0)
-        self.assertIs(put_until_told(w, 1, 2), Told.DONE)
-        self.assertIs(put_until_told(w, 1, 3), Told.STALE)
+        self.assertIs(put_until_answered(w, 1, 2), Told.DONE)
+        self.assertIs(put_until_answered(w, 1, 3), Told.STALE)
         self.assertTrue(linearizable(w.history))
 
 
--- a/tests/mesh/test_compatibility.py
+++ b/tests/mesh/test_compatibility.py
@@ -1,7 +1,7 @@
-"""What version 0.1 (commit 99e4504) sent and stored is read as it was meant, and what is sent now is the same bytes.
+"""Compatibility of the wire and disk formats with version 0.1 (commit 99e4504).
 
-``fixtures/wire.json`` and ``fixtures/state`` were made by that commit: the messages of :mod:`.wire_samples` as it
-serialized them, and the folder of a control replica as its store wrote it.
+That commit wrote the fixtures: ``fixtures/wire.json`` holds the messages of :mod:`.wire_samples` as it serialized them,
+``fixtures/state`` is the state folder of a control node.
 """
 
 from __future__ import annotations
@@ -32,17 +32,17 @@
         self.assertEqual(sorted(self.wire[kind]), sorted(samples))
         for name, sample in samples.items():
             with self.subTest(kind=kind, name=name):
-                sent = bytes.fromhex(self.wire[kind][name])
-                self.assertEqual(parse.FromString(sent), sample)
-                self.assertEqual(sample.SerializeToString(deterministic=True), sent)
+                encoded = bytes.fromhex(self.wire[kind][name])
+                self.assertEqual(parse.FromString(encoded), sample)
+                self.assertEqual(sample.SerializeToString(deterministic=True), encoded)
 
-    def test_datagrams_are_the_same_bytes(self) -> None:
+    def test_datagram_encoding_is_unchanged(self) -> None:
         self.check("datagrams", GossipMessage, dict(wire_samples.datagrams()))
 
-    def test_frames_are_the_same_bytes(self) -> None:
+    def test_frame_encoding_is_unchanged(self) -> None:
         self.check("frames", Frame, dict(wire_samples.frames()))
 
-    def test_a_frame_of_each_kind_is_among_the_samples(self) -> None:
+    def test_samples_include_every_kind_of_frame(self) -> None:
         kinds = {field.name for field in Frame.DESCRIPTOR.oneofs[0].fields}
         self.assertEqual({frame.WhichOneof("what") for frame in wire_samples.frames().values()}, kinds)
 
@@ -54,7 +54,7 @@
         self.folder = Path(scratch.name) / "state"
         shutil.copytree(FIXTURES / "state", self.folder)
 
-    async def test_a_replica_finds_all_that_it_stored(self) -> None:
+    async def test_replica_loads_its_stored_state(self) -> None:
         store = ReplicaStore(self.folder)
         self.addCleanup(store.close)
         await asyncio.get_running_loop().run_in_executor(None, store.load)
@@ -62,7 +62,7 @@
         self.assertEqual(store.vote, Vote(5, "disk-2"))
         self.assertEqual(store.entry, wire_samples.entry())
 
-    def test_the_command_that_shows_a_folder_shows_the_same(self) -> None:
+    def test_operator_command_shows_the_stored_state(self) -> None:
         state = read_folder(self.folder)
         assert state.entry is not None
         self.assertEqual(
