--- a/tests/mesh/listed_operations.py
+++ b/tests/mesh/listed_operations.py
@@ -1,4 +1,4 @@
-"""A file system for tests that offers what DEPLOY lists for the disks of the mesh, and refuses all else."""
+"""Test guard that rejects file system operations which DEPLOY doesn't list for the disks of the mesh."""
 
 from __future__ import annotations
 
@@ -9,40 +9,39 @@
 from typing import Any
 from unittest import mock
 
-#: What is listed, by the names of Python's audit events: open, remove, rename, list, set the length. Reading, writing
-#: and syncing need an open file and raise no event.
+#: Listed operations, as names of Python's audit events. Reading, writing and syncing an open file raise no event.
 LISTED = frozenset({"open", "os.remove", "os.rename", "os.listdir", "os.scandir", "os.truncate"})
-#: Families of audit events that reach the file system.
+#: Prefixes of audit events of file system operations.
 FAMILIES = ("os.", "shutil.", "fcntl.", "mmap.", "pathlib.", "tempfile.")
-#: Calls that raise no audit event, and would ask or set what the disks don't keep.
+#: Functions of ``os`` that raise no audit event and are not listed.
 UNAUDITED = ("stat", "lstat", "access", "umask", "statvfs", "sync", "sendfile", "copy_file_range")
 
 
 class NotListed(Exception):
-    """An operation was asked for that the disks don't offer. Not an OSError, so that no caller takes it for one."""
+    """An operation is not listed. Not an OSError, so that code under test doesn't handle it."""
 
 
-refusing = False
+is_enforced = False
 
 
-def refuse_unlisted(event: str, args: tuple[Any, ...]) -> None:
-    """The audit hook: can't be taken out again, so it does nothing unless a test wants it."""
-    if refusing and event.startswith(FAMILIES) and event not in LISTED:
+def reject_unlisted(event: str, args: tuple[Any, ...]) -> None:
+    """Audit hook. Hooks can't be removed, so it does nothing outside :func:`only_listed_operations`."""
+    if is_enforced and event.startswith(FAMILIES) and event not in LISTED:
         raise NotListed(event)
 
 
-sys.addaudithook(refuse_unlisted)
+sys.addaudithook(reject_unlisted)
 
 
 @contextmanager
 def only_listed_operations() -> Iterator[None]:
-    """Within it, each call of this process that is not listed raises :class:`NotListed`."""
-    global refusing
+    """A context in which operations of this process that are not listed raise :class:`NotListed`."""
+    global is_enforced
     with ExitStack() as patches:
         for name in UNAUDITED:
             patches.enter_context(mock.patch.object(os, name, side_effect=NotListed(name)))
-        refusing = True
+        is_enforced = True
         try:
             yield
         finally:
-            refusing = False
+            is_enforced = False
--- a/tests/mesh/test_repairs.py
+++ b/tests/mesh/test_repairs.py
@@ -1,4 +1,4 @@
-"""A second loss at every step of a repair, and the rules left out one by one."""
+"""A second failure at every step of a repair, and variants that each lack one rule."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from mesh.cases import params
-from mesh.test_voters import core, follower, voters
+from mesh.test_voters import follower, started_cluster, voters
 from zinclever.mesh.consensus import quorum
 from zinclever.mesh.consensus.messages import MessageKind
 from zinclever.mesh.consensus.replica import Replica
@@ -16,13 +16,13 @@
 from zinclever.mesh.transport.mesh_pb2 import ConsensusMessage, LogEntry, Voter
 
 
-class SecondLoss(unittest.TestCase):
-    """Every step of a repair, 20 ms apart: one more disk is lost there, at times with all power."""
+class SecondFailure(unittest.TestCase):
+    """At each step of a repair another disk is lost, sometimes together with the power of all replicas."""
 
     FINE, COARSE = 0.02, 0.2
-    """s between two steps: fine ones where the set changes, at the start and when a lost voter's place is taken."""
+    """Seconds between two steps; fine while the voter set changes: at the start, and when a lost voter is replaced."""
 
-    def steps(self) -> Iterator[float]:
+    def step_times(self) -> Iterator[float]:
         at = 0.0
         while at < 2.6:
             yield at
@@ -46,17 +46,17 @@
         ("left", False),
         ("left", True),
     )
-    def test_at_each_step(self, kind: str, leads: bool) -> None:
-        # One is out for the repair and one more is lost: that is what losses of 2 have to bear at any instant. In a
-        # planned replacement nobody is out: its successor has long had a vote, and losses of 1 have to be borne.
-        start = core(3, 5, 2, 3) if kind != "left" else core(3, 4, 1, 3)
+    def test_disk_loss_at_each_step(self, kind: str, leads: bool) -> None:
+        # During the repair of one replica another one is lost, which requires a tolerance of 2 failures. In a planned
+        # replacement the successor is a voter before the old replica leaves, and a tolerance of 1 is enough.
+        start = started_cluster(3, 5, 2, 3) if kind != "left" else started_cluster(3, 4, 1, 3)
         victim = start.leaders()[0] if leads else follower(start)
         self.repair(start, kind, victim)
         began = start.now
-        for n, at in enumerate(self.steps()):
+        for n, at in enumerate(self.step_times()):
             if at:
                 start.run(began + at - start.now)
-            if n % 7 == 3 and start.leaders():  # versions go on meanwhile
+            if n % 7 == 3 and start.leaders():  # changes continue during the repair
                 newest = start.newest().generation
                 start.put(start.leaders()[0], newest, newest + 1)
             with self.subTest(at=at):
@@ -71,11 +71,11 @@
                 w.one_winner()
                 self.assertTrue(w.leaders() and w.reads(w.leaders()[0]))
 
-    def test_one_repair_after_another(self) -> None:
-        """Each machine in turn is replaced, in a different way, and has CatchupS; then comes the next."""
+    def test_successive_repairs(self) -> None:
+        """Each node is replaced in turn, in different ways, with time to catch up in between."""
         for seed in range(2):
             with self.subTest(seed=seed):
-                w = core(seed, 3, 1, 3)
+                w = started_cluster(seed, 3, 1, 3)
                 for n, kind in enumerate(("replaced", "disk lost", "left", "replaced", "disk lost", "left")):
                     newest = w.newest().generation
                     w.put(w.leaders()[0], newest, newest + 1)
@@ -94,13 +94,16 @@
                     w.nothing_lost()
 
 
-class BrokenOnPurpose(unittest.TestCase):
-    """Each rule left out is found by the losses that it is there for."""
+class MissingRules(unittest.TestCase):
+    """Variants that lack one rule must fail in the situation that the rule is for."""
 
     def loses(self, seed: int, kind: type[Replica]) -> bool:
-        """Whether something acknowledged is lost, or nobody can lead, where one of three leaves for good with only one
-        other copy there, and its successor has had its time before the disk with that other copy is lost."""
-        w = core(seed, 3, 1, 3, kind)
+        """Whether an acknowledged change is lost, or no leader can be elected.
+
+        One of three replicas leaves for good while only the leader's disk also holds the newest entry, and then that
+        disk is lost. A correct replica waits with its shutdown until the third one holds the entry.
+        """
+        w = started_cluster(seed, 3, 1, 3, kind)
         (leader,) = w.leaders()
         leaver = follower(w)
         lacking = next(ip for ip in w.machines if ip not in (leader, leaver))
@@ -109,15 +112,15 @@
         w.run(0.3)
         w.terminate(leaver, gone=True)
         w.run(0.4)
-        if leaver in w.ending:  # it waits for the others, as it should
+        if leaver in w.ending:  # it still waits for the entry to reach the other disks, as required
             return False
         w.cut.clear()
         w.wipe(leader)
         w.quiet(3.0)
         return w.newest().generation < 2 or not w.leaders()
 
-    def test_let_go_at_once(self) -> None:
-        class Hasty(Replica):
+    def test_leaving_replica_confirmed_before_others_hold_the_entry(self) -> None:
+        class ImmediateLeave(Replica):
             def receive(self, now: float, m: ConsensusMessage) -> None:
                 super().receive(now, m)
                 if m.kind == MessageKind.LEAVE:
@@ -133,13 +136,13 @@
                     )
 
         self.assertFalse(any(self.loses(seed, Replica) for seed in range(4)))
-        self.assertTrue(any(self.loses(seed, Hasty) for seed in range(4)))
+        self.assertTrue(any(self.loses(seed, ImmediateLeave) for seed in range(4)))
 
-    def test_silence_that_lowers_what_can_be_lost(self) -> None:
-        """The set goes down to the size of the one that was founded, after a second."""
+    def test_voter_set_that_shrinks_to_its_initial_size(self) -> None:
+        """Without the target size, unreachable voters are removed down to the initial size of the set."""
 
         def shrinks(kind: type[Replica]) -> bool:
-            w = core(1, kind=kind)
+            w = started_cluster(1, kind=kind)
             w.kill(follower(w))
             w.run(4.0)
             return len(voters(w)) < 5
@@ -148,16 +151,16 @@
         with mock.patch.object(quorum, "target_size", lambda founding_size, losses: founding_size):
             self.assertTrue(shrinks(Replica))
 
-    def test_a_vote_before_the_state(self) -> None:
-        """A newcomer that takes nothing to its disk gets a vote all the same: then the next loss leaves no leader."""
+    def test_learner_that_becomes_a_voter_before_it_holds_the_state(self) -> None:
+        """If a learner becomes a voter although its disk fails, the next failure blocks all commits."""
 
-        class Eager(Replica):
+        class VoteBeforeState(Replica):
             def send_append(self, voter: Voter, entry: LogEntry) -> None:
                 super().send_append(voter, entry)
                 self.voter_changes.on_acknowledged(voter.disk, entry.index)
 
-        def leads_after_a_loss(kind: type[Replica]) -> bool:
-            w = core(1, 3, 1, 3, kind)
+        def commits_after_failure(kind: type[Replica]) -> bool:
+            w = started_cluster(1, 3, 1, 3, kind)
             w.add("10.0.0.10")
             w.full = {"10.0.0.10"}
             w.run(4.0)
@@ -166,8 +169,8 @@
             w.run(1.0)
             return 2 in w.acked
 
-        self.assertTrue(leads_after_a_loss(Replica))
-        self.assertFalse(leads_after_a_loss(Eager))
+        self.assertTrue(commits_after_failure(Replica))
+        self.assertFalse(commits_after_failure(VoteBeforeState))
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_storage.py
+++ b/tests/mesh/test_storage.py
@@ -1,4 +1,4 @@
-"""What is on disk is whole or not there, whatever happens between two calls of the file system."""
+"""Atomicity and durability of saves under crashes, power failures and damaged files."""
 
 from __future__ import annotations
 
@@ -17,25 +17,28 @@
 from zinclever.mesh.transport.mesh_pb2 import LogEntry
 
 
-class Stop(Exception):
-    """Power is lost."""
+class SimulatedCrash(Exception):
+    """A simulated crash."""
 
 
-class Torn:
-    """Files in memory: what is written counts as lost, kept or torn after power is lost, until it was synced."""
+class SimulatedFileSystem:
+    """In-memory file system that simulates crashes, power failures and write errors.
+
+    After a power failure, unsynced files are lost, kept or partially written.
+    """
 
     def __init__(self) -> None:
         self.synced: dict[str, dict[bytes, bytes]] = {}
         self.written: dict[str, dict[bytes, bytes]] = {}
         self.marks: set[str] = set()
         self.removed: set[str] = set()
-        self.left = 10**9
+        self.calls_until_crash = 10**9
         self.full = self.sync_fails = self.marks_fail = False
 
     def call(self) -> None:
-        self.left -= 1
-        if self.left < 0:
-            raise Stop
+        self.calls_until_crash -= 1
+        if self.calls_until_crash < 0:
+            raise SimulatedCrash
 
     def write(self, path: Path, values: dict[bytes, bytes]) -> None:
         self.call()
@@ -61,7 +64,7 @@
 
     def read(self, path: Path) -> list[StoredRecord]:
         values = self.written.get(path.name) or self.synced.get(path.name) or {}
-        return [f for v in values.values() if (f := decode(v)) is not None]
+        return [record for value in values.values() if (record := decode(value)) is not None]
 
     def remove(self, path: Path) -> None:
         self.call()
@@ -73,8 +76,13 @@
     def list(self, folder: Path) -> list[str]:
         return sorted({*self.written, *self.marks, *(n for n in self.synced if n not in self.removed)})
 
-    def power_lost(self, kept: str, back: bool) -> None:
-        """What was not synced is lost, whole or torn; removals may not have lasted."""
+    def power_lost(self, kept: str, removals_durable: bool) -> None:
+        """Simulate a power failure.
+
+        Args:
+            kept: What remains of unsynced files.
+            removals_durable: Whether removed files stay removed.
+        """
         for name, values in self.written.items():
             if kept == "whole":
                 self.synced[name] = values
@@ -85,52 +93,54 @@
             elif kept == "one copy":
                 self.synced[name] = dict(list(values.items())[: len(values) // 2])
         self.written.clear()
-        if not back:
+        if not removals_durable:
             for name in self.removed:
                 self.synced.pop(name, None)
         self.removed.clear()
 
 
 class CrashPoints(unittest.TestCase):
-    def test_each_call_is_the_last_one(self) -> None:
-        """Three changes; power is lost before each call. What is found is what was there before or after the change
-        at hand, and never less than what a save has promised."""
+    def test_power_failure_before_each_call(self) -> None:
+        """Power fails before each file system call of three saves.
+
+        Afterwards the records are those before or after the interrupted save, and never older than a completed one.
+        """
         points = 0
-        for left, kept, back in itertools.product(
+        for calls, kept, removals_durable in itertools.product(
             range(16), ("none", "torn", "part", "one copy", "whole"), (False, True)
         ):
-            files = Torn()
+            files = SimulatedFileSystem()
             store = GenerationFile(Path("/x"), "comb", files)
             store.load()
-            promised = 0
-            files.left = left
+            last_saved = 0
+            files.calls_until_crash = calls
             try:
                 for n in (1, 2, 3):
                     store.save({b"n": b"%d" % n * 10})
-                    promised = n
+                    last_saved = n
                     store.mark()
-            except Stop:
+            except SimulatedCrash:
                 points += 1
-            files.left = 10**9
-            files.power_lost(kept, back)
-            again = GenerationFile(Path("/x"), "comb", files)
-            found = again.load()
-            number = int(found[b"n"][:1]) if found else 0
-            with self.subTest(left=left, kept=kept, back=back):
-                self.assertIn(number, (promised, promised + 1))
-                self.assertFalse(again.has_lost_data)
+            files.calls_until_crash = 10**9
+            files.power_lost(kept, removals_durable)
+            reopened = GenerationFile(Path("/x"), "comb", files)
+            records = reopened.load()
+            number = int(records[b"n"][:1]) if records else 0
+            with self.subTest(calls=calls, kept=kept, removals_durable=removals_durable):
+                self.assertIn(number, (last_saved, last_saved + 1))
+                self.assertFalse(reopened.has_lost_data)
         self.assertGreater(points, 40)
 
-    def test_a_crash_after_a_crash(self) -> None:
-        files = Torn()
+    def test_repeated_crashes(self) -> None:
+        files = SimulatedFileSystem()
         GenerationFile(Path("/x"), "comb", files).save({b"n": b"1"})
         for _ in range(3):
             store = GenerationFile(Path("/x"), "comb", files)
             store.load()
-            files.left = 1
-            with self.assertRaises(Stop):
+            files.calls_until_crash = 1
+            with self.assertRaises(SimulatedCrash):
                 store.save({b"n": b"2"})
-            files.left = 10**9
+            files.calls_until_crash = 10**9
             files.power_lost("torn", True)
         store = GenerationFile(Path("/x"), "comb", files)
         self.assertEqual(store.load(), {b"n": b"1"})
@@ -138,28 +148,28 @@
         self.assertEqual(GenerationFile(Path("/x"), "comb", files).load(), {b"n": b"3"})
 
     @params("full", "sync_fails")
-    def test_a_disk_that_refuses_keeps_what_it_has(self, how: str) -> None:
-        files = Torn()
+    def test_failed_save_keeps_the_previous_records(self, failure: str) -> None:
+        files = SimulatedFileSystem()
         store = GenerationFile(Path("/x"), "comb", files)
         store.save({b"n": b"1"})
-        setattr(files, how, True)
+        setattr(files, failure, True)
         number = store.latest_number
         with self.assertRaises(OSError):
             store.save({b"n": b"2"})
         self.assertEqual(store.load(), {b"n": b"1"})
-        setattr(files, how, False)
+        setattr(files, failure, False)
         store.save({b"n": b"3"})
-        self.assertGreater(store.latest_number, number + 1)  # what a sync failed on is never written again
+        self.assertGreater(store.latest_number, number + 1)  # files whose sync failed are never written again
         self.assertEqual(store.load(), {b"n": b"3"})
 
 
 class OnDisk(unittest.TestCase):
     def setUp(self) -> None:
-        made = tempfile.TemporaryDirectory()
-        self.addCleanup(made.cleanup)
-        self.folder = Path(made.name)
+        scratch = tempfile.TemporaryDirectory()
+        self.addCleanup(scratch.cleanup)
+        self.folder = Path(scratch.name)
 
-    def test_two_pairs_are_kept(self) -> None:
+    def test_two_generations_are_kept(self) -> None:
         store = GenerationFile(self.folder, "comb")
         for n in range(5):
             store.save({b"n": b"%d" % n, b"text": b"x" * 100_000})
@@ -167,7 +177,7 @@
         self.assertEqual((GenerationFile(self.folder, "comb").load() or {})[b"n"], b"4")
 
     def written(self) -> tuple[GenerationFile, Path]:
-        """Two changes, the second one marked: its set and the stem of its files."""
+        """Save and mark two generations; returns the file and the path of the second generation."""
         store = GenerationFile(self.folder, "comb")
         store.save({b"n": b"1" * 50})
         store.mark()
@@ -175,86 +185,89 @@
         store.mark()
         return store, store.path(store.latest_number)
 
-    def again(self) -> GenerationFile:
-        made = GenerationFile(self.folder, "comb")
-        made.load()
-        return made
+    def reopen(self) -> GenerationFile:
+        reopened = GenerationFile(self.folder, "comb")
+        reopened.load()
+        return reopened
 
-    def test_any_flipped_bit_is_found_and_mended(self) -> None:
+    def test_bit_flips_are_detected_and_repaired(self) -> None:
         _, path = self.written()
         for suffix in (".dat", ".dir"):
-            whole = path.with_suffix(suffix).read_bytes()
-            for at in range(0, len(whole), 7):
-                text = bytearray(whole)
-                text[at] ^= 4
-                path.with_suffix(suffix).write_bytes(text)
-                with self.subTest(suffix=suffix, at=at):
-                    made = self.again()
-                    self.assertFalse(made.has_lost_data)
-                    self.assertEqual((made.records or {})[b"n"][:1], b"2")
-                    self.assertTrue(made.verify_and_repair())  # as it was written anew, or as the flip meant nothing
+            intact = path.with_suffix(suffix).read_bytes()
+            for offset in range(0, len(intact), 7):
+                damaged = bytearray(intact)
+                damaged[offset] ^= 4
+                path.with_suffix(suffix).write_bytes(damaged)
+                with self.subTest(suffix=suffix, offset=offset):
+                    reopened = self.reopen()
+                    self.assertFalse(reopened.has_lost_data)
+                    self.assertEqual((reopened.records or {})[b"n"][:1], b"2")
+                    self.assertTrue(reopened.verify_and_repair())  # repaired on load, or the flip had no effect
                 for later in self.folder.iterdir():
                     if later.stem > path.stem:
                         later.unlink()
-            path.with_suffix(suffix).write_bytes(whole)
+            path.with_suffix(suffix).write_bytes(intact)
 
-    def test_it_is_found_in_service(self) -> None:
+    def test_verification_detects_and_repairs_damage(self) -> None:
         store, path = self.written()
         self.assertTrue(store.verify_and_repair())
-        text = bytearray(path.with_suffix(".dat").read_bytes())
-        text[600] ^= 1
-        path.with_suffix(".dat").write_bytes(text)
+        damaged = bytearray(path.with_suffix(".dat").read_bytes())
+        damaged[600] ^= 1
+        path.with_suffix(".dat").write_bytes(damaged)
         self.assertFalse(store.verify_and_repair())
         self.assertTrue(store.verify_and_repair())
-        self.assertEqual((self.again().records or {})[b"n"][:1], b"2")
+        self.assertEqual((self.reopen().records or {})[b"n"][:1], b"2")
+
+    def test_any_partial_save_is_loaded_completely_or_not_at_all(self) -> None:
+        """The data of an unmarked generation is truncated at any byte or lacks any block, with any state of its index.
 
-    def test_every_state_that_power_may_leave_of_a_save(self) -> None:
-        """The second pair's data cut at any byte, with any block that never came, with or without its index: without
-        its mark it holds whole or not at all, and never as anything else."""
+        Either its records or the previous ones are loaded, never a mixture.
+        """
         _, path = self.written()
         path.with_suffix(".ok").unlink()
         data, index = path.with_suffix(".dat"), path.with_suffix(".dir")
-        whole, listed = data.read_bytes(), index.read_bytes()
-        states = [whole[:n] for n in range(0, len(whole), 41)]
-        states += [whole[:n] + bytes(512) + whole[n + 512 :] for n in range(0, len(whole), 512)]
+        complete_data, complete_index = data.read_bytes(), index.read_bytes()
+        states = [complete_data[:n] for n in range(0, len(complete_data), 41)]
+        states += [complete_data[:n] + bytes(512) + complete_data[n + 512 :] for n in range(0, len(complete_data), 512)]
         seen = set()
         for state in states:
-            for listing in (listed, b"", listed[: len(listed) // 2], None):
+            for index_state in (complete_index, b"", complete_index[: len(complete_index) // 2], None):
                 data.write_bytes(state)
                 index.unlink(missing_ok=True)
-                if listing is not None:
-                    index.write_bytes(listing)
-                made = GenerationFile(self.folder, "comb")
-                found = made.load(repair=False)
-                self.assertFalse(made.has_lost_data)
-                self.assertIn(found, ({b"n": b"1" * 50}, {b"n": b"2" * 700, b"m": b"x"}))
-                seen.add((found or {})[b"n"][:1])
+                if index_state is not None:
+                    index.write_bytes(index_state)
+                reopened = GenerationFile(self.folder, "comb")
+                records = reopened.load(repair=False)
+                self.assertFalse(reopened.has_lost_data)
+                self.assertIn(records, ({b"n": b"1" * 50}, {b"n": b"2" * 700, b"m": b"x"}))
+                seen.add((records or {})[b"n"][:1])
         self.assertEqual(seen, {b"1", b"2"})
 
-    def test_what_was_promised_is_lost_and_not_older(self) -> None:
+    def test_damaged_marked_generation_is_lost_data(self) -> None:
+        """An older generation must not be loaded in place of one that was durable."""
         _, path = self.written()
         path.with_suffix(".dat").write_bytes(b"\0" * 4000)
-        made = self.again()
-        self.assertTrue(made.has_lost_data)
-        self.assertIsNone(made.records)
+        reopened = self.reopen()
+        self.assertTrue(reopened.has_lost_data)
+        self.assertIsNone(reopened.records)
 
-    def test_pairs_of_version_1_are_read(self) -> None:
+    def test_format_of_version_1_is_read(self) -> None:
         records = {b"change": b"text"}
-        with dbm.dumb.open(str(self.folder / "comb-000000000007"), "n") as pair:
+        with dbm.dumb.open(str(self.folder / "comb-000000000007"), "n") as database:
             for name, value in {**records, SEAL: seal_checksum(records)}.items():
-                pair[name] = value
-        made = self.again()
-        self.assertEqual((made.records, made.latest_number), (records, 7))
+                database[name] = value
+        reopened = self.reopen()
+        self.assertEqual((reopened.records, reopened.latest_number), (records, 7))
 
-    def test_a_disk_that_has_lost_its_change_is_nobody_that_is_known(self) -> None:
+    def test_replica_that_lost_its_entry_gets_a_new_disk_id(self) -> None:
         async def test() -> None:
             store = ReplicaStore(self.folder)
             store.load()
             for n in (1, 2):
                 store.write(Persist(Vote(n, "d"), LogEntry(index=n, term=n), n))
-            again = ReplicaStore(self.folder)
-            again.load()
-            self.assertEqual((again.disk, again.vote.term), (store.disk, 2))
+            reopened = ReplicaStore(self.folder)
+            reopened.load()
+            self.assertEqual((reopened.disk, reopened.vote.term), (store.disk, 2))
             store.close()
             store.thread.shutdown(wait=True)
             for path in self.folder.glob("comb-*.dat"):
@@ -266,7 +279,7 @@
 
         asyncio.run(test())
 
-    def test_nothing_there(self) -> None:
+    def test_empty_folder_has_no_records(self) -> None:
         self.assertIsNone(GenerationFile(self.folder, "comb", OsFileSystem()).load())
 
 
--- a/tests/mesh/test_text_exchange.py
+++ b/tests/mesh/test_text_exchange.py
@@ -1,4 +1,4 @@
-"""Texts that travel by name and block by block: whole and as they were, or not at all; bounded whatever comes."""
+"""Block-wise transfer of configuration texts: integrity, reuse of blocks, abandoned transfers and bounded memory."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         self.one.incoming(0.0, ConsensusMessage(kind=MessageKind.HEARTBEAT, disk="d2", voter=TWO, protocol_version=1))
 
     def append(self, number: int, text: bytes) -> ConsensusMessage:
-        """As it comes to the second member: named, not whole."""
+        """An append request as the second replica receives it: with the name of the text only."""
         entry = LogEntry(term=1, index=number, text=text)
         message = ConsensusMessage(kind=MessageKind.APPEND, disk="d1", term=1, entry=entry, voter=ONE)
         (sent,) = self.one.outgoing(number * 1.0, Send(TWO, message))
@@ -39,71 +39,70 @@
         return sent.message
 
     def answer(self) -> ConsensusMessage:
-        """What the first member answers to the latest request of the second one."""
+        """The first replica's answer to the latest request of the second one."""
         request = self.two.outbox.pop()
         self.two.outbox.clear()
         self.one.incoming(0.0, request.message)
         return self.one.outbox.pop().message
 
-    def exchanged(self) -> list[ConsensusMessage]:
-        """Requests and answers until there are no more; the messages that came whole."""
-        whole: list[ConsensusMessage] = []
+    def complete_transfers(self) -> list[ConsensusMessage]:
+        """Exchange requests and answers until there are no more, and return the completed messages."""
+        completed: list[ConsensusMessage] = []
         while self.two.outbox:
-            whole += self.two.incoming(0.0, self.answer())
-        return whole
+            completed += self.two.incoming(0.0, self.answer())
+        return completed
 
-    def test_a_text_arrives_as_it_was(self) -> None:
+    def test_text_is_transferred_unchanged(self) -> None:
         text = config_text(300_000, 1)
         self.assertEqual(self.two.incoming(0.0, self.append(1, text)), [])
-        (whole,) = self.exchanged()
-        self.assertEqual((whole.entry.index, whole.entry.text, whole.entry.text_name), (1, text, b""))
+        (completed,) = self.complete_transfers()
+        self.assertEqual((completed.entry.index, completed.entry.text, completed.entry.text_name), (1, text, b""))
 
-    def test_only_what_differs_is_fetched(self) -> None:
+    def test_only_changed_blocks_are_fetched(self) -> None:
         self.two.incoming(0.0, self.append(1, config_text(LARGE, 1)))
-        self.exchanged()
+        self.complete_transfers()
         before = self.two.counters.blocks
         self.two.incoming(0.0, self.append(2, config_text(LARGE, 2)))
-        (whole,) = self.exchanged()
-        self.assertEqual(whole.entry.text, config_text(LARGE, 2))
+        (completed,) = self.complete_transfers()
+        self.assertEqual(completed.entry.text, config_text(LARGE, 2))
         self.assertLess(self.two.counters.blocks - before, 20)
 
-    def test_what_was_begun_is_finished(self) -> None:
-        """Newer texts are named at each step; the one that is being fetched comes whole all the same, and then
-        the newest."""
+    def test_transfer_in_progress_is_completed_before_newer_texts(self) -> None:
+        """Newer texts announced at each step must not restart the transfer; afterwards the newest text is fetched."""
         self.two.incoming(0.0, self.append(1, config_text(300_000, 1, kind=1)))
-        whole: list[ConsensusMessage] = []
+        completed: list[ConsensusMessage] = []
         for number in range(2, 60):
-            whole += self.two.incoming(0.0, self.answer())
-            if whole:
+            completed += self.two.incoming(0.0, self.answer())
+            if completed:
                 break
             self.two.incoming(0.0, self.append(number, config_text(300_000, number, kind=2)))
             self.two.outbox[:] = self.two.outbox[-1:]
             self.assertLessEqual(len(self.two.held), 2)
-        self.assertEqual([m.entry.index for m in whole], [1])
-        (newest,) = self.exchanged()
+        self.assertEqual([m.entry.index for m in completed], [1])
+        (newest,) = self.complete_transfers()
         self.assertEqual(newest.entry.index, number - 1)
 
-    def test_a_damaged_block_is_not_taken(self) -> None:
+    def test_damaged_block_is_rejected(self) -> None:
         self.two.incoming(0.0, self.append(1, config_text(300_000, 1)))
         self.two.incoming(0.0, self.answer())
         answer = self.answer()
         data = bytearray(decompress(answer.blocks[0].compressed, MAX_BLOCK_BYTES) or b"")
         data[5] ^= 1
         answer.blocks[0].compressed = compress(bytes(data))
-        held = dict(self.two.store.blocks)
+        blocks_before = dict(self.two.store.blocks)
         self.assertEqual(self.two.incoming(0.0, answer), [])
-        self.assertEqual((self.two.store.blocks, self.two.counters.given_up), (held, 1))
+        self.assertEqual((self.two.store.blocks, self.two.counters.given_up), (blocks_before, 1))
         self.two.incoming(0.0, self.append(2, config_text(300_000, 1)))
-        self.assertEqual([m.entry.index for m in self.exchanged()], [2])
+        self.assertEqual([m.entry.index for m in self.complete_transfers()], [2])
 
-    def test_a_source_that_has_it_no_more(self) -> None:
+    def test_source_that_no_longer_has_the_text(self) -> None:
         self.two.incoming(0.0, self.append(1, config_text(300_000, 1)))
         self.one.store = TextStore()
-        self.assertEqual(self.exchanged(), [])
+        self.assertEqual(self.complete_transfers(), [])
         self.assertEqual((self.two.transfer, self.two.held, self.two.counters.given_up), (None, [], 1))
 
-    def test_a_source_that_is_silent(self) -> None:
-        """Asked again, and given up; an answer of before is no reason to ask twice."""
+    def test_source_that_does_not_answer(self) -> None:
+        """The request is repeated, then the transfer is abandoned; a late answer must not trigger another request."""
         self.two.incoming(0.0, self.append(1, config_text(300_000, 1)))
         late = self.answer()
         for step in range(1, 200):
@@ -112,8 +111,8 @@
         self.two.outbox.clear()
         self.assertEqual((self.two.incoming(20.0, late), self.two.outbox), ([], []))
 
-    def test_bounded(self) -> None:
-        """5,000 changes to many members that never fetch anything, and as many named texts that nobody hands out."""
+    def test_memory_is_bounded(self) -> None:
+        """5,000 texts that receivers never fetch, and as many announced texts that no source provides."""
         for number in range(1, 5001):
             message = ConsensusMessage(
                 kind=MessageKind.APPEND, disk=f"x{number}", term=1, voter=TWO, protocol_version=1
@@ -121,25 +120,25 @@
             message.entry.text_name = b"%016d" % number
             self.two.incoming(0.0, message)
             text = b"%d" % number * 20_000
-            self.one.outgoing(number * 1.0, Send(TWO, self.whole(number, text)))
+            self.one.outgoing(number * 1.0, Send(TWO, self.append_with_text(number, text)))
         self.assertLessEqual(len(self.two.held), MAX_HELD_MESSAGES)
         self.assertEqual(len(self.two.outbox), 1)
         self.assertLessEqual(len(self.two.protocol_versions), 64)
         self.assertLessEqual(len(self.one.sent_at), MAX_SENT_RECORDS)
         self.assertLessEqual(len(self.one.store.manifests), MAX_TEXTS)
-        self.assertLessEqual(sum(len(b) for b in self.one.store.blocks.values()), MAX_HELD_BYTES)
+        self.assertLessEqual(sum(len(block) for block in self.one.store.blocks.values()), MAX_HELD_BYTES)
         self.assertLessEqual(len(self.one.store.names), MAX_TEXTS)
 
-    def whole(self, number: int, text: bytes) -> ConsensusMessage:
+    def append_with_text(self, number: int, text: bytes) -> ConsensusMessage:
         entry = LogEntry(term=1, index=number, text=text)
         return ConsensusMessage(kind=MessageKind.APPEND, disk="d1", term=1, entry=entry, voter=ONE)
 
 
 class Blocks(unittest.TestCase):
-    def test_any_text(self) -> None:
-        drawn = random.Random(4)
-        texts = [b"", b"x", b"},", b'},"' * 50_000, drawn.randbytes(100_000), config_text(LARGE, 3)]
-        texts += [b"".join(drawn.choice((b'},"', b"a", b"}")) for _ in range(5000)) for _ in range(20)]
+    def test_any_text_can_be_split_and_joined(self) -> None:
+        rng = random.Random(4)
+        texts = [b"", b"x", b"},", b'},"' * 50_000, rng.randbytes(100_000), config_text(LARGE, 3)]
+        texts += [b"".join(rng.choice((b'},"', b"a", b"}")) for _ in range(5000)) for _ in range(20)]
         for text in texts:
             blocks = split_blocks(text)
             self.assertEqual(b"".join(blocks), text)
@@ -148,11 +147,11 @@
             name = store.add(text)
             self.assertEqual((store.text(name), name), (text, manifest_name(make_manifest(blocks))))
 
-    def test_routes_that_come_and_go_change_few_blocks(self) -> None:
+    def test_an_inserted_route_changes_few_blocks(self) -> None:
         text = config_text(LARGE, 1)
         before = set(block_names(make_manifest(split_blocks(text))))
-        for at in (300, len(text) // 2, len(text) - 50):
-            end = text.rindex(b'},"', 0, at) + 3
+        for position in (300, len(text) // 2, len(text) - 50):
+            end = text.rindex(b'},"', 0, position) + 3
             changed = text[:end] + b'r-new":{"Authority":"new.example"},"' + text[end:]
             self.assertLess(len(set(block_names(make_manifest(split_blocks(changed)))) - before), 4)
 
--- a/tests/mesh/test_voters.py
+++ b/tests/mesh/test_voters.py
@@ -1,4 +1,4 @@
-"""Who has a vote: the set of voters never bears fewer losses than the fault model names, whatever comes and goes."""
+"""The voter set: it must tolerate the failures of the fault model while replicas join, fail and leave."""
 
 from __future__ import annotations
 
@@ -12,11 +12,13 @@
 from zinclever.mesh.model.members import World
 from zinclever.mesh.roles.node_settings import parse
 
-DRAWS = 18
+SEEDS = 18
 
 
-def core(seed: int, members: int = 5, losses: int = 2, founders: int = 3, kind: type[Replica] = Replica) -> World:
-    """A core whose set of voters was founded by the seeds and joined by the rest, with version 1 acknowledged."""
+def started_cluster(
+    seed: int, members: int = 5, losses: int = 2, founders: int = 3, kind: type[Replica] = Replica
+) -> World:
+    """A cluster bootstrapped by ``founders`` replicas and joined by the rest, with generation 1 acknowledged."""
     w = World(seed, members, losses, kind, founders)
     w.run(4.0)
     w.put(w.leaders()[0], 0, 1)
@@ -34,25 +36,27 @@
 
 
 def follower(w: World) -> str:
-    """A member that doesn't lead, drawn from the world's seed."""
+    """A random replica that is not the leader."""
     return w.rng.choice([ip for ip in w.machines if ip not in w.leaders()])
 
 
-class Size(unittest.TestCase):
-    def test_silence_never_lowers_what_can_be_lost(self) -> None:
-        """The seeds found the set and the others join. One is away for a second; the moment it is back, as many other
-        disks are lost as the fault model names, with all power."""
-        for seed in range(DRAWS):
+class VoterSetSize(unittest.TestCase):
+    def test_short_outage_does_not_reduce_the_tolerated_failures(self) -> None:
+        """A replica is down for 1 to 2 s.
+
+        Right after its return, all replicas lose power and as many other disks are lost as the fault model allows.
+        """
+        for seed in range(SEEDS):
             with self.subTest(seed=seed):
-                w = core(seed)
+                w = started_cluster(seed)
                 self.assertEqual(len(voters(w)), 5)
-                away = follower(w)
-                w.kill(away)
+                restarted = follower(w)
+                w.kill(restarted)
                 w.run(1.0 + w.rng.random())
                 self.assertEqual(len(voters(w)), 5)
-                w.start(away)
+                w.start(restarted)
                 w.run(0.1)
-                lost = w.rng.sample([ip for ip in w.machines if ip != away], 2)
+                lost = w.rng.sample([ip for ip in w.machines if ip != restarted], 2)
                 for ip in list(w.machines):
                     w.kill(ip)
                 for ip in lost:
@@ -63,12 +67,12 @@
                 self.assertTrue(w.reads(w.leaders()[0]))
 
     @params((5, 2, 3), (3, 1, 3), (3, 1, 2), (5, 1, 3), (7, 2, 3))
-    def test_all_of_the_core_join(self, members: int, losses: int, founders: int) -> None:
-        w = core(1, members, losses, founders)
+    def test_all_control_nodes_become_voters(self, members: int, losses: int, founders: int) -> None:
+        w = started_cluster(1, members, losses, founders)
         self.assertEqual(len(voters(w)), members)
 
-    def test_a_seed_away_while_the_set_is_below_the_target(self) -> None:
-        """Three of five have founded the set and one of them is gone before the others join: they join all the same."""
+    def test_learners_join_while_an_initial_voter_is_down(self) -> None:
+        """Below the target size, learners must become voters even if one of the three initial voters is down."""
         w = World(1, 3, 2)
         w.run(2.0)
         w.kill(follower(w))
@@ -80,8 +84,8 @@
         w.run(0.5)
         self.assertIn(1, w.acked)
 
-    def test_one_beyond_the_target_goes_out_once_it_is_long_unheard(self) -> None:
-        w = core(1, 4, 1, 3)
+    def test_unreachable_voter_beyond_the_target_size_is_removed(self) -> None:
+        w = started_cluster(1, 4, 1, 3)
         self.assertEqual(len(voters(w)), 4)
         w.kill(follower(w))
         w.run(1.5)
@@ -89,10 +93,10 @@
         w.run(1.5)
         self.assertEqual(len(voters(w)), 3)
 
-    def test_a_leader_that_stood_still_takes_nobody_for_lost(self) -> None:
-        """Its own silence isn't theirs: it drops no voter beyond the target in its first instants."""
+    def test_leader_removes_no_voter_after_its_own_pause(self) -> None:
+        """A leader that resumes must not take the time of its own pause for unreachability of the voters."""
         for seed in range(6):
-            w = core(seed, 4, 1, 3)
+            w = started_cluster(seed, 4, 1, 3)
             (leader,) = w.leaders()
             for ip in w.machines:
                 w.pause(ip)
@@ -106,8 +110,8 @@
             self.assertEqual(len(voters(w)), 4)
             self.assertEqual(len(w.leaders()), 1)
 
-    def test_a_learner_whose_disk_takes_nothing_gets_no_vote(self) -> None:
-        w = core(1, 3, 1, 3)
+    def test_learner_with_a_failing_disk_does_not_become_a_voter(self) -> None:
+        w = started_cluster(1, 3, 1, 3)
         w.add("10.0.0.10")
         w.full = {"10.0.0.10"}
         w.run(4.0)
@@ -116,10 +120,10 @@
         w.run(3.0)
         self.assertEqual(len(voters(w)), 4)
 
-    def test_a_learner_that_started_again_is_still_taken_in(self) -> None:
-        w = core(1, 3, 1, 3)
+    def test_restarted_learner_becomes_a_voter(self) -> None:
+        w = started_cluster(1, 3, 1, 3)
         w.add("10.0.0.10")
-        w.run(1.0)  # it has the entry, and no vote yet
+        w.run(1.0)  # it holds the entry but is no voter yet
         self.assertIsNotNone(w.machines["10.0.0.10"].disk.accepted)
         w.kill("10.0.0.10")
         w.start("10.0.0.10")
@@ -127,23 +131,23 @@
         self.assertEqual(len(voters(w)), 4)
 
 
-class Faults(unittest.TestCase):
+class FaultModels(unittest.TestCase):
     @params(
-        ("machines", FaultModel(2), "aabbc", 2),
+        ("hosts", FaultModel(2), "aabbc", 2),
         ("a zone", FaultModel(1, zones=1), "aabbcc", 2),
         ("the largest zone", FaultModel(1, zones=1), "aaabbcc", 3),
         ("two zones", FaultModel(1, zones=2), "abcde", 2),
-        ("a zone smaller than what may be lost singly", FaultModel(2, zones=1), "abcde", 2),
-        ("a zone with most of the core can't be borne", FaultModel(1, zones=1), "aaab", 1),
+        ("a zone smaller than the tolerated hosts", FaultModel(2, zones=1), "abcde", 2),
+        ("a zone with a majority of the nodes", FaultModel(1, zones=1), "aaab", 1),
         ("a region", FaultModel(1, regions=1), "aabbccd", 2),
-        ("nobody known yet", FaultModel(1, zones=1), "", 1),
+        ("no known nodes", FaultModel(1, zones=1), "", 1),
     )
-    def test_losses(self, name: str, model: FaultModel, zones: str, want: int) -> None:
-        core = [Location(zone, "r" + zone) for zone in zones]
-        self.assertEqual(model.tolerated_losses(core), want, name)
+    def test_tolerated_failures(self, name: str, model: FaultModel, zones: str, want: int) -> None:
+        nodes = [Location(zone, "r" + zone) for zone in zones]
+        self.assertEqual(model.tolerated_losses(nodes), want, name)
 
     def test_settings(self) -> None:
-        told = {
+        settings = {
             "NodeName": "core-1",
             "Role": "control",
             "Ip": "10.0.0.1",
@@ -155,16 +159,18 @@
             "Zones": {"a": "north", "b": "south"},
             "FaultModel": {"HostLosses": 2, "Zones": 1, "RegionLosses": 1},
         }
-        boot = parse(orjson.dumps(told))
-        self.assertEqual(boot.fault_model, FaultModel(2, 1, 1))
-        self.assertEqual(boot.regions, {"a": "north", "b": "south"})
-        del told["FaultModel"]
-        self.assertEqual(parse(orjson.dumps(told)).fault_model, FaultModel(1, 0, 0))
-
-    def test_a_zone_lost_leaves_a_leader(self) -> None:
-        """Zones of two machines: one zone is gone for so long that all of it could be dropped, comes back, and another
-        is lost the moment after."""
-        w = core(1, 6, FaultModel(1, zones=1).tolerated_losses([Location(z, "") for z in "aabbcc"]), 3)
+        parsed = parse(orjson.dumps(settings))
+        self.assertEqual(parsed.fault_model, FaultModel(2, 1, 1))
+        self.assertEqual(parsed.regions, {"a": "north", "b": "south"})
+        del settings["FaultModel"]
+        self.assertEqual(parse(orjson.dumps(settings)).fault_model, FaultModel(1, 0, 0))
+
+    def test_cluster_survives_a_zone_failure_after_another_zone_returned(self) -> None:
+        """A zone of two nodes is down for longer than :data:`VOTER_LOST_TIMEOUT` and returns; then another zone fails.
+
+        The voters of the first zone must not have been removed in between.
+        """
+        w = started_cluster(1, 6, FaultModel(1, zones=1).tolerated_losses([Location(z, "") for z in "aabbcc"]), 3)
         for ip in ("10.0.0.0", "10.0.0.1"):
             w.kill(ip)
         w.run(6.0)
@@ -180,8 +186,8 @@
 
 class Leaving(unittest.TestCase):
     def only_copy(self, seed: int, leads: bool) -> tuple[World, str, str]:
-        """A world of three, one that leaves, and one that lacks the newest version: just two disks have it."""
-        w = core(seed, 3, 1, 3)
+        """Three replicas of which one is about to leave and one lacks the newest generation; returns the latter two."""
+        w = started_cluster(seed, 3, 1, 3)
         (leader,) = w.leaders()
         leaver = leader if leads else follower(w)
         lacking = next(ip for ip in w.machines if ip not in (leader, leaver))
@@ -193,7 +199,7 @@
         return w, leaver, lacking
 
     @params(False, True)
-    def test_one_that_leaves_never_holds_the_only_copy(self, leads: bool) -> None:
+    def test_leaving_replica_never_holds_the_only_copy(self, leads: bool) -> None:
         for seed in range(5):
             with self.subTest(seed=seed):
                 w, leaver, _ = self.only_copy(seed, leads)
@@ -206,11 +212,14 @@
                     self.assertEqual(m.disk.accepted.generation, 2)
                 self.assertEqual(len(voters(w)), 3)
 
-    def test_a_version_taken_while_one_leaves_is_on_the_others_disks(self) -> None:
-        """What is acknowledged between SIGTERM and the end is elsewhere at the end; the third one is slow."""
+    def test_change_acknowledged_during_a_shutdown_is_on_the_other_disks(self) -> None:
+        """A change acknowledged between SIGTERM and the end of a replica must be on both other disks at the end.
+
+        The third replica is partitioned for a while.
+        """
         for seed in range(5):
             with self.subTest(seed=seed):
-                w = core(seed, 3, 1, 3)
+                w = started_cluster(seed, 3, 1, 3)
                 leaver, (leader,) = follower(w), w.leaders()
                 third = next(ip for ip in w.machines if ip not in (leader, leaver))
                 w.cut_off(third)
@@ -227,10 +236,10 @@
                 assert kept is not None
                 self.assertEqual((kept.generation, list(w.acked)), (2, [1, 2]))
 
-    def test_restarted_in_turn_the_set_stays_as_it_is(self) -> None:
+    def test_rolling_restart_keeps_the_voter_set(self) -> None:
         for seed in range(4):
             with self.subTest(seed=seed):
-                w = core(seed, 3, 1, 3)
+                w = started_cluster(seed, 3, 1, 3)
                 before = disks(w)
                 for ip in list(w.machines):
                     w.terminate(ip)
@@ -245,8 +254,8 @@
                 self.assertEqual(disks(w), before)
                 w.nothing_lost()
 
-    def test_beyond_the_target_a_restart_comes_back_in(self) -> None:
-        w = core(1, 5, 1, 3)
+    def test_restarted_voter_beyond_the_target_size_rejoins(self) -> None:
+        w = started_cluster(1, 5, 1, 3)
         ip = follower(w)
         w.terminate(ip)
         w.run(1.0)
@@ -255,16 +264,16 @@
         w.run(3.0)
         self.assertEqual(len(voters(w)), 5)
 
-    def test_all_at_once_wait_for_nobody(self) -> None:
-        w = core(1, 3, 1, 3)
+    def test_simultaneous_shutdown_of_all_replicas_does_not_wait(self) -> None:
+        w = started_cluster(1, 3, 1, 3)
         for ip in list(w.machines):
             w.terminate(ip)
         w.run(1.2)
         self.assertFalse(w.ending)
 
-    def test_the_last_two_of_three(self) -> None:
-        """One is gone: the other two are all that there is, and the one that leaves waits no longer than its grace."""
-        w = core(1, 3, 1, 3)
+    def test_shutdown_is_bounded_by_the_grace_period(self) -> None:
+        """With one of three replicas down, a leaving one waits no longer than its grace period."""
+        w = started_cluster(1, 3, 1, 3)
         w.kill(follower(w))
         w.run(1.0)
         w.terminate(w.leaders()[0], grace=2.0)
@@ -273,11 +282,11 @@
 
     @params(False, True)
     def test_planned_replacement(self, leads: bool) -> None:
-        """The new one starts, and has had its time; the old one gets SIGTERM and is gone. A disk is lost right then."""
+        """A new replica joins, the old one gets SIGTERM and leaves; right after it has ended, a disk is lost."""
         for seed in range(4):
             for which in range(3):
                 with self.subTest(seed=seed, which=which):
-                    w = core(seed, 3, 1, 3)
+                    w = started_cluster(seed, 3, 1, 3)
                     old = w.leaders()[0] if leads else follower(w)
                     w.add("10.0.0.10")
                     w.run(4.0)
--- a/tests/mesh/wire_samples.py
+++ b/tests/mesh/wire_samples.py
@@ -1,4 +1,4 @@
-"""One message of each kind that goes over the wire, as objects, and one entry as it is stored."""
+"""Sample messages of each kind on the wire, and a sample of a stored log entry."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def entry() -> LogEntry:
-    """A committed entry with a configuration, voters and remembered calls."""
+    """A committed entry with a configuration, voters and applied calls."""
     return LogEntry(
         term=5,
         index=9,
@@ -55,7 +55,7 @@
 
 
 def records() -> list[Record]:
-    """A record of each kind."""
+    """One record of each kind."""
     node = NodeInfo(
         ip="127.0.0.1",
         port=20_000,
@@ -86,7 +86,7 @@
 
 
 def datagrams() -> dict[str, GossipMessage]:
-    """By what it is for: a datagram of each kind."""
+    """One gossip datagram of each kind, by its name in the fixture."""
 
     def datagram(**fields: object) -> GossipMessage:
         return GossipMessage(sender="machine-1/forager", incarnation=11, **fields)  # type: ignore[arg-type]
@@ -107,8 +107,8 @@
 
 
 def consensus_messages() -> dict[str, ConsensusMessage]:
-    """By its name in version 0.1: a message of each kind between control replicas."""
-    whole = {
+    """One consensus message of each kind, by its name in version 0.1."""
+    messages = {
         MessageKind.HEARTBEAT: ConsensusMessage(
             index=9, digest=2**63 + 1, granted=True, bootstrap=True, protocol_version=1
         ),
@@ -126,17 +126,17 @@
             round=2, blocks=[TextBlock(name=b"\x03" * 16, compressed=b"x")], protocol_version=1
         ),
     }
-    for kind, message in whole.items():
+    for kind, message in messages.items():
         message.kind = kind
         message.disk = "disk-1"
         message.term = 5
         message.voter.CopyFrom(VOTERS[0])
-    return {NAMES_IN_0_1.get(kind, kind.name): message for kind, message in whole.items()}
+    return {NAMES_IN_0_1.get(kind, kind.name): message for kind, message in messages.items()}
 
 
 def frames() -> dict[str, Frame]:
-    """By what it is for: a frame of each kind on a link."""
-    load = ForwardRequest(
+    """One frame of each kind, by its name in the fixture."""
+    request = ForwardRequest(
         endpoint="endpoint-1",
         head=b"GET /orders HTTP/1.1\r\n\r\n",
         body=b"begin",
@@ -153,7 +153,7 @@
         reserve_first=True,
         retry=True,
     )
-    gives = ForwardReply(
+    reply = ForwardReply(
         outcome=3,
         status=200,
         headers=[Header(name=b"content-type", value=b"text/plain")],
@@ -167,9 +167,9 @@
         sent_to_endpoint=True,
         retry_after_us=2500,
     )
-    made = {
-        "load": Frame(stream=1, forward_request=load),
-        "gives": Frame(stream=1, forward_reply=gives),
+    frames = {
+        "load": Frame(stream=1, forward_request=request),
+        "gives": Frame(stream=1, forward_reply=reply),
         "piece": Frame(stream=1, body_chunk=BodyChunk(data=b"rest")),
         "cancel": Frame(stream=1, cancel=True),
         "ping": Frame(ping=1),
@@ -184,4 +184,4 @@
         "come": Frame(stream=1, reservation_granted=True),
     }
     consensus = {name: Frame(consensus=message) for name, message in consensus_messages().items()}
-    return {**made, **consensus}
+    return {**frames, **consensus}
