--- a/tests/mesh/test_client_calls.py
+++ b/tests/mesh/test_client_calls.py
@@ -208,14 +208,12 @@
         replica.change_role(type(replica.role).FOLLOWER, w.now)
         self.assertFalse(replica.calls.confirmations.confirmed)
 
-    @params("get", "put", "rejected put")
+    @params("get", "put", "refusal")
     def test_without_a_majority_calls_fail_before_the_caller_times_out(self, kind: str) -> None:
         w = started_cluster()
         (ip,) = w.leaders()
         isolate(w, ip)
-        call = {"get": lambda: w.get(ip), "put": lambda: w.put(ip, 1, 2), "rejected put": lambda: w.put(ip, 0, 2)}[
-            kind
-        ]()
+        call = {"get": lambda: w.get(ip), "put": lambda: w.put(ip, 1, 2), "refusal": lambda: w.put(ip, 0, 2)}[kind]()
         w.run(CALL_TIMEOUT + 0.1)
         assert call is not None
         self.assertIs(call.told, Told.UNCLEAR)
--- a/tests/mesh/test_storms.py
+++ b/tests/mesh/test_storms.py
@@ -177,7 +177,7 @@
             ("unclear and never applied", [put(0, 1, 0, 1, Told.UNCLEAR), put(2, 3, 0, 2), get(4, 5, 2)], True),
             ("unclear, applied and undone", [put(0, 1, 0, 1, Told.UNCLEAR), get(2, 3, 1), get(4, 5, 0)], False),
             ("rejected but applied", [put(0, 1, 0, 1), put(2, 3, 0, 2, Told.STALE), get(4, 5, 2)], False),
-            ("an acknowledged change is lost", [put(0, 1, 0, 1), put(2, 3, 0, 2)], False),
+            ("lost", [put(0, 1, 0, 1), put(2, 3, 0, 2)], False),
         ]
         for name, history, want in cases:
             with self.subTest(name):
--- a/tests/mesh/test_voters.py
+++ b/tests/mesh/test_voters.py
@@ -133,7 +133,7 @@
 
 class FaultModels(unittest.TestCase):
     @params(
-        ("hosts", FaultModel(2), "aabbc", 2),
+        ("machines", FaultModel(2), "aabbc", 2),
         ("a zone", FaultModel(1, zones=1), "aabbcc", 2),
         ("the largest zone", FaultModel(1, zones=1), "aaabbcc", 3),
         ("two zones", FaultModel(1, zones=2), "abcde", 2),
--- a/tests/mesh/wire_samples.py
+++ b/tests/mesh/wire_samples.py
@@ -167,7 +167,7 @@
         sent_to_endpoint=True,
         retry_after_us=2500,
     )
-    frames = {
+    samples = {
         "load": Frame(stream=1, forward_request=request),
         "gives": Frame(stream=1, forward_reply=reply),
         "piece": Frame(stream=1, body_chunk=BodyChunk(data=b"rest")),
@@ -184,4 +184,4 @@
         "come": Frame(stream=1, reservation_granted=True),
     }
     consensus = {name: Frame(consensus=message) for name, message in consensus_messages().items()}
-    return {**frames, **consensus}
+    return {**samples, **consensus}
