--- a/zinclever/mesh/consensus/election.py
+++ b/zinclever/mesh/consensus/election.py
@@ -111,7 +111,7 @@
     def defer_to_other_candidates(self, now: float) -> None:
         """Let the other voters become candidates before this replica does again.
 
-        This replica is no voter in the entry to continue from, and its vote requests would delay the actual voters.
+        This replica is not a voter in the entry to continue from, and its vote requests would delay those that are.
         """
         self.leader = ""
         self.leader_last_heard = now + ELECTION_STAGGER * len(self.voters())
--- a/zinclever/mesh/consensus/replica.py
+++ b/zinclever/mesh/consensus/replica.py
@@ -201,7 +201,7 @@
     def on_append_reply(self, now: float, message: ConsensusMessage) -> None:
         """Count an acknowledgement of the proposed entry, or step down after a rejection."""
         if not message.granted and message.round >= self.term and self.role is ReplicaRole.LEADER:
-            self.on_append_refused(now, message)
+            self.on_append_rejected(now, message)
             return
         if self.role is not ReplicaRole.LEADER or message.term != self.term or not message.granted:
             return
@@ -213,7 +213,7 @@
         if self.is_committed(now, entry):
             self.finish_proposal(now, entry)
 
-    def on_append_refused(self, now: float, message: ConsensusMessage) -> None:
+    def on_append_rejected(self, now: float, message: ConsensusMessage) -> None:
         """Step down, because a replica has accepted a higher term or another leader."""
         self.change_role(ReplicaRole.FOLLOWER, now)
         if message.round > self.vote.term:
@@ -287,7 +287,7 @@
     def on_leave_reply(self, message: ConsensusMessage) -> None:
         """Handle the leader's confirmation that enough other disks hold all entries up to an index.
 
-        From then on this replica accepts no further entries, since its disk may be gone before others hold them.
+        From then on this replica accepts no further entries, since its disk may become unavailable at any moment.
         """
         last = self.last_accepted()
         if last is None or last.index <= message.index:
@@ -296,7 +296,7 @@
     # --- bootstrap ---
 
     def bootstrap_cluster(self, now: float) -> None:
-        """Announce this replica and, if it is the first initial member, propose the first voter set.
+        """Announce this replica and, if it is the first of the initial members, propose the first voter set.
 
         It proposes once all initial members have sent a heartbeat and none of them knows of an existing cluster.
         """
--- a/zinclever/mesh/consensus/replica_state.py
+++ b/zinclever/mesh/consensus/replica_state.py
@@ -40,7 +40,7 @@
         vote: Vote | None = None,
         accepted: LogEntry | None = None,
     ) -> None:
-        """Create a follower if the state from disk includes a vote for this replica, otherwise a learner.
+        """Create a follower if the accepted entry lists this replica as a voter, otherwise a learner.
 
         Args:
             own_voter: Disk ID, name and address of this replica.
--- a/zinclever/mesh/consensus/replica_store.py
+++ b/zinclever/mesh/consensus/replica_store.py
@@ -50,7 +50,7 @@
 
 
 class ReplicaStore:
-    """Reads and writes the files of a replica, writes in a thread of its own."""
+    """Reads and writes the files of a replica; saves run in a thread of its own."""
 
     def __init__(self, folder: Path, file_system: FileSystem | None = None) -> None:
         """Open the folder, and create it if it doesn't exist.
@@ -141,7 +141,7 @@
         self.thread.submit(self.mark)
 
     def mark(self) -> None:
-        """Write the sync marks of the latest saves, in the storage thread. No save waits for them."""
+        """Write the sync marks of the latest saves. Blocks; no save waits for the marks."""
         self.counters.unmarked += [self.vote_file.mark(), self.entry_file.mark()].count(False)
 
     def verify(self) -> None:
--- a/zinclever/mesh/consensus/voter_changes.py
+++ b/zinclever/mesh/consensus/voter_changes.py
@@ -95,9 +95,9 @@
             if now - last_heard.get(disk, now) < LEARNER_TIMEOUT
         }
         ready = {disk: learner for disk, learner in self.learners.items() if disk in self.durable_index}
-        last_contact = self.observed_last_contact(committed.voters, last_heard)
+        observed_contacts = self.observed_last_contact(committed.voters, last_heard)
         self.proposed_change = next_voters(
-            committed, leader, ready, last_contact, now, tolerated_losses, self.leaving_since
+            committed, leader, ready, observed_contacts, now, tolerated_losses, self.leaving_since
         )
         return self.proposed_change
 
