--- a/tests/mesh/test_consensus.py
+++ b/tests/mesh/test_consensus.py
@@ -135,15 +135,15 @@
     def test_replica_with_an_empty_disk_becomes_a_new_voter(self) -> None:
         w = started_cluster()
         (ip,) = w.leaders()
-        old = [s.disk for s in w.newest().voters]
+        old = [voter.disk for voter in w.newest().voters]
         victim = next(o for o in w.machines if o != ip)
         w.wipe(victim)
         w.run(0.5)
-        self.assertEqual([s.disk for s in w.newest().voters], old)
+        self.assertEqual([voter.disk for voter in w.newest().voters], old)
         w.start(victim)
         w.run(2.0)
         self.assertEqual(len(w.newest().voters), 3)
-        self.assertIn(w.machines[victim].disk.name, [s.disk for s in w.newest().voters])
+        self.assertIn(w.machines[victim].disk.name, [voter.disk for voter in w.newest().voters])
 
     def test_replacement_of_all_nodes_one_after_another(self) -> None:
         w = started_cluster()
@@ -156,7 +156,7 @@
             w.run(3.0)
             self.assertEqual(len(w.newest().voters), 3)
         w.nothing_lost()
-        self.assertEqual({s.ip for s in w.newest().voters}, {f"10.0.0.{10 + n}" for n in range(3)})
+        self.assertEqual({voter.ip for voter in w.newest().voters}, {f"10.0.0.{10 + n}" for n in range(3)})
 
     def test_planned_replacement_restores_the_number_of_voters(self) -> None:
         w = started_cluster()
@@ -237,7 +237,7 @@
         w.run(0.5)
         w.remove("10.0.0.2")
         w.add("10.0.0.9")
-        while "10.0.0.9" not in {s.ip for s in w.newest().voters}:
+        while "10.0.0.9" not in {voter.ip for voter in w.newest().voters}:
             w.run(0.05)
         w.run(0.2)
         for ip in list(w.machines):
@@ -293,7 +293,7 @@
         voters = [Voter(disk=d, ip=f"10.0.0.{n}", port=1) for n, d in enumerate("abc", 1)]
         learners = {d: Learner(Voter(disk=d, ip=f"10.0.0.{n}", port=1), 9.5) for d, n in waiting}
         change = next_voters(LogEntry(voters=voters, founding_size=3), "a", learners, contacts, 10.0)
-        self.assertEqual(None if change is None else [s.disk for s in change.voters], want, name)
+        self.assertEqual(None if change is None else [voter.disk for voter in change.voters], want, name)
 
 
 class Persistence(unittest.TestCase):
--- a/tests/mesh/test_repairs.py
+++ b/tests/mesh/test_repairs.py
@@ -23,10 +23,10 @@
     """Seconds between two steps; fine while the voter set changes: at the start, and when a lost voter is replaced."""
 
     def step_times(self) -> Iterator[float]:
-        at = 0.0
-        while at < 2.6:
-            yield at
-            at += self.FINE if at < 0.4 or 1.95 < at < 2.35 else self.COARSE
+        time = 0.0
+        while time < 2.6:
+            yield time
+            time += self.FINE if time < 0.4 or 1.95 < time < 2.35 else self.COARSE
 
     def repair(self, w: World, kind: str, victim: str) -> None:
         if kind == "disk lost":
--- a/zinclever/mesh/consensus/text_exchange.py
+++ b/zinclever/mesh/consensus/text_exchange.py
@@ -127,13 +127,13 @@
             the receiver is unknown.
         """
         is_large = any(len(entry.text) > MAX_PLAIN_BYTES for entry in entries_of(send.message))
-        understood = self.protocol_versions.get(send.to.disk)
-        if is_large and (understood is None or self.was_just_sent(now, send)):
+        receiver_version = self.protocol_versions.get(send.to.disk)
+        if is_large and (receiver_version is None or self.was_just_sent(now, send)):
             return []  # a replica that has never sent a message may be down; it gets the text after its first one
         message = ConsensusMessage()
         message.CopyFrom(send.message)
         message.protocol_version = TEXT_PROTOCOL
-        if is_large and understood:
+        if is_large and receiver_version:
             for entry in entries_of(message):
                 self.replace_text(entry)
             if not message.HasField("voter"):
@@ -228,18 +228,18 @@
 
         The earlier one stays if it needs the text in transfer and the new one doesn't.
         """
-        text_in_transfer = self.transfer.name if self.transfer is not None else b""
+        name_in_transfer = self.transfer.name if self.transfer is not None else b""
         origin = (new.message.disk, new.message.kind)
 
         def must_stay(held: HeldMessage) -> bool:
             if (held.message.disk, held.message.kind) != origin:
                 return True
-            return text_in_transfer in held.missing_texts and text_in_transfer not in new.missing_texts
+            return name_in_transfer in held.missing_texts and name_in_transfer not in new.missing_texts
 
         self.held = [held for held in self.held if must_stay(held)]
         self.held.append(new)
         if len(self.held) > MAX_HELD_MESSAGES:
-            self.held.remove(next((held for held in self.held if text_in_transfer not in held.missing_texts), new))
+            self.held.remove(next((held for held in self.held if name_in_transfer not in held.missing_texts), new))
 
     # --- transfers ---
 
