--- a/zinclever/mesh/consensus/leadership_confirmations.py
+++ b/zinclever/mesh/consensus/leadership_confirmations.py
@@ -1,9 +1,9 @@
 """Confirmation of the leadership by a majority of the voters, as in Raft's ReadIndex. No I/O.
 
 A leader that was paused or partitioned may have been replaced without noticing, and must not answer from stale state.
-After it has received a call, it therefore asks the voters whether they still accept its term. Once a majority has
-confirmed, no other leader had been elected when the call was received: a later leader needs the vote of one of these
-voters, given after its confirmation. The method doesn't depend on clocks.
+After it has received a call, it therefore requests confirmations from the voters that they still accept its term. Once
+a majority has confirmed, no other leader had been elected when the call was received: a later leader needs the vote of
+one of these voters, given after its confirmation. The method doesn't depend on clocks.
 
 See section 6.4 of Consensus: Bridging Theory and Practice (Ongaro, 2014).
 """
@@ -15,7 +15,7 @@
 from ..transport.mesh_pb2 import Voter
 from .quorum import has_majority
 
-CONFIRM_RESEND_INTERVAL = 0.1  # seconds until voters that have not confirmed are asked again
+CONFIRM_RESEND_INTERVAL = 0.1  # seconds until the request to voters that have not confirmed is resent
 
 
 class LeadershipConfirmations:
--- a/zinclever/mesh/consensus/replica_state.py
+++ b/zinclever/mesh/consensus/replica_state.py
@@ -145,7 +145,7 @@
         return list(voters.values())
 
     def recently_active(self, timeout: float, now: float) -> set[str]:
-        """Disk IDs of the replicas that were heard from within ``timeout`` seconds, including this one."""
+        """Disk IDs of this replica and of those that have sent a message within ``timeout`` seconds."""
         return {disk for disk, at in self.last_heard.items() if now - at < timeout} | {self.own_voter.disk}
 
     # --- the log ---
--- a/zinclever/mesh/consensus/replica_store.py
+++ b/zinclever/mesh/consensus/replica_store.py
@@ -75,7 +75,7 @@
         """Load the state from disk, and assign a new disk ID if there is none.
 
         If data that was known to be durable is lost, the replica starts with a new disk ID: it must not vote in place
-        of the old one, whose promises it no longer knows.
+        of the old one, since its votes and accepted entries are no longer known.
 
         Raises:
             OSError: The disk can't be read or written.
--- a/zinclever/mesh/consensus/voter_changes.py
+++ b/zinclever/mesh/consensus/voter_changes.py
@@ -82,7 +82,7 @@
             self.learners.pop(disk, None)
 
     def observed_last_contact(self, voters: Iterable[Voter], last_heard: Mapping[str, float]) -> dict[str, float]:
-        """When each voter was last heard from, but not before this process started or resumed from a stall."""
+        """When each voter last sent a message, or when this process started or resumed from a stall, if later."""
         return {voter.disk: max(last_heard.get(voter.disk, self.started_at), self.resumed_at) for voter in voters}
 
     def next_change(
@@ -131,7 +131,7 @@
         Args:
             voters: The voters after the entry.
             holders: Disks that hold the entry.
-            live: Disks that were heard from recently.
+            live: Disks of replicas that have sent a message recently.
             tolerated_losses: The number of simultaneous failures to tolerate.
         """
         staying = {disk for disk in live if disk not in self.leaving_since}
