--- a/tests/mesh/test_catch_up.py
+++ b/tests/mesh/test_catch_up.py
@@ -349,7 +349,7 @@
         self.assertLessEqual(len(entry.applied_calls), MAX_APPLIED_CALLS)
         self.assertLess(entry.ByteSize() - len(entry.text), 12_000)
         leading_replica = world.replica(leader)
-        self.assertLess(len(leading_replica.sends_after_persist) + len(leading_replica.persisting), 4)
+        self.assertLess(len(leading_replica.sends_after_persist) + len(leading_replica.pending_persists), 4)
         self.assertLess(len(leading_replica.calls.unconfirmed) + len(leading_replica.calls.queued_changes), 2)
         slow_down(world)
         world.start(follower)
--- a/tests/mesh/test_voters.py
+++ b/tests/mesh/test_voters.py
@@ -144,7 +144,7 @@
     )
     def test_tolerated_failures(self, name: str, model: FaultModel, zones: str, want: int) -> None:
         nodes = [Location(zone, "r" + zone) for zone in zones]
-        self.assertEqual(model.tolerated_losses(nodes), want, name)
+        self.assertEqual(model.tolerated_failures(nodes), want, name)
 
     def test_settings(self) -> None:
         settings = {
@@ -170,7 +170,7 @@
 
         The voters of the first zone must not have been removed in between.
         """
-        w = started_cluster(1, 6, FaultModel(1, zones=1).tolerated_losses([Location(z, "") for z in "aabbcc"]), 3)
+        w = started_cluster(1, 6, FaultModel(1, zones=1).tolerated_failures([Location(z, "") for z in "aabbcc"]), 3)
         for ip in ("10.0.0.0", "10.0.0.1"):
             w.kill(ip)
         w.run(6.0)
--- a/zinclever/mesh/consensus/election.py
+++ b/zinclever/mesh/consensus/election.py
@@ -27,7 +27,7 @@
         if not has_majority(self.voters(), self.recently_active(ELECTION_TIMEOUT, now)):
             return  # without contact to a majority it can't win, and would only raise the term
         delay = ELECTION_STAGGER * self.live_voters_before(voters, now)
-        if now - self.leader_last_heard > ELECTION_TIMEOUT + delay and now - self.role_since > delay:
+        if now - self.leader_last_contact > ELECTION_TIMEOUT + delay and now - self.role_since > delay:
             self.start_election(now)
 
     def live_voters_before(self, voters: list[str], now: float) -> int:
@@ -42,7 +42,7 @@
             if disk == self.own_voter.disk:
                 break
             presumed_contact = self.started_at + STARTUP_GRACE - ELECTION_TIMEOUT
-            if now - self.last_heard.get(disk, presumed_contact) < ELECTION_TIMEOUT:
+            if now - self.last_contact.get(disk, presumed_contact) < ELECTION_TIMEOUT:
                 count += 1
         return count
 
@@ -114,7 +114,7 @@
         This replica is not a voter in the entry to continue from, and its vote requests would delay those that are.
         """
         self.leader = ""
-        self.leader_last_heard = now + ELECTION_STAGGER * len(self.voters())
+        self.leader_last_contact = now + ELECTION_STAGGER * len(self.voters())
 
     # --- voters ---
 
@@ -123,14 +123,14 @@
 
         It is denied in a lower term, after a vote for another candidate in this term, and while the leader is alive.
         """
-        is_sticky = self.leader not in ("", message.disk) and now - self.leader_last_heard < LEADER_STICKINESS
+        is_sticky = self.leader not in ("", message.disk) and now - self.leader_last_contact < LEADER_STICKINESS
         has_voted = message.term == self.vote.term and self.vote.candidate not in ("", message.disk)
         if is_sticky or message.term < self.vote.term or has_voted:
             self.respond(message, self.vote_reply(False, message.term))
             return
         if self.role in (ReplicaRole.LEADER, ReplicaRole.CANDIDATE):
             self.change_role(ReplicaRole.FOLLOWER, now)
-        self.leader_last_heard = max(self.leader_last_heard, now - ELECTION_TIMEOUT / 2)
+        self.leader_last_contact = max(self.leader_last_contact, now - ELECTION_TIMEOUT / 2)
         self.vote = Vote(message.term, message.disk)
         voter = self.sender_of(message)
         self.persist(None, [Send(voter, self.vote_reply(True, message.term))] if voter is not None else [])
--- a/zinclever/mesh/consensus/quorum.py
+++ b/zinclever/mesh/consensus/quorum.py
@@ -68,7 +68,7 @@
     zones: int = 0
     regions: int = 0
 
-    def tolerated_losses(self, control_nodes: Collection[Location]) -> int:
+    def tolerated_failures(self, control_nodes: Collection[Location]) -> int:
         """The number of control nodes whose simultaneous loss the voters must tolerate.
 
         A failed zone or region takes all its nodes with it; the largest ones are assumed to fail. For zones and
@@ -93,17 +93,17 @@
     return count // 2 + 1
 
 
-def commit_quorum(count: int, tolerated_losses: int) -> int:
+def commit_quorum(count: int, tolerated_failures: int) -> int:
     """The number of disks, out of ``count`` voters, that must hold an entry before it is committed.
 
     A majority, and at least one more than the tolerated failures, so that one copy survives them.
     """
-    return min(count, max(majority(count), tolerated_losses + 1))
+    return min(count, max(majority(count), tolerated_failures + 1))
 
 
-def has_commit_quorum(voters: Sequence[Voter], holders: Collection[str], tolerated_losses: int) -> bool:
+def has_commit_quorum(voters: Sequence[Voter], holders: Collection[str], tolerated_failures: int) -> bool:
     """Whether the disks in ``holders`` are enough to commit an entry."""
-    return sum(disk in holders for disk in disk_ids(voters)) >= commit_quorum(len(voters), tolerated_losses)
+    return sum(disk in holders for disk in disk_ids(voters)) >= commit_quorum(len(voters), tolerated_failures)
 
 
 def has_majority(voters: Sequence[Voter], disks: Collection[str]) -> bool:
@@ -132,18 +132,18 @@
     return bool(entry.previous_voters) and disk_ids(entry.previous_voters) != disk_ids(entry.voters)
 
 
-def target_size(founding_size: int, tolerated_losses: int) -> int:
+def target_size(founding_size: int, tolerated_failures: int) -> int:
     """The smallest voter set in which a majority survives the tolerated failures; at least the initial size."""
-    return max(1, founding_size, 2 * tolerated_losses + 1)
+    return max(1, founding_size, 2 * tolerated_failures + 1)
 
 
 def next_voters(
     committed: LogEntry,
     leader: str,
     learners: Mapping[str, Learner],
-    last_heard: Mapping[str, float],
+    last_contact: Mapping[str, float],
     now: float,
-    tolerated_losses: int = 1,
+    tolerated_failures: int = 1,
     leaving: Collection[str] = (),
 ) -> VoterChange | None:
     """The next change of the voter set, or None if it should stay as it is.
@@ -163,10 +163,10 @@
         leaving: Disk IDs of the replicas that are shutting down.
     """
     voters = list(committed.voters)
-    target = target_size(committed.founding_size, tolerated_losses)
+    target = target_size(committed.founding_size, tolerated_failures)
 
     def is_unreachable(voter: Voter, timeout: float) -> bool:
-        return voter.disk != leader and now - last_heard.get(voter.disk, -math.inf) > timeout
+        return voter.disk != leader and now - last_contact.get(voter.disk, -math.inf) > timeout
 
     leaving_voter = next((v for v in voters if v.disk in leaving and v.disk != leader), None)
     lost_voter = next((v for v in voters if is_unreachable(v, VOTER_LOST_TIMEOUT)), None)
--- a/zinclever/mesh/consensus/replica.py
+++ b/zinclever/mesh/consensus/replica.py
@@ -63,14 +63,14 @@
         This avoids needless elections; safety depends on terms alone.
         """
         if now - self.ticked_at > STALL_THRESHOLD:
-            self.leader_last_heard = max(self.leader_last_heard, now - ELECTION_TIMEOUT / 2)
+            self.leader_last_contact = max(self.leader_last_contact, now - ELECTION_TIMEOUT / 2)
         self.ticked_at = now
 
     def tick_candidate(self, now: float) -> None:
         """Repeat the vote requests, or give up after :data:`.timing.ELECTION_ROUND`."""
         if now - self.role_since > ELECTION_ROUND:
             self.change_role(ReplicaRole.FOLLOWER, now)
-            self.leader_last_heard = now - ELECTION_TIMEOUT  # so that the next voter in election order can start
+            self.leader_last_contact = now - ELECTION_TIMEOUT  # so that the next voter in election order can start
             self.leader = ""  # so that replicas which followed different leaders use the same election order
         elif now - self.votes_requested_at > HEARTBEAT_INTERVAL:
             self.request_votes(now)
@@ -81,7 +81,7 @@
         time_as_leader = now - self.role_since
         if time_as_leader > QUORUM_TIMEOUT and not has_majority(voters, self.recently_active(QUORUM_TIMEOUT, now)):
             self.change_role(ReplicaRole.FOLLOWER, now)
-            self.leader_last_heard = now
+            self.leader_last_contact = now
         elif self.proposed is not None:
             self.check_proposal(now, self.proposed)
         else:
@@ -116,7 +116,7 @@
     def next_voter_change(self, now: float) -> VoterChange | None:
         """The next change of the voter set, or None."""
         return self.voter_changes.next_change(
-            self.committed, self.own_voter.disk, self.last_heard, now, self.tolerated_losses
+            self.committed, self.own_voter.disk, self.last_contact, now, self.tolerated_failures
         )
 
     # --- heartbeats and snapshots ---
@@ -249,7 +249,7 @@
 
     def confirm_leaves(self) -> None:
         """Allow leaving replicas to shut down once enough other disks hold the committed entry."""
-        if not self.voter_changes.is_durable_without_leaving(self.committed, self.tolerated_losses):
+        if not self.voter_changes.is_durable_without_leaving(self.committed, self.tolerated_failures):
             return
         for disk in self.voter_changes.leaving_since:
             heartbeat = next((h for h in self.latest_heartbeats.values() if h.disk == disk), None)
@@ -265,7 +265,7 @@
             for voter in self.other_voters():
                 self.send(voter, self.message_with_voter(MessageKind.TRANSFER_LEADERSHIP, self.term))
             self.change_role(ReplicaRole.FOLLOWER, now)
-            self.leader_last_heard = now
+            self.leader_last_contact = now
 
     def leave(self, now: float) -> None:
         """Prepare to shut down, possibly for good.
@@ -278,11 +278,13 @@
             self.change_role(ReplicaRole.FOLLOWER, now)
         self.transfer_leadership(now)
 
-    def may_end(self, now: float) -> bool:
+    def can_shut_down(self, now: float) -> bool:
         """Whether this replica is no longer needed, or no other voter that stays is reachable."""
         staying = [voter for voter in self.other_voters() if voter.disk not in self.voter_changes.leaving_since]
-        is_any_reachable = any(now - self.last_heard.get(voter.disk, -math.inf) < ELECTION_TIMEOUT for voter in staying)
-        return self.released or not self.is_voter() or not is_any_reachable
+        is_any_reachable = any(
+            now - self.last_contact.get(voter.disk, -math.inf) < ELECTION_TIMEOUT for voter in staying
+        )
+        return self.leave_granted or not self.is_voter() or not is_any_reachable
 
     def on_leave_reply(self, message: ConsensusMessage) -> None:
         """Handle the leader's confirmation that enough other disks hold all entries up to an index.
@@ -291,7 +293,7 @@
         """
         last = self.last_accepted()
         if last is None or last.index <= message.index:
-            self.released = self.leaving
+            self.leave_granted = self.leaving
 
     # --- bootstrap ---
 
@@ -318,7 +320,7 @@
         self.term = 1
         self.vote = Vote(1, self.own_voter.disk)
         for voter in voters:
-            self.last_heard[voter.disk] = now
+            self.last_contact[voter.disk] = now
         self.propose(now, LogEntry(term=1, index=1, voters=voters, founding_size=len(voters)))
 
     # --- received messages ---
@@ -326,7 +328,7 @@
     def receive(self, now: float, message: ConsensusMessage) -> None:
         """Handle a message from another replica, or from this one to itself."""
         if message.disk != self.own_voter.disk:
-            self.last_heard[message.disk] = now
+            self.last_contact[message.disk] = now
         from_leader = message.disk == self.leader and message.term >= self.vote.term
         if message.kind == MessageKind.HEARTBEAT:
             self.on_heartbeat(now, message)
@@ -343,8 +345,8 @@
         elif message.kind == MessageKind.LEADERSHIP_CONFIRMED:
             self.on_leadership_confirmed(message)
         elif message.kind == MessageKind.TRANSFER_LEADERSHIP and from_leader:
-            self.last_heard.pop(message.disk, None)  # skip the old leader in election order ...
-            self.leader_last_heard = now - ELECTION_TIMEOUT  # ... and don't wait for the election timeout
+            self.last_contact.pop(message.disk, None)  # skip the old leader in election order ...
+            self.leader_last_contact = now - ELECTION_TIMEOUT  # ... and don't wait for the election timeout
         elif message.kind == MessageKind.LEAVE:
             self.voter_changes.on_leave(now, message.disk)
         elif message.kind == MessageKind.LEAVE_REPLY and message.granted and from_leader:
--- a/zinclever/mesh/consensus/replica_state.py
+++ b/zinclever/mesh/consensus/replica_state.py
@@ -35,7 +35,7 @@
         own_voter: Voter,
         bootstrap_addresses: list[tuple[str, int]],
         bootstrap: bool,
-        tolerated_losses: int,
+        tolerated_failures: int,
         now: float,
         vote: Vote | None = None,
         accepted: LogEntry | None = None,
@@ -54,7 +54,7 @@
         self.own_voter = own_voter
         self.bootstrap_addresses = sorted(bootstrap_addresses)
         self.bootstrap = bootstrap
-        self.tolerated_losses = tolerated_losses
+        self.tolerated_failures = tolerated_failures
         self.actions: list[Action] = []
         self.started_at = self.ticked_at = now
 
@@ -64,15 +64,15 @@
         self.committed = LogEntry()
         self.committed_digest = 0
         self.last_token = 0
-        self.persisting: dict[int, Persist] = {}
+        self.pending_persists: dict[int, Persist] = {}
         self.sends_after_persist: dict[int, list[Send]] = {}
         """Messages to send once a save is durable, by token."""
 
         # Other replicas.
         self.leader = ""
         """Disk ID of the leader; empty if unknown."""
-        self.leader_last_heard = -math.inf
-        self.last_heard: dict[str, float] = {}
+        self.leader_last_contact = -math.inf
+        self.last_contact: dict[str, float] = {}
         self.reported: dict[str, ReportedCommit] = {}
         self.latest_heartbeats: dict[tuple[str, int], ConsensusMessage] = {}
         """By IP address and port."""
@@ -99,7 +99,7 @@
         self.calls = ClientCalls(self.reply)
         self.leaving = False
         """Whether this replica is shutting down: it no longer starts elections."""
-        self.released = False
+        self.leave_granted = False
         """Whether the leader has confirmed that this replica is no longer needed."""
         if self.is_voter():
             self.change_role(ReplicaRole.FOLLOWER, now)
@@ -115,7 +115,7 @@
         if role in (ReplicaRole.FOLLOWER, ReplicaRole.LEARNER):
             self.proposed = None
         if role is ReplicaRole.LEADER:
-            self.leader, self.leader_last_heard = self.own_voter.disk, now
+            self.leader, self.leader_last_contact = self.own_voter.disk, now
             self.voter_changes.begin_term()
         elif self.leader == self.own_voter.disk:
             self.leader = ""
@@ -146,7 +146,7 @@
 
     def recently_active(self, timeout: float, now: float) -> set[str]:
         """Disk IDs of this replica and of those that have sent a message within ``timeout`` seconds."""
-        return {disk for disk, at in self.last_heard.items() if now - at < timeout} | {self.own_voter.disk}
+        return {disk for disk, at in self.last_contact.items() if now - at < timeout} | {self.own_voter.disk}
 
     # --- the log ---
 
@@ -176,12 +176,12 @@
         self.last_token += 1
         action = Persist(self.vote, entry, self.last_token)
         self.sends_after_persist[self.last_token] = after
-        self.persisting[self.last_token] = action
+        self.pending_persists[self.last_token] = action
         self.actions.append(action)
 
     def last_accepted(self) -> LogEntry | None:
         """The entry that will be on disk after all pending saves."""
-        pending = [action.entry for action in self.persisting.values() if action.entry is not None]
+        pending = [action.entry for action in self.pending_persists.values() if action.entry is not None]
         return pending[-1] if pending else self.accepted
 
     def on_persisted(self, now: float, token: int, is_durable: bool) -> None:
@@ -189,7 +189,7 @@
 
         After a failure the accepted entry stays unchanged, and replies that depend on the save are sent as rejections.
         """
-        action, after = self.persisting.pop(token), self.sends_after_persist.pop(token)
+        action, after = self.pending_persists.pop(token), self.sends_after_persist.pop(token)
         if is_durable and action.entry is not None:
             self.accepted = action.entry
         if is_durable and self.role is ReplicaRole.LEARNER and self.is_voter():
--- a/zinclever/mesh/consensus/replica_store.py
+++ b/zinclever/mesh/consensus/replica_store.py
@@ -199,7 +199,7 @@
         folder.mkdir(parents=True)
 
 
-def read_folder(folder: Path) -> StoredState:
+def read_stored_state(folder: Path) -> StoredState:
     """Read the state of a replica without modifying its files.
 
     Raises:
--- a/zinclever/mesh/consensus/replication.py
+++ b/zinclever/mesh/consensus/replication.py
@@ -63,13 +63,13 @@
         of their quorums. The first entry of the log must be on all disks.
         """
         is_bootstrap_entry = entry.index == 1 and not self.committed.index and entry.term == 1
-        tolerated_losses = len(entry.voters) - 1 if is_bootstrap_entry else self.tolerated_losses
+        tolerated_failures = len(entry.voters) - 1 if is_bootstrap_entry else self.tolerated_failures
         before = entry.previous_voters if entry.index > self.committed.index else []
         if before and not has_majority(before, self.acknowledged_by):
             return False
         live = self.recently_active(ELECTION_TIMEOUT, now)
-        counted = self.voter_changes.counted_holders(entry.voters, self.acknowledged_by, live, tolerated_losses)
-        return has_commit_quorum(entry.voters, counted, tolerated_losses)
+        counted = self.voter_changes.counted_holders(entry.voters, self.acknowledged_by, live, tolerated_failures)
+        return has_commit_quorum(entry.voters, counted, tolerated_failures)
 
     # --- followers and learners ---
 
@@ -78,7 +78,7 @@
 
         Entries from a lower term and entries that would bootstrap a second cluster are rejected.
         """
-        if self.released:
+        if self.leave_granted:
             return  # it may shut down for good at any moment, so that its disk must not count for new entries
         entry = message.entry
         last = self.last_accepted()
@@ -110,7 +110,7 @@
         if self.role in (ReplicaRole.LEADER, ReplicaRole.CANDIDATE) and term > self.term:
             self.change_role(ReplicaRole.FOLLOWER, now)
         if self.role is ReplicaRole.FOLLOWER or self.role is ReplicaRole.LEARNER:
-            self.leader, self.leader_last_heard = disk, now
+            self.leader, self.leader_last_contact = disk, now
 
     def conflicts_with_bootstrap(self, entry: LogEntry) -> bool:
         """Whether an entry would bootstrap a second cluster."""
--- a/zinclever/mesh/consensus/voter_changes.py
+++ b/zinclever/mesh/consensus/voter_changes.py
@@ -81,23 +81,23 @@
         for disk in disk_ids(voters):
             self.learners.pop(disk, None)
 
-    def observed_last_contact(self, voters: Iterable[Voter], last_heard: Mapping[str, float]) -> dict[str, float]:
+    def observed_last_contact(self, voters: Iterable[Voter], last_contact: Mapping[str, float]) -> dict[str, float]:
         """When each voter last sent a message, or when this process started or resumed from a stall, if later."""
-        return {voter.disk: max(last_heard.get(voter.disk, self.started_at), self.resumed_at) for voter in voters}
+        return {voter.disk: max(last_contact.get(voter.disk, self.started_at), self.resumed_at) for voter in voters}
 
     def next_change(
-        self, committed: LogEntry, leader: str, last_heard: Mapping[str, float], now: float, tolerated_losses: int
+        self, committed: LogEntry, leader: str, last_contact: Mapping[str, float], now: float, tolerated_failures: int
     ) -> VoterChange | None:
         """The next change of the voter set; only learners that hold the committed state are considered."""
         self.learners = {
             disk: learner
             for disk, learner in self.learners.items()
-            if now - last_heard.get(disk, now) < LEARNER_TIMEOUT
+            if now - last_contact.get(disk, now) < LEARNER_TIMEOUT
         }
         ready = {disk: learner for disk, learner in self.learners.items() if disk in self.durable_index}
-        observed_contacts = self.observed_last_contact(committed.voters, last_heard)
+        observed_contacts = self.observed_last_contact(committed.voters, last_contact)
         self.proposed_change = next_voters(
-            committed, leader, ready, observed_contacts, now, tolerated_losses, self.leaving_since
+            committed, leader, ready, observed_contacts, now, tolerated_failures, self.leaving_since
         )
         return self.proposed_change
 
@@ -115,14 +115,14 @@
             self.sent_at[voter.disk] = now
         return due
 
-    def is_durable_without_leaving(self, committed: LogEntry, tolerated_losses: int) -> bool:
+    def is_durable_without_leaving(self, committed: LogEntry, tolerated_failures: int) -> bool:
         """Whether enough voters that are not leaving hold the committed entry durably."""
         staying = [disk for disk in disk_ids(committed.voters) if disk not in self.leaving_since]
         durable_count = sum(self.durable_index.get(disk, 0) >= committed.index for disk in staying)
-        return durable_count >= min(commit_quorum(len(committed.voters), tolerated_losses), len(staying))
+        return durable_count >= min(commit_quorum(len(committed.voters), tolerated_failures), len(staying))
 
     def counted_holders(
-        self, voters: Sequence[Voter], holders: Collection[str], live: Collection[str], tolerated_losses: int
+        self, voters: Sequence[Voter], holders: Collection[str], live: Collection[str], tolerated_failures: int
     ) -> set[str]:
         """The disks, out of those that hold an entry, that count towards its commit quorum.
 
@@ -135,6 +135,6 @@
             tolerated_losses: The number of simultaneous failures to tolerate.
         """
         staying = {disk for disk in live if disk not in self.leaving_since}
-        if self.leaving_since and has_commit_quorum(voters, staying, tolerated_losses):
+        if self.leaving_since and has_commit_quorum(voters, staying, tolerated_failures):
             return {disk for disk in holders if disk not in self.leaving_since}
         return set(holders)
