--- a/benchmarks/jsonrpc.py
+++ b/benchmarks/jsonrpc.py
@@ -364,7 +364,7 @@
     """Puts every call on an endpoint in turn: the real one would hold most back."""
 
     def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
-        if isinstance(event, interface.MembershipNews):
+        if isinstance(event, interface.MembershipUpdate):
             self.names = itertools.cycle([e.endpoint for e in event.entries])
         elif isinstance(event, interface.RequestArrived):
             return [interface.Send(event.request, next(self.names), 0.0)]
--- a/benchmarks/request.py
+++ b/benchmarks/request.py
@@ -172,7 +172,7 @@
 
     async def main() -> None:
         descriptors = Descriptors(4096)
-        listed = [(interface.Listed(f"e{p}"), ("127.0.0.1", p)) for p in ports]
+        listed = [(interface.ListedEndpoint(f"e{p}"), ("127.0.0.1", p)) for p in ports]
         ledger = Ledger(
             Balancer(told, 1), HttpWire(descriptors, System()), lambda on: Fixed(listed, on), descriptors, System()
         )
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -44,8 +44,9 @@
     balancer = Balancer(interface.Settings(classes=[interface.RequestClass(aim=100.0, deadline=500.0)]), 1)
     balancer.handle(
         0.0,
-        interface.MembershipNews(
-            "whole", [interface.Listed("a"), interface.Listed("b", "draining"), interface.Listed("c")]
+        interface.MembershipUpdate(
+            "whole",
+            [interface.ListedEndpoint("a"), interface.ListedEndpoint("b", "draining"), interface.ListedEndpoint("c")],
         ),
     )
     assert avoided(balancer, 1.0) == 1
--- a/tests/test_jsonrpc.py
+++ b/tests/test_jsonrpc.py
@@ -34,7 +34,7 @@
                 yield interface.Fail(event.request)
             elif act == "send":
                 yield interface.Send(event.request, first_of(react), 0.0)
-        elif isinstance(event, interface.MembershipNews):
+        elif isinstance(event, interface.MembershipUpdate):
             react.listed = [e.endpoint for e in event.entries]  # type: ignore[attr-defined]
         elif isinstance(event, interface.AttemptEnded) and not event.complete:
             yield interface.Fail(event.request)
--- a/tests/test_jsonrpc_wire.py
+++ b/tests/test_jsonrpc_wire.py
@@ -25,7 +25,7 @@
     """Everything goes to the endpoint that is written by hand, once; a failure is final."""
     if isinstance(event, interface.RequestArrived):
         yield interface.Send(event.request, listed[-1], 0.0)
-    elif isinstance(event, interface.MembershipNews):
+    elif isinstance(event, interface.MembershipUpdate):
         listed[:] = [e.endpoint for e in event.entries] or listed
     elif isinstance(event, interface.AttemptEnded) and not event.complete:
         yield interface.Refuse(event.request) if event.outcome in interface.NEVER_RAN else interface.Fail(event.request)
@@ -495,7 +495,8 @@
         async with service(react=to_hand, by_hand=True) as s:
             tip, read, a, b, writer = await two_out(s)
             s.made.ledger.on_list(
-                "changes", [(interface.Listed(e.endpoint, "gone"), ("127.0.0.1", 1)) for e, _ in s.made.told.endpoints]
+                "changes",
+                [(interface.ListedEndpoint(e.endpoint, "gone"), ("127.0.0.1", 1)) for e, _ in s.made.told.endpoints],
             )
             late = s.clients[0].call(READ)
             assert (await late)["error"]["code"] == codec.REFUSED
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -51,9 +51,9 @@
 
 
 def test_what_was_told_comes_before_what_was_kept_back() -> None:
-    news = interface.MembershipNews("changes", [])
+    news = interface.MembershipUpdate("changes", [])
     fired, closed = interface.TimerFired("t"), interface.RequestClosed("r")
-    assert news_first([("b", fired), ("b", news), ("a", closed)], interface.MembershipNews) == deque(
+    assert news_first([("b", fired), ("b", news), ("a", closed)], interface.MembershipUpdate) == deque(
         [("b", news), ("b", fired), ("a", closed)]
     )
 
@@ -116,10 +116,10 @@
             s.balancer.told.clear()
             s.sidecar.notice(LATE)
             s.sidecar.feed(interface.TimerFired("t"))
-            s.sidecar.feed(interface.MembershipNews("changes", []))
+            s.sidecar.feed(interface.MembershipUpdate("changes", []))
             assert s.balancer.told == []
             await s.balancer.until(lambda: len(s.balancer.told) == 2)
-            assert [type(e) for _, e in s.balancer.told] == [interface.MembershipNews, interface.TimerFired]
+            assert [type(e) for _, e in s.balancer.told] == [interface.MembershipUpdate, interface.TimerFired]
 
     run_real(test)
 
--- a/zinclever/configuration/relations.py
+++ b/zinclever/configuration/relations.py
@@ -11,7 +11,7 @@
 
 from ..core.descriptors import RESERVED
 from ..core.protocol import Address, read_address
-from ..fleet.subset import EACH_SHARED
+from ..fleet.subset import MIN_INSTANCES_PER_SERVER
 from .findings import Finding, Path
 
 Clean = dict[str, Any]
@@ -280,7 +280,7 @@
         )
     cap, least, listed = shares.get("connections"), shares.get("subset"), len(service["endpoints"] or ())
     if cap and listed:
-        known = count * min(1.0, max(least or listed, EACH_SHARED * listed / count) / listed)
+        known = count * min(1.0, max(least or listed, MIN_INSTANCES_PER_SERVER * listed / count) / listed)
         if known > cap:
             yield Finding(
                 "ZC234",
--- a/zinclever/core/ledger.py
+++ b/zinclever/core/ledger.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from .. import interface
-from ..fleet.limits import Connections
+from ..fleet.limits import ConnectionLimiter
 from ..policy import Balancer
 from .counts import Counts
 from .descriptors import Descriptors
@@ -76,7 +76,7 @@
         self.wire, self.descriptors, self.host = wire, descriptors, host
         self.loop = asyncio.get_running_loop()
         self.clock = make_clock(host)
-        self.connections = Connections(host.random())
+        self.connections = ConnectionLimiter(host.random())
         self.view = self.make_view()
         self.configure_wire()
         self.requests: dict[str, Request] = {}
@@ -98,7 +98,7 @@
             interface.WatchMembership: self.watch,
             interface.FetchMembership: lambda a: self.source.fetch(),
             interface.CloseIdle: lambda a: self.wire.close_idle(a.endpoint),
-            interface.Note: lambda a: log.info("%s", a.text),
+            interface.LogMessage: lambda a: log.info("%s", a.text),
         }
 
     def configure_wire(self) -> None:
@@ -170,7 +170,7 @@
         self.standstill.held = False
         if anew:
             self.adopt(Balancer(self.settings, self.host.random().getrandbits(64)))
-        self.events = news_first(self.events, interface.MembershipNews)
+        self.events = news_first(self.events, interface.MembershipUpdate)
         self.work()
 
     def step(self, balancer: Balancer, event: interface.Event) -> None:
@@ -227,7 +227,7 @@
                 if endpoint not in present:
                     self.wire.forget(endpoint)
         of = len(self.view) if self.view is not None else 0
-        news = interface.MembershipNews(kind, [listed for listed, _ in entries], of)
+        news = interface.MembershipUpdate(kind, [listed for listed, _ in entries], of)
         for balancer in dict.fromkeys(r.balancer for r in self.requests.values()):
             if balancer is not self.balancer:
                 self.feed(news, balancer)
@@ -239,7 +239,7 @@
 
     def watch(self, action: interface.WatchMembership) -> None:
         if self.acting is self.balancer:
-            self.source.watch(action.on)
+            self.source.watch(action.subscribe)
 
     # --- requests ---
 
@@ -429,7 +429,7 @@
         if outcome == "served":
             view.subset.served(endpoint)
         elif outcome == "full":
-            self.connections.refused(1000.0 * self.loop.time())
+            self.connections.on_server_refused(1000.0 * self.loop.time())
         elif outcome == "connect_failed" and view.subset.failed(self.clock(), endpoint):
             self.move(view)
 
--- a/zinclever/core/protocol.py
+++ b/zinclever/core/protocol.py
@@ -6,11 +6,11 @@
 from typing import Any, NamedTuple, Protocol
 
 from .. import interface
-from ..fleet.limits import Connections
+from ..fleet.limits import ConnectionLimiter
 
 Address = tuple[str, int]
 #: An endpoint as its source lists it, and where it is found.
-Entry = tuple[interface.Listed, Address]
+Entry = tuple[interface.ListedEndpoint, Address]
 #: Takes news of the list of endpoints: a whole one, changes, or (``refused``) that there is none.
 OnList = Callable[[interface.ListKind, Sequence[Entry]], None]
 
@@ -85,7 +85,7 @@
 class Wire(Protocol):
     """Attempts on endpoints, and the connections that carry them."""
 
-    def configure(self, connect_timeout: float, idle_limit: float, connections: Connections) -> None:
+    def configure(self, connect_timeout: float, idle_limit: float, connections: ConnectionLimiter) -> None:
         """Take new limits, in ms, and who says whether one more connection may be opened."""
 
     def place(self, endpoint: str, address: Address) -> None:
--- a/zinclever/core/shared.py
+++ b/zinclever/core/shared.py
@@ -9,7 +9,7 @@
 from typing import Generic, Protocol, TypeVar
 
 from .. import interface
-from ..fleet.limits import Connections
+from ..fleet.limits import ConnectionLimiter
 from .descriptors import Descriptors
 from .pools import IDLE_SHARE, Carried
 from .protocol import Address
@@ -90,7 +90,7 @@
         self.dials: set[asyncio.Task[None]] = set()
         self.reaper: asyncio.TimerHandle | None = None
 
-    def configure(self, connect_timeout: float, idle_limit: float, connections: Connections) -> None:
+    def configure(self, connect_timeout: float, idle_limit: float, connections: ConnectionLimiter) -> None:
         self.connections = connections
         self.connect_timeout = connect_timeout / 1000.0
         self.idle_for = IDLE_SHARE * idle_limit / 1000.0
@@ -185,7 +185,7 @@
             self.descriptors.open -= 1
             now = 1000.0 * self.loop.time()
             # Where another connection is up the endpoint lives, and has no room for one more.
-            self.connections.not_connected(now, now if pool.connections else -math.inf)
+            self.connections.on_connect_failed(now, now if pool.connections else -math.inf)
             pool.dialling = False
             waiting, pool.waiting = pool.waiting, deque()
             for attempt in waiting:
--- a/zinclever/mesh/dataplane/forwarding.py
+++ b/zinclever/mesh/dataplane/forwarding.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from ...core.protocol import Address, Ended
-from ...fleet.limits import Connections
+from ...fleet.limits import ConnectionLimiter
 from ..attempt_outcome import AttemptOutcome
 from ..transport.channel import Channel
 from ..transport.mesh_pb2 import BodyChunk, ForwardReply, ForwardRequest, Frame
@@ -246,7 +246,7 @@
 
     # --- the endpoints ---
 
-    def configure(self, connect_timeout: float, idle_limit: float, connections: Connections) -> None:
+    def configure(self, connect_timeout: float, idle_limit: float, connections: ConnectionLimiter) -> None:
         """Channels have their own limits."""
 
     def place(self, endpoint: str, address: Address) -> None:
--- a/zinclever/mesh/dataplane/ingress.py
+++ b/zinclever/mesh/dataplane/ingress.py
@@ -15,7 +15,7 @@
 from ...core.host import Host
 from ...core.pools import ExclusivePools
 from ...core.protocol import Address, Ended
-from ...fleet.limits import Connections
+from ...fleet.limits import ConnectionLimiter
 from ...http1.connection import Broken, ClientConnection, Reply, dial
 from ...http1.wire import Exchange
 from ..attempt_outcome import AttemptOutcome
@@ -124,7 +124,7 @@
         self.pools: ExclusivePools[ClientConnection] = ExclusivePools(
             partial(dial, host, most_body=MAX_ANSWER_BYTES, stall=READ_TIMEOUT), descriptors
         )
-        connections = Connections(host.random())
+        connections = ConnectionLimiter(host.random())
         connections.configure(interface.Shares(), 1, 0, 0)
         self.pools.configure(CONNECT_TIMEOUT_MS, IDLE_TIMEOUT_MS, connections)
         self.endpoint = ""
--- a/zinclever/mesh/roles/sidecar.py
+++ b/zinclever/mesh/roles/sidecar.py
@@ -266,6 +266,6 @@
             if node is None or (members.state_of(endpoint.sidecar) or MemberState.ALIVE) >= MemberState.DEAD:
                 continue
             phase: interface.Phase = "ready" if record.rank == EndpointPhase.READY else "draining"
-            listed = interface.Listed(record.id, phase, float(endpoint.slots), zone_indexes.get(node.zone, 0))
+            listed = interface.ListedEndpoint(record.id, phase, float(endpoint.slots), zone_indexes.get(node.zone, 0))
             by_service[endpoint.service].append((listed, (node.ip, node.port)))
         return by_service
