--- a/tests/mesh/test_endpoint_calls.py
+++ b/tests/mesh/test_endpoint_calls.py
@@ -137,7 +137,7 @@
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                m.control.endpoint_api.announcer.tolerated_losses = 1
+                m.control.endpoint_api.announcer.tolerated_failures = 1
                 with cut_off(m.control.node), mock.patch.object(m.control.node.gossip.members, "others", list):
                     self.assertEqual(await beat(m, m.apps[0], "draining", m.core, m.port + 2), 503)
 
--- a/tests/mesh/test_gossip_messages.py
+++ b/tests/mesh/test_gossip_messages.py
@@ -51,7 +51,7 @@
         s.receive(f.now, GossipMessage.FromString(data), ("10.9.9.9", 9))
         f.run(2.0)
         self.assertEqual(len(s.members.others()), 2)
-        self.assertNotIn("x", s.failure_detector.last_heard)
+        self.assertNotIn("x", s.failure_detector.last_contact)
 
     def test_receipts_are_asked_for_until_they_come(self) -> None:
         f = met(4)
--- a/tests/mesh/test_mesh_operators.py
+++ b/tests/mesh/test_mesh_operators.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from mesh.cluster import Mesh, away, config, run, until
-from zinclever.mesh.consensus.replica_store import read_folder
+from zinclever.mesh.consensus.replica_store import read_stored_state
 from zinclever.mesh.errors import MeshError
 from zinclever.mesh.operator_cli.control_client import ControlRequest, call
 
@@ -80,7 +80,7 @@
                 self.assertEqual((view["Role"], view["Generation"], len(view["Voters"])), ("LEADER", 1, 1))
                 self.assertEqual((view["Disk"]["repaired"], view["Disk"]["refused"]), (0, 0))
                 self.assertEqual((view["Disk"]["unmarked"], view["Texts"]["given_up"]), (0, 0))
-                state = read_folder(Path(m.folder.name) / "disk")
+                state = read_stored_state(Path(m.folder.name) / "disk")
                 assert state.entry is not None
                 self.assertEqual((state.disk, state.entry.generation), (view["Leader"], 1))
 
