--- a/tests/mesh/test_configuration_handout.py
+++ b/tests/mesh/test_configuration_handout.py
@@ -139,7 +139,7 @@
                 done: list[Frame | None] = []
                 line.call(Frame(fetch=Fetch(index=1)), done.append)
                 await until(lambda: done)  # so all the others have come, too
-                m.control.node.put_in_force(
+                m.control.node.activate_configuration(
                     active.index + 1, 2, active.text.replace(b'"Generation":1', b'"Generation":2')
                 )
                 done.clear()
@@ -223,7 +223,7 @@
                 await until(lambda: all(f.node.active.generation == 2 for f in m.sidecars))
                 node = m.sidecars[0].node
                 record = node.gossip.records.get(RecordKind.VERSION, "config")
-                node.put_in_force(number, 1, old)
+                node.activate_configuration(number, 1, old)
                 self.assertEqual(node.active.generation, 2)
                 self.assertEqual(node.gossip.records.get(RecordKind.VERSION, "config"), record)
 
--- a/tests/mesh/test_leaving.py
+++ b/tests/mesh/test_leaving.py
@@ -56,7 +56,7 @@
                 await until(lambda: app.seen)
                 with mock.patch.object(sidecar, "MIN_DRAIN_PERIOD", 0.05):
                     stopped = asyncio.ensure_future(ending.stop(6.0))
-                    await until(lambda: ending.ending)
+                    await until(lambda: ending.is_stopping)
                     ready = await m.call(f"{m.ips[1]}:{m.port + 3}", "GET", "/v1/ready")
                     self.assertEqual(ready[0], 503)  # before anything else changes
                     self.assertFalse(asked.done() or stopped.done())
--- a/tests/mesh/test_mesh.py
+++ b/tests/mesh/test_mesh.py
@@ -179,7 +179,7 @@
                 self.assertEqual((got, len(queue.waiting)), (503, 1))
                 self.assertGreater(float(headers["retry-after"]), 0.1)
                 queue.busy = 0
-                m.sidecars[0].ingress.begin_waiting()
+                m.sidecars[0].ingress.dispatch_queued()
                 self.assertEqual((await first)[0], 200)
 
         run(test)
--- a/zinclever/mesh/dataplane/ingress.py
+++ b/zinclever/mesh/dataplane/ingress.py
@@ -161,7 +161,7 @@
         self.pools.place(endpoint, address)
         self.queue.slots = slots
         self.is_open = True
-        self.begin_waiting()
+        self.dispatch_queued()
 
     def close(self) -> None:
         """The endpoint takes nothing new: requests that have not begun may go elsewhere."""
@@ -215,7 +215,7 @@
         self.requests.add(request)
         self.queue.add(request)
         request.timer = self.loop.call_later(self.queue.queue_timeout(request), self.on_queue_timeout, request)
-        self.begin_waiting()
+        self.dispatch_queued()
         return request
 
     def on_queue_timeout(self, request: InboundRequest) -> None:
@@ -231,7 +231,7 @@
 
     # --- at the endpoint ---
 
-    def begin_waiting(self) -> None:
+    def dispatch_queued(self) -> None:
         """Begin the waiting requests that there are free slots for."""
         while self.is_open:
             now = self.loop.time()
@@ -278,7 +278,7 @@
         answer.service_ms = int(1000 * service_time)
         answer.queued_ms = int(1000 * (request.begun_at - request.received_at))
         self.reply(request, answer)
-        self.begin_waiting()
+        self.dispatch_queued()
 
     def reply_without_answer(self, outcome: interface.Outcome) -> ForwardReply:
         """The reply for a request that the endpoint hasn't answered."""
@@ -348,7 +348,7 @@
         self.remove_running(request)
         exchange.cancel(silent)
         request.queue.release_slot()
-        self.begin_waiting()
+        self.dispatch_queued()
         return may_have_reached
 
     def reply(self, request: InboundRequest, reply: ForwardReply) -> None:
--- a/zinclever/mesh/roles/control.py
+++ b/zinclever/mesh/roles/control.py
@@ -172,7 +172,7 @@
         elif isinstance(action, Commit):
             entry = action.entry
             if entry.text:
-                self.node.put_in_force(entry.index, entry.generation, entry.text)
+                self.node.activate_configuration(entry.index, entry.generation, entry.text)
         elif isinstance(action, VotersChanged):
             self.log_voters(action)
         elif isinstance(action, Reply):
--- a/zinclever/mesh/roles/node.py
+++ b/zinclever/mesh/roles/node.py
@@ -146,9 +146,9 @@
 
     # --- the configuration ---
 
-    def put_in_force(self, index: int, generation: int, text: bytes) -> None:
+    def activate_configuration(self, index: int, generation: int, text: bytes) -> None:
         """Put a committed configuration in force, and tell the others of it at once."""
-        self.distributor.put_in_force(index, generation, text)
+        self.distributor.activate_configuration(index, generation, text)
 
 
 def seed_addresses(settings: NodeSettings) -> list[Address]:
