--- a/tests/mesh/test_answers.py
+++ b/tests/mesh/test_answers.py
@@ -90,7 +90,7 @@
         async def test() -> None:
             async with Mesh(["a", "b"]) as m:
                 await m.serve()
-                app = m.apps[0]
+                app = m.stub_endpoints[0]
                 caller = m.sidecars[1]
                 relay = Relay(m.ips[1], (m.ips[0], m.sidecars[0].node.port))
                 await relay.start()
@@ -121,7 +121,7 @@
         self.assertGreater(outcomes["tried"], 50)
 
     def judge(self, kind: str, asked: dict[str, int], app: App, outcomes: Counter[str]) -> None:
-        ran = Counter(headers["x-attempt-id"] for _, headers, _ in app.seen)
+        ran = Counter(headers["x-attempt-id"] for _, headers, _ in app.received_requests)
         for name, status in asked.items():
             outcomes["tried"] += 1
             outcomes["ran"] += ran[name]
@@ -143,7 +143,7 @@
         async def test() -> None:
             async with Mesh(["a", "b"]) as m:
                 await m.serve()
-                app = m.apps[0]
+                app = m.stub_endpoints[0]
                 caller = m.sidecars[1]
                 relay = Relay(m.ips[1], (m.ips[0], m.sidecars[0].node.port))
                 await relay.start()
@@ -158,7 +158,7 @@
                 answers = await waiting
                 await asyncio.sleep(0.1)
                 relay.stop()
-                ran = Counter(headers["x-attempt-id"] for _, headers, _ in app.seen)
+                ran = Counter(headers["x-attempt-id"] for _, headers, _ in app.received_requests)
                 statuses = Counter(status for status, _, _ in answers)
                 print(kind, dict(statuses), "ran", sum(ran[n] for n in names))
                 for name, (status, headers, _) in zip(names, answers, strict=True):
@@ -277,7 +277,7 @@
                     status, headers, body = await m.ask("/a/unsafe/", X_Attempt_Id=f"u{n}")
                     if status == 200:
                         self.assertEqual((headers["x-attempt-id"], body), (f"u{n}", b"made"))
-                ran = Counter(headers["x-attempt-id"] for _, headers, _ in m.apps[0].seen)
+                ran = Counter(headers["x-attempt-id"] for _, headers, _ in m.stub_endpoints[0].received_requests)
                 self.assertEqual(set(ran.values()), {1})
 
         run(test)
--- a/zinclever/mesh/dataplane/egress.py
+++ b/zinclever/mesh/dataplane/egress.py
@@ -131,7 +131,7 @@
             head=head,
             body=body,
             has_body=method not in BODILESS_METHODS or bool(body),
-            safe=route.safe,
+            safe=route.is_idempotent,
             priority=int(route.priority),
             latency_target_at=now + max(0.0, route.latency_target - used),
             attempt_count=AttemptCount(route.max_attempts),
--- a/zinclever/mesh/dataplane/service_clients.py
+++ b/zinclever/mesh/dataplane/service_clients.py
@@ -123,16 +123,16 @@
 
         Routes that ask for the same share one, so that what is learnt stays through changes of names and places.
         """
-        key = ClassKey(route.safe, deadline, route.latency_target, route.priority)
+        key = ClassKey(route.is_idempotent, deadline, route.latency_target, route.priority)
         index = self.class_indexes.get(key)
         if index is None:
             index = self.class_indexes[key] = len(self.classes)
             request_class = interface.RequestClass(
                 aim=1000.0 * min(route.latency_target, deadline),
                 deadline=1000.0 * deadline,
-                repeat="idempotent" if route.safe else "at_most_once",
+                repeat="idempotent" if route.is_idempotent else "at_most_once",
                 late_worth=LATE_WORTH,
-                name=f"{'safe' if route.safe else 'unsafe'} {route.latency_target:g}",
+                name=f"{'safe' if route.is_idempotent else 'unsafe'} {route.latency_target:g}",
             )
             self.classes.append(request_class)
             add_class(self.ledger.balancer, request_class)
--- a/zinclever/mesh/roles/endpoint_api.py
+++ b/zinclever/mesh/roles/endpoint_api.py
@@ -90,15 +90,15 @@
                 if held is not None and held.rank < record.rank:
                     # Another process held a record that takes precedence: the end is spread on top of that.
                     record = superseding_record(held, record)
-                    gossip.broadcasts.confirmed.pop(number, None)
+                    gossip.broadcasts.awaiting_receipts.pop(number, None)
                     number = gossip.broadcast_confirmed(loop.time(), record, quorum.recipients())
                     self.node.gossip_socket.flush()
-                if quorum.is_reached(gossip.broadcasts.confirmed[number].confirmed_by, waited):
+                if quorum.is_reached(gossip.broadcasts.awaiting_receipts[number].confirmed_by, waited):
                     return True
                 await asyncio.sleep(RECEIPT_CHECK_INTERVAL)
             return False
         finally:
-            gossip.broadcasts.confirmed.pop(number, None)
+            gossip.broadcasts.awaiting_receipts.pop(number, None)
 
 
 class ControlEndpointApi:
