--- a/benchmarks/jsonrpc.py
+++ b/benchmarks/jsonrpc.py
@@ -378,7 +378,7 @@
     async def main() -> None:
         (told,) = build(check_operator(operator_text(port, ports).encode()).clean).services.values()
         made = JsonRpc(told, 1, Descriptors(4096), System())
-        made.ledger.balancer = SendAll(told.settings, 1)
+        made.dispatcher.balancer = SendAll(told.settings, 1)
         await made.service.listen()
         await asyncio.Event().wait()
 
--- a/tests/mesh/test_leaving.py
+++ b/tests/mesh/test_leaving.py
@@ -119,9 +119,9 @@
         async def test() -> None:
             async with Mesh(["one"]) as m:
                 await m.serve()
-                ledger = m.sidecars[0].clients.to("one").ledger
-                ledger.settle(True)  # what it does after standing still for a second
-                self.assertIsInstance(ledger.balancer.admission, IngressAdmission)
+                dispatcher = m.sidecars[0].clients.to("one").dispatcher
+                dispatcher.resume_after_stall(True)  # what it does after standing still for a second
+                self.assertIsInstance(dispatcher.balancer.admission, IngressAdmission)
                 told = config("one", generation=2)
                 told["Routes"]["one-safe"]["DeadlineS"] = 2.5  # a class that there was not
                 self.assertEqual((await m.put(told, 1))[0], 200)
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -80,10 +80,14 @@
             assert (replies.served, replies.refused, replies.failed, s.wire.dispatches) == (1, 1, 1, 1)
             assert counts.concurrent == 0
             c.send(Req_Id="r4")
-            await s.balancer.until(lambda: any(getattr(e, "request", "") == "r4" for _, e in s.balancer.told))
+            await s.balancer.until(
+                lambda: any(getattr(e, "request", "") == "r4" for _, e in s.balancer.received_events)
+            )
             assert counts.concurrent == 1
             c.writer.transport.abort()
-            await s.balancer.until(lambda: any(isinstance(e, interface.RequestClosed) for _, e in s.balancer.told))
+            await s.balancer.until(
+                lambda: any(isinstance(e, interface.RequestClosed) for _, e in s.balancer.received_events)
+            )
             assert counts.concurrent == 0
             assert (replies.served, replies.refused, replies.failed) == (1, 1, 1)
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -125,7 +125,7 @@
         async with serving(script) as (peer, at), sidecar(watch, {}, at) as s:
             await peer.arrived.get()
             s.balancer.react = lambda event: [interface.WatchMembership(True)] if news(s)[-1].kind == "changes" else []
-            s.discovery.tell("changes", [])
+            s.discovery.apply_update("changes", [])
             await s.balancer.until(lambda: news(s)[-1].kind == "whole")
             assert peer.connections == 2 and await peer.ended.get() == 0
 
@@ -172,7 +172,7 @@
         first, second = closed_port(), closed_port()
         async with sidecar(lambda event: (), {"seq": 1, "hosts": [host("a", first)]}, rules=RULES) as s:
             old = s.wire.pools["a"]
-            s.discovery.tell("changes", [host("a", second)])
+            s.discovery.apply_update("changes", [host("a", second)])
             assert s.wire.pools["a"].address[1] == int(second.rpartition(":")[2])
             assert old.left
 
--- a/tests/test_swallowed.py
+++ b/tests/test_swallowed.py
@@ -15,7 +15,7 @@
 from test_sidecar import send_to
 
 from zinclever import Balancer, Settings, interface
-from zinclever.core.ledger import make_clock
+from zinclever.core.dispatcher import make_clock
 from zinclever.http1 import wire
 
 RESETS = struct.pack("ii", 1, 0)  # SO_LINGER of 0 s: a close that resets
--- a/zinclever/configuration/relations.py
+++ b/zinclever/configuration/relations.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from ..core.descriptors import RESERVED
+from ..core.descriptors import DESCRIPTOR_RESERVE
 from ..core.protocol import Address, read_address
 from ..fleet.subset import MIN_INSTANCES_PER_SERVER
 from .findings import Finding, Path
@@ -357,14 +357,14 @@
     clients = sum(s["max_clients"] or 0 for s in services.values())
     targets = sum(len(s["endpoints"] or ()) for s in services.values())
     sockets = limits.get("sockets")
-    if sockets and services and sockets - RESERVED - clients < targets:
+    if sockets and services and sockets - DESCRIPTOR_RESERVE - clients < targets:
         first = next(iter(services))
         yield Finding(
             "ZC222",
             ("limits", "sockets"),
-            f"{sockets} less {RESERVED} in reserve and {clients} clients leave "
-            f"{max(0, sockets - RESERVED - clients)} for {targets} endpoints",
-            f"write {targets + clients + RESERVED} or more, or fewer max_clients",
+            f"{sockets} less {DESCRIPTOR_RESERVE} in reserve and {clients} clients leave "
+            f"{max(0, sockets - DESCRIPTOR_RESERVE - clients)} for {targets} endpoints",
+            f"write {targets + clients + DESCRIPTOR_RESERVE} or more, or fewer max_clients",
             (("services", first, "max_clients"),),
         )
     memory = limits.get("memory_mb")
--- a/zinclever/core/pools.py
+++ b/zinclever/core/pools.py
@@ -81,7 +81,7 @@
 
     # --- where endpoints are ---
 
-    def place(self, endpoint: str, address: Address) -> None:
+    def set_address(self, endpoint: str, address: Address) -> None:
         """An endpoint is found at this address from now on."""
         pool = self.pools.get(endpoint)
         if pool is None:
@@ -104,7 +104,7 @@
 
     # --- attempts ---
 
-    def carry(self, endpoint: str, attempt: Carried[C]) -> None:
+    def send_attempt(self, endpoint: str, attempt: Carried[C]) -> None:
         """Find a connection for an attempt: one that is idle, or a new one."""
         pool = self.pools.get(endpoint)
         if pool is None:
--- a/zinclever/discovery/catalog.py
+++ b/zinclever/discovery/catalog.py
@@ -187,7 +187,7 @@
             for (listed, address), site in self.hosts.values()
         ]
 
-    def tell(self, kind: interface.ListKind, hosts: list[dict[str, Any]]) -> None:
+    def apply_update(self, kind: interface.ListKind, hosts: list[dict[str, Any]]) -> None:
         """Hand on what discovery has answered."""
         self.on_list(*self.read(kind, hosts))
 
@@ -245,7 +245,7 @@
                 self.later(self.calls.watch_pause(), lambda: self.next_call(self.wait))
             else:
                 self.next_call(self.wait)
-        self.tell(kind, hosts)
+        self.apply_update(kind, hosts)
 
     def later(self, pause: float, act: Callable[[], None]) -> None:
         """Call again after a pause in ms, unless something else is done before."""
@@ -268,7 +268,7 @@
             if self.version is not None and version < self.version:
                 return  # overtaken by the watch
             self.version = version
-        self.tell(kind, hosts)
+        self.apply_update(kind, hosts)
 
     def stop(self) -> None:
         self.watching = False
--- a/zinclever/mesh/dataplane/ingress.py
+++ b/zinclever/mesh/dataplane/ingress.py
@@ -14,7 +14,7 @@
 from ...core.descriptors import Descriptors
 from ...core.host import Host
 from ...core.pools import ExclusivePools
-from ...core.protocol import Address, Ended
+from ...core.protocol import Address, OnEnded
 from ...fleet.limits import ConnectionLimiter
 from ...http1.connection import Broken, ClientConnection, Reply, dial
 from ...http1.wire import Exchange
@@ -39,7 +39,7 @@
 
     __slots__ = ("endpoint", "expires_at", "id")
 
-    def __init__(self, forward: ForwardRequest, body: bytes, ended: Ended, expires_at: float) -> None:
+    def __init__(self, forward: ForwardRequest, body: bytes, ended: OnEnded, expires_at: float) -> None:
         """``expires_at``: instant in s at which nobody waits for it any more."""
         super().__init__(forward.head, body, forward.framed, ended, 0.0, ignore_sent)
         self.id = forward.id.encode("latin-1")
@@ -158,7 +158,7 @@
                 self.pools.forget(self.endpoint)
             self.endpoint = endpoint
             self.queue = SlotQueue(slots)
-        self.pools.place(endpoint, address)
+        self.pools.set_address(endpoint, address)
         self.queue.slots = slots
         self.is_open = True
         self.dispatch_queued()
@@ -259,7 +259,7 @@
         """Send a request, on whichever connection there is."""
         on_ended = partial(self.on_exchange_ended, request)
         request.exchange = EndpointExchange(request.forward, request.body, on_ended, request.expires_at)
-        self.pools.carry(request.forward.endpoint, request.exchange)
+        self.pools.send_attempt(request.forward.endpoint, request.exchange)
 
     def on_exchange_ended(
         self, request: InboundRequest, outcome: interface.Outcome, reply: Reply | None = None, report: object = None
--- a/zinclever/mesh/roles/sidecar.py
+++ b/zinclever/mesh/roles/sidecar.py
@@ -118,7 +118,7 @@
             not self.is_stopping
             and self.node.active.configuration is not None
             and self.node.gossip.anti_entropy.joined
-            and any(client.ledger.ready for client in self.clients.clients.values())
+            and any(client.dispatcher.ready for client in self.clients.clients.values())
         )
 
     def on_ready(self, call: Call) -> Answer:
