--- a/tests/mesh/test_repairs.py
+++ b/tests/mesh/test_repairs.py
@@ -28,15 +28,15 @@
             yield time
             time += self.FINE if time < 0.4 or 1.95 < time < 2.35 else self.COARSE
 
-    def repair(self, w: World, kind: str, victim: str) -> None:
+    def repair(self, world: World, kind: str, victim: str) -> None:
         if kind == "disk lost":
-            w.wipe(victim)
-            w.start(victim)
+            world.wipe(victim)
+            world.start(victim)
         elif kind == "replaced":
-            w.remove(victim)
-            w.add("10.0.0.20")
+            world.remove(victim)
+            world.add("10.0.0.20")
         elif kind == "left":
-            w.terminate(victim, gone=True)
+            world.terminate(victim, gone=True)
 
     @params(
         ("disk lost", False),
@@ -60,38 +60,38 @@
                 newest = start.newest().generation
                 start.put(start.leaders()[0], newest, newest + 1)
             with self.subTest(at=at):
-                w = copy.deepcopy(start)
-                lost = w.rng.choice([ip for ip in w.machines if ip != victim and ip not in w.ending])
+                world = copy.deepcopy(start)
+                lost = world.rng.choice([ip for ip in world.machines if ip != victim and ip not in world.ending])
                 if n % 2:
-                    for ip in list(w.machines):
-                        w.kill(ip)
-                w.wipe(lost)
-                w.quiet(2.5)
-                w.nothing_lost()
-                w.one_winner()
-                self.assertTrue(w.leaders() and w.reads(w.leaders()[0]))
+                    for ip in list(world.machines):
+                        world.kill(ip)
+                world.wipe(lost)
+                world.quiet(2.5)
+                world.nothing_lost()
+                world.one_winner()
+                self.assertTrue(world.leaders() and world.reads(world.leaders()[0]))
 
     def test_successive_repairs(self) -> None:
         """Each node is replaced in turn, in different ways, with time to catch up in between."""
         for seed in range(2):
             with self.subTest(seed=seed):
-                w = started_cluster(seed, 3, 1, 3)
+                world = started_cluster(seed, 3, 1, 3)
                 for n, kind in enumerate(("replaced", "disk lost", "left", "replaced", "disk lost", "left")):
-                    newest = w.newest().generation
-                    w.put(w.leaders()[0], newest, newest + 1)
-                    victim = sorted(w.machines)[0]
+                    newest = world.newest().generation
+                    world.put(world.leaders()[0], newest, newest + 1)
+                    victim = sorted(world.machines)[0]
                     if kind == "left":
-                        w.add(f"10.0.0.{30 + n}")
-                        w.run(4.0)
+                        world.add(f"10.0.0.{30 + n}")
+                        world.run(4.0)
                     if kind == "replaced":
-                        w.remove(victim)
-                        w.add(f"10.0.0.{30 + n}")
+                        world.remove(victim)
+                        world.add(f"10.0.0.{30 + n}")
                     else:
-                        self.repair(w, kind, victim)
-                    w.run(4.0)
-                    self.assertEqual(len(voters(w)), 3)
-                    self.assertEqual(voters(w), set(w.machines))
-                    w.nothing_lost()
+                        self.repair(world, kind, victim)
+                    world.run(4.0)
+                    self.assertEqual(len(voters(world)), 3)
+                    self.assertEqual(voters(world), set(world.machines))
+                    world.nothing_lost()
 
 
 class MissingRules(unittest.TestCase):
@@ -103,21 +103,21 @@
         One of three replicas leaves for good while only the leader's disk also holds the newest entry, and then that
         disk is lost. A correct replica waits with its shutdown until the third one holds the entry.
         """
-        w = started_cluster(seed, 3, 1, 3, kind)
-        (leader,) = w.leaders()
-        leaver = follower(w)
-        lacking = next(ip for ip in w.machines if ip not in (leader, leaver))
-        w.cut_off(lacking)
-        w.put(leader, 1, 2)
-        w.run(0.3)
-        w.terminate(leaver, gone=True)
-        w.run(0.4)
-        if leaver in w.ending:  # it still waits for the entry to reach the other disks, as required
+        world = started_cluster(seed, 3, 1, 3, kind)
+        (leader,) = world.leaders()
+        leaver = follower(world)
+        lacking = next(ip for ip in world.machines if ip not in (leader, leaver))
+        world.cut_off(lacking)
+        world.put(leader, 1, 2)
+        world.run(0.3)
+        world.terminate(leaver, gone=True)
+        world.run(0.4)
+        if leaver in world.ending:  # it still waits for the entry to reach the other disks, as required
             return False
-        w.cut.clear()
-        w.wipe(leader)
-        w.quiet(3.0)
-        return w.newest().generation < 2 or not w.leaders()
+        world.cut.clear()
+        world.wipe(leader)
+        world.quiet(3.0)
+        return world.newest().generation < 2 or not world.leaders()
 
     def test_leaving_replica_confirmed_before_others_hold_the_entry(self) -> None:
         class ImmediateLeave(Replica):
@@ -142,10 +142,10 @@
         """Without the target size, unreachable voters are removed down to the initial size of the set."""
 
         def shrinks(kind: type[Replica]) -> bool:
-            w = started_cluster(1, kind=kind)
-            w.kill(follower(w))
-            w.run(4.0)
-            return len(voters(w)) < 5
+            world = started_cluster(1, kind=kind)
+            world.kill(follower(world))
+            world.run(4.0)
+            return len(voters(world)) < 5
 
         self.assertFalse(shrinks(Replica))
         with mock.patch.object(quorum, "target_size", lambda founding_size, losses: founding_size):
@@ -160,14 +160,14 @@
                 self.voter_changes.on_acknowledged(voter.disk, entry.index)
 
         def commits_after_failure(kind: type[Replica]) -> bool:
-            w = started_cluster(1, 3, 1, 3, kind)
-            w.add("10.0.0.10")
-            w.full = {"10.0.0.10"}
-            w.run(4.0)
-            w.kill(next(ip for ip in w.machines if ip not in (*w.leaders(), "10.0.0.10")))
-            w.put(w.leaders()[0], 1, 2)
-            w.run(1.0)
-            return 2 in w.acked
+            world = started_cluster(1, 3, 1, 3, kind)
+            world.add("10.0.0.10")
+            world.full = {"10.0.0.10"}
+            world.run(4.0)
+            world.kill(next(ip for ip in world.machines if ip not in (*world.leaders(), "10.0.0.10")))
+            world.put(world.leaders()[0], 1, 2)
+            world.run(1.0)
+            return 2 in world.acked
 
         self.assertTrue(commits_after_failure(Replica))
         self.assertFalse(commits_after_failure(VoteBeforeState))
--- a/tests/mesh/test_storms.py
+++ b/tests/mesh/test_storms.py
@@ -16,101 +16,101 @@
 
     def run_schedule(self, seed: int, kind: type[Replica] = Replica) -> World:
         """Run a fault schedule drawn from a seed, and check that no acknowledged change is lost."""
-        w = World(seed, kind=kind)
-        w.run(2.0)
-        w.loss, w.doubles, w.delay, w.synced, w.answer_loss = 0.1, 0.1, 0.01, 0.15, 0.1
+        world = World(seed, kind=kind)
+        world.run(2.0)
+        world.loss, world.doubles, world.delay, world.synced, world.answer_loss = 0.1, 0.1, 0.01, 0.15, 0.1
         generation, failed, last_node = 0, "", 20
         for _ in range(40):
-            w.run(0.3 * w.rng.random())
-            for ip in w.leaders():
-                replica = w.machines[ip].replica
-                if replica is not None and w.rng.random() < 0.7:
-                    for _ in range(w.rng.randrange(1, 3)):
+            world.run(0.3 * world.rng.random())
+            for ip in world.leaders():
+                replica = world.machines[ip].replica
+                if replica is not None and world.rng.random() < 0.7:
+                    for _ in range(world.rng.randrange(1, 3)):
                         generation += 1
-                        w.put(ip, replica.committed.generation, generation)
-                self.other_calls(w, ip)
-                if w.rng.random() < 0.5:
-                    w.get(ip)
-            draw = w.rng.random()
+                        world.put(ip, replica.committed.generation, generation)
+                self.other_calls(world, ip)
+                if world.rng.random() < 0.5:
+                    world.get(ip)
+            draw = world.rng.random()
             if failed and draw < 0.5:  # only one replica fails at a time: it recovers before the next one fails
-                if failed in w.machines and w.machines[failed].replica is None:
-                    w.start(failed)
-                elif failed in w.machines and w.machines[failed].paused:
-                    w.run(2.0 * w.rng.random())  # the others continue without it
-                    for ip in w.leaders():
+                if failed in world.machines and world.machines[failed].replica is None:
+                    world.start(failed)
+                elif failed in world.machines and world.machines[failed].paused:
+                    world.run(2.0 * world.rng.random())  # the others continue without it
+                    for ip in world.leaders():
                         generation += 1
-                        w.put(ip, max(w.acked, default=0), generation)
-                    w.run(0.3)
-                    w.resume(failed)
-                    self.other_calls(w, failed)  # before it has handled any message
-                    w.get(failed)
-                w.cut.clear()
-                w.full.clear()
-                w.run(4.0)  # time to catch up, during which it still counts as failed
+                        world.put(ip, max(world.acked, default=0), generation)
+                    world.run(0.3)
+                    world.resume(failed)
+                    self.other_calls(world, failed)  # before it has handled any message
+                    world.get(failed)
+                world.cut.clear()
+                world.full.clear()
+                world.run(4.0)  # time to catch up, during which it still counts as failed
                 failed = ""
             elif not failed and draw < 0.8:
-                failed = w.rng.choice(list(w.machines))
-                fault = w.rng.randrange(7)
+                failed = world.rng.choice(list(world.machines))
+                fault = world.rng.randrange(7)
                 if fault == 0:
-                    w.kill(failed)
+                    world.kill(failed)
                 elif fault == 1:
-                    w.wipe(failed)
+                    world.wipe(failed)
                 elif fault == 2:
-                    w.cut = {(a, b) for a in w.machines for b in w.machines if failed in (a, b)}
+                    world.cut = {(a, b) for a in world.machines for b in world.machines if failed in (a, b)}
                 elif fault == 3:
-                    w.cut = {(a, failed) for a in w.machines if a != failed}
+                    world.cut = {(a, failed) for a in world.machines if a != failed}
                 elif fault == 4:
-                    w.full = {failed}
+                    world.full = {failed}
                 elif fault == 5:
-                    w.pause(failed)
+                    world.pause(failed)
                 else:
                     last_node += 1
-                    w.remove(failed)
+                    world.remove(failed)
                     failed = f"10.0.0.{last_node}"
-                    w.add(failed)
+                    world.add(failed)
             elif draw > 0.9 and not failed:  # a power failure of all replicas, shortly after a change was sent
-                for ip in w.leaders():
-                    replica = w.machines[ip].replica
+                for ip in world.leaders():
+                    replica = world.machines[ip].replica
                     if replica is not None:
                         generation += 1
-                        w.put(ip, replica.committed.generation, generation)
-                w.run(0.15 * w.rng.random())
-                for ip in list(w.machines):
-                    w.kill(ip)
-                for ip in list(w.machines):
-                    w.start(ip)
-        w.quiet(8.0)
-        w.nothing_lost()
-        w.one_winner()
-        return w
-
-    def other_calls(self, w: World, ip: str) -> None:
+                        world.put(ip, replica.committed.generation, generation)
+                world.run(0.15 * world.rng.random())
+                for ip in list(world.machines):
+                    world.kill(ip)
+                for ip in list(world.machines):
+                    world.start(ip)
+        world.quiet(8.0)
+        world.nothing_lost()
+        world.one_winner()
+        return world
+
+    def other_calls(self, world: World, ip: str) -> None:
         """Send a replica further random changes.
 
         These repeat an earlier change, reuse its generation with another text, or have a generation that is not above
         the newest acknowledged one.
         """
-        earlier = [call for call in w.history if call.kind == "put"]
-        newest = max(w.acked, default=0)
-        if earlier and w.rng.random() < 0.4:
-            w.again(ip, w.rng.choice(earlier[-8:]))
-        if earlier and w.rng.random() < 0.2:
-            call = w.rng.choice(earlier[-8:])
-            w.put(ip, call.base, call.generation, call.variant + 1)
-        if w.rng.random() < 0.3:
-            w.put(ip, newest, w.rng.randrange(newest + 1))
+        earlier = [call for call in world.history if call.kind == "put"]
+        newest = max(world.acked, default=0)
+        if earlier and world.rng.random() < 0.4:
+            world.again(ip, world.rng.choice(earlier[-8:]))
+        if earlier and world.rng.random() < 0.2:
+            call = world.rng.choice(earlier[-8:])
+            world.put(ip, call.base, call.generation, call.variant + 1)
+        if world.rng.random() < 0.3:
+            world.put(ip, newest, world.rng.randrange(newest + 1))
 
     def test_no_acknowledged_change_is_lost_and_histories_are_linearizable(self) -> None:
         acked = 0
         answers = dict.fromkeys(Told, 0)
         for seed in range(25):
             with self.subTest(seed=seed):
-                w = self.run_schedule(seed)
-                self.assertEqual(len(w.leaders()), 1)
-                self.assertTrue(w.reads(w.leaders()[0]))
-                self.assertTrue(linearizable(w.history))
-                acked += len(w.acked)
-                for call in w.history:
+                world = self.run_schedule(seed)
+                self.assertEqual(len(world.leaders()), 1)
+                self.assertTrue(world.reads(world.leaders()[0]))
+                self.assertTrue(linearizable(world.history))
+                acked += len(world.acked)
+                for call in world.history:
                     answers[call.told] += call.kind == "put"
         self.assertGreater(acked, 200)
         self.assertGreater(min(answers.values()), 50, answers)
@@ -192,18 +192,18 @@
 
         detected = False
         for seed in range(20):
-            w = World(seed, kind=UnconfirmedReads)
-            w.run(2.0)
-            (ip,) = w.leaders()
-            w.cut = {(a, b) for a in w.machines for b in w.machines if ip in (a, b) and a != b}
+            world = World(seed, kind=UnconfirmedReads)
+            world.run(2.0)
+            (ip,) = world.leaders()
+            world.cut = {(a, b) for a in world.machines for b in world.machines if ip in (a, b) and a != b}
             for n in range(1, 100):
-                w.run(0.02)
-                for leader in w.leaders():
-                    replica = w.machines[leader].replica
+                world.run(0.02)
+                for leader in world.leaders():
+                    replica = world.machines[leader].replica
                     if leader != ip and replica is not None:
-                        w.put(leader, replica.committed.generation, n)
-                    w.get(leader)
-            detected = detected or not linearizable(w.history)
+                        world.put(leader, replica.committed.generation, n)
+                    world.get(leader)
+            detected = detected or not linearizable(world.history)
         self.assertTrue(detected)
 
 
--- a/tests/mesh/test_voters.py
+++ b/tests/mesh/test_voters.py
@@ -19,25 +19,25 @@
     seed: int, members: int = 5, losses: int = 2, founders: int = 3, kind: type[Replica] = Replica
 ) -> World:
     """A cluster bootstrapped by ``founders`` replicas and joined by the rest, with generation 1 acknowledged."""
-    w = World(seed, members, losses, kind, founders)
-    w.run(4.0)
-    w.put(w.leaders()[0], 0, 1)
-    w.run(0.5)
-    assert 1 in w.acked
-    return w
+    world = World(seed, members, losses, kind, founders)
+    world.run(4.0)
+    world.put(world.leaders()[0], 0, 1)
+    world.run(0.5)
+    assert 1 in world.acked
+    return world
 
 
-def voters(w: World) -> set[str]:
-    return {v.ip for v in w.newest().voters}
+def voters(world: World) -> set[str]:
+    return {v.ip for v in world.newest().voters}
 
 
-def disks(w: World) -> set[str]:
-    return {v.disk for v in w.newest().voters}
+def disks(world: World) -> set[str]:
+    return {v.disk for v in world.newest().voters}
 
 
-def follower(w: World) -> str:
+def follower(world: World) -> str:
     """A random replica that is not the leader."""
-    return w.rng.choice([ip for ip in w.machines if ip not in w.leaders()])
+    return world.rng.choice([ip for ip in world.machines if ip not in world.leaders()])
 
 
 class VoterSetSize(unittest.TestCase):
@@ -48,87 +48,87 @@
         """
         for seed in range(SEEDS):
             with self.subTest(seed=seed):
-                w = started_cluster(seed)
-                self.assertEqual(len(voters(w)), 5)
-                restarted = follower(w)
-                w.kill(restarted)
-                w.run(1.0 + w.rng.random())
-                self.assertEqual(len(voters(w)), 5)
-                w.start(restarted)
-                w.run(0.1)
-                lost = w.rng.sample([ip for ip in w.machines if ip != restarted], 2)
-                for ip in list(w.machines):
-                    w.kill(ip)
+                world = started_cluster(seed)
+                self.assertEqual(len(voters(world)), 5)
+                restarted = follower(world)
+                world.kill(restarted)
+                world.run(1.0 + world.rng.random())
+                self.assertEqual(len(voters(world)), 5)
+                world.start(restarted)
+                world.run(0.1)
+                lost = world.rng.sample([ip for ip in world.machines if ip != restarted], 2)
+                for ip in list(world.machines):
+                    world.kill(ip)
                 for ip in lost:
-                    w.wipe(ip)
-                w.quiet(3.0)
-                w.nothing_lost()
-                self.assertEqual(len(w.leaders()), 1)
-                self.assertTrue(w.reads(w.leaders()[0]))
+                    world.wipe(ip)
+                world.quiet(3.0)
+                world.nothing_lost()
+                self.assertEqual(len(world.leaders()), 1)
+                self.assertTrue(world.reads(world.leaders()[0]))
 
     @params((5, 2, 3), (3, 1, 3), (3, 1, 2), (5, 1, 3), (7, 2, 3))
     def test_all_control_nodes_become_voters(self, members: int, losses: int, founders: int) -> None:
-        w = started_cluster(1, members, losses, founders)
-        self.assertEqual(len(voters(w)), members)
+        world = started_cluster(1, members, losses, founders)
+        self.assertEqual(len(voters(world)), members)
 
     def test_learners_join_while_an_initial_voter_is_down(self) -> None:
         """Below the target size, learners must become voters even if one of the three initial voters is down."""
-        w = World(1, 3, 2)
-        w.run(2.0)
-        w.kill(follower(w))
-        w.add("10.0.0.10")
-        w.add("10.0.0.11")
-        w.run(2.0)
-        self.assertEqual(len(voters(w)), 5)
-        w.put(w.leaders()[0], 0, 1)
-        w.run(0.5)
-        self.assertIn(1, w.acked)
+        world = World(1, 3, 2)
+        world.run(2.0)
+        world.kill(follower(world))
+        world.add("10.0.0.10")
+        world.add("10.0.0.11")
+        world.run(2.0)
+        self.assertEqual(len(voters(world)), 5)
+        world.put(world.leaders()[0], 0, 1)
+        world.run(0.5)
+        self.assertIn(1, world.acked)
 
     def test_unreachable_voter_beyond_the_target_size_is_removed(self) -> None:
-        w = started_cluster(1, 4, 1, 3)
-        self.assertEqual(len(voters(w)), 4)
-        w.kill(follower(w))
-        w.run(1.5)
-        self.assertEqual(len(voters(w)), 4)
-        w.run(1.5)
-        self.assertEqual(len(voters(w)), 3)
+        world = started_cluster(1, 4, 1, 3)
+        self.assertEqual(len(voters(world)), 4)
+        world.kill(follower(world))
+        world.run(1.5)
+        self.assertEqual(len(voters(world)), 4)
+        world.run(1.5)
+        self.assertEqual(len(voters(world)), 3)
 
     def test_leader_removes_no_voter_after_its_own_pause(self) -> None:
         """A leader that resumes must not take the time of its own pause for unreachability of the voters."""
         for seed in range(6):
-            w = started_cluster(seed, 4, 1, 3)
-            (leader,) = w.leaders()
-            for ip in w.machines:
-                w.pause(ip)
-            w.run(5.0)
-            w.resume(leader)
-            w.run(0.3)
-            for ip in w.machines:
+            world = started_cluster(seed, 4, 1, 3)
+            (leader,) = world.leaders()
+            for ip in world.machines:
+                world.pause(ip)
+            world.run(5.0)
+            world.resume(leader)
+            world.run(0.3)
+            for ip in world.machines:
                 if ip != leader:
-                    w.resume(ip)
-            w.run(2.0)
-            self.assertEqual(len(voters(w)), 4)
-            self.assertEqual(len(w.leaders()), 1)
+                    world.resume(ip)
+            world.run(2.0)
+            self.assertEqual(len(voters(world)), 4)
+            self.assertEqual(len(world.leaders()), 1)
 
     def test_learner_with_a_failing_disk_does_not_become_a_voter(self) -> None:
-        w = started_cluster(1, 3, 1, 3)
-        w.add("10.0.0.10")
-        w.full = {"10.0.0.10"}
-        w.run(4.0)
-        self.assertEqual(len(voters(w)), 3)
-        w.full = set()
-        w.run(3.0)
-        self.assertEqual(len(voters(w)), 4)
+        world = started_cluster(1, 3, 1, 3)
+        world.add("10.0.0.10")
+        world.full = {"10.0.0.10"}
+        world.run(4.0)
+        self.assertEqual(len(voters(world)), 3)
+        world.full = set()
+        world.run(3.0)
+        self.assertEqual(len(voters(world)), 4)
 
     def test_restarted_learner_becomes_a_voter(self) -> None:
-        w = started_cluster(1, 3, 1, 3)
-        w.add("10.0.0.10")
-        w.run(1.0)  # it holds the entry but is no voter yet
-        self.assertIsNotNone(w.machines["10.0.0.10"].disk.accepted)
-        w.kill("10.0.0.10")
-        w.start("10.0.0.10")
-        w.run(3.0)
-        self.assertEqual(len(voters(w)), 4)
+        world = started_cluster(1, 3, 1, 3)
+        world.add("10.0.0.10")
+        world.run(1.0)  # it holds the entry but is no voter yet
+        self.assertIsNotNone(world.machines["10.0.0.10"].disk.accepted)
+        world.kill("10.0.0.10")
+        world.start("10.0.0.10")
+        world.run(3.0)
+        self.assertEqual(len(voters(world)), 4)
 
 
 class FaultModels(unittest.TestCase):
@@ -170,47 +170,47 @@
 
         The voters of the first zone must not have been removed in between.
         """
-        w = started_cluster(1, 6, FaultModel(1, zones=1).tolerated_failures([Location(z, "") for z in "aabbcc"]), 3)
+        world = started_cluster(1, 6, FaultModel(1, zones=1).tolerated_failures([Location(z, "") for z in "aabbcc"]), 3)
         for ip in ("10.0.0.0", "10.0.0.1"):
-            w.kill(ip)
-        w.run(6.0)
+            world.kill(ip)
+        world.run(6.0)
         for ip in ("10.0.0.0", "10.0.0.1"):
-            w.start(ip)
-        w.run(4.0)
+            world.start(ip)
+        world.run(4.0)
         for ip in ("10.0.0.2", "10.0.0.3"):
-            w.kill(ip)
-        w.run(2.5)
-        self.assertEqual(len(w.leaders()), 1)
-        self.assertTrue(w.reads(w.leaders()[0]))
+            world.kill(ip)
+        world.run(2.5)
+        self.assertEqual(len(world.leaders()), 1)
+        self.assertTrue(world.reads(world.leaders()[0]))
 
 
 class Leaving(unittest.TestCase):
     def only_copy(self, seed: int, leads: bool) -> tuple[World, str, str]:
         """Three replicas of which one is about to leave and one lacks the newest generation; returns the latter two."""
-        w = started_cluster(seed, 3, 1, 3)
-        (leader,) = w.leaders()
-        leaver = leader if leads else follower(w)
-        lacking = next(ip for ip in w.machines if ip not in (leader, leaver))
-        w.cut_off(lacking)
-        w.put(leader, 1, 2)
-        w.run(0.3)
-        self.assertIn(2, w.acked)
-        w.cut.clear()
-        return w, leaver, lacking
+        world = started_cluster(seed, 3, 1, 3)
+        (leader,) = world.leaders()
+        leaver = leader if leads else follower(world)
+        lacking = next(ip for ip in world.machines if ip not in (leader, leaver))
+        world.cut_off(lacking)
+        world.put(leader, 1, 2)
+        world.run(0.3)
+        self.assertIn(2, world.acked)
+        world.cut.clear()
+        return world, leaver, lacking
 
     @params(False, True)
     def test_leaving_replica_never_holds_the_only_copy(self, leads: bool) -> None:
         for seed in range(5):
             with self.subTest(seed=seed):
-                w, leaver, _ = self.only_copy(seed, leads)
-                w.terminate(leaver)
-                while leaver in w.ending:
-                    w.run(0.01)
-                others = [m for ip, m in w.machines.items() if ip != leaver]
+                world, leaver, _ = self.only_copy(seed, leads)
+                world.terminate(leaver)
+                while leaver in world.ending:
+                    world.run(0.01)
+                others = [m for ip, m in world.machines.items() if ip != leaver]
                 for m in others:
                     assert m.disk.accepted is not None
                     self.assertEqual(m.disk.accepted.generation, 2)
-                self.assertEqual(len(voters(w)), 3)
+                self.assertEqual(len(voters(world)), 3)
 
     def test_change_acknowledged_during_a_shutdown_is_on_the_other_disks(self) -> None:
         """A change acknowledged between SIGTERM and the end of a replica must be on both other disks at the end.
@@ -219,66 +219,66 @@
         """
         for seed in range(5):
             with self.subTest(seed=seed):
-                w = started_cluster(seed, 3, 1, 3)
-                leaver, (leader,) = follower(w), w.leaders()
-                third = next(ip for ip in w.machines if ip not in (leader, leaver))
-                w.cut_off(third)
-                w.terminate(leaver)
-                w.run(0.005 * seed)
-                w.put(leader, 1, 2)
-                w.run(0.3)
-                self.assertIn(leaver, w.ending)
-                w.cut.clear()
-                while leaver in w.ending:
-                    w.run(0.01)
-                w.run(0.2)
-                kept = w.machines[third].disk.accepted
+                world = started_cluster(seed, 3, 1, 3)
+                leaver, (leader,) = follower(world), world.leaders()
+                third = next(ip for ip in world.machines if ip not in (leader, leaver))
+                world.cut_off(third)
+                world.terminate(leaver)
+                world.run(0.005 * seed)
+                world.put(leader, 1, 2)
+                world.run(0.3)
+                self.assertIn(leaver, world.ending)
+                world.cut.clear()
+                while leaver in world.ending:
+                    world.run(0.01)
+                world.run(0.2)
+                kept = world.machines[third].disk.accepted
                 assert kept is not None
-                self.assertEqual((kept.generation, list(w.acked)), (2, [1, 2]))
+                self.assertEqual((kept.generation, list(world.acked)), (2, [1, 2]))
 
     def test_rolling_restart_keeps_the_voter_set(self) -> None:
         for seed in range(4):
             with self.subTest(seed=seed):
-                w = started_cluster(seed, 3, 1, 3)
-                before = disks(w)
-                for ip in list(w.machines):
-                    w.terminate(ip)
-                    began = w.now
-                    while ip in w.ending:
-                        w.run(0.01)
-                    self.assertLess(w.now - began, 1.5)
-                    self.assertEqual(disks(w), before)
-                    w.run(1.0)
-                    w.start(ip)
-                    w.run(1.0)
-                self.assertEqual(disks(w), before)
-                w.nothing_lost()
+                world = started_cluster(seed, 3, 1, 3)
+                before = disks(world)
+                for ip in list(world.machines):
+                    world.terminate(ip)
+                    began = world.now
+                    while ip in world.ending:
+                        world.run(0.01)
+                    self.assertLess(world.now - began, 1.5)
+                    self.assertEqual(disks(world), before)
+                    world.run(1.0)
+                    world.start(ip)
+                    world.run(1.0)
+                self.assertEqual(disks(world), before)
+                world.nothing_lost()
 
     def test_restarted_voter_beyond_the_target_size_rejoins(self) -> None:
-        w = started_cluster(1, 5, 1, 3)
-        ip = follower(w)
-        w.terminate(ip)
-        w.run(1.0)
-        self.assertEqual(len(voters(w)), 4)
-        w.start(ip)
-        w.run(3.0)
-        self.assertEqual(len(voters(w)), 5)
+        world = started_cluster(1, 5, 1, 3)
+        ip = follower(world)
+        world.terminate(ip)
+        world.run(1.0)
+        self.assertEqual(len(voters(world)), 4)
+        world.start(ip)
+        world.run(3.0)
+        self.assertEqual(len(voters(world)), 5)
 
     def test_simultaneous_shutdown_of_all_replicas_does_not_wait(self) -> None:
-        w = started_cluster(1, 3, 1, 3)
-        for ip in list(w.machines):
-            w.terminate(ip)
-        w.run(1.2)
-        self.assertFalse(w.ending)
+        world = started_cluster(1, 3, 1, 3)
+        for ip in list(world.machines):
+            world.terminate(ip)
+        world.run(1.2)
+        self.assertFalse(world.ending)
 
     def test_shutdown_is_bounded_by_the_grace_period(self) -> None:
         """With one of three replicas down, a leaving one waits no longer than its grace period."""
-        w = started_cluster(1, 3, 1, 3)
-        w.kill(follower(w))
-        w.run(1.0)
-        w.terminate(w.leaders()[0], grace=2.0)
-        w.run(2.1)
-        self.assertFalse(w.ending)
+        world = started_cluster(1, 3, 1, 3)
+        world.kill(follower(world))
+        world.run(1.0)
+        world.terminate(world.leaders()[0], grace=2.0)
+        world.run(2.1)
+        self.assertFalse(world.ending)
 
     @params(False, True)
     def test_planned_replacement(self, leads: bool) -> None:
@@ -286,22 +286,22 @@
         for seed in range(4):
             for which in range(3):
                 with self.subTest(seed=seed, which=which):
-                    w = started_cluster(seed, 3, 1, 3)
-                    old = w.leaders()[0] if leads else follower(w)
-                    w.add("10.0.0.10")
-                    w.run(4.0)
-                    w.terminate(old, gone=True)
-                    while old in w.ending:
-                        w.run(0.01)
-                    self.assertNotIn(old, voters(w))
-                    self.assertEqual(len(voters(w)), 3)
-                    lost = sorted(w.machines)[which]
-                    w.wipe(lost)
-                    for ip in list(w.machines):
-                        w.kill(ip)
-                    w.quiet(4.0)
-                    w.nothing_lost()
-                    self.assertTrue(w.leaders() and w.reads(w.leaders()[0]))
+                    world = started_cluster(seed, 3, 1, 3)
+                    old = world.leaders()[0] if leads else follower(world)
+                    world.add("10.0.0.10")
+                    world.run(4.0)
+                    world.terminate(old, gone=True)
+                    while old in world.ending:
+                        world.run(0.01)
+                    self.assertNotIn(old, voters(world))
+                    self.assertEqual(len(voters(world)), 3)
+                    lost = sorted(world.machines)[which]
+                    world.wipe(lost)
+                    for ip in list(world.machines):
+                        world.kill(ip)
+                    world.quiet(4.0)
+                    world.nothing_lost()
+                    self.assertTrue(world.leaders() and world.reads(world.leaders()[0]))
 
 
 if __name__ == "__main__":
--- a/zinclever/mesh/consensus/quorum.py
+++ b/zinclever/mesh/consensus/quorum.py
@@ -157,9 +157,9 @@
         committed: The committed entry, which holds the current voters.
         leader: Disk ID of the leader, which is never replaced or removed as unreachable or leaving.
         learners: By disk ID; only those that hold the committed state.
-        last_heard: When the last message from each voter was received, by disk ID.
+        last_contact: When the last message from each voter was received, by disk ID.
         now: The current time in seconds.
-        tolerated_losses: The number of simultaneous failures to tolerate.
+        tolerated_failures: The number of simultaneous failures to tolerate.
         leaving: Disk IDs of the replicas that are shutting down.
     """
     voters = list(committed.voters)
--- a/zinclever/mesh/consensus/replica_state.py
+++ b/zinclever/mesh/consensus/replica_state.py
@@ -46,7 +46,7 @@
             own_voter: Disk ID, name and address of this replica.
             bootstrap_addresses: Addresses of the initial members, used if ``bootstrap`` is set.
             bootstrap: Whether this replica may take part in creating a new cluster.
-            tolerated_losses: The number of simultaneous disk failures to tolerate.
+            tolerated_failures: The number of simultaneous disk failures to tolerate.
             now: The current time in seconds.
             vote: The vote as read from disk.
             accepted: The accepted entry as read from disk.
--- a/zinclever/mesh/consensus/voter_changes.py
+++ b/zinclever/mesh/consensus/voter_changes.py
@@ -132,7 +132,7 @@
             voters: The voters after the entry.
             holders: Disks that hold the entry.
             live: Disks of replicas that have sent a message recently.
-            tolerated_losses: The number of simultaneous failures to tolerate.
+            tolerated_failures: The number of simultaneous failures to tolerate.
         """
         staying = {disk for disk in live if disk not in self.leaving_since}
         if self.leaving_since and has_commit_quorum(voters, staying, tolerated_failures):
