--- a/tests/mesh/test_catch_up.py
+++ b/tests/mesh/test_catch_up.py
@@ -20,7 +20,7 @@
 from zinclever.mesh.consensus.text_store import MAX_HELD_BYTES
 from zinclever.mesh.membership.record_store import RecordStore
 from zinclever.mesh.membership.records import ENDED_RANK, RecordKind
-from zinclever.mesh.model.slow_links import MEGABIT, SlowWorld, config_text
+from zinclever.mesh.model.slow_links import MEGABIT, SlowLinkWorld, config_text
 from zinclever.mesh.roles import node_settings
 from zinclever.mesh.roles.control import ControlNode
 from zinclever.mesh.storage.generation_file import GenerationFile
@@ -33,18 +33,18 @@
 CATCH_UP_OVERHEAD = 1.0  # seconds of a catch-up in addition to the transfer time
 
 
-def started_cluster(size: int, exchange: bool = True, seed: int = 1, old: tuple[str, ...] = ()) -> SlowWorld:
+def started_cluster(size: int, exchange: bool = True, seed: int = 1, old: tuple[str, ...] = ()) -> SlowLinkWorld:
     """Three replicas on fast links, with a committed configuration of ``size`` bytes."""
-    world = SlowWorld(seed, FAST, exchange, old)
+    world = SlowLinkWorld(seed, FAST, exchange, old)
     world.run(1.5)
     world.change(size)
     world.run(1.0)
     return world
 
 
-def slow_down(world: SlowWorld) -> None:
+def slow_down(world: SlowLinkWorld) -> None:
     world.rate = MEGABIT
-    world.queued = world.heartbeat_late = 0.0
+    world.queued = world.max_heartbeat_delay = 0.0
 
 
 def max_catch_up_time(size: int) -> float:
@@ -72,7 +72,7 @@
         self.assertGreaterEqual(world.confirmed, missed)
         slow_down(world)
         world.start(follower)
-        duration = world.until_caught_up(follower, size if changes_continue else 0)
+        duration = world.run_until_caught_up(follower, size if changes_continue else 0)
         self.assertLess(duration, max_catch_up_time(size))
         self.check_leader_undisturbed(world, leader)
 
@@ -88,12 +88,12 @@
         world.run(0.5)
         slow_down(world)
         world.start(follower)
-        self.assertLess(world.until_caught_up(follower, size, kind=1), max_catch_up_time(size))
+        self.assertLess(world.run_until_caught_up(follower, size, kind=1), max_catch_up_time(size))
         self.check_leader_undisturbed(world, leader)
 
-    def check_leader_undisturbed(self, world: SlowWorld, leader: str) -> None:
+    def check_leader_undisturbed(self, world: SlowLinkWorld, leader: str) -> None:
         self.assertEqual(world.leaders(), [leader])
-        self.assertLess(world.heartbeat_late, MAX_HEARTBEAT_DELAY)
+        self.assertLess(world.max_heartbeat_delay, MAX_HEARTBEAT_DELAY)
         self.assertLess(world.queued, MAX_HEARTBEAT_DELAY)
         for texts in world.texts.values():
             self.assertLessEqual(texts.store.held_bytes, MAX_HELD_BYTES)
@@ -112,9 +112,9 @@
         world.run(0.5)
         slow_down(world)
         world.start(follower)
-        duration = world.until_caught_up(follower, MEDIUM, most=5.0)
+        duration = world.run_until_caught_up(follower, MEDIUM, most=5.0)
         self.assertGreater(duration, 5.0)
-        self.assertGreater(world.heartbeat_late, 5.0)
+        self.assertGreater(world.max_heartbeat_delay, 5.0)
         self.assertNotEqual(world.leaders(), [leader])
 
     @params((MEDIUM, True), (LARGE, True), (MEDIUM, False))
@@ -169,7 +169,7 @@
             def read(self, now: float, call: int) -> None:
                 self.actions.append(Reply(call, 200, self.committed.text))
 
-        world = SlowWorld(1, FAST, kind=UnconfirmedReads)
+        world = SlowLinkWorld(1, FAST, kind=UnconfirmedReads)
         world.run(1.5)
         world.change(200_000)
         world.run(1.0)
@@ -183,7 +183,7 @@
 
     def test_followers_one_entry_behind_get_no_snapshots(self) -> None:
         """Under a high rate of changes every follower always lags by one entry, which must not trigger snapshots."""
-        world = SlowWorld(2, FAST)
+        world = SlowLinkWorld(2, FAST)
         world.synced = 0.3
         world.run(1.5)
         before = world.snapshots
@@ -222,7 +222,7 @@
             self.assertTrue(world.change(200_000, kind=1))
             world.run(0.5)
             world.start(victim)
-            self.assertLess(world.until_caught_up(victim), 2.0)
+            self.assertLess(world.run_until_caught_up(victim), 2.0)
         world.run(1.0)
         texts = {world.replica(ip).committed.text for ip in world.machines}
         self.assertEqual(texts, {config_text(200_000, world.confirmed, 1)})
@@ -353,9 +353,9 @@
         self.assertLess(len(leading_replica.calls.unconfirmed) + len(leading_replica.calls.queued_changes), 2)
         slow_down(world)
         world.start(follower)
-        self.assertLess(world.until_caught_up(follower, SMALL), max_catch_up_time(SMALL))
+        self.assertLess(world.run_until_caught_up(follower, SMALL), max_catch_up_time(SMALL))
         self.assertEqual(world.leaders(), [leader])
-        self.assertLess(world.heartbeat_late, MAX_HEARTBEAT_DELAY)
+        self.assertLess(world.max_heartbeat_delay, MAX_HEARTBEAT_DELAY)
 
     def test_records_of_ended_endpoints_expire(self) -> None:
         """5,000 endpoints start and end, one every 2 s."""
--- a/tests/mesh/test_channel.py
+++ b/tests/mesh/test_channel.py
@@ -131,7 +131,7 @@
 
         run(test)
 
-    async def turns(self, line: Channel, count: int) -> None:
+    async def time_steps(self, line: Channel, count: int) -> None:
         for _ in range(count):
             line.keep_alive()
             await asyncio.sleep(0.02)
@@ -142,7 +142,7 @@
                 e.line.send_one_way(Frame(cancel=True))
                 await until(lambda: e.line.connection is not None)
                 link = e.line.connection
-                await self.turns(e.line, 40)
+                await self.time_steps(e.line, 40)
                 self.assertIs(e.line.connection, link)
 
         with mock.patch.multiple(channels, KEEP_ALIVE_INTERVAL=0.08, KEEP_ALIVE_TIMEOUT=0.3):
@@ -160,7 +160,7 @@
                 held = e.links[0].transport
                 assert held is not None
                 held.pause_reading()
-                await self.turns(e.line, 40)
+                await self.time_steps(e.line, 40)
                 self.assertIsNone(e.line.connection)
                 e.line.send_one_way(Frame(cancel=True))
                 await until(lambda: e.line.connection is not None)
--- a/tests/mesh/test_client_calls.py
+++ b/tests/mesh/test_client_calls.py
@@ -16,7 +16,7 @@
     direct_answer,
 )
 from zinclever.mesh.consensus.messages import ChangeCall
-from zinclever.mesh.model.histories import Call, Told, linearizable
+from zinclever.mesh.model.histories import Call, Told, is_linearizable
 from zinclever.mesh.model.members import World
 from zinclever.mesh.transport.mesh_pb2 import AppliedCall, LogEntry
 
@@ -51,10 +51,10 @@
         for ip in world.leaders():
             call = world.put(ip, base, generation, variant)
             world.run(0.3)
-            if told(call) is not Told.UNCLEAR:
+            if told(call) is not Told.INDETERMINATE:
                 return told(call)
         world.run(0.1)
-    return Told.UNCLEAR
+    return Told.INDETERMINATE
 
 
 class QueueLimits(unittest.TestCase):
@@ -106,7 +106,7 @@
         call = world.put(old, 2, 3)  # before the old leader has handled a message or a tick
         world.run(1.0)
         self.assertIsNot(told(call), Told.STALE)
-        self.assertTrue(linearizable(world.history))
+        self.assertTrue(is_linearizable(world.history))
         self.assertIs(put_until_answered(world, 2, 3), Told.DONE)
 
     @params(*range(6))
@@ -114,8 +114,8 @@
         world, old = self.replaced_leader(seed)
         call = world.put(old, 1, 1)
         world.run(1.0)
-        self.assertIsNot(told(call), Told.NOT_ABOVE)
-        self.assertTrue(linearizable(world.history))
+        self.assertIsNot(told(call), Told.GENERATION_TOO_LOW)
+        self.assertTrue(is_linearizable(world.history))
 
     @params(*range(6))
     def test_calls_received_during_its_pause(self, seed: int) -> None:
@@ -132,7 +132,7 @@
         world.resume(old)
         world.get(old)
         world.run(1.5)
-        self.assertTrue(linearizable(world.history))
+        self.assertTrue(is_linearizable(world.history))
 
     @params(*range(6))
     def test_partitioned_leader_before_it_steps_down(self, seed: int) -> None:
@@ -151,7 +151,7 @@
                     world.put(old, newest, generation)
                     calls_to_old += 1
         self.assertGreater(calls_to_old, 0)
-        self.assertTrue(linearizable(world.history))
+        self.assertTrue(is_linearizable(world.history))
 
     @params(*range(6))
     def test_leader_that_can_receive_but_not_send_gives_no_definite_answer(self, seed: int) -> None:
@@ -161,7 +161,7 @@
         world.cut = {(old, ip) for ip in world.machines if ip != old}
         call = world.put(old, 0, 9)
         world.run(1.0)
-        self.assertIs(told(call), Told.UNCLEAR)
+        self.assertIs(told(call), Told.INDETERMINATE)
 
 
 class Confirmations(unittest.TestCase):
@@ -196,7 +196,7 @@
             replica.calls.confirmations.record(disk, replica.calls.confirmations.round - 1)
         replica.answer_confirmed()
         world.carry_out(world.machines[old])
-        self.assertIs(told(later), Told.UNCLEAR)
+        self.assertIs(told(later), Told.INDETERMINATE)
         self.assertEqual(later.ended if later else 0.0, math.inf)
 
     def test_confirmations_are_discarded_at_the_end_of_a_term(self) -> None:
@@ -220,7 +220,7 @@
         }[kind]()
         world.run(CALL_TIMEOUT + 0.1)
         assert call is not None
-        self.assertIs(call.told, Told.UNCLEAR)
+        self.assertIs(call.told, Told.INDETERMINATE)
         self.assertLess(call.ended - call.began, CALLER_TIMEOUT - 0.2)
 
     @params((0, 0.6), (32 * 1024, 0.6), (132_768, 1.6), (4_000_000, 2.5))
@@ -242,7 +242,7 @@
             again = world.put(ip, 1, 5, variant)
             world.run(0.5)
             self.assertIs(told(again), want)
-        self.assertTrue(linearizable(world.history))
+        self.assertTrue(is_linearizable(world.history))
 
     def test_same_text_with_different_generations(self) -> None:
         committed = LogEntry(generation=5, applied_calls=[AppliedCall(generation=5, base=1, digest=b"text")])
@@ -292,28 +292,28 @@
         repeated = world.put(ip, 0, 1)
         never_applied = world.put(ip, 0, others + 7)  # its generation is above all that are no longer remembered
         world.run(0.5)
-        self.assertIs(told(repeated), Told.DONE if others < MAX_APPLIED_CALLS else Told.UNCLEAR)
+        self.assertIs(told(repeated), Told.DONE if others < MAX_APPLIED_CALLS else Told.INDETERMINATE)
         self.assertIs(told(never_applied), Told.STALE)
 
     @params(*range(4))
     def test_repeated_change_after_a_leader_change(self, seed: int) -> None:
         world = started_cluster(seed)
         (old,) = world.leaders()
-        world.answer_loss = 1.0
+        world.reply_loss = 1.0
         world.put(old, 1, 2)
         world.run(0.01 * seed)
         world.kill(old)
-        world.answer_loss = 0.0
+        world.reply_loss = 0.0
         self.assertIs(put_until_answered(world, 1, 2), Told.DONE)
         world.start(old)
         self.assertIs(put_until_answered(world, 2, 3), Told.DONE)
         self.assertIs(put_until_answered(world, 1, 2), Told.DONE)
-        self.assertTrue(linearizable(world.history))
+        self.assertTrue(is_linearizable(world.history))
 
     @params(*range(4))
     def test_repeated_change_after_a_power_failure_of_all_replicas(self, seed: int) -> None:
         world = started_cluster(seed)
-        world.answer_loss = 1.0
+        world.reply_loss = 1.0
         world.put(world.leaders()[0], 1, 2)
         world.run(0.5)
         for ip in list(world.machines):
@@ -321,7 +321,7 @@
         world.quiet(2.0)
         self.assertIs(put_until_answered(world, 1, 2), Told.DONE)
         self.assertIs(put_until_answered(world, 1, 3), Told.STALE)
-        self.assertTrue(linearizable(world.history))
+        self.assertTrue(is_linearizable(world.history))
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_consensus.py
+++ b/tests/mesh/test_consensus.py
@@ -129,7 +129,7 @@
                 else:
                     world.kill(ip)
             world.quiet()
-            world.nothing_lost()
+            world.assert_acknowledged_kept()
             self.assertEqual(len(world.newest().voters), 3)
 
     def test_replica_with_an_empty_disk_becomes_a_new_voter(self) -> None:
@@ -155,7 +155,7 @@
             world.add(f"10.0.0.{10 + n}")
             world.run(3.0)
             self.assertEqual(len(world.newest().voters), 3)
-        world.nothing_lost()
+        world.assert_acknowledged_kept()
         self.assertEqual({voter.ip for voter in world.newest().voters}, {f"10.0.0.{10 + n}" for n in range(3)})
 
     def test_planned_replacement_restores_the_number_of_voters(self) -> None:
@@ -248,7 +248,7 @@
         world.quiet(4.0)
         (ip,) = world.leaders()
         self.assertTrue(world.reads(ip))
-        world.nothing_lost()
+        world.assert_acknowledged_kept()
 
     @params(0.5, 0.8, 2.0, 10.0)
     def test_follower_does_not_replace_the_leader_after_its_own_pause(self, span: float) -> None:
--- a/tests/mesh/test_gossip.py
+++ b/tests/mesh/test_gossip.py
@@ -25,11 +25,11 @@
     @params((15, 0.0), (15, 0.1), (50, 0.0), (50, 0.1))
     def test_reaches_all_within_the_bound(self, count: int, loss: float) -> None:
         f = met(count, loss=loss)
-        f.doubles = loss
+        f.duplicates = loss
         for n in range(6):
             drain = endpoint(f"e{n}", rank=1)
             f.tell(f.rng.choice(f.names), drain)
-            self.assertLess(f.until_all_know(drain), DRAIN_WITHIN)
+            self.assertLess(f.time_to_reach_all(drain), DRAIN_WITHIN)
 
     def test_costs_per_sidecar_stay_flat(self) -> None:
         each: list[float] = []
@@ -66,7 +66,7 @@
         f.gossips["b3"].broadcasts.retransmits.clear()
         f.gossips["b3"].records.apply(f.now, endpoint("quiet"))  # told to nobody: digests bring it
         f.run(6.0)
-        self.assertEqual(f.knowing(endpoint("quiet")), 12)
+        self.assertEqual(f.count_holders(endpoint("quiet")), 12)
 
     def test_one_that_knows_the_same_has_met(self) -> None:
         f = met(2)
@@ -84,10 +84,10 @@
         f.tell("b3", beat)
         f.tell("b3", drain)
         f.run(0.3)
-        self.assertEqual(f.knowing(drain), 20)
-        self.assertLess(f.knowing(beat), 20)
+        self.assertEqual(f.count_holders(drain), 20)
+        self.assertLess(f.count_holders(beat), 20)
         f.run(20.0)  # digests bring the rest
-        self.assertEqual(f.knowing(beat), 20)
+        self.assertEqual(f.count_holders(beat), 20)
 
     def test_two_sides_of_a_cut_agree_again(self) -> None:
         f = met(16)
@@ -155,9 +155,9 @@
     f.cut = {(a, b) for a in side for b in others} | {(b, a) for a in side for b in others}
 
 
-def until_caught_up(f: Field, news: list[Record]) -> float:
+def run_until_caught_up(f: Field, news: list[Record]) -> float:
     """s until everybody knows all of it."""
-    return sum(f.until_all_know(r) for r in news)
+    return sum(f.time_to_reach_all(r) for r in news)
 
 
 class BackAgain(unittest.TestCase):
@@ -180,7 +180,7 @@
         f.run(1.0)
         f.cut.clear()
         news = [version(2), drain, departure] if span < TOMBSTONE_RETENTION else [version(2), drain]
-        self.assertLess(until_caught_up(f, news), IN_TOUCH)
+        self.assertLess(run_until_caught_up(f, news), IN_TOUCH)
 
     @params((1.5, 9999), (5.0, 9999), (20.0, 9999), (20.0, 20))
     def test_after_a_standstill(self, span: float, kept: int) -> None:
@@ -199,7 +199,7 @@
         for name in stood:
             del f.frozen[name][kept:]
             f.thaw(name)
-        self.assertLess(until_caught_up(f, [version(2), endpoint("e1", seq=5, rank=1)]), IN_TOUCH)
+        self.assertLess(run_until_caught_up(f, [version(2), endpoint("e1", seq=5, rank=1)]), IN_TOUCH)
 
     def test_the_first_word_after_a_silence_is_answered_with_the_newest_version(self) -> None:
         """Not only once digests have been compared."""
--- a/tests/mesh/test_gossip_messages.py
+++ b/tests/mesh/test_gossip_messages.py
@@ -95,7 +95,7 @@
             while len(receipt.confirmed_by) < 2:
                 f.run(0.005)
             del f.gossips[teller]
-            self.assertLess(f.until_all_know(drain), DRAIN_WITHIN)
+            self.assertLess(f.time_to_reach_all(drain), DRAIN_WITHIN)
 
     def test_refutes_what_is_said_of_it(self) -> None:
         s = Gossip("me", 5, NodeInfo(ip="10.0.0.1", port=7), [], 0.0, random.Random(1))
--- a/tests/mesh/test_repairs.py
+++ b/tests/mesh/test_repairs.py
@@ -67,8 +67,8 @@
                         world.kill(ip)
                 world.wipe(lost)
                 world.quiet(2.5)
-                world.nothing_lost()
-                world.one_winner()
+                world.assert_acknowledged_kept()
+                world.assert_one_change_per_base()
                 self.assertTrue(world.leaders() and world.reads(world.leaders()[0]))
 
     def test_successive_repairs(self) -> None:
@@ -91,7 +91,7 @@
                     world.run(4.0)
                     self.assertEqual(len(voters(world)), 3)
                     self.assertEqual(voters(world), set(world.machines))
-                    world.nothing_lost()
+                    world.assert_acknowledged_kept()
 
 
 class MissingRules(unittest.TestCase):
--- a/tests/mesh/test_signals.py
+++ b/tests/mesh/test_signals.py
@@ -25,7 +25,7 @@
 RELOAD_EACH_S = 0.05
 POLL_S = 0.02
 
-Trouble = Callable[[ProcessMesh, asyncio.Event], Awaitable[None]]
+FaultEvent = Callable[[ProcessMesh, asyncio.Event], Awaitable[None]]
 """Set the event to end the load."""
 
 
@@ -41,7 +41,7 @@
 class Played:
     """Load on a mesh of processes, with a trouble in the midst of it."""
 
-    def __init__(self, trouble: Trouble) -> None:
+    def __init__(self, trouble: FaultEvent) -> None:
         self.trouble = trouble
         self.mesh = ProcessMesh()
         self.began_at = self.ended_at = 0.0
@@ -130,7 +130,7 @@
 
 
 class Signals(unittest.TestCase):
-    def play(self, *troubles: Trouble) -> list[Played]:
+    def play(self, *troubles: FaultEvent) -> list[Played]:
         """Each on a mesh of its own, at once. The rules hold, and the load was one."""
         played = [Played(t) for t in troubles]
 
--- a/tests/mesh/test_storms.py
+++ b/tests/mesh/test_storms.py
@@ -6,7 +6,7 @@
 
 from zinclever.mesh.consensus import messages
 from zinclever.mesh.consensus.replica import Replica
-from zinclever.mesh.model.histories import Call, Told, linearizable
+from zinclever.mesh.model.histories import Call, Told, is_linearizable
 from zinclever.mesh.model.members import World
 from zinclever.mesh.transport.mesh_pb2 import ConsensusMessage, LogEntry
 
@@ -18,7 +18,7 @@
         """Run a fault schedule drawn from a seed, and check that no acknowledged change is lost."""
         world = World(seed, kind=kind)
         world.run(2.0)
-        world.loss, world.doubles, world.delay, world.synced, world.answer_loss = 0.1, 0.1, 0.01, 0.15, 0.1
+        world.loss, world.duplicates, world.delay, world.synced, world.reply_loss = 0.1, 0.1, 0.01, 0.15, 0.1
         generation, failed, last_node = 0, "", 20
         for _ in range(40):
             world.run(0.3 * world.rng.random())
@@ -80,8 +80,8 @@
                 for ip in list(world.machines):
                     world.start(ip)
         world.quiet(8.0)
-        world.nothing_lost()
-        world.one_winner()
+        world.assert_acknowledged_kept()
+        world.assert_one_change_per_base()
         return world
 
     def other_calls(self, world: World, ip: str) -> None:
@@ -108,7 +108,7 @@
                 world = self.run_schedule(seed)
                 self.assertEqual(len(world.leaders()), 1)
                 self.assertTrue(world.reads(world.leaders()[0]))
-                self.assertTrue(linearizable(world.history))
+                self.assertTrue(is_linearizable(world.history))
                 acked += len(world.acked)
                 for call in world.history:
                     answers[call.told] += call.kind == "put"
@@ -143,7 +143,9 @@
                 if self.is_established():
                     self.calls.answer_confirmed(self.committed, [v.disk for v in self.committed.voters])
 
-        self.assertFalse(all(linearizable(self.run_schedule(seed, UnconfirmedAnswers).history) for seed in range(60)))
+        self.assertFalse(
+            all(is_linearizable(self.run_schedule(seed, UnconfirmedAnswers).history) for seed in range(60))
+        )
 
     def fails(self, seed: int, kind: type[Replica]) -> bool:
         try:
@@ -173,15 +175,15 @@
             ("one of two changes applied", [put(0, 1, 0, 1), put(0, 1, 0, 2, Told.STALE)], True),
             ("rejected without a cause", [put(0, 1, 0, 1, Told.STALE), get(2, 3, 0)], False),
             ("a repeated change", [put(0, 1, 0, 1), put(2, 3, 1, 2), put(4, 5, 0, 1)], True),
-            ("unclear and applied later", [put(0, 1, 0, 1, Told.UNCLEAR), get(2, 3, 0), get(4, 5, 1)], True),
-            ("unclear and never applied", [put(0, 1, 0, 1, Told.UNCLEAR), put(2, 3, 0, 2), get(4, 5, 2)], True),
-            ("unclear, applied and undone", [put(0, 1, 0, 1, Told.UNCLEAR), get(2, 3, 1), get(4, 5, 0)], False),
+            ("unclear and applied later", [put(0, 1, 0, 1, Told.INDETERMINATE), get(2, 3, 0), get(4, 5, 1)], True),
+            ("unclear and never applied", [put(0, 1, 0, 1, Told.INDETERMINATE), put(2, 3, 0, 2), get(4, 5, 2)], True),
+            ("unclear, applied and undone", [put(0, 1, 0, 1, Told.INDETERMINATE), get(2, 3, 1), get(4, 5, 0)], False),
             ("rejected but applied", [put(0, 1, 0, 1), put(2, 3, 0, 2, Told.STALE), get(4, 5, 2)], False),
             ("lost", [put(0, 1, 0, 1), put(2, 3, 0, 2)], False),
         ]
         for name, history, want in cases:
             with self.subTest(name):
-                self.assertEqual(linearizable(history), want)
+                self.assertEqual(is_linearizable(history), want)
 
     def test_unconfirmed_reads_are_detected(self) -> None:
         class UnconfirmedReads(Replica):
@@ -203,7 +205,7 @@
                     if leader != ip and replica is not None:
                         world.put(leader, replica.committed.generation, n)
                     world.get(leader)
-            detected = detected or not linearizable(world.history)
+            detected = detected or not is_linearizable(world.history)
         self.assertTrue(detected)
 
 
--- a/tests/mesh/test_voters.py
+++ b/tests/mesh/test_voters.py
@@ -62,7 +62,7 @@
                 for ip in lost:
                     world.wipe(ip)
                 world.quiet(3.0)
-                world.nothing_lost()
+                world.assert_acknowledged_kept()
                 self.assertEqual(len(world.leaders()), 1)
                 self.assertTrue(world.reads(world.leaders()[0]))
 
@@ -252,7 +252,7 @@
                     world.start(ip)
                     world.run(1.0)
                 self.assertEqual(disks(world), before)
-                world.nothing_lost()
+                world.assert_acknowledged_kept()
 
     def test_restarted_voter_beyond_the_target_size_rejoins(self) -> None:
         world = started_cluster(1, 5, 1, 3)
@@ -300,7 +300,7 @@
                     for ip in list(world.machines):
                         world.kill(ip)
                     world.quiet(4.0)
-                    world.nothing_lost()
+                    world.assert_acknowledged_kept()
                     self.assertTrue(world.leaders() and world.reads(world.leaders()[0]))
 
 
--- a/zinclever/mesh/control_api/listener.py
+++ b/zinclever/mesh/control_api/listener.py
@@ -15,8 +15,8 @@
 from ...core.protocol import FinalAnswer, IncomingRequest
 from ...http1.bodies import Body
 from ...http1.connection import Headers
-from ...http1.desk import Desk
-from ...http1.heads import Answer, Rejected
+from ...http1.desk import RequestHandler
+from ...http1.heads import HttpResponse, Rejected
 from ..errors import MeshError
 from .router import Router
 
@@ -39,26 +39,26 @@
             raise MeshError("CALL_UNREADABLE", str(error)) from None
 
 
-Handler = Callable[[Call], Answer | Awaitable[Answer]]
+Handler = Callable[[Call], HttpResponse | Awaitable[HttpResponse]]
 
 
-def json_answer(status: int, content: object = None) -> Answer:
+def json_answer(status: int, content: object = None) -> HttpResponse:
     """An answer in JSON; an empty object without ``content``."""
-    return Answer(status, b"Content-Type: application/json\r\n", orjson.dumps({} if content is None else content))
+    return HttpResponse(status, b"Content-Type: application/json\r\n", orjson.dumps({} if content is None else content))
 
 
-def error_answer(status: int, error: MeshError) -> Answer:
+def error_answer(status: int, error: MeshError) -> HttpResponse:
     """An error as callers are told of it."""
     return json_answer(status, {"Error": {"Code": error.code, "Field": error.field, "Text": error.text}})
 
 
-class ControlApi(Desk):
+class ControlApi(RequestHandler):
     """Takes the calls of one listener."""
 
     def __init__(self, descriptors: Descriptors, host: Host, router: Router[Handler]) -> None:
         super().__init__(descriptors)
         self.host, self.router = host, router
-        self.whole_only = True
+        self.requires_complete_body = True
         self.last_number = 0
         self.tasks: dict[str, asyncio.Task[None]] = {}
         """The calls whose answers are awaited, by number."""
@@ -77,7 +77,7 @@
         call = Call(match.path_parameters, by_name, body)
         return IncomingRequest(str(self.last_number), 0, 0, "", 0.0, 0.0, False, (match.handler, call))
 
-    def take(self, told: IncomingRequest, answer: Callable[[FinalAnswer | Answer], None]) -> None:
+    def take(self, told: IncomingRequest, answer: Callable[[FinalAnswer | HttpResponse], None]) -> None:
         """Handle a call, now or in a task."""
         handler, call = told.payload
         try:
@@ -85,13 +85,13 @@
         except Exception as error:
             answer(failure_answer(error))
             return
-        if isinstance(result, Answer):
+        if isinstance(result, HttpResponse):
             answer(result)
         else:
             self.tasks[told.id] = asyncio.ensure_future(self.answer_later(told.id, result, answer))
 
     async def answer_later(
-        self, number: str, result: Awaitable[Answer], answer: Callable[[FinalAnswer | Answer], None]
+        self, number: str, result: Awaitable[HttpResponse], answer: Callable[[FinalAnswer | HttpResponse], None]
     ) -> None:
         """Answer a call once its handler has."""
         try:
@@ -101,7 +101,7 @@
         finally:
             self.tasks.pop(number, None)
 
-    def abandon(self, request_id: str) -> None:
+    def on_client_disconnected(self, request_id: str) -> None:
         """The caller has gone: what the call does is still done."""
 
     def replies(self, told: IncomingRequest) -> ReplyCounts:
@@ -113,7 +113,7 @@
         return self.host.unread(sock)
 
 
-def failure_answer(error: Exception) -> Answer:
+def failure_answer(error: Exception) -> HttpResponse:
     """400 for what was wrong with a call, 500 for a fault of this program, which is logged."""
     if isinstance(error, MeshError):
         return error_answer(400, error)
--- a/zinclever/mesh/dataplane/egress.py
+++ b/zinclever/mesh/dataplane/egress.py
@@ -11,9 +11,9 @@
 from ...core.protocol import FinalAnswer, IncomingRequest, Refused, Served
 from ...http1.bodies import Body
 from ...http1.clients import READ_FOR
-from ...http1.connection import OWN_HEADERS, Headers, end_to_end
-from ...http1.desk import Desk
-from ...http1.heads import NUMBER, Answer
+from ...http1.connection import NON_FORWARDED_HEADERS, Headers, end_to_end
+from ...http1.desk import RequestHandler
+from ...http1.heads import NUMBER, HttpResponse
 from ..configuration.active import ActiveConfiguration
 from ..configuration.document import Configuration, Route
 from .attempt_count import AttemptCount
@@ -23,8 +23,8 @@
 from .retry_detector import RetryDetector
 from .service_clients import ServiceClients
 
-HOP_HEADERS = OWN_HEADERS | {b"x-deadline-ms", b"x-expected-endpoint", b"x-caller-service"}
-RESPONSE_HOP_HEADERS = OWN_HEADERS
+HOP_HEADERS = NON_FORWARDED_HEADERS | {b"x-deadline-ms", b"x-expected-endpoint", b"x-caller-service"}
+RESPONSE_HOP_HEADERS = NON_FORWARDED_HEADERS
 MAX_CLIENT_WAIT = 3600.0  # s: nobody waits for longer
 MIN_WAIT = 0.001  # s
 CLIENT_TIMEOUT_SLACK = 0.5  # s that a client may take beyond what the configuration says
@@ -33,7 +33,7 @@
 MIN_RETRY_AFTER = 0.02  # s
 MAX_REQUEST_ID_LENGTH = 256
 BODILESS_METHODS = ("GET", "HEAD")
-NO_CONFIGURATION = Answer(503, b"Retry-After: 0.2\r\n")
+NO_CONFIGURATION = HttpResponse(503, b"Retry-After: 0.2\r\n")
 
 
 class RequestHeaders(NamedTuple):
@@ -44,7 +44,7 @@
     timeout_ms: bytes
 
 
-class Egress(Desk):
+class Egress(RequestHandler):
     """Takes the requests of this machine's clients and of its endpoint."""
 
     def __init__(
@@ -66,7 +66,7 @@
         self.caller_header = b"X-Caller-Service: %b\r\n" % service.encode("latin-1")
         self.is_running = is_running
         self.is_running_retry = is_running_retry
-        self.whole_only = True
+        self.requires_complete_body = True
         self.is_refusing = False
         """This process ends: new requests are refused, as they would be cut off in the midst."""
         self.last_number = 0
@@ -83,10 +83,10 @@
     def configure(self, configuration: Configuration, memory: int) -> None:
         """Hold clients to the configuration's limits, as far as ``memory`` bytes allow."""
         self.retry_detector.keep_only(configuration.routes)
-        self.read_for = max(READ_FOR, configuration.header_timeout + CLIENT_TIMEOUT_SLACK)
-        self.idle_for = max(CLIENT_TIMEOUT_SLACK, configuration.idle_timeout)
-        self.most_upload = int(min(configuration.max_body_bytes, MAX_MEMORY_SHARE * memory))
-        self.room.limit = int(max(self.most_upload, MAX_MEMORY_SHARE * memory))
+        self.read_timeout = max(READ_FOR, configuration.header_timeout + CLIENT_TIMEOUT_SLACK)
+        self.max_idle_time = max(CLIENT_TIMEOUT_SLACK, configuration.idle_timeout)
+        self.max_body_size = int(min(configuration.max_body_bytes, MAX_MEMORY_SHARE * memory))
+        self.room.limit = int(max(self.max_body_size, MAX_MEMORY_SHARE * memory))
 
     # --- requests ---
 
@@ -103,9 +103,9 @@
         route = configuration.find_route(host, target.partition("?")[0])
         if route is None:
             self.counts["unknown"] += 1
-            return already_answered(number, Answer(404))
+            return already_answered(number, HttpResponse(404))
         if not known.request_id or len(known.request_id) > MAX_REQUEST_ID_LENGTH:
-            return already_answered(number, Answer(400))
+            return already_answered(number, HttpResponse(400))
         now = self.loop.time()
         client_wait, used = MAX_CLIENT_WAIT, 0.0
         if known.timeout_ms and NUMBER.fullmatch(known.timeout_ms):
@@ -157,10 +157,10 @@
         credits[chosen] -= 1.0
         return chosen
 
-    def take(self, told: IncomingRequest, answer: Callable[[FinalAnswer | Answer], None]) -> None:
+    def take(self, told: IncomingRequest, answer: Callable[[FinalAnswer | HttpResponse], None]) -> None:
         """Send a request to its service; ``answer`` is called with what the client gets."""
         request = told.payload
-        if isinstance(request, Answer):
+        if isinstance(request, HttpResponse):
             answer(request)
             return
         client = self.service_clients.to(request.service)
@@ -173,7 +173,7 @@
 
         client.dispatcher.take(told, on_final)
 
-    def abandon(self, request_id: str) -> None:
+    def on_client_disconnected(self, request_id: str) -> None:
         """The client of a request has gone."""
         request = self.open_requests.pop(request_id, None)
         if request is not None:
@@ -182,7 +182,7 @@
 
     # --- answers ---
 
-    def answer_for(self, request: OutboundRequest, final: FinalAnswer) -> Answer:
+    def answer_for(self, request: OutboundRequest, final: FinalAnswer) -> HttpResponse:
         """The final answer as the client gets it; an error is remembered."""
         answer = self.make_answer(request, final)
         if answer.status >= 500:
@@ -191,7 +191,7 @@
             self.failure_log.add(request.id, failure)
         return answer
 
-    def make_answer(self, request: OutboundRequest, final: FinalAnswer) -> Answer:
+    def make_answer(self, request: OutboundRequest, final: FinalAnswer) -> HttpResponse:
         """The endpoint's answer, 503 where the request has certainly not run, else 502."""
         if isinstance(final, Served):
             self.counts["served"] += 1
@@ -200,9 +200,9 @@
             self.counts["refused"] += 1
             self.counts["untried"] += not request.attempts_made
             retry_after = max(MIN_RETRY_AFTER, final.retry_after / 1000.0, self.retry_after(request))
-            return Answer(503, b"Retry-After: %.3f\r\n" % retry_after)
+            return HttpResponse(503, b"Retry-After: %.3f\r\n" % retry_after)
         self.counts["failed"] += 1
-        return forwarded_answer(final.reply) if final.reply is not None else Answer(502)
+        return forwarded_answer(final.reply) if final.reply is not None else HttpResponse(502)
 
     def retry_after(self, request: OutboundRequest) -> float:
         """s after which a request that has not run may come back: while its latency target can still be met."""
@@ -231,11 +231,11 @@
     return RequestHeaders(host, request_id, timeout_ms)
 
 
-def forwarded_answer(reply: EndpointReply) -> Answer:
+def forwarded_answer(reply: EndpointReply) -> HttpResponse:
     """An endpoint's answer as the client gets it."""
-    return Answer(reply.status, end_to_end(reply.headers, RESPONSE_HOP_HEADERS), reply.body)
+    return HttpResponse(reply.status, end_to_end(reply.headers, RESPONSE_HOP_HEADERS), reply.body)
 
 
-def already_answered(number: str, answer: Answer) -> IncomingRequest:
+def already_answered(number: str, answer: HttpResponse) -> IncomingRequest:
     """A request that goes nowhere."""
     return IncomingRequest(number, 0, 0, "", 0.0, 0.0, False, answer)
--- a/zinclever/mesh/roles/endpoint_api.py
+++ b/zinclever/mesh/roles/endpoint_api.py
@@ -6,7 +6,7 @@
 import logging
 
 from ...core.protocol import read_address
-from ...http1.heads import Answer
+from ...http1.heads import HttpResponse
 from ..control_api.listener import Call, error_answer, json_answer
 from ..errors import MeshError
 from ..membership.receipt_quorum import ReceiptQuorum
@@ -52,7 +52,7 @@
             return ReceiptQuorum(control_nodes, required, "", frozenset())
         return ReceiptQuorum(control_nodes, required, endpoint_sidecar, frozenset(recipients))
 
-    async def acknowledge(self, record: Record) -> Answer:
+    async def acknowledge(self, record: Record) -> HttpResponse:
         """200 once enough others hold the record of an endpoint that drains or is gone.
 
         Else 503, and the caller goes on to another process. What was confirmed before is acknowledged at once.
@@ -108,7 +108,7 @@
         self.node = node
         self.announcer = announcer
 
-    async def on_heartbeat(self, call: Call) -> Answer:
+    async def on_heartbeat(self, call: Call) -> HttpResponse:
         """Take a heartbeat; a drain is acknowledged once enough others hold it."""
         record = parse_heartbeat(call)
         known = self.node.gossip.records.get(RecordKind.ENDPOINT, record.id)
@@ -121,7 +121,7 @@
             self.node.broadcast(record)
         return json_answer(200)
 
-    async def on_departure(self, call: Call) -> Answer:
+    async def on_departure(self, call: Call) -> HttpResponse:
         """Take a departure, acknowledged once enough others hold it."""
         endpoint = call.path_parameters[0]
         known = self.node.gossip.records.get(RecordKind.ENDPOINT, endpoint)
