--- a/meshd.py
+++ b/meshd.py
@@ -1,12 +1,12 @@
-"""The program of the mesh: ``python3 meshd.py ROLE``."""
+"""Entry point of the mesh: ``python3 meshd.py ROLE``."""
 
 from __future__ import annotations
 
 import os
 import sys
 
-# The sidecar's modules run as they are written here: the mesh has classes of its own made from theirs, which those that
-# are compiled for the sidecar in service don't allow. Said before any of them is imported.
+# Selects the interpreted modules, before any of them is imported: the mesh subclasses classes of the standalone
+# sidecar, which their compiled versions don't allow.
 os.environ["ZINCLEVER_NATIVE"] = "text"
 
 from zinclever.mesh.cli import main
--- a/tests/mesh/test_endpoint_calls.py
+++ b/tests/mesh/test_endpoint_calls.py
@@ -13,7 +13,7 @@
 from zinclever.mesh.membership.records import DEPARTED_SEQ, EndpointPhase, RecordKind
 from zinclever.mesh.model.field import endpoint
 from zinclever.mesh.roles import endpoint_api
-from zinclever.mesh.roles.heartbeats import is_news, superseding_record
+from zinclever.mesh.roles.heartbeats import changes_state, superseding_record
 from zinclever.mesh.roles.node import Node
 from zinclever.mesh.roles.sidecar import Sidecar
 from zinclever.mesh.transport.mesh_pb2 import Record
@@ -336,7 +336,7 @@
         ("it was taken for gone later", endpoint(seq=3, rank=EndpointPhase.GONE), 3, False),
     )
     def test_ready_beats(self, name: str, known: Record | None, seq: int, want: bool) -> None:
-        self.assertIs(is_news(known, endpoint(seq=seq)), want, name)
+        self.assertIs(changes_state(known, endpoint(seq=seq)), want, name)
 
 
 if __name__ == "__main__":
--- a/zinclever/mesh/attempt_outcome.py
+++ b/zinclever/mesh/attempt_outcome.py
@@ -1,4 +1,4 @@
-"""Whether a request was executed: what every process on its way says of an attempt."""
+"""The outcome of a request attempt: whether the request was executed."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class AttemptOutcome(enum.IntEnum):
-    """The outcome of an attempt. Of two processes that know of one the higher outcome holds."""
+    """The outcome of an attempt. If two processes report different outcomes, the higher one holds."""
 
     NOT_EXECUTED = 1
-    """It has not run and never will: it may be sent elsewhere, or refused."""
+    """It was not executed and never will be: it may be retried elsewhere, or refused."""
     NO_CAPACITY = 2
-    """The same, as whoever was asked has no capacity."""
+    """As ``NOT_EXECUTED``, because the sidecar or endpoint that was asked had no free capacity."""
     UNKNOWN = 3
-    """It may have run, or may yet: a request that is not idempotent goes nowhere else."""
+    """It may have been executed, or may still be: a request that is not idempotent is not retried."""
     EXECUTED = 4
-    """An endpoint has answered it."""
+    """An endpoint answered it."""
 
     @property
     def proves_not_executed(self) -> bool:
-        """Whether the request may be sent elsewhere, even if it is not idempotent."""
+        """Whether the request may be retried elsewhere, even if it is not idempotent."""
         return self <= AttemptOutcome.NO_CAPACITY
--- a/zinclever/mesh/cli.py
+++ b/zinclever/mesh/cli.py
@@ -1,4 +1,4 @@
-"""The command line: each role is a subcommand, and so is each command of operators."""
+"""The command line: each role and each operator command is a subcommand."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 
 log = logging.getLogger(__name__)
 
-SETTINGS_CHECK_INTERVAL = 2.0  # s between two looks at the settings file
-DEFAULT_GRACE = 6.0  # s from SIGTERM to the end
+SETTINGS_CHECK_INTERVAL = 2.0  # s between two checks of the settings file
+DEFAULT_GRACE = 6.0  # s from SIGTERM until the process exits
 
-EXIT_FAILED = 1  # an address or a disk that can't be had, or a call that was refused
-EXIT_USAGE = 2  # settings or a command line that can't be used
+EXIT_FAILED = 1  # an address or a disk is not available, or a call was rejected
+EXIT_USAGE = 2  # invalid settings or command line
 
 
 class Role(Protocol):
-    """What a process runs, from its start to SIGTERM."""
+    """A process of the mesh, from its start until SIGTERM."""
 
     async def start(self) -> None:
-        """Take addresses and disk. OSError where they can't be had."""
+        """Bind the addresses and open the disk. Raises OSError if that fails."""
 
     async def stop(self, grace: float) -> None:
-        """End in order, within ``grace`` s."""
+        """Shut down gracefully, within ``grace`` s."""
 
     def reload(self, settings: NodeSettings) -> None:
-        """Take new settings."""
+        """Apply changed settings."""
 
 
 def sidecar() -> int:
@@ -47,14 +47,14 @@
 
 
 def control() -> int:
-    """Run a control machine: a replica of the configuration, and the calls of operators and endpoints."""
+    """Run a control node, which replicates the configuration and serves the API of operators and endpoints."""
     from .roles.control import ControlNode
 
     return run(ControlNode)
 
 
 def run(make_role: Callable[[NodeSettings], Role]) -> int:
-    """Run a role until SIGTERM; the exit code: 0 after an end in order, else one of those above."""
+    """Run a role until SIGTERM. Returns the exit code: 0 after a graceful shutdown, else one of those above."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         settings = read_settings()
@@ -70,7 +70,7 @@
 
 
 def read_settings() -> NodeSettings:
-    """The settings that the environment names. MeshError where they can't be used."""
+    """Read the settings file named by the environment. Raises MeshError if it can't be used."""
     path = os.environ.get(SETTINGS_VARIABLE, "")
     if not path:
         raise MeshError("BOOT_MISSING", f"{SETTINGS_VARIABLE} names no file")
@@ -83,22 +83,22 @@
 async def serve(make_role: Callable[[NodeSettings], Role], settings: NodeSettings) -> None:
     """Run a role in the event loop until SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
-    ended = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ended.set)
+    stop_requested = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     role = make_role(settings)
     watcher = SettingsWatcher(role, settings)
     loop.add_signal_handler(signal.SIGHUP, watcher.check)
     await role.start()
     log.info("started", extra={"code": "STARTED"})
     watcher.run_check()
-    await ended.wait()
+    await stop_requested.wait()
     watcher.stop()
     await role.stop(settings.bounds.get("GraceS", DEFAULT_GRACE))
 
 
 class SettingsWatcher:
-    """Checks whether the settings file has changed: on SIGHUP, and periodically, as it may change without one."""
+    """Reloads the settings file when it has changed: on SIGHUP, and periodically, as a change may come without one."""
 
     def __init__(self, role: Role, settings: NodeSettings) -> None:
         self.role, self.settings = role, settings
@@ -106,40 +106,47 @@
         self.logged_error = ""
 
     def run_check(self) -> None:
-        """Check now, and every :data:`SETTINGS_CHECK_INTERVAL`."""
+        """Check now, and again every :data:`SETTINGS_CHECK_INTERVAL`."""
         self.timer = asyncio.get_running_loop().call_later(SETTINGS_CHECK_INTERVAL, self.run_check)
         self.check()
 
     def check(self) -> None:
-        """Take changed settings. Settings that can't be used change nothing, and are logged once."""
+        """Apply changed settings. Invalid settings change nothing and are logged once."""
         try:
             settings = read_settings()
         except MeshError as error:
             if str(error) != self.logged_error:
                 self.logged_error = str(error)
-                log.error("settings not taken", extra={"code": error.code, "field": error.field, "text": error.text})
+                log.error(
+                    "settings can't be reloaded", extra={"code": error.code, "field": error.field, "text": error.text}
+                )
             return
         self.logged_error = ""
         if settings != self.settings:
             self.settings = settings
-            log.info("settings taken anew", extra={"code": "BOOT_TAKEN", "seeds": [ip for ip, _ in settings.seeds]})
+            log.info("settings reloaded", extra={"code": "BOOT_TAKEN", "seeds": [ip for ip, _ in settings.seeds]})
             self.role.reload(settings)
 
     def stop(self) -> None:
-        """Check no more."""
+        """Stop checking."""
         if self.timer is not None:
             self.timer.cancel()
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run what the command line asks for; its exit code."""
+    """Run the subcommand that the command line names, and return its exit code."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(JsonFormatter("%(asctime)s %(levelname)s %(name)s %(message)s"))
     logging.basicConfig(level=logging.INFO, handlers=[handler])
-    roles = {"sidecar": sidecar, "control": control, "forager": sidecar, "comb": control}  # the last two: of 0.1
-    given = sys.argv[1:] if arguments is None else arguments
-    if len(given) == 1 and given[0] in roles:
-        return roles[given[0]]()  # a start waits for no library that parses the rest of the command line
+    roles = {
+        "sidecar": sidecar,
+        "control": control,
+        "forager": sidecar,
+        "comb": control,
+    }  # the last two: names in version 0.1
+    command_line = sys.argv[1:] if arguments is None else arguments
+    if len(command_line) == 1 and command_line[0] in roles:
+        return roles[command_line[0]]()  # avoids importing the command-line parser, which is slow, when a role starts
     import defopt
 
     from .operator_cli.commands import COMMANDS
--- a/zinclever/mesh/dataplane/ingress.py
+++ b/zinclever/mesh/dataplane/ingress.py
@@ -135,7 +135,7 @@
         self.requests: set[InboundRequest] = set()
         self.running: dict[str, set[InboundRequest]] = {}
         """Requests that are at the endpoint, by id."""
-        self.on_refused: Callable[[], None] | None = None
+        self.on_connection_refused: Callable[[], None] | None = None
         """Called when nobody listens at the endpoint's address."""
         self.counts = {"offered": 0, "ran": 0, "full": 0, "maybe": 0, "gone": 0, "dropped": 0}
         """For the log."""
@@ -284,8 +284,8 @@
         """The reply for a request that the endpoint hasn't answered."""
         is_proven = outcome in interface.NEVER_RAN
         self.counts["maybe"] += not is_proven
-        if outcome == "connect_failed" and self.on_refused is not None:
-            self.on_refused()
+        if outcome == "connect_failed" and self.on_connection_refused is not None:
+            self.on_connection_refused()
         return ForwardReply(
             outcome=AttemptOutcome.NOT_EXECUTED if is_proven else AttemptOutcome.UNKNOWN,
             reason=outcome,
--- a/zinclever/mesh/errors.py
+++ b/zinclever/mesh/errors.py
@@ -1,13 +1,15 @@
-"""What goes wrong in the mesh, by code."""
+"""The exception of the mesh, identified by an error code."""
 
 from __future__ import annotations
 
 
 class MeshError(Exception):
-    """An error that a caller, an operator or a log line is told of.
+    """An error that is reported to a caller or operator, or logged.
 
-    ``code`` is stable and documented in ``docs/operators/mesh.md``, ``text`` says what was wrong and ``field`` is the
-    path of the field that was.
+    Attributes:
+        code: Stable identifier, documented in ``docs/operators/mesh.md``.
+        text: What is wrong.
+        field: Path of the invalid field; empty if the error concerns none.
     """
 
     def __init__(self, code: str, text: str, field: str = "") -> None:
--- a/zinclever/mesh/roles/__init__.py
+++ b/zinclever/mesh/roles/__init__.py
@@ -1,1 +1,1 @@
-"""The two roles of the program, sidecar and control node, and what they are put together from."""
+"""The two roles of a mesh process, sidecar and control node, and the parts that they are assembled from."""
--- a/zinclever/mesh/roles/configuration_distributor.py
+++ b/zinclever/mesh/roles/configuration_distributor.py
@@ -1,4 +1,4 @@
-"""How the configuration in force comes from one process to another: by a fetch over a channel between them."""
+"""Distribution of the active configuration: a process that lags fetches it from a peer over a channel."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_DELAY = 0.05  # s after an answer that brought nothing, before another peer is asked
-NO_PEER_DELAY = 0.6  # s until it is checked again whether there is a peer to ask
+RETRY_DELAY = 0.05  # s before another peer is asked, after a peer that didn't have the version
+NO_PEER_DELAY = 0.6  # s until the next attempt when there is no peer to ask
 
 
 class ConfigurationDistributor:
-    """Owns what this process has asked others for, and who waits here for a version."""
+    """Owns the fetches from this process to others, and the fetches of others that wait for a version."""
 
     def __init__(
         self,
@@ -31,24 +31,24 @@
         active: ActiveConfiguration,
         broadcast: Callable[[Record], None],
     ) -> None:
-        """``broadcast`` spreads a record at once."""
+        """Create a distributor; ``broadcast`` gossips a record immediately."""
         self.gossip, self.channels, self.active, self.broadcast = gossip, channels, active, broadcast
         self.loop = asyncio.get_running_loop()
         self.timer: asyncio.TimerHandle | None = None
         self.scheduler = FetchScheduler()
         self.waiters: FetchWaiters[FramedConnection, Frame] = FetchWaiters()
         self.streams: dict[str, int] = {}
-        """By peer, the stream of the fetch that is open to it."""
+        """By peer: the stream of the open fetch from it."""
 
     # --- fetching ---
 
     def newer_version(self) -> Record | None:
-        """The record of a version that is known of and not in force here."""
+        """Return the record of the latest known version if it is newer than the active one, else None."""
         record = self.gossip.records.get(RecordKind.VERSION, CONFIG_RECORD_ID)
         return record if record is not None and record.incarnation > self.active.index else None
 
     def fetch_newer(self, preferred: str = "") -> None:
-        """Fetch the newest version, where it isn't in force here: from ``preferred`` if possible, else any peer."""
+        """Fetch the newest version if it isn't active yet: from ``preferred`` if possible, else from any peer."""
         record = self.newer_version()
         if record is None:
             if self.timer is not None:
@@ -65,15 +65,15 @@
             self.schedule_fetch(NO_PEER_DELAY)
 
     def schedule_fetch(self, delay: float) -> None:
-        """Run :meth:`fetch_newer` after ``delay`` s, instead of when it was due before."""
+        """Run :meth:`fetch_newer` after ``delay`` s, replacing the run that is scheduled."""
         if self.timer is not None:
             self.timer.cancel()
         self.timer = self.loop.call_later(delay, self.fetch_newer)
 
     def fetch_from(self, peer: str, index: int) -> None:
-        """Ask a peer for a version, of this index or newer."""
+        """Request version ``index`` or a newer one from a peer."""
         address = self.gossip.members.address_of(peer)
-        assert address is not None  # it is one of the peers
+        assert address is not None  # the peer is a known member
         stream = 0
         is_done = False
 
@@ -86,8 +86,8 @@
                 self.channels.to(address).finish_call(stream)
             self.streams.pop(peer, None)
             self.scheduler.on_answered(peer)
-            has_brought = frame is not None and frame.fetch_reply.index >= index and self.apply_reply(frame.fetch_reply)
-            self.schedule_fetch(0.0 if has_brought else RETRY_DELAY)
+            is_applied = frame is not None and frame.fetch_reply.index >= index and self.apply_reply(frame.fetch_reply)
+            self.schedule_fetch(0.0 if is_applied else RETRY_DELAY)
 
         fetch = Frame(fetch=Fetch(index=index, accepts_compressed=True))
         stream = self.channels.to(address).call(fetch, on_answer)
@@ -95,26 +95,26 @@
             self.streams[peer] = stream
 
     def cancel_fetch(self, peer: str) -> None:
-        """The answer of a peer is not needed any more."""
+        """Stop waiting for the answer of a peer."""
         stream, address = self.streams.pop(peer, None), self.gossip.members.address_of(peer)
         if stream is not None and address is not None:
             self.channels.to(address).finish_call(stream)
 
     def apply_reply(self, reply: FetchReply) -> bool:
-        """Put a configuration from a peer in force; whether it can be read."""
+        """Activate a configuration received from a peer. Returns False if it can't be parsed."""
         try:
             text = decompress(reply.compressed) if reply.compressed else reply.text
         except MeshError as error:
-            log.error("a configuration can't be decompressed", extra={"code": error.code})
+            log.error("configuration can't be decompressed", extra={"code": error.code})
             return False
         return self.put_in_force(reply.index, reply.generation, text)
 
-    # --- serving ---
+    # --- serving fetches ---
 
     def on_fetch(self, connection: FramedConnection, frame: Frame) -> None:
-        """Answer a peer that asks for a version: at once where it is in force here, else once it is.
+        """Answer a peer that requests a version: immediately if it is active here, else once it is.
 
-        Where too many wait, the answer is at once that there is none.
+        If too many peers wait already, an empty reply is sent immediately.
         """
         if self.active.index >= frame.fetch.index and self.active.text:
             reply = FetchReply(index=self.active.index, generation=self.active.generation)
@@ -127,9 +127,9 @@
             connection.send(Frame(stream=frame.stream, fetch_reply=FetchReply()))
 
     def put_in_force(self, index: int, generation: int, text: bytes) -> bool:
-        """Put a committed configuration in force, announce its version, and answer who waits for it.
+        """Activate a committed configuration, announce its version and answer the peers that wait for it.
 
-        False where it can't be read.
+        Returns False if it can't be parsed.
         """
         try:
             if self.active.apply(index, generation, text):
@@ -138,7 +138,7 @@
                     extra={"code": "CONFIG_IN_FORCE", "number": index, "generation": generation},
                 )
         except MeshError as error:
-            log.error("a committed configuration can't be read", extra={"code": error.code, "field": error.field})
+            log.error("committed configuration can't be parsed", extra={"code": error.code, "field": error.field})
             return False
         body = Version(index=index, generation=generation).SerializeToString()
         self.broadcast(Record(kind=RecordKind.VERSION, id=CONFIG_RECORD_ID, incarnation=index, body=body))
--- a/zinclever/mesh/roles/control.py
+++ b/zinclever/mesh/roles/control.py
@@ -1,4 +1,4 @@
-"""A control node: it replicates the configuration with the others, and takes calls of endpoints and operators."""
+"""A control node: replicates the configuration with the others, and serves the API of endpoints and operators."""
 
 from __future__ import annotations
 
@@ -27,21 +27,21 @@
 
 TICK_INTERVAL = 0.05  # s between two ticks of the replica
 LISTEN_BACKLOG = 1024
-LEAVE_GRACE_SHARE = 0.8  # of the grace of a SIGTERM, after which this process ends whoever depends on it
-POLL_INTERVAL = 0.02  # s between two looks whether this process may end
-LAST_FRAMES_DELAY = 0.05  # s for the last frames to go out
-STATUS_PREFIXES = ("/v1/mesh", "/v1/hive")  # the second: as version 0.1 called it
+LEAVE_GRACE_SHARE = 0.8  # of the grace period, after which this process exits even if others depend on it
+POLL_INTERVAL = 0.02  # s between two checks whether this process may exit
+LAST_FRAMES_DELAY = 0.05  # s for the last frames to be sent
+STATUS_PREFIXES = ("/v1/mesh", "/v1/hive")  # the second: name in version 0.1
 
 
 class ControlNode:
-    """Owns the node, the store, the replica and the listener for calls."""
+    """Owns the node, the store, the replica and the listener of the HTTP API."""
 
     def __init__(self, settings: NodeSettings) -> None:
-        """MeshError where the settings name no disk, OSError where it can't be used."""
-        if settings.state_folder is None:
-            raise MeshError("BOOT_INVALID", "this role needs a disk", "boot.StateDir")
+        """Load the stored state. Raises MeshError if the settings name no disk, OSError if it can't be used."""
+        if settings.state_directory is None:
+            raise MeshError("BOOT_INVALID", "the control role requires a disk", "boot.StateDir")
         self.settings = settings
-        self.store = ReplicaStore(Path(settings.state_folder))
+        self.store = ReplicaStore(Path(settings.state_directory))
         self.store.load()
         self.node = Node(settings, CONTROL, self.store.disk)
         self.loop = self.node.loop
@@ -67,7 +67,7 @@
         self.node.record_listeners.append(self.on_record)
 
     async def start(self) -> None:
-        """Listen, and begin to tick. OSError where an address can't be bound."""
+        """Start listening and ticking. Raises OSError if an address can't be bound."""
         self.control_api = ControlApi(self.node.descriptors, self.node.host, self.make_router())
         await self.node.start()
         if "ControlPlane" in self.settings.bind:
@@ -78,7 +78,7 @@
         self.store.verify()
 
     def make_router(self) -> Router[Handler]:
-        """The calls that a control node takes."""
+        """Return the router for the HTTP calls that a control node serves."""
         router: Router[Handler] = Router()
         router.add(f"POST {REPLACE_PATH}", self.operator_calls.on_replace)
         router.add(f"GET {READ_PATH}", self.operator_calls.on_read)
@@ -92,13 +92,16 @@
         return router
 
     def reload(self, settings: NodeSettings) -> None:
-        """Take new settings. Their seeds only say where others may be: those of the start founded the cluster."""
+        """Apply changed settings.
+
+        Their seeds are only gossip addresses from now on: the cluster was founded with the seeds of the first start.
+        """
         self.node.reload(settings)
 
-    # --- the end ---
+    # --- shutdown ---
 
     async def stop(self, grace: float) -> None:
-        """Answer open calls, make sure that this replica's state is elsewhere, and leave; within ``grace`` s."""
+        """Answer open calls, wait until this replica's state is stored elsewhere, and leave, within ``grace`` s."""
         if self.control_api is not None:
             self.control_api.begin_drain()
         started_at = self.loop.time()
@@ -114,14 +117,17 @@
         self.node.stop()
         self.store.close()
 
-    async def leave(self, until: float) -> None:
-        """Give up the lead, and wait until nothing depends on this replica: it may be gone for good after this."""
+    async def leave(self, deadline: float) -> None:
+        """Give up leadership, and wait until no other replica depends on this one, which may not return.
+
+        Gives up at the instant ``until``.
+        """
         self.replica.leave(self.loop.time())
         self.run_actions()
         while not self.replica.may_end(self.loop.time()):
-            if self.loop.time() > until:
+            if self.loop.time() > deadline:
                 log.warning(
-                    "ends without a word of the leader that its state is elsewhere",
+                    "exits without confirmation from the leader that its state is stored elsewhere",
                     extra={"code": "LEAVE_TIMEOUT", "number": self.replica.committed.index},
                 )
                 return
@@ -130,7 +136,7 @@
     # --- the replica ---
 
     def run_tick(self) -> None:
-        """Tick the replica, every :data:`TICK_INTERVAL`."""
+        """Tick the replica every :data:`TICK_INTERVAL`."""
         self.loop.call_later(TICK_INTERVAL, self.run_tick)
         self.replica.tick(self.loop.time())
         self.replica_transport.tick()
@@ -139,13 +145,13 @@
             self.node.channel_to((voter.ip, voter.port)).keep_alive()
 
     def on_consensus(self, connection: FramedConnection, frame: Frame) -> None:
-        """A message of another replica."""
+        """Handle a message from another replica."""
         for message in self.replica_transport.receive(frame.consensus):
             self.replica.receive(self.loop.time(), message)
         self.run_actions()
 
     def run_actions(self) -> None:
-        """Carry out what the replica wants done, and what follows from that."""
+        """Execute the actions that the replica has queued, and those that result from them."""
         if self.is_running_actions:
             return
         self.is_running_actions = True
@@ -161,7 +167,7 @@
             log_role(self.replica)
 
     def run_action(self, action: Action) -> None:
-        """Carry out one action."""
+        """Execute one action."""
         if isinstance(action, Send):
             if action.to.disk == self.own_voter.disk:
                 self.replica.receive(self.loop.time(), action.message)
@@ -179,10 +185,10 @@
             self.operator_calls.on_reply(action)
 
     def log_voters(self, action: VotersChanged) -> None:
-        """One line for each change of the voters, at the leader: who, and why."""
+        """Log a change of the voters and its reason; only the leader does."""
         added, removed = action.change.added, action.change.removed
         log.info(
-            "the voters changed: %s",
+            "voters changed: %s",
             action.change.reason.value,
             extra={
                 "code": "VOTERS_CHANGED",
@@ -196,12 +202,12 @@
         )
 
     def on_persisted(self, token: int, is_durable: bool) -> None:
-        """A save is done, or has failed."""
+        """Report to the replica whether a save has succeeded."""
         self.replica.on_persisted(self.loop.time(), token, is_durable)
         self.run_actions()
 
     def on_record(self, record: Record) -> None:
-        """A process has come or gone: where replicas may be, and how many of them may be lost at once."""
+        """Update the replica's addresses and tolerated losses when a process has joined or left."""
         if record.kind == RecordKind.NODE:
             control_nodes = [info for _, info in self.node.gossip.records.nodes() if info.role == CONTROL]
             self.replica.known_addresses = [(info.ip, info.port) for info in control_nodes]
--- a/zinclever/mesh/roles/forward_server.py
+++ b/zinclever/mesh/roles/forward_server.py
@@ -1,4 +1,4 @@
-"""Requests that other sidecars forward to the endpoint of this machine: their frames, until the reply is sent."""
+"""Requests that other sidecars forward to the endpoint of this machine, from the first frame to the reply."""
 
 from __future__ import annotations
 
@@ -14,40 +14,45 @@
 from ..transport.mesh_pb2 import BodyChunk, ForwardReply, ForwardRequest, Frame
 
 MAX_BODY_BYTES = 80 << 20
-MAX_MEMORY_SHARE = 0.25  # that bodies may take which are still coming in
+MAX_MEMORY_SHARE = 0.25  # of the memory that incomplete bodies may take
 
 StreamKey = tuple[FramedConnection, int]
 
 
 @dataclass(slots=True, eq=False)
 class InboundForward:
-    """A forwarded request, from its first frame until its reply has been sent."""
+    """A forwarded request, from its first frame until its reply is sent."""
 
     connection: FramedConnection
     forward: ForwardRequest
     received_at: float
-    """Instant in s of its first frame."""
+    """Instant in s at which its first frame arrived."""
     chunks: list[bytes] = field(init=False)
     missing_bytes: int = field(init=False)
-    """Of its body."""
+    """Bytes of the body still to come."""
     request: InboundRequest | None = None
-    """At the ingress, once its body is whole."""
+    """The request at the ingress, once the body is complete."""
 
     def __post_init__(self) -> None:
         self.chunks = [self.forward.body]
         self.missing_bytes = self.forward.length - len(self.forward.body)
 
     def body(self) -> bytes:
-        """The whole body."""
+        """Return the complete body."""
         return self.chunks[0] if len(self.chunks) == 1 else b"".join(self.chunks)
 
 
 class ForwardServer:
-    """Owns the forwarded requests that are open."""
+    """Owns the open forwarded requests."""
 
     def __init__(self, ingress: Ingress, memory: int, is_refusing: Callable[[], bool]) -> None:
-        """``memory``: of this machine, in bytes. ``is_refusing``: whether new requests are refused, as this process
-        ends."""
+        """Create a server.
+
+        Args:
+            ingress: The ingress that requests are submitted to.
+            memory: Memory of this machine in bytes.
+            is_refusing: Whether new requests are refused because this process is shutting down.
+        """
         self.ingress = ingress
         self.memory = memory
         self.is_refusing = is_refusing
@@ -55,7 +60,10 @@
         self.open: dict[StreamKey, InboundForward] = {}
 
     def on_request(self, connection: FramedConnection, frame: Frame) -> None:
-        """Take a request. One that reserves first is granted a reservation where there is capacity and memory."""
+        """Handle the first frame of a request.
+
+        A request that reserves first is granted a reservation if there is capacity and memory for it.
+        """
         forward = ForwardRequest()
         forward.CopyFrom(frame.forward_request)
         inbound = InboundForward(connection, forward, self.loop.time())
@@ -63,13 +71,13 @@
             connection.abort()
             return
         if self.is_refusing():
-            refusal = ForwardReply(outcome=AttemptOutcome.NOT_EXECUTED, reason="ending")
-            connection.send(Frame(stream=frame.stream, forward_reply=refusal))
+            shutdown_reply = ForwardReply(outcome=AttemptOutcome.NOT_EXECUTED, reason="ending")
+            connection.send(Frame(stream=frame.stream, forward_reply=shutdown_reply))
             return
         if inbound.missing_bytes > 0:
-            refusal_or_none = self.refusal(forward)
-            if refusal_or_none is not None:
-                connection.send(Frame(stream=frame.stream, forward_reply=refusal_or_none))
+            refusal = self.refusal(forward)
+            if refusal is not None:
+                connection.send(Frame(stream=frame.stream, forward_reply=refusal))
                 return
             if forward.reserve_first:
                 connection.send(Frame(stream=frame.stream, reservation_granted=True))
@@ -78,7 +86,7 @@
             self.submit(frame.stream, inbound)
 
     def refusal(self, forward: ForwardRequest) -> ForwardReply | None:
-        """The reply to a request whose body can't be taken; None where it can."""
+        """Return the reply to a request whose body can't be accepted; None if it can."""
         incoming_bytes = sum(inbound.missing_bytes for inbound in self.open.values() if inbound.missing_bytes > 0)
         refusal = self.ingress.refusal(forward) if forward.reserve_first else None
         if incoming_bytes and incoming_bytes + forward.length > MAX_MEMORY_SHARE * self.memory:
@@ -86,7 +94,7 @@
         return refusal
 
     def on_body_chunk(self, connection: FramedConnection, frame: Frame) -> None:
-        """Take a part of a body."""
+        """Handle a chunk of a request body."""
         inbound = self.open.get((connection, frame.stream))
         if inbound is not None and inbound.missing_bytes > 0:
             inbound.chunks.append(frame.body_chunk.data)
@@ -95,12 +103,12 @@
                 self.submit(frame.stream, inbound)
 
     def submit(self, stream: int, inbound: InboundForward) -> None:
-        """Hand a request whose body is whole to the ingress."""
+        """Submit a request whose body is complete to the ingress."""
         on_reply = partial(self.send_reply, stream, inbound)
         inbound.request = self.ingress.submit(inbound.forward, inbound.body(), on_reply, inbound.received_at)
 
     def send_reply(self, stream: int, inbound: InboundForward, reply: ForwardReply) -> None:
-        """Send the ingress's reply, with a long body in chunks."""
+        """Send the ingress's reply; a long body is split into chunks."""
         self.open.pop((inbound.connection, stream), None)
         body = reply.body
         reply.length = len(body)
@@ -112,16 +120,16 @@
             inbound.connection.send(Frame(stream=stream, body_chunk=chunk))
 
     def on_cancel(self, connection: FramedConnection, frame: Frame) -> None:
-        """The other sidecar cancels a request."""
+        """Handle the cancellation of a request by the sidecar that forwarded it."""
         self.cancel((connection, frame.stream))
 
     def on_connection_closed(self, connection: FramedConnection) -> None:
-        """The other sidecar gets no reply any more: what it forwarded is cancelled."""
+        """Cancel the requests of a closed connection, which can't be answered any more."""
         for key in [key for key in self.open if key[0] is connection]:
             self.cancel(key)
 
     def cancel(self, key: StreamKey) -> None:
-        """Cancel a request, wherever it is."""
+        """Cancel a request, whether its body is complete or not."""
         inbound = self.open.pop(key, None)
         if inbound is not None and inbound.request is not None:
             self.ingress.cancel(inbound.request)
--- a/zinclever/mesh/roles/heartbeats.py
+++ b/zinclever/mesh/roles/heartbeats.py
@@ -1,4 +1,7 @@
-"""Heartbeats and departures of endpoints as records, and which records are news. Pure, but for the time of day."""
+"""Conversion of endpoint heartbeats and departures to gossip records, and their precedence.
+
+Without side effects; reads only the time of day.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 from ..transport.mesh_pb2 import EndpointInfo, Record
 from .node_settings import ADDRESS, NAME
 
-WHOLE_NUMBER: Any = And(int, lambda value: 0 <= value < DEPARTED_SEQ, error="must be a whole number from 0")
+NON_NEGATIVE_INTEGER: Any = And(int, lambda value: 0 <= value < DEPARTED_SEQ, error="must be a non-negative integer")
 HEARTBEAT_SCHEMA = Schema(
     {
         "Address": ADDRESS,
@@ -22,12 +25,12 @@
                 "Target": NAME,
                 Optional("Generation"): Or(str, int),
                 Optional("Zone"): str,
-                Optional("Capacity"): WHOLE_NUMBER,
+                Optional("Capacity"): NON_NEGATIVE_INTEGER,
             },
             ignore_extra_keys=True,
         ),
         "Observed": Schema(
-            {"Phase": Or("ready", "draining"), "CallSeq": WHOLE_NUMBER, Optional("ColdLeftS"): Or(int, float)},
+            {"Phase": Or("ready", "draining"), "CallSeq": NON_NEGATIVE_INTEGER, Optional("ColdLeftS"): Or(int, float)},
             ignore_extra_keys=True,
         ),
     },
@@ -36,7 +39,7 @@
 
 
 def parse_heartbeat(call: Call) -> Record:
-    """A heartbeat as a record, without the sidecar. MeshError where it is not proper."""
+    """Return the record for a heartbeat, without the sidecar's name. Raises MeshError if it is invalid."""
     document = call.json()
     try:
         HEARTBEAT_SCHEMA.validate(document)
@@ -62,59 +65,62 @@
 
 
 def departure_record(endpoint: str) -> Record:
-    """The record of an endpoint that says that it has gone."""
+    """Return the record by which an endpoint announces its own departure."""
     return Record(kind=RecordKind.ENDPOINT, id=endpoint, seq=DEPARTED_SEQ, rank=EndpointPhase.GONE)
 
 
 def set_sidecar(record: Record, sidecar: str) -> None:
-    """Name the sidecar in front of the endpoint in its record."""
+    """Store the name of the sidecar in front of the endpoint in its record."""
     info = EndpointInfo.FromString(record.body)
     info.sidecar = sidecar
     record.body = info.SerializeToString()
 
 
 def sidecar_of(record: Record) -> str:
-    """The sidecar in front of the endpoint, as its record names it."""
+    """Return the name of the sidecar in front of the endpoint, as its record states it."""
     return EndpointInfo.FromString(record.body).sidecar
 
 
 def is_final(known: Record) -> bool:
-    """Whether the endpoint has said that it leaves: nothing that it says later makes it ready again."""
+    """Return whether the endpoint has announced a drain or departure: no later heartbeat makes it ready again."""
     return known.rank == EndpointPhase.DRAINING or known.seq >= DEPARTED_SEQ
 
 
-def is_news(known: Record | None, ready: Record) -> bool:
-    """Whether the heartbeat of a ready endpoint is news; its record is given the incarnation of what is known."""
+def changes_state(known: Record | None, ready: Record) -> bool:
+    """Return whether a ready endpoint's heartbeat changes the known state of the endpoint.
+
+    Sets the incarnation of the heartbeat's record to the known one.
+    """
     if known is None:
         return True
     ready.incarnation = known.incarnation
     if is_final(known) or known.seq >= ready.seq:
-        return False  # it leaves, or the heartbeat is a late one
+        return False  # the endpoint is leaving, or the heartbeat is outdated
     return known.rank != EndpointPhase.READY or sidecar_of(known) != sidecar_of(ready)
 
 
 def superseding_record(known: Record | None, ending: Record) -> Record:
-    """The record by which a drain or a departure is spread: one that takes precedence over what is known.
+    """Return the record that announces a drain or departure with precedence over the known record.
 
-    An endpoint that was taken for gone and says that it drains is gone for good.
+    A drain of an endpoint that was declared gone makes it gone for good.
     """
     if known is None:
         return ending
     if known.seq >= DEPARTED_SEQ or known.rank == ending.rank == EndpointPhase.DRAINING:
         return known
-    was_taken_for_gone = known.rank >= EndpointPhase.GONE
+    was_declared_gone = known.rank >= EndpointPhase.GONE
     return Record(
         kind=RecordKind.ENDPOINT,
         id=ending.id,
         incarnation=known.incarnation,
-        seq=DEPARTED_SEQ if was_taken_for_gone else max(ending.seq, known.seq),
-        rank=EndpointPhase.GONE if was_taken_for_gone else ending.rank,
+        seq=DEPARTED_SEQ if was_declared_gone else max(ending.seq, known.seq),
+        rank=EndpointPhase.GONE if was_declared_gone else ending.rank,
         body=ending.body or known.body,
     )
 
 
 def gone_record(known: Record, seq: int) -> Record:
-    """The record by which an endpoint is declared gone by others than itself."""
+    """Return the record by which another process declares an endpoint gone."""
     return Record(
         kind=RecordKind.ENDPOINT,
         id=known.id,
--- a/zinclever/mesh/roles/node.py
+++ b/zinclever/mesh/roles/node.py
@@ -1,4 +1,4 @@
-"""What every process of the mesh has: membership by gossip, channels to others, and the configuration in force."""
+"""The common part of every mesh process: gossip membership, channels to other processes, and the active configuration."""
 
 from __future__ import annotations
 
@@ -23,19 +23,21 @@
 SIDECAR, CONTROL = "forager", "comb"  # role names on the wire, kept from version 0.1
 
 PORT_OFFSETS = {SIDECAR: 0, CONTROL: 1}  # of a role's port from the first of EphemeralPorts
-GOSSIP_LINK_SHARE = 0.1  # of this machine's bandwidth that gossip may take
+GOSSIP_LINK_SHARE = 0.1  # of this machine's bandwidth that gossip may use
 BYTES_PER_MBIT = 125_000.0
-PROTOCOL_VERSION = 3  # of the wire: 2 has reservations, 3 root digests
+PROTOCOL_VERSION = 3  # version 2 added reservations, version 3 root digests
 RESERVED_DESCRIPTORS = 200  # for channels, listeners and files
 MIN_DESCRIPTORS = 128
 LISTEN_BACKLOG = 512
 
 
 class Node:
-    """Owns the gossip's socket, the channels and the listener of frames, from :meth:`start` to :meth:`stop`."""
+    """Owns the gossip socket, the channels and the frame listener, from :meth:`start` to :meth:`stop`."""
 
     def __init__(self, settings: NodeSettings, role: str, disk: str = "") -> None:
-        """``role``: :data:`SIDECAR` or :data:`CONTROL`; ``disk``: the identity of the disk, where there is one."""
+        """Create a node. ``role``: :data:`SIDECAR` or :data:`CONTROL`; ``disk``: the identity of the disk, empty
+        without one.
+        """
         self.settings, self.role = settings, role
         self.host = System()
         self.loop = asyncio.get_running_loop()
@@ -53,7 +55,7 @@
         self.name = f"{settings.name}/{role}"
         self.gossip = Gossip(
             self.name,
-            time.time_ns() // 1_000_000,  # rises from one start to the next
+            time.time_ns() // 1_000_000,  # incarnation: increases from one start to the next
             self.info,
             seed_addresses(settings),
             self.loop.time(),
@@ -66,19 +68,19 @@
         self.active = ActiveConfiguration()
         self.server: asyncio.Server | None = None
         self.connections: set[FramedConnection] = set()
-        """Accepted connections on which a frame has come."""
+        """Accepted connections that have sent a frame."""
         self.protocol_versions: dict[Address, int] = {}
-        """What the processes at an address understand."""
+        """By address: the protocol version of the process there."""
         self.distributor = ConfigurationDistributor(self.gossip, self.channels, self.active, self.broadcast)
         self.record_listeners: list[Callable[[Record], None]] = []
-        """Called with each record that is new here."""
+        """Called with each new record."""
         self.frame_handlers: dict[str, Callable[[FramedConnection, Frame], None]] = {"fetch": self.distributor.on_fetch}
-        """By the field of :class:`Frame` that is set."""
+        """By the name of the field that is set in :class:`Frame`."""
         self.connection_listeners: list[Callable[[FramedConnection], None]] = []
         """Called with each accepted connection that has closed."""
 
     async def start(self) -> None:
-        """Listen for frames and for gossip. OSError where the addresses can't be bound."""
+        """Listen for frames and for gossip. Raises OSError if an address can't be bound."""
         self.server = await self.loop.create_server(
             lambda: FramedConnection(self.on_frame, self.on_connection_closed),
             self.settings.ip,
@@ -88,7 +90,7 @@
         await self.gossip_socket.listen((self.settings.ip, self.port))
 
     def stop(self) -> None:
-        """Say that this process leaves, and release all sockets."""
+        """Announce that this process leaves, and close all sockets."""
         self.gossip.leave(self.loop.time())
         self.gossip_socket.flush()
         self.gossip_socket.close()
@@ -99,33 +101,33 @@
             connection.abort()
 
     def reload(self, settings: NodeSettings) -> None:
-        """The settings file has changed: its seeds hold from now on."""
+        """Use the seeds of the changed settings; nothing else is reloaded."""
         self.gossip.anti_entropy.seeds = seed_addresses(settings)
 
     # --- frames ---
 
     def on_frame(self, connection: FramedConnection, frame: Frame) -> None:
-        """Hand a frame to its handler; frames of kinds that this role doesn't handle are ignored."""
+        """Pass a frame to its handler; frames that this role doesn't handle are ignored."""
         self.connections.add(connection)
         handler = self.frame_handlers.get(frame.WhichOneof("what") or "")
         if handler is not None:
             handler(connection, frame)
 
     def on_connection_closed(self, connection: FramedConnection) -> None:
-        """An accepted connection has closed."""
+        """Handle the end of an accepted connection."""
         self.connections.discard(connection)
         self.distributor.waiters.drop(connection)
         for listener in self.connection_listeners:
             listener(connection)
 
     def channel_to(self, address: Address) -> Channel:
-        """The channel to a process."""
+        """Return the channel to the process at an address."""
         return self.channels.to(address)
 
     # --- records ---
 
     def on_record(self, record: Record, sender: str) -> None:
-        """A record is new here: fetch a newer configuration, keep channels to who is there, tell the listeners."""
+        """Handle a new record: fetch a newer configuration, update the channels, and notify the listeners."""
         if record.kind == RecordKind.VERSION:
             self.distributor.fetch_newer(sender)
         if record.kind == RecordKind.NODE:
@@ -140,18 +142,18 @@
             listener(record)
 
     def broadcast(self, record: Record) -> None:
-        """Spread a record from here, at once."""
+        """Gossip a record immediately."""
         self.gossip.broadcast(self.loop.time(), record)
         self.gossip_socket.flush()
 
     # --- the configuration ---
 
     def put_in_force(self, index: int, generation: int, text: bytes) -> None:
-        """Put a committed configuration in force, and tell the others of it at once."""
+        """Activate a committed configuration, and announce it immediately."""
         self.distributor.put_in_force(index, generation, text)
 
 
 def seed_addresses(settings: NodeSettings) -> list[Address]:
-    """Where the control nodes that the settings name as seeds take gossip."""
+    """Return the gossip addresses of the control nodes that the settings name as seeds."""
     port = settings.ephemeral_ports[0] + PORT_OFFSETS[CONTROL]
     return [(ip, port) for ip, _ in settings.seeds]
--- a/zinclever/mesh/roles/node_settings.py
+++ b/zinclever/mesh/roles/node_settings.py
@@ -1,4 +1,4 @@
-"""The settings file that a process is given at its start, validated."""
+"""The settings file that a process reads at its start, and its validation."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def is_address(value: object) -> bool:
-    """Whether a value is a text of the form host:port."""
+    """Return whether a value is a string of the form host:port."""
     if not isinstance(value, str):
         return False
     try:
@@ -33,7 +33,7 @@
 
 ADDRESS: Any = And(is_address, error="must be host:port")
 PORT: Any = And(int, lambda port: 0 < port < 65536, error="must be a port")
-NAME: Any = And(str, len, error="must be a text that is not empty")
+NAME: Any = And(str, len, error="must be a non-empty string")
 POSITIVE: Any = And(Or(int, float), lambda value: value > 0, error="must be a number above 0")
 
 SETTINGS_SCHEMA = Schema(
@@ -45,7 +45,7 @@
         "Serves": [str],
         "Bind": {Optional(str): ADDRESS},
         "EphemeralPorts": And(
-            [PORT], lambda ports: len(ports) == 2 and ports[0] < ports[1], error="must be two ports, rising"
+            [PORT], lambda ports: len(ports) == 2 and ports[0] < ports[1], error="must be two ports in ascending order"
         ),
         "SeedNodes": [ADDRESS],
         Optional("MachineClass"): str,
@@ -70,38 +70,38 @@
     """The settings of a process."""
 
     name: str
-    """Of its machine."""
+    """Of the machine."""
     ip: str
     zone: str
     zones: tuple[str, ...]
-    """All zones, sorted."""
+    """All zones of the deployment, sorted."""
     bind: Mapping[str, Address]
-    """By purpose: the addresses to listen on."""
+    """By purpose: the address to listen on."""
     ephemeral_ports: tuple[int, int]
     seeds: tuple[Address, ...]
     bootstrap: bool
-    """This is the first start of the deployment."""
-    state_folder: str | None
-    """On its disk; None where the machine has none."""
+    """Whether this is the first start of the deployment."""
+    state_directory: str | None
+    """Directory for persistent state; None if the machine has no disk."""
     heartbeat_interval: float
     """s between two heartbeats of an endpoint."""
     fault_model: FaultModel
     regions: Mapping[str, str]
-    """By zone."""
+    """By zone: its region."""
     max_descriptors: int
     memory_mb: int
     link_mbps: float
-    """Bandwidth of this machine's link in Mbit/s; 0 where it isn't configured."""
+    """Bandwidth of this machine's link in Mbit/s; 0 if not configured."""
     bounds: Mapping[str, float]
-    """Bounds of the deployment by name; those of spans in s."""
+    """Limits of the deployment by name; durations in s."""
     application_address: Address | None
-    """Of the endpoint beside a sidecar."""
+    """Address of the endpoint beside a sidecar, if configured."""
     service: str
-    """Of that endpoint; empty where it isn't configured."""
+    """Service of that endpoint; empty if not configured."""
 
 
 def parse(text: bytes) -> NodeSettings:
-    """The settings from their text. MeshError with the path of what is wrong."""
+    """Parse and validate settings. Raises MeshError with the path of the invalid field."""
     try:
         document: Any = orjson.loads(text)
         SETTINGS_SCHEMA.validate(document)
@@ -121,7 +121,7 @@
         ephemeral_ports=tuple(document["EphemeralPorts"]),
         seeds=tuple(read_address(seed) for seed in document["SeedNodes"]),
         bootstrap=bool(document.get("Bootstrap")),
-        state_folder=document.get("StateDir"),
+        state_directory=document.get("StateDir"),
         heartbeat_interval=float(document.get("HeartbeatS", DEFAULT_HEARTBEAT_INTERVAL)),
         fault_model=FaultModel(
             hosts=int(fault_model.get("HostLosses", 1)),
@@ -139,12 +139,12 @@
 
 
 def parse_bounds(texts: Iterable[str]) -> dict[str, float]:
-    """Bounds from ``name=value`` texts, or several on one line; a value may be ``true`` or ``false``."""
+    """Parse bounds of the form ``name=value``, one or several to a string; a value may be ``true`` or ``false``."""
     bounds: dict[str, float] = {}
     for text in (part for line in texts for part in line.split(",")):
         name, _, value = text.strip().partition("=")
         try:
             bounds[name] = float({"true": "1", "false": "0"}.get(value.lower(), value))
         except ValueError:
-            raise MeshError("BOOT_INVALID", f"is no number: {value!r}", f"Bounds.{name}") from None
+            raise MeshError("BOOT_INVALID", f"is not a number: {value!r}", f"Bounds.{name}") from None
     return bounds
