--- a/zinclever/mesh/roles/endpoint_api.py
+++ b/zinclever/mesh/roles/endpoint_api.py
@@ -12,7 +12,7 @@
 from ..membership.receipt_quorum import ReceiptQuorum
 from ..membership.records import EndpointPhase, RecordKind
 from ..transport.mesh_pb2 import EndpointInfo, Record
-from .heartbeats import departure_record, changes_state, parse_heartbeat, set_sidecar, sidecar_of, superseding_record
+from .heartbeats import changes_state, departure_record, parse_heartbeat, set_sidecar, sidecar_of, superseding_record
 from .node import CONTROL, SIDECAR, Node
 
 log = logging.getLogger(__name__)
--- a/zinclever/mesh/roles/local_endpoint.py
+++ b/zinclever/mesh/roles/local_endpoint.py
@@ -15,10 +15,10 @@
 from ..transport.mesh_pb2 import EndpointInfo, Record
 from .endpoint_api import EndpointAnnouncer
 from .heartbeats import (
+    changes_state,
     departure_record,
     gone_record,
     is_final,
-    changes_state,
     parse_heartbeat,
     set_sidecar,
     superseding_record,
--- a/zinclever/mesh/roles/node.py
+++ b/zinclever/mesh/roles/node.py
@@ -1,4 +1,4 @@
-"""The common part of every mesh process: gossip membership, channels to other processes, and the active configuration."""
+"""The common part of every mesh process: gossip membership, channels to peers, and the active configuration."""
 
 from __future__ import annotations
 
--- a/zinclever/mesh/roles/operator_calls.py
+++ b/zinclever/mesh/roles/operator_calls.py
@@ -1,11 +1,11 @@
-"""The calls of operators at a control node: read off the wire, answered by the leader, here or elsewhere.
+"""The operators' API at a control node: calls are parsed here and answered by the leader, on this node or another one.
 
-A call has its answer within a second, unless its configuration is large: the caller gives up after a second of silence,
-and a 503 that comes before lets it go on to another control node at once. A 503 states nothing: the change may be
+A call is answered within a second unless its configuration is large: the caller gives up after a second of silence, and
+an earlier 503 lets it go on to another control node immediately. A 503 leaves the outcome open: the change may be
 committed.
 
 Small configurations are forwarded to the leader over the channel between the nodes. Large ones never are, as heartbeats
-would wait behind them: the caller is sent to the leader by a 307.
+would queue behind them: the caller is redirected to the leader by a 307.
 """
 
 from __future__ import annotations
@@ -30,15 +30,15 @@
 
 PUT, GET = "put", "get"  # kinds of calls on the wire
 REPLACE_PATH, READ_PATH = "/v1/config/replace", "/v1/config/read"
-FORWARDING_TIME = 0.2  # s by which a call may take longer than at the leader, to find it and to be forwarded
-FIND_LEADER_INTERVAL = 0.05  # s between two looks at who leads
-LARGE_BYTES = 64 * 1024  # of a configuration from which on it is validated in a thread, and not forwarded
-MAX_VERSION_DIGITS = 19  # of a version, so that it stays below 2 ** 64
+FORWARDING_TIME = 0.2  # s added to the leader's timeout for finding the leader and forwarding the call
+FIND_LEADER_INTERVAL = 0.05  # s between two checks who leads
+LARGE_BYTES = 64 * 1024  # size from which a configuration is validated in a thread, and not forwarded
+MAX_VERSION_DIGITS = 19  # keeps a version below 2 ** 64
 ERROR_CODES = {412: "CONFIG_BASE", 400: "CONFIG_INVALID"}
 
 
 class CallAnswer(NamedTuple):
-    """The answer to a call: an HTTP status, and a text; of a 307, the address of the leader."""
+    """The answer to a call: HTTP status and body, or the address of the leader with status 307."""
 
     status: int
     text: bytes
@@ -48,37 +48,37 @@
     """Owns the calls that the replica has not answered yet."""
 
     def __init__(self, node: Node, replica: Replica, run_actions: Callable[[], None]) -> None:
-        """``run_actions`` carries out what the replica wants done."""
+        """Create the calls' handlers; ``run_actions`` executes the actions that the replica has queued."""
         self.node, self.replica, self.run_actions = node, replica, run_actions
         self.loop = node.loop
         self.unanswered: dict[int, asyncio.Future[CallAnswer]] = {}
         self.last_call_id = 0
         self.tasks: set[asyncio.Task[None]] = set()
-        """The calls of other control nodes that are being answered."""
+        """Calls forwarded by other control nodes, while they are being answered."""
 
-    # --- at the leader ---
+    # --- calls at the local replica ---
 
     def submit(self, begin: Callable[[int], None]) -> asyncio.Future[CallAnswer]:
-        """Begin a call at this node's replica, under an id that ``begin`` is called with: its answer."""
+        """Submit a call to this node's replica by calling ``begin`` with a new id. Returns the future answer."""
         self.last_call_id += 1
-        waiting: asyncio.Future[CallAnswer] = self.loop.create_future()
-        self.unanswered[self.last_call_id] = waiting
+        future: asyncio.Future[CallAnswer] = self.loop.create_future()
+        self.unanswered[self.last_call_id] = future
         begin(self.last_call_id)
         self.run_actions()
-        return waiting
+        return future
 
     def on_reply(self, reply: Reply) -> None:
-        """The replica answers a call."""
-        waiting = self.unanswered.pop(reply.call_id, None)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(CallAnswer(reply.status, reply.text))
+        """Complete the call that the replica has answered."""
+        future = self.unanswered.pop(reply.call_id, None)
+        if future is not None and not future.done():
+            future.set_result(CallAnswer(reply.status, reply.text))
 
     async def answer_here(self, call: ControlCall) -> CallAnswer:
-        """The answer of this node's replica."""
+        """Return the answer of this node's replica."""
         now = self.loop.time()
         if call.kind == GET:
             return await self.submit(lambda call_id: self.replica.read(now, call_id))
-        configuration = parse(call.text, is_checked=True)  # by the node that took the call
+        configuration = parse(call.text, is_checked=True)  # by the node that received the call
         digest = hashlib.blake2b(call.text, digest_size=16).digest()
 
         def begin(call_id: int) -> None:
@@ -86,13 +86,15 @@
 
         return await self.submit(begin)
 
-    # --- at any control node ---
+    # --- calls to the leader, local or remote ---
 
     async def answer(self, call: ControlCall) -> CallAnswer:
-        """The leader's answer, here or elsewhere; 503 soon enough for the caller to go on to another node."""
+        """Return the leader's answer, from this node or another; 503 early enough for the caller to go on to another
+        node.
+        """
         size = len(self.replica.committed.text) if call.kind == GET else len(call.text)
-        until = self.loop.time() + call_timeout(size) + FORWARDING_TIME
-        while (time_left := until - self.loop.time()) > 0:
+        deadline = self.loop.time() + call_timeout(size) + FORWARDING_TIME
+        while (time_left := deadline - self.loop.time()) > 0:
             leader = self.replica.leader
             voter = next((v for v in self.replica.voters() if v.disk == leader), None)
             if self.replica.role is ReplicaRole.LEADER:
@@ -109,15 +111,15 @@
         return CallAnswer(503, b"no leader answers")
 
     def address_of(self, voter: Voter) -> str:
-        """Where a control node takes calls, as host:port; empty where that isn't known."""
+        """Return the address of a control node's HTTP API, as host:port; empty if it is unknown."""
         infos = self.node.gossip.records.node_infos()
         return next((info.control_address for info in infos if (info.ip, info.port) == (voter.ip, voter.port)), "")
 
     async def forward_to_leader(self, voter: Voter, call: ControlCall, timeout: float) -> CallAnswer:
-        """The answer of the leader.
+        """Return the leader's answer.
 
-        A read takes its text from here where the leader has committed the same; where it has not, and the text is
-        large, the caller is sent there.
+        If this node has committed the same version as the leader, a read takes the text from here. Otherwise, if the
+        text is large, the caller is redirected to the leader.
         """
         if call.kind != GET:
             return await forward(self.node, voter, call, timeout)
@@ -132,7 +134,7 @@
         return CallAnswer(reply.status, committed.text if reply.unchanged else reply.text)
 
     def on_control_call(self, connection: FramedConnection, frame: Frame) -> None:
-        """Answer a call that another control node forwards."""
+        """Answer a call that another control node has forwarded."""
         call = ControlCall()
         call.CopyFrom(frame.control_call)
 
@@ -145,7 +147,7 @@
         task.add_done_callback(self.tasks.discard)
 
     async def reply_to(self, call: ControlCall) -> ControlReply:
-        """The answer to a forwarded call, without a text that the other node has."""
+        """Return the reply to a forwarded call, without the text if the calling node has it."""
         if self.replica.role is not ReplicaRole.LEADER:
             return ControlReply(status=503, text=b"does not lead")
         try:
@@ -157,19 +159,19 @@
         if call.kind == GET and status == 200 and is_same and text == committed.text:
             return ControlReply(status=200, unchanged=True)
         if call.kind == GET and call.digest and len(text) > LARGE_BYTES:
-            return ControlReply(status=307)  # a node that says what it has committed understands that
+            return ControlReply(status=307)  # only nodes that send their committed digest understand it
         return ControlReply(status=status, text=text)
 
-    # --- of operators ---
+    # --- HTTP handlers ---
 
     async def on_replace(self, call: Call) -> Answer:
         """Replace the configuration."""
         base = call.headers.get("x-base-version", "")
         if not base.isascii() or not base.isdecimal() or len(base) > MAX_VERSION_DIGITS:
-            error = MeshError("BASE_MISSING", "must be the version that this one builds on", "X-Base-Version")
+            error = MeshError("BASE_MISSING", "must be the version that this configuration replaces", "X-Base-Version")
             return error_answer(400, error)
         configuration = await self.validated(call.body)
-        # As the text is kept: what is the same but for blanks and order is the same entry.
+        # The canonical form that is stored: texts that differ only in whitespace and key order are the same entry.
         text = orjson.dumps(orjson.loads(call.body), option=orjson.OPT_SORT_KEYS)
         status, reason = await self.answer(ControlCall(kind=PUT, base=int(base), text=text))
         if status == 200:
@@ -180,16 +182,16 @@
         return error_answer(status, MeshError(code, reason.decode("utf-8", "replace")))
 
     async def validated(self, text: bytes) -> Configuration:
-        """A configuration, validated. MeshError where it is not proper.
+        """Parse and validate a configuration. Raises MeshError if it is invalid.
 
-        A large one is validated in a thread: it takes a second, in which ten heartbeats of this node are due.
+        A large one is validated in a thread: that can take a second, during which this node has to send ten heartbeats.
         """
         if len(text) > LARGE_BYTES:
             return await self.loop.run_in_executor(None, parse, text)
         return parse(text)
 
     async def on_read(self, call: Call) -> Answer:
-        """Read the configuration in force."""
+        """Return the active configuration."""
         status, text = await self.answer(ControlCall(kind=GET))
         if status == 200:
             return Answer(200, b"Content-Type: application/json\r\n", text)
@@ -199,18 +201,18 @@
 
 
 def redirect_to_leader(address: bytes, path: str) -> Answer:
-    """Send the caller to the leader."""
+    """Return the redirection of a caller to the leader."""
     return Answer(307, b"Location: http://%b%b\r\n" % (address, path.encode()), b"")
 
 
 async def forward(node: Node, voter: Voter, call: ControlCall, timeout: float) -> CallAnswer:
-    """Call another process: the status and text of its answer."""
+    """Call another process, and return the status and text of its reply."""
     reply = await forward_call(node, voter, call, timeout)
     return CallAnswer(reply.status, reply.text)
 
 
 async def forward_call(node: Node, voter: Voter, call: ControlCall, timeout: float) -> ControlReply:
-    """Call another process, and wait for its answer for ``timeout`` s; 503 without one."""
+    """Call another process and wait up to ``timeout`` s for its reply; without one, the status is 503."""
     channel = node.channel_to((voter.ip, voter.port))
     reply: asyncio.Future[ControlReply] = node.loop.create_future()
 
--- a/zinclever/mesh/roles/replica_transport.py
+++ b/zinclever/mesh/roles/replica_transport.py
@@ -1,4 +1,4 @@
-"""The messages of a replica on channels to the others, and the texts that travel beside them."""
+"""Transport of a replica's messages over channels, and of the configuration texts that are transferred separately."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class ReplicaTransport:
-    """Owns the exchange of texts; the channels are the node's."""
+    """Owns the text exchange; the channels belong to the node."""
 
     def __init__(self, node: Node, own_voter: Voter, stored: LogEntry | None) -> None:
-        """``stored``: the entry on the disk, so that after a restart only what has changed since is fetched."""
+        """Create a transport. ``stored``: the entry on disk, so that a restarted replica fetches only differences."""
         self.node = node
         self.texts = TextExchange(own_voter)
         if stored is not None and stored.text:
@@ -29,31 +29,31 @@
             self.send_frame(outgoing)
 
     def receive(self, message: ConsensusMessage) -> list[ConsensusMessage]:
-        """The messages for the replica that are whole with this one."""
-        whole = self.texts.incoming(self.node.loop.time(), message)
+        """Process a received message, and return the messages for the replica that are now complete."""
+        complete_messages = self.texts.incoming(self.node.loop.time(), message)
         self.flush()
-        return whole
+        return complete_messages
 
     def tick(self) -> None:
-        """Repeat requests for texts that had no answer."""
+        """Repeat unanswered requests for texts."""
         self.texts.tick(self.node.loop.time())
         self.flush()
 
     def flush(self) -> None:
-        """Send what the exchange of texts wants sent."""
+        """Send the messages that the text exchange has queued."""
         outbox, self.texts.outbox = self.texts.outbox, []
         for send in outbox:
             self.send_frame(send)
 
     def send_frame(self, send: Send) -> None:
-        """Send a message on its channel; it may be lost."""
+        """Send a message on the channel to its recipient; it may be lost."""
         self.node.channel_to((send.to.ip, send.to.port)).send_one_way(Frame(consensus=send.message))
 
 
 def log_role(replica: Replica) -> None:
-    """One line for each change of a replica's role."""
+    """Log a change of the replica's role."""
     log.info(
-        "role of the replica",
+        "replica role changed",
         extra={
             "code": "REPLICA_ROLE",
             "role": replica.role.name,
--- a/zinclever/mesh/roles/sidecar.py
+++ b/zinclever/mesh/roles/sidecar.py
@@ -31,19 +31,19 @@
 log = logging.getLogger(__name__)
 
 COUNTERS_INTERVAL = 10.0  # s between two log lines of counters
-MIN_DRAIN_PERIOD = 2.4  # s after SIGTERM for which clients still come: the platform takes two misses, a second apart
-REFUSAL_PERIOD = 2.0  # s before the end for which no new request is taken: those that are open are answered
-GRACE_MARGIN = 0.6  # s before the grace is over at which the process ends whatever runs
-POLL_INTERVAL = 0.05  # s between two looks whether this process may end
+MIN_DRAIN_PERIOD = 2.4  # s after SIGTERM in which clients still connect: until two failed readiness checks, 1 s apart
+REFUSAL_PERIOD = 2.0  # s before the end in which new requests are refused and open ones completed
+GRACE_MARGIN = 0.6  # s before the end of the grace period at which the process exits, even with open requests
+POLL_INTERVAL = 0.05  # s between two checks whether this process may exit
 LISTEN_BACKLOG = 2048
 DEFAULT_RETRY_RATIO = 0.2
 DEFAULT_RETRY_WINDOW = 10.0  # s
 
 
-def refuses_after(grace: float) -> float:
-    """s after SIGTERM from which on new requests are refused, where clients still come.
+def refusal_delay(grace: float) -> float:
+    """Return the time in s after SIGTERM from which new requests are refused if clients still send them.
 
-    What is open has its time until the process ends.
+    Open requests may be completed until the process exits.
     """
     return max(grace / 2, grace - GRACE_MARGIN - REFUSAL_PERIOD)
 
@@ -73,7 +73,7 @@
         """With the purpose of the address that each listens on."""
         self.servers: list[asyncio.Server] = []
         self.ending = False
-        self.logged_ready = False
+        self.logged_readiness = False
         self.stale_services: set[str] = set()
         """Services whose endpoints may have changed."""
         self.refresh_scheduled = False
@@ -88,7 +88,7 @@
         self.node.active.listeners.append(self.on_configuration)
 
     async def start(self) -> None:
-        """Listen. OSError where an address can't be bound."""
+        """Start listening. Raises OSError if an address can't be bound."""
         readiness: Router[Handler] = Router()
         readiness.add("GET /v1/ready", self.on_ready)
         calls: Router[Handler] = Router()
@@ -107,13 +107,13 @@
         self.loop.call_later(COUNTERS_INTERVAL, self.log_counters)
 
     def reload(self, settings: NodeSettings) -> None:
-        """Take new settings."""
+        """Apply changed settings."""
         self.node.reload(settings)
 
-    # --- readiness and the end ---
+    # --- readiness and shutdown ---
 
     def ready(self) -> bool:
-        """Whether it serves: a configuration is in force, an endpoint is known, and others have told what they know."""
+        """Return whether it serves: a configuration is active, gossip has joined, and a service has endpoints."""
         return bool(
             not self.ending
             and self.node.active.configuration is not None
@@ -122,10 +122,10 @@
         )
 
     def on_ready(self, call: Call) -> Answer:
-        """200 where this sidecar serves, else 503."""
+        """Answer 200 if this sidecar is ready, else 503."""
         ready = self.ready()
-        if ready is not self.logged_ready:
-            self.logged_ready = ready
+        if ready is not self.logged_readiness:
+            self.logged_readiness = ready
             log.info(
                 "ready" if ready else "not ready",
                 extra={
@@ -137,7 +137,10 @@
         return json_answer(200 if ready else 503)
 
     async def stop(self, grace: float) -> None:
-        """End in order, within ``grace`` s: others stop coming first, what is open is finished."""
+        """Shut down gracefully, within ``grace`` s.
+
+        New requests are accepted until clients have noticed the drain, then refused; open requests are completed.
+        """
         started_at = self.loop.time()
         self.ending = True
         self.node.gossip.leave(started_at)
@@ -147,7 +150,7 @@
         while self.loop.time() - started_at < grace - GRACE_MARGIN:
             await asyncio.sleep(POLL_INTERVAL)
             elapsed = self.loop.time() - started_at
-            if elapsed > refuses_after(grace):
+            if elapsed > refusal_delay(grace):
                 self.egress.is_refusing = True
             if self.is_idle() and elapsed > MIN_DRAIN_PERIOD:
                 break
@@ -160,11 +163,11 @@
         self.node.stop()
 
     def is_idle(self) -> bool:
-        """Whether no request is open here, of this machine or forwarded."""
+        """Return whether no request is open, neither of this machine nor forwarded to it."""
         return not self.egress.open_requests and not self.ingress.requests and not self.forward_server.open
 
     def log_counters(self) -> None:
-        """A line of counters every :data:`COUNTERS_INTERVAL`: they say more than a line for each thing that happens."""
+        """Log the counters every :data:`COUNTERS_INTERVAL`, instead of one line for each request."""
         self.loop.call_later(COUNTERS_INTERVAL, self.log_counters)
         log.info(
             "counts",
@@ -177,10 +180,10 @@
             },
         )
 
-    # --- frames of others ---
+    # --- frames from other processes ---
 
     def on_control_call(self, connection: FramedConnection, frame: Frame) -> None:
-        """A control node asks, for an operator, why a request failed."""
+        """Answer a control node that asks, for an operator, why a request failed."""
         failure = self.egress.failure_log.find(frame.control_call.text.decode("utf-8", "replace"))
         reply = ControlReply(status=404)
         if failure is not None:
@@ -190,7 +193,7 @@
     # --- services and their endpoints ---
 
     def make_client(self, service: str) -> ServiceClient:
-        """The client side of a service."""
+        """Create the client of a service."""
         bounds = self.settings.bounds
         retry_budget = RetryBudget(
             bounds.get("RetryRatio", DEFAULT_RETRY_RATIO),
@@ -212,11 +215,11 @@
         )
 
     def sidecar_count(self) -> int:
-        """How many sidecars are known to be there."""
+        """Return the number of sidecars known to be alive."""
         return sum(info.role == SIDECAR for _, info in self.node.gossip.records.nodes())
 
     def on_configuration(self, configuration: Configuration) -> None:
-        """A configuration comes into force."""
+        """Apply a configuration that has become active."""
         self.egress.configure(configuration, self.memory)
         for service in configuration.services:
             self.clients.to(service)
@@ -224,7 +227,7 @@
         self.schedule_refresh()
 
     def on_record(self, record: Record) -> None:
-        """A record is new here: the endpoints of services may have changed."""
+        """Handle a new record: it may change the endpoints of services."""
         if record.kind == RecordKind.ENDPOINT:
             info = EndpointInfo.FromString(record.body)
             if info.service:
@@ -236,13 +239,13 @@
             self.schedule_refresh()
 
     def schedule_refresh(self) -> None:
-        """Refresh stale services once, after all records that have come."""
+        """Refresh stale services once, after all records that have arrived together."""
         if not self.refresh_scheduled:
             self.refresh_scheduled = True
             self.loop.call_soon(self.refresh_endpoints)
 
     def refresh_endpoints(self) -> None:
-        """Set the endpoints of all stale services."""
+        """Update the endpoints of all stale services."""
         self.refresh_scheduled = False
         stale, self.stale_services = self.stale_services, set()
         sidecars = self.sidecar_count()
@@ -252,7 +255,7 @@
             client.set_endpoints(entries)
 
     def endpoints_of(self, services: Iterable[str]) -> dict[str, list[Entry]]:
-        """By service: the endpoints that aren't gone and whose sidecar isn't dead."""
+        """Return by service the endpoints that are not gone and whose sidecar is not dead."""
         by_service: dict[str, list[Entry]] = {service: [] for service in services}
         members = self.node.gossip.members
         zone_indexes = {zone: index for index, zone in enumerate(self.settings.zones)}
--- a/zinclever/mesh/roles/status_api.py
+++ b/zinclever/mesh/roles/status_api.py
@@ -1,4 +1,4 @@
-"""What operators look at on a control node, as this node knows it: nodes, endpoints, voters, failed requests."""
+"""The status API for operators: nodes, endpoints, voters and failed requests, as this control node knows them."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
 from .operator_calls import forward
 from .replica_transport import ReplicaTransport
 
-EXPLAIN_TIMEOUT = 0.7  # s in which a sidecar says whether it remembers a request
+EXPLAIN_TIMEOUT = 0.7  # s in which a sidecar has to answer whether it has logged a request
 
 
 class StatusApi:
-    """Answers from this node's memory; only :meth:`on_explain` asks others."""
+    """Answers from this node's state; only :meth:`on_explain` calls other processes."""
 
     def __init__(self, node: Node, replica: Replica, store: ReplicaStore, transport: ReplicaTransport) -> None:
         self.node, self.replica, self.store, self.transport = node, replica, store, transport
 
     def on_who(self, call: Call) -> Answer:
-        """All nodes, their state, and who declared it."""
+        """Return all nodes, their state, and who declared it."""
         records = self.node.gossip.records.of_kind(RecordKind.NODE)
         nodes = sorted((describe_node(record) for record in records), key=lambda node: str(node["Name"]))
         return json_answer(200, {"By": self.node.name, "Nodes": nodes})
 
     def on_endpoints(self, call: Call) -> Answer:
-        """All endpoints, their phase and their sidecar."""
+        """Return all endpoints, their phase and their sidecar."""
         records = self.node.gossip.records.of_kind(RecordKind.ENDPOINT)
         endpoints = sorted((describe_endpoint(record) for record in records), key=lambda endpoint: str(endpoint["Id"]))
         return json_answer(200, {"By": self.node.name, "Endpoints": endpoints})
 
     def on_view(self, call: Call) -> Answer:
-        """The voters, the leader, and what is committed."""
+        """Return the voters, the leader, and the committed version."""
         replica = self.replica
         return json_answer(
             200,
@@ -59,22 +59,22 @@
         )
 
     async def on_explain(self, call: Call) -> Answer:
-        """Why a request was not served: asked of all sidecars, as any of them may have had it."""
+        """Return why a request failed: all sidecars are asked, as any of them may have handled it."""
         members = self.node.gossip.members
         infos = [members.node_info(name) for name in members.others()]
         sidecars = [Voter(ip=info.ip, port=info.port) for info in infos if info is not None and info.role == SIDECAR]
         explain = ControlCall(kind="explain", text=call.path_parameters[0].encode())
         answers = await asyncio.gather(*(forward(self.node, sidecar, explain, EXPLAIN_TIMEOUT) for sidecar in sidecars))
-        found = [orjson.loads(answer.text) for answer in answers if answer.status == 200]
-        silent = sum(answer.status == 503 for answer in answers)
-        if not found:
-            text = f"none of {len(sidecars)} sidecars remembers it; {silent} didn't answer"
+        failures = [orjson.loads(answer.text) for answer in answers if answer.status == 200]
+        unanswered = sum(answer.status == 503 for answer in answers)
+        if not failures:
+            text = f"not in the failure log of any of {len(sidecars)} sidecars; {unanswered} didn't answer"
             return error_answer(404, MeshError("REQUEST_UNKNOWN", text))
-        return json_answer(200, {"Requests": found, "Silent": silent})
+        return json_answer(200, {"Requests": failures, "Silent": unanswered})
 
 
 def describe_node(record: Record) -> dict[str, str | int]:
-    """A node as operators see it."""
+    """Return a node's description for operators."""
     info = NodeInfo.FromString(record.body)
     description: dict[str, str | int] = {
         "Name": record.id,
@@ -91,7 +91,7 @@
 
 
 def describe_endpoint(record: Record) -> dict[str, str | int]:
-    """An endpoint as operators see it."""
+    """Return an endpoint's description for operators."""
     info = EndpointInfo.FromString(record.body)
     return {
         "Id": record.id,
