--- a/tests/mesh/test_answers.py
+++ b/tests/mesh/test_answers.py
@@ -221,7 +221,7 @@
             keeper = Ingress(System(), Descriptors(100))
             carried: list[Any] = []
             keeper.pools.carry = lambda endpoint, attempt: carried.append(attempt)  # type: ignore[method-assign]
-            keeper.admit("e", ("127.0.0.1", 9), 1)
+            keeper.attach_endpoint("e", ("127.0.0.1", 9), 1)
             told: list[ForwardReply] = []
             for name, left in (("first", 900), ("second", 40)):
                 load = ForwardRequest(endpoint="e", id=name, deadline_ms=left, latency_target_ms=2000, nested=True)
@@ -247,7 +247,7 @@
         async def test() -> None:
             keeper = Ingress(System(), Descriptors(100))
             keeper.pools.carry = lambda endpoint, attempt: None  # type: ignore[method-assign]
-            keeper.admit("e", ("127.0.0.1", 9), 4)
+            keeper.attach_endpoint("e", ("127.0.0.1", 9), 4)
             first, again = (
                 keeper.submit(
                     ForwardRequest(endpoint="e", id="r", deadline_ms=900, retry=repeat), b"", lambda made: None
--- a/tests/mesh/test_endpoint_calls.py
+++ b/tests/mesh/test_endpoint_calls.py
@@ -122,7 +122,7 @@
                 new = Sidecar(m.boot(m.ips[0], "forager", AppAddr=app.address, Target=app.service))
                 await new.start()
                 m.sidecars[0] = new
-                with mock.patch.object(new.ingress, "admit", side_effect=AssertionError("admitted")):
+                with mock.patch.object(new.ingress, "attach_endpoint", side_effect=AssertionError("endpoint attached")):
                     await until(
                         lambda: (
                             new.node.gossip.anti_entropy.joined
--- a/zinclever/mesh/control_api/__init__.py
+++ b/zinclever/mesh/control_api/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP API of a node for endpoints, operators and the platform: a router of calls, and their listener."""
+"""The HTTP API of a node for endpoints, operators and the platform: a router and the listener."""
--- a/zinclever/mesh/control_api/listener.py
+++ b/zinclever/mesh/control_api/listener.py
@@ -1,4 +1,4 @@
-"""The listener of a role's own calls: a call goes to the handler that the router finds, and its answer is JSON."""
+"""The listener of a node's HTTP API: passes each call to the handler that the router finds; answers are JSON."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 
 
 class Call(NamedTuple):
-    """A call as it came."""
+    """An HTTP call."""
 
     path_parameters: list[str]
     headers: Mapping[str, str]
-    """By lower-case name; of a repeated one the first."""
+    """By lower-case name; for a repeated header the first value."""
     body: bytes
 
     def json(self) -> Any:
-        """The parsed body. MeshError where it is not JSON."""
+        """Parse the body as JSON. Raises MeshError if it is invalid."""
         try:
             return orjson.loads(self.body)
         except orjson.JSONDecodeError as error:
@@ -43,17 +43,17 @@
 
 
 def json_answer(status: int, content: object = None) -> Answer:
-    """An answer in JSON; an empty object without ``content``."""
+    """Return a JSON answer; its body is an empty object if ``content`` is None."""
     return Answer(status, b"Content-Type: application/json\r\n", orjson.dumps({} if content is None else content))
 
 
 def error_answer(status: int, error: MeshError) -> Answer:
-    """An error as callers are told of it."""
+    """Return an answer that describes an error."""
     return json_answer(status, {"Error": {"Code": error.code, "Field": error.field, "Text": error.text}})
 
 
 class ControlApi(Desk):
-    """Takes the calls of one listener."""
+    """Serves the calls of one listener."""
 
     def __init__(self, descriptors: Descriptors, host: Host, router: Router[Handler]) -> None:
         super().__init__(descriptors)
@@ -61,25 +61,25 @@
         self.whole_only = True
         self.last_number = 0
         self.tasks: dict[str, asyncio.Task[None]] = {}
-        """The calls whose answers are awaited, by number."""
-        self.counted = Replies()
+        """By call number: the calls whose handlers are still running."""
+        self.reply_counts = Replies()
 
     def read(self, method: str, target: str, headers: Headers, body: bytes | Body, waited: float) -> Incoming:
-        """Find the handler of a call. Rejected with 404 or 405 where there is none."""
+        """Find the handler of a call. Raises Rejected with 404 or 405 if there is none."""
         match = self.router.find(method, target)
         if match.handler is None:
             raise Rejected(405 if match.is_known_path else 404)
-        assert isinstance(body, bytes)  # the listener takes whole bodies only
-        by_name: dict[str, str] = {}
+        assert isinstance(body, bytes)  # Desk.whole_only is set
+        headers_by_name: dict[str, str] = {}
         for name, value in headers:
-            by_name.setdefault(name.decode("latin-1").lower(), value.decode("latin-1"))
+            headers_by_name.setdefault(name.decode("latin-1").lower(), value.decode("latin-1"))
         self.last_number += 1
-        call = Call(match.path_parameters, by_name, body)
+        call = Call(match.path_parameters, headers_by_name, body)
         return Incoming(str(self.last_number), 0, 0, "", 0.0, 0.0, False, (match.handler, call))
 
-    def take(self, told: Incoming, answer: Callable[[Final | Answer], None]) -> None:
-        """Handle a call, now or in a task."""
-        handler, call = told.payload
+    def take(self, incoming: Incoming, answer: Callable[[Final | Answer], None]) -> None:
+        """Handle a call, immediately or in a task."""
+        handler, call = incoming.payload
         try:
             result = handler(call)
         except Exception as error:
@@ -88,34 +88,34 @@
         if isinstance(result, Answer):
             answer(result)
         else:
-            self.tasks[told.id] = asyncio.ensure_future(self.answer_later(told.id, result, answer))
+            self.tasks[incoming.id] = asyncio.ensure_future(self.answer_later(incoming.id, result, answer))
 
     async def answer_later(
-        self, number: str, result: Awaitable[Answer], answer: Callable[[Final | Answer], None]
+        self, call_number: str, result: Awaitable[Answer], answer: Callable[[Final | Answer], None]
     ) -> None:
-        """Answer a call once its handler has."""
+        """Answer a call once its handler has completed."""
         try:
             answer(await result)
         except Exception as error:
             answer(failure_answer(error))
         finally:
-            self.tasks.pop(number, None)
+            self.tasks.pop(call_number, None)
 
     def abandon(self, request_id: str) -> None:
-        """The caller has gone: what the call does is still done."""
+        """Do nothing when the caller has disconnected: the call is still completed."""
 
-    def replies(self, told: Incoming) -> Replies:
-        """The counts of answers."""
-        return self.counted
+    def replies(self, incoming: Incoming) -> Replies:
+        """Return the counters of final answers."""
+        return self.reply_counts
 
     def unread(self, sock: Any) -> bool:
-        """Whether the kernel holds bytes of a connection that have not been read."""
+        """Return whether the kernel holds unread bytes of a connection."""
         return self.host.unread(sock)
 
 
 def failure_answer(error: Exception) -> Answer:
-    """400 for what was wrong with a call, 500 for a fault of this program, which is logged."""
+    """Return 400 for an invalid call; other exceptions are internal errors, logged and answered with 500."""
     if isinstance(error, MeshError):
         return error_answer(400, error)
-    log.error("a call failed", exc_info=error, extra={"code": "CALL_FAILED"})
+    log.error("call failed", exc_info=error, extra={"code": "CALL_FAILED"})
     return json_answer(500)
--- a/zinclever/mesh/control_api/router.py
+++ b/zinclever/mesh/control_api/router.py
@@ -1,4 +1,4 @@
-"""A router of calls: a tree of path segments with handlers by method."""
+"""A router of HTTP calls: a tree of path segments with handlers by method."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteMatch(Generic[HandlerT]):
-    """What the router finds for a call."""
+    """The result of a router's lookup."""
 
     handler: HandlerT | None = None
     path_parameters: list[str] = field(default_factory=list)
-    """The segments that stand for parameters, in order."""
+    """The values of the path's parameters, in order."""
     is_known_path: bool = False
-    """The path has handlers, perhaps for other methods only."""
+    """The path has handlers, possibly only for other methods."""
 
 
 class Router(Generic[HandlerT]):
@@ -29,7 +29,7 @@
         self.parameter_child: Router[HandlerT] | None = None
 
     def add(self, call: str, handler: HandlerT) -> None:
-        """Add a handler; ``call``: as ``POST /v1/endpoints/{id}/departure``."""
+        """Add a handler for a call, such as ``POST /v1/endpoints/{id}/departure``."""
         method, _, path = call.partition(" ")
         node = self
         for segment in path.strip("/").split("/"):
@@ -41,7 +41,7 @@
         node.handlers[method] = handler
 
     def find(self, method: str, path: str) -> RouteMatch[HandlerT]:
-        """The handler of a call."""
+        """Look up the handler for a method and path."""
         node: Router[HandlerT] = self
         path_parameters: list[str] = []
         for segment in path.partition("?")[0].strip("/").split("/"):
--- a/zinclever/mesh/dataplane/__init__.py
+++ b/zinclever/mesh/dataplane/__init__.py
@@ -1,1 +1,1 @@
-"""Forwarding of requests: egress for clients, attempts to other sidecars, ingress in front of the endpoint."""
+"""Request forwarding: egress for clients, attempts sent to other sidecars, ingress in front of the endpoint."""
--- a/zinclever/mesh/dataplane/admission.py
+++ b/zinclever/mesh/dataplane/admission.py
@@ -1,4 +1,4 @@
-"""Admission in the mesh: the ingress in front of an endpoint knows its free slots, so that no sidecar has to guess."""
+"""Admission in the mesh: left to the ingress in front of each endpoint, which knows its free slots."""
 
 from __future__ import annotations
 
@@ -12,30 +12,31 @@
 from ...policy.requests import Request
 from ...policy.slow_start import SlowStart
 
-HOLD_SHARE = 0.2  # of its latency target for which a request waits for an endpoint to appear, before it is refused
+HOLD_SHARE = 0.2  # of its latency target: how long a request is held if no endpoint is known, before it is refused
 
 
 class IngressAdmission(Admission):
-    """Admits everything.
+    """Admits every request.
 
-    The concurrency windows of a sidecar that is alone are a guess at what endpoints can carry, made of a few answers
-    each; their ingress says it of each request, at once, and a request moves on from one that has no capacity.
+    A standalone sidecar estimates the capacity of endpoints from the few answers that it gets, and limits its
+    concurrency accordingly. In the mesh, the ingress in front of an endpoint rejects requests beyond its capacity
+    immediately, and they are retried at other endpoints.
     """
 
     def has_room(self) -> bool:
-        """There is no concurrency window."""
+        """Return True: there is no concurrency window."""
         return True
 
     def is_crowded(self) -> bool:
-        """Hedges are refused by the ingress, each where it is busy."""
+        """Return False: a busy ingress refuses hedges itself."""
         return False
 
     def admits(self, now: float, r: Request) -> bool:
-        """Every request is sent at once."""
+        """Return True: every request is sent immediately."""
         return True
 
     def adapt_window(self, now: float, side: ZonePartition) -> None:
-        """There is no window to adapt."""
+        """Do nothing: there is no window to adapt."""
 
     def start(self) -> None:
         """Open all windows."""
@@ -43,33 +44,36 @@
             side.window.size = math.inf
 
     def hold(self, r: Request) -> None:
-        """No endpoint is known: one may be in a moment."""
+        """Hold a request briefly while no endpoint is known, as one may appear."""
         super().hold(r)
-        told = r.klass.settings
-        heapq.heappush(self.hold_deadlines, (r.deadline - told.deadline + HOLD_SHARE * told.aim, self.sequence, r))
+        class_settings = r.klass.settings
+        heapq.heappush(
+            self.hold_deadlines,
+            (r.deadline - class_settings.deadline + HOLD_SHARE * class_settings.aim, self.sequence, r),
+        )
 
 
 class IngressSlowStart(SlowStart):
-    """Doesn't protect endpoints that start: their ingress sends them no more than they have slots.
+    """Applies no slow start: the ingress of an endpoint sends it no more requests than it has slots.
 
-    What the slow start of a sidecar that is alone goes by, what warm endpoints answer to it, is nothing after a start
-    of all.
+    The slow start of a standalone sidecar is based on the answer rate of warm endpoints, which is unknown when all
+    endpoints have just started.
     """
 
     def is_cold(self, now: float, e: Endpoint) -> bool:
-        """No endpoint counts as cold."""
+        """Return False: no endpoint counts as cold."""
         return False
 
     def admits(self, now: float, e: Endpoint) -> bool:
-        """Every endpoint counts as warm."""
+        """Return True: every endpoint counts as warm."""
         return True
 
     def on_sent(self, now: float, e: Endpoint) -> None:
-        """Nothing is counted."""
+        """Do nothing: no sends are counted."""
 
 
 def delegate_to_ingress(balancer: Balancer) -> None:
-    """Have a balancer that has served nothing yet leave admission and slow start to the ingress."""
+    """Make an unused balancer leave admission and slow start to the ingress."""
     old = balancer.admission
     admission = IngressAdmission(old.settings, old.classes, old.tenants, old.endpoint_list, old.zone_crossing, old.rng)
     balancer.admission = balancer.learner.admission = admission
--- a/zinclever/mesh/dataplane/attempt_count.py
+++ b/zinclever/mesh/dataplane/attempt_count.py
@@ -1,15 +1,15 @@
-"""How many endpoints one request may have reached. Pure.
+"""Limit on the number of endpoints that one request may have reached. Without side effects.
 
-A route's ``MaxAttempts`` bounds the endpoints that one try of a client may be sent to. It is a bound on what may have
-happened, not on what is known so far: an attempt counts from before its first byte is sent until it is certain that it
-reached no endpoint. One that is in flight, waits for a slot, or was cancelled but may have run still counts.
+A route's ``MaxAttempts`` limits the endpoints that one try of a client may be sent to. The limit covers what may have
+happened, not only what is known: an attempt counts from before its first byte is sent until it is certain that it
+reached no endpoint. So attempts that are in flight, wait for a slot, or were cancelled but may have run still count.
 """
 
 from __future__ import annotations
 
 
 class Reservation:
-    """One attempt that counts against the bound of its request until :meth:`AttemptCount.release`."""
+    """One attempt that counts against the limit of its request until :meth:`AttemptCount.release`."""
 
     __slots__ = ("is_counted",)
 
@@ -18,7 +18,7 @@
 
 
 class AttemptCount:
-    """The attempts of one request that reached an endpoint, or may have."""
+    """The number of attempts of one request that reached an endpoint, or may have."""
 
     __slots__ = ("limit", "reserved")
 
@@ -27,14 +27,14 @@
         self.reserved = 0
 
     def reserve(self) -> Reservation | None:
-        """Count one more attempt, before it is sent; None where the bound allows no more."""
+        """Count an attempt before it is sent. Returns None if the limit is reached."""
         if self.reserved >= self.limit:
             return None
         self.reserved += 1
         return Reservation()
 
     def release(self, reservation: Reservation) -> None:
-        """The attempt certainly reached no endpoint and never will. Has an effect once for each reservation."""
+        """Stop counting an attempt that certainly reached no endpoint and never will. Idempotent."""
         if reservation.is_counted:
             reservation.is_counted = False
             self.reserved -= 1
--- a/zinclever/mesh/dataplane/egress.py
+++ b/zinclever/mesh/dataplane/egress.py
@@ -1,4 +1,4 @@
-"""The egress: where requests of this machine come in, are matched to a route and sent to its service."""
+"""The egress: accepts the requests of this machine, matches them to a route and sends them to its service."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 HOP_HEADERS = OWN_HEADERS | {b"x-deadline-ms", b"x-expected-endpoint", b"x-caller-service"}
 RESPONSE_HOP_HEADERS = OWN_HEADERS
-MAX_CLIENT_WAIT = 3600.0  # s: nobody waits for longer
+MAX_CLIENT_WAIT = 3600.0  # s; upper limit of the timeout that a client states
 MIN_WAIT = 0.001  # s
-CLIENT_TIMEOUT_SLACK = 0.5  # s that a client may take beyond what the configuration says
-MAX_MEMORY_SHARE = 0.25  # that bodies may take: each is held once here and once on its way
-RETRY_AFTER_SHARE = 0.25  # of the latency target: the least after which a refused request is to come back
+CLIENT_TIMEOUT_SLACK = 0.5  # s added to the timeouts of the configuration
+MAX_MEMORY_SHARE = 0.25  # of the memory that bodies may take: each is held once here and once while being forwarded
+RETRY_AFTER_SHARE = 0.25  # of the latency target: the minimum delay before a refused request is retried
 MIN_RETRY_AFTER = 0.02  # s
 MAX_REQUEST_ID_LENGTH = 256
 BODILESS_METHODS = ("GET", "HEAD")
@@ -37,7 +37,7 @@
 
 
 class RequestHeaders(NamedTuple):
-    """What the egress reads of a request's headers; empty where a header is missing."""
+    """The request headers that the egress evaluates; empty if a header is missing."""
 
     host: bytes
     request_id: bytes
@@ -45,7 +45,7 @@
 
 
 class Egress(Desk):
-    """Takes the requests of this machine's clients and of its endpoint."""
+    """Serves the requests of this machine's clients and of its endpoint."""
 
     def __init__(
         self,
@@ -57,9 +57,16 @@
         is_running: Callable[[str], bool],
         is_running_retry: Callable[[str], bool],
     ) -> None:
-        """``service``: of the endpoint of this machine, which the two last arguments say of a request id.
+        """Create an egress.
 
-        ``is_running``: it works on that request; ``is_running_retry``: that run is a retry.
+        Args:
+            descriptors: The limit on file descriptors.
+            host: The operating system.
+            active: The active configuration.
+            service_clients: The clients of all services.
+            service: The service of this machine's endpoint; empty if there is none.
+            is_running: Whether that endpoint is processing the request with an id.
+            is_running_retry: Whether it is processing a retry of the request with an id.
         """
         super().__init__(descriptors)
         self.host, self.active, self.service_clients = host, active, service_clients
@@ -68,20 +75,20 @@
         self.is_running_retry = is_running_retry
         self.whole_only = True
         self.is_refusing = False
-        """This process ends: new requests are refused, as they would be cut off in the midst."""
+        """This process is shutting down: new requests are refused, as they would be cut off."""
         self.last_number = 0
         self.open_requests: dict[str, OutboundRequest] = {}
-        """By number."""
+        """By request number."""
         self.target_credits: dict[str, dict[str, float]] = {}
         """By route: how far each weighted target is behind its share."""
         self.reply_counts = Replies()
         self.failure_log = FailureLog()
         self.retry_detector = RetryDetector()
         self.counts = {"served": 0, "refused": 0, "failed": 0, "unknown": 0, "left": 0, "untried": 0}
-        """For the log."""
+        """Counters for the log."""
 
     def configure(self, configuration: Configuration, memory: int) -> None:
-        """Hold clients to the configuration's limits, as far as ``memory`` bytes allow."""
+        """Apply the configuration's limits to clients, as far as ``memory`` bytes permit."""
         self.retry_detector.keep_only(configuration.routes)
         self.read_for = max(READ_FOR, configuration.header_timeout + CLIENT_TIMEOUT_SLACK)
         self.idle_for = max(CLIENT_TIMEOUT_SLACK, configuration.idle_timeout)
@@ -91,27 +98,30 @@
     # --- requests ---
 
     def read(self, method: str, target: str, headers: Headers, body: bytes | Body, waited: float) -> Incoming:
-        """Match a request that took ``waited`` ms to come; one that goes nowhere already has its answer."""
-        assert isinstance(body, bytes)  # the listener takes whole bodies only
-        known = read_headers(headers)
+        """Match a request to a route. ``waited`` is the time in ms since it arrived.
+
+        A request that can't be forwarded already carries its answer.
+        """
+        assert isinstance(body, bytes)  # Desk.whole_only is set
+        request_headers = read_headers(headers)
         self.last_number += 1
         number = str(self.last_number)
         configuration = self.active.configuration
         if configuration is None or self.is_refusing:
             return already_answered(number, NO_CONFIGURATION)
-        host = known.host.decode("latin-1").lower().partition(":")[0]
+        host = request_headers.host.decode("latin-1").lower().partition(":")[0]
         route = configuration.find_route(host, target.partition("?")[0])
         if route is None:
             self.counts["unknown"] += 1
             return already_answered(number, Answer(404))
-        if not known.request_id or len(known.request_id) > MAX_REQUEST_ID_LENGTH:
+        if not request_headers.request_id or len(request_headers.request_id) > MAX_REQUEST_ID_LENGTH:
             return already_answered(number, Answer(400))
         now = self.loop.time()
-        client_wait, used = MAX_CLIENT_WAIT, 0.0
-        if known.timeout_ms and NUMBER.fullmatch(known.timeout_ms):
-            client_wait = min(MAX_CLIENT_WAIT, float(known.timeout_ms) / 1000.0)
-            used = self.retry_detector.time_used(now, route.name, client_wait)
-        wait = max(MIN_WAIT, min(client_wait, route.deadline) - waited / 1000.0)
+        client_wait, time_used = MAX_CLIENT_WAIT, 0.0
+        if request_headers.timeout_ms and NUMBER.fullmatch(request_headers.timeout_ms):
+            client_wait = min(MAX_CLIENT_WAIT, float(request_headers.timeout_ms) / 1000.0)
+            time_used = self.retry_detector.time_used(now, route.name, client_wait)
+        time_left = max(MIN_WAIT, min(client_wait, route.deadline) - waited / 1000.0)
         service = self.choose_service(route)
         end_to_end_headers = end_to_end(headers, HOP_HEADERS)
         head = b"%b %b HTTP/1.1\r\n%b%b" % (
@@ -120,9 +130,9 @@
             end_to_end_headers,
             self.caller_header,
         )
-        request_id = known.request_id.decode("latin-1")
-        # A call of the endpoint's own extends the id of the request that it works on. What is claimed counts only
-        # where that request is running here.
+        request_id = request_headers.request_id.decode("latin-1")
+        # The endpoint extends the id of the request that it is processing to issue a nested call. The call counts as
+        # nested only if that request is actually running here.
         parent = request_id.rpartition(".")[0]
         is_nested = bool(parent) and self.is_running(parent)
         request = OutboundRequest(
@@ -133,18 +143,22 @@
             has_body=method not in BODILESS_METHODS or bool(body),
             safe=route.safe,
             priority=int(route.priority),
-            latency_target_at=now + max(0.0, route.latency_target - used),
+            latency_target_at=now + max(0.0, route.latency_target - time_used),
             attempt_count=AttemptCount(route.max_attempts),
             received_at=now,
             is_nested=is_nested,
-            was_refused=used > 0.0 and not is_nested,
+            was_refused=time_used > 0.0 and not is_nested,
             is_retry=is_nested and self.is_running_retry(parent),
         )
         class_index = self.service_clients.to(service).class_index(route, route.deadline)
-        return Incoming(number, class_index, 0, "", 1000.0 * wait, 0.0, False, request)
+        return Incoming(number, class_index, 0, "", 1000.0 * time_left, 0.0, False, request)
 
     def choose_service(self, route: Route) -> str:
-        """The service of a request: weighted targets take turns, so that their shares are kept at any count."""
+        """Return the service for a request.
+
+        Weighted targets are chosen by smooth weighted round robin, so that their shares hold for any number of
+        requests.
+        """
         if len(route.targets) == 1:
             return route.targets[0][0]
         credits = self.target_credits.get(route.name)
@@ -157,24 +171,24 @@
         credits[chosen] -= 1.0
         return chosen
 
-    def take(self, told: Incoming, answer: Callable[[Final | Answer], None]) -> None:
-        """Send a request to its service; ``answer`` is called with what the client gets."""
-        request = told.payload
+    def take(self, incoming: Incoming, answer: Callable[[Final | Answer], None]) -> None:
+        """Send a request to its service; ``answer`` is called with the answer to the client."""
+        request = incoming.payload
         if isinstance(request, Answer):
             answer(request)
             return
         client = self.service_clients.to(request.service)
         client.retry_budget.on_request(self.loop.time())
-        self.open_requests[told.id] = request
+        self.open_requests[incoming.id] = request
 
         def on_final(final: Final) -> None:
-            self.open_requests.pop(told.id, None)
+            self.open_requests.pop(incoming.id, None)
             answer(self.answer_for(request, final))
 
-        client.ledger.take(told, on_final)
+        client.ledger.take(incoming, on_final)
 
     def abandon(self, request_id: str) -> None:
-        """The client of a request has gone."""
+        """Stop processing a request whose client has disconnected."""
         request = self.open_requests.pop(request_id, None)
         if request is not None:
             self.counts["left"] += 1
@@ -183,7 +197,7 @@
     # --- answers ---
 
     def answer_for(self, request: OutboundRequest, final: Final) -> Answer:
-        """The final answer as the client gets it; an error is remembered."""
+        """Return the client's answer for a final answer; errors are added to the failure log."""
         answer = self.make_answer(request, final)
         if answer.status >= 500:
             milliseconds = round(1000 * (self.loop.time() - request.received_at))
@@ -192,7 +206,7 @@
         return answer
 
     def make_answer(self, request: OutboundRequest, final: Final) -> Answer:
-        """The endpoint's answer, 503 where the request has certainly not run, else 502."""
+        """Return the endpoint's answer, 503 if the request has certainly not run, else 502."""
         if isinstance(final, Served):
             self.counts["served"] += 1
             return forwarded_answer(final.reply)
@@ -205,20 +219,26 @@
         return forwarded_answer(final.reply) if final.reply is not None else Answer(502)
 
     def retry_after(self, request: OutboundRequest) -> float:
-        """s after which a request that has not run may come back: while its latency target can still be met."""
+        """Return the time in s after which a request that has not run may be retried.
+
+        A share of the latency target, so that the retry can still meet it.
+        """
         return RETRY_AFTER_SHARE * max(0.0, request.latency_target_at - request.received_at)
 
-    def replies(self, told: Incoming) -> Replies:
-        """The counts of answers."""
+    def replies(self, incoming: Incoming) -> Replies:
+        """Return the counters of final answers."""
         return self.reply_counts
 
     def unread(self, sock: Any) -> bool:
-        """Whether the kernel holds bytes of a connection that have not been read."""
+        """Return whether the kernel holds unread bytes of a connection."""
         return self.host.unread(sock)
 
 
 def read_headers(headers: Headers) -> RequestHeaders:
-    """The headers that the egress needs; of a repeated one the first that is not empty, of Host the last."""
+    """Extract the headers that the egress evaluates.
+
+    For a repeated header the first non-empty value counts, for Host the last value.
+    """
     host, request_id, timeout_ms = b"", b"", b""
     for name, value in headers:
         lower = name.lower()
@@ -232,10 +252,10 @@
 
 
 def forwarded_answer(reply: EndpointReply) -> Answer:
-    """An endpoint's answer as the client gets it."""
+    """Return an endpoint's answer with end-to-end headers only, for the client."""
     return Answer(reply.status, end_to_end(reply.headers, RESPONSE_HOP_HEADERS), reply.body)
 
 
 def already_answered(number: str, answer: Answer) -> Incoming:
-    """A request that goes nowhere."""
+    """Return a request that is not forwarded, with its answer as the payload."""
     return Incoming(number, 0, 0, "", 0.0, 0.0, False, answer)
--- a/zinclever/mesh/dataplane/failure_log.py
+++ b/zinclever/mesh/dataplane/failure_log.py
@@ -1,4 +1,4 @@
-"""Why requests were not served: the latest of them by their ids, for whoever asks. In memory, and bounded."""
+"""An in-memory log, of bounded size, of the latest failed requests and their attempts."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     status: int
     service: str
     milliseconds: int
-    """From its arrival to its answer."""
+    """From the request's arrival to its answer."""
     attempts: Sequence[str]
-    """Each endpoint and what came of it."""
+    """For each attempt: the endpoint and the outcome."""
 
     def as_json(self) -> dict[str, object]:
-        """For operators."""
+        """Return the failure's description for operators."""
         return {
             "Status": self.status,
             "Target": self.service,
@@ -37,11 +37,11 @@
         self.failures: OrderedDict[str, RequestFailure] = OrderedDict()
 
     def add(self, request_id: str, failure: RequestFailure) -> None:
-        """Remember a failure."""
+        """Add a failure, and drop the oldest one beyond the limit."""
         self.failures[request_id] = failure
         if len(self.failures) > MAX_FAILURES:
             self.failures.popitem(last=False)
 
     def find(self, request_id: str) -> RequestFailure | None:
-        """The failure of a request; None where none is remembered."""
+        """Return the failure of a request; None if it is not in the log."""
         return self.failures.get(request_id)
--- a/zinclever/mesh/dataplane/forwarding.py
+++ b/zinclever/mesh/dataplane/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding: attempts are sent to the sidecar in front of an endpoint, whose replies tell the outcome."""
+"""Forwarding of attempts to the sidecar in front of an endpoint, whose reply states the outcome."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 from .outbound_request import OutboundRequest
 from .retry_budget import BudgetCharge, RetryBudget
 
-CHUNK_BYTES = 64 * 1024  # of a body that go in one frame: a longer one leaves room for others between its chunks
+CHUNK_BYTES = 64 * 1024  # of a body in one frame: other frames can be sent between the chunks of a longer one
 
-RESERVATION_MIN_BYTES = 512  # of a body from which on a slot is reserved first: half of what is sent finds none
-RESERVATION_PROTOCOL = 2  # protocol version from which on an ingress understands that
-ATTEMPTS_BEFORE_QUEUEING = 4  # endpoints that are asked for a free slot before one is asked to queue the request
-MAX_NO_CAPACITY_PERIOD = 0.05  # s for which an endpoint that had no capacity is taken to have none at the most
+RESERVATION_MIN_BYTES = 512  # body size from which a slot is reserved before the body is sent
+RESERVATION_PROTOCOL = 2  # protocol version from which an ingress supports reservations
+ATTEMPTS_BEFORE_QUEUEING = 4  # endpoints that are tried for a free slot before a request may queue at one
+MAX_NO_CAPACITY_PERIOD = 0.05  # s; maximum time for which an endpoint without capacity is avoided
 
 NO_CONNECTION = "no link"  # reason of an attempt whose sidecar could not be reached
 
 
 class EndpointReply(NamedTuple):
-    """An endpoint's answer, as the sidecar in front of it forwarded it."""
+    """An endpoint's answer, as forwarded by the sidecar in front of it."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
@@ -63,39 +63,42 @@
         self.request = request
         self.endpoint = endpoint
         self.on_ended: Ended | None = on_ended
-        """None once it has ended or was cancelled."""
+        """None once the attempt has ended or was cancelled."""
         self.local_request: InboundRequest | None = None
-        """Where the endpoint is on this machine."""
+        """The request at this machine's ingress, if the endpoint is local."""
         self.channel: Channel | None = None
         self.stream = 0
         self.may_run = False
-        """The endpoint may have, or may yet get, the whole request."""
+        """The endpoint may have received the complete request, or may still receive it."""
         self.frame_sent = False
-        """Its first frame has been written: the ingress may know of it. Until ``may_run`` it can't run there."""
+        """The first frame has been written: the ingress may know the request, but can't run it before ``may_run``."""
         self.is_counted = False
-        """It counts as in flight."""
+        """It is counted as in flight."""
         self.is_hedge = False
-        """Another attempt was in flight when it began."""
+        """Another attempt was in flight when this one began."""
         self.may_queue = False
         """It may wait for a slot."""
         self.awaits_reservation = False
         """Its body is sent once a slot is reserved."""
         self.reservation: Reservation | None = None
-        """It counts against the attempts of its request."""
+        """Counts it against the attempt limit of its request."""
         self.budget_charge: BudgetCharge | None = None
-        """It counts in the budget as a retry."""
+        """Counts it against the budget, if it is a retry."""
         self.partial_reply: ForwardReply | None = None
         self.chunks: list[bytes] = []
-        """The body of the reply, as far as it has come."""
+        """The part of the reply's body received so far."""
         self.missing_bytes = 0
-        """Of the body of the reply."""
+        """Bytes of the reply's body still to come."""
 
     def begun(self) -> bool:
         """See :meth:`~zinclever.core.protocol.Exchange.begun`."""
         return self.may_run
 
     def cancel(self, silent: bool) -> None:
-        """Stop waiting. It counts on unless it is certain that the endpoint hasn't got it and never will."""
+        """Stop waiting for the outcome.
+
+        The attempt still counts unless it is certain that the endpoint hasn't received it and never will.
+        """
         if self.on_ended is None:
             return
         self.on_ended = None
@@ -107,12 +110,12 @@
         if self.local_request is not None:
             self.may_run = self.forwarder.ingress.cancel(self.local_request)
         if self.may_run:
-            self.request.may_have_run = True  # it may run yet, until its ingress has heard
+            self.request.may_have_run = True  # it may run until its ingress has received the cancellation
         else:
             self.forwarder.release(self)
 
     def stop_counting(self) -> None:
-        """It is not in flight any more."""
+        """Stop counting the attempt as in flight."""
         if self.is_counted:
             self.is_counted = False
             self.request.in_flight -= 1
@@ -120,12 +123,15 @@
     # --- sending ---
 
     def on_sent(self) -> None:
-        """Its first frame is about to be written. An attempt that awaits a reservation can't run without its body."""
+        """Update the state just before the first frame is written.
+
+        An attempt that awaits a reservation can't run before its body is sent.
+        """
         self.frame_sent = True
         self.may_run = not self.awaits_reservation
 
     def send_body(self, start: int) -> None:
-        """Send the body from an offset on, in chunks that leave room for others between them."""
+        """Send the body from an offset on, in chunks between which other frames can be sent."""
         assert self.channel is not None
         body = self.request.body
         for offset in range(start, len(body), CHUNK_BYTES):
@@ -135,18 +141,21 @@
     # --- receiving ---
 
     def on_frame(self, frame: Frame | None) -> None:
-        """From the channel: a reservation, a reply, a chunk of its body, or None where the connection is lost."""
+        """Handle a frame from the channel.
+
+        It is a granted reservation, a reply, a chunk of the reply's body, or None if the connection is lost.
+        """
         if frame is None:
             self.on_connection_lost()
             return
-        what = frame.WhichOneof("what")
-        if what == "reservation_granted" and self.awaits_reservation and self.on_ended is not None:
+        frame_kind = frame.WhichOneof("what")
+        if frame_kind == "reservation_granted" and self.awaits_reservation and self.on_ended is not None:
             self.awaits_reservation = False
             self.may_run = True
             self.send_body(0)
-        elif what == "forward_reply":
+        elif frame_kind == "forward_reply":
             self.on_reply(frame.forward_reply)
-        elif what == "body_chunk" and self.partial_reply is not None:
+        elif frame_kind == "body_chunk" and self.partial_reply is not None:
             self.chunks.append(frame.body_chunk.data)
             self.missing_bytes -= len(frame.body_chunk.data)
             if self.missing_bytes <= 0:
@@ -154,13 +163,13 @@
                 self.finish(self.partial_reply)
 
     def on_connection_lost(self) -> None:
-        """Nothing more comes: whether it ran is unknown if it may have arrived."""
+        """Finish the attempt; the outcome is unknown if the request may have arrived."""
         outcome = AttemptOutcome.UNKNOWN if self.may_run else AttemptOutcome.NOT_EXECUTED
         reason = "link lost" if self.may_run else NO_CONNECTION
         self.finish(ForwardReply(outcome=outcome, reason=reason, sent_to_endpoint=self.may_run))
 
     def on_reply(self, reply: ForwardReply) -> None:
-        """A reply, whose body may follow in chunks."""
+        """Handle a reply, whose body may follow in chunks."""
         if reply.length <= len(reply.body):
             self.finish(reply)
         else:
@@ -181,7 +190,7 @@
         self.request.log_attempt(f"{self.endpoint}: {reply.reason or reply.status}")
         outcome = outcome_of(reply)
         if outcome is AttemptOutcome.NO_CAPACITY:
-            self.note_no_capacity(reply, was_counted)
+            self.record_no_capacity(reply, was_counted)
         if outcome.proves_not_executed:
             on_ended("connect_failed" if reply.reason == NO_CONNECTION else "full")
             return
@@ -192,8 +201,11 @@
         answer = EndpointReply(reply.status, [(header.name, header.value) for header in reply.headers], reply.body)
         on_ended("served" if reply.status < 500 else "error", answer)
 
-    def note_no_capacity(self, reply: ForwardReply, was_counted: bool) -> None:
-        """Leave the endpoint alone for a while; for this request for good, if the endpoint itself rejected it."""
+    def record_no_capacity(self, reply: ForwardReply, was_counted: bool) -> None:
+        """Avoid the endpoint for a while.
+
+        If the endpoint itself rejected the request, this request is never sent there again.
+        """
         if was_counted and not self.request.is_nested and not self.is_hedge:
             period = min(MAX_NO_CAPACITY_PERIOD, reply.retry_after_us / 1e6)
             until = self.forwarder.loop.time() + period
@@ -203,14 +215,14 @@
 
 
 class CapacityKey(NamedTuple):
-    """Who found no capacity at an endpoint: requests that queue, or those that don't."""
+    """Identifies the requests that found no capacity at an endpoint: those that may queue, or those that may not."""
 
     endpoint: str
     may_queue: bool
 
 
 def outcome_of(reply: ForwardReply) -> AttemptOutcome:
-    """The outcome that a reply tells; one of a later version that isn't known here proves nothing."""
+    """Return the outcome that a reply states; a value unknown to this version counts as UNKNOWN."""
     try:
         return AttemptOutcome(reply.outcome)
     except ValueError:
@@ -218,7 +230,7 @@
 
 
 class Forwarder:
-    """A :class:`~zinclever.core.protocol.Wire` for the endpoints of one service.
+    """A :class:`~zinclever.core.protocol.Wire` to the endpoints of one service.
 
     Each endpoint is reached through the sidecar in front of it.
     """
@@ -238,39 +250,39 @@
         self.protocol_versions = protocol_versions
         self.loop = asyncio.get_running_loop()
         self.addresses: dict[str, Address] = {}
-        """By endpoint, of the sidecar in front of it."""
+        """By endpoint: the address of the sidecar in front of it."""
         self.no_capacity_until: dict[CapacityKey, float] = {}
-        """Endpoints that had no capacity a moment ago: nothing is sent there in vain."""
+        """Instants in s until which endpoints without capacity are avoided."""
         self.counts = {"sent": 0, "copies": 0, "short": 0}
-        """For the log: attempts, retries, and retries that the budget or the route didn't allow."""
+        """Counters for the log: attempts, retries, and retries that the budget or the route didn't allow."""
 
     # --- the endpoints ---
 
     def configure(self, connect_timeout: float, idle_limit: float, connections: Connections) -> None:
-        """Channels have their own limits."""
+        """Do nothing: channels have their own limits."""
 
     def place(self, endpoint: str, address: Address) -> None:
-        """An endpoint is reached at this address from now on."""
+        """Set the address of the sidecar in front of an endpoint."""
         self.addresses[endpoint] = address
 
     def drain(self, endpoint: str) -> None:
-        """Its ingress rejects what has not begun."""
+        """Do nothing: the ingress of a draining endpoint rejects requests that have not begun."""
 
     def forget(self, endpoint: str) -> None:
-        """An endpoint is gone."""
+        """Remove an endpoint that is gone."""
         self.addresses.pop(endpoint, None)
         for may_queue in (False, True):
             self.no_capacity_until.pop(CapacityKey(endpoint, may_queue), None)
 
     def listed(self) -> Sequence[str]:
-        """The endpoints that have an address."""
+        """Return the endpoints that have an address."""
         return list(self.addresses)
 
     def close_idle(self, endpoint: str) -> None:
-        """Channels are shared by all endpoints behind them."""
+        """Do nothing: a channel is shared by all endpoints behind it."""
 
     def close(self) -> None:
-        """The channels are the node's."""
+        """Do nothing: the channels belong to the node."""
 
     # --- attempts ---
 
@@ -293,25 +305,25 @@
         refusal = self.reserve(attempt, now)
         if refusal:
             self.counts["short"] += 1
-            request.log_attempt(f"{endpoint}: not sent, as {refusal}")
+            request.log_attempt(f"{endpoint}: not sent: {refusal}")
             self.loop.call_soon(self.fail_unsent, attempt)
             return attempt
         self.send(attempt, address, left, now)
         return attempt
 
     def reason_to_avoid(self, attempt: ForwardAttempt, address: Address, has_tried_enough: bool, now: float) -> str:
-        """Why an endpoint is not even asked; empty where it is."""
+        """Return why an attempt is not sent to its endpoint; empty if it may be sent."""
         request, endpoint = attempt.request, attempt.endpoint
         until = self.no_capacity_until.get(CapacityKey(endpoint, attempt.may_queue), 0.0)
         had_no_capacity = not request.is_nested and until > now
         if had_no_capacity or endpoint in request.rejected_by or (request.was_refused and has_tried_enough):
-            return "full a moment ago"
+            return "had no capacity recently"
         if address != self.own_address and self.channel_to(address).is_unresponsive():
             return "silent"
         return ""
 
     def send(self, attempt: ForwardAttempt, address: Address, left: float, now: float) -> None:
-        """Forward an attempt, here or to another sidecar; its deadline is in ``left`` s."""
+        """Forward an attempt, to the local ingress or to another sidecar; it expires in ``left`` s."""
         request = attempt.request
         self.counts["sent"] += 1
         attempt.is_hedge = request.in_flight > 0
@@ -347,33 +359,36 @@
             attempt.send_body(CHUNK_BYTES)
 
     def start_locally(self, attempt: ForwardAttempt, message: ForwardRequest) -> None:
-        """Hand an attempt to the ingress of this machine."""
+        """Submit an attempt to the ingress of this machine."""
         if attempt.on_ended is not None:
             attempt.may_run = True
             attempt.local_request = self.ingress.submit(message, attempt.request.body, attempt.finish)
 
     def fail_unsent(self, attempt: ForwardAttempt) -> None:
-        """End an attempt that was not allowed."""
+        """Finish an attempt that was not allowed."""
         on_ended, attempt.on_ended = attempt.on_ended, None
         if on_ended is not None:
             on_ended("not_sent")
 
     def reserve(self, attempt: ForwardAttempt, now: float) -> str:
-        """Count an attempt against its request and, where it is a retry, against the budget; else why not."""
+        """Count an attempt against its request's limit and, if it is a retry, against the budget.
+
+        Returns the reason if the attempt is not allowed, else an empty string.
+        """
         attempt_count = attempt.request.attempt_count
-        is_further = attempt_count.reserved > 0
-        if is_further and not self.retry_budget.allows_retry(now):
-            return "the budget is used up"
+        is_additional = attempt_count.reserved > 0
+        if is_additional and not self.retry_budget.allows_retry(now):
+            return "retry budget exhausted"
         attempt.reservation = attempt_count.reserve()
         if attempt.reservation is None:
-            return "the route allows no more"
-        if is_further or attempt.request.is_retry:
+            return "attempt limit of the route reached"
+        if is_additional or attempt.request.is_retry:
             attempt.budget_charge = self.retry_budget.charge(now)
-            self.counts["copies"] += is_further
+            self.counts["copies"] += is_additional
         return ""
 
     def release(self, attempt: ForwardAttempt) -> None:
-        """An attempt has certainly reached no endpoint, and never will: it counts no more, as far as it did."""
+        """Stop counting an attempt that certainly reached no endpoint and never will."""
         if attempt.reservation is not None:
             attempt.request.attempt_count.release(attempt.reservation)
         if attempt.budget_charge is not None:
--- a/zinclever/mesh/dataplane/ingress.py
+++ b/zinclever/mesh/dataplane/ingress.py
@@ -1,7 +1,7 @@
-"""The ingress of the endpoint beside this sidecar: the only way to it, where what must hold there is enforced.
+"""The ingress of the endpoint beside this sidecar: the only path to it, which enforces its guarantees.
 
-An endpoint that drains or has gone gets nothing more, whoever asks; no other incarnation of it gets a request meant for
-one; no more is sent to it at a time than it works on; and what is cancelled is ended there.
+An endpoint that drains or has gone gets no new requests; a request for one incarnation of it never reaches another; it
+is sent no more requests at a time than it has slots; and a cancelled request is aborted at the endpoint.
 """
 
 from __future__ import annotations
@@ -22,32 +22,32 @@
 from ..transport.mesh_pb2 import ForwardReply, ForwardRequest, Header
 from .slot_queue import QueueEntry, SlotQueue
 
-MAX_ANSWER_BYTES = 16 << 20  # of an answer, held whole: half an answer is never passed on
-READ_TIMEOUT = 120.0  # s between two pieces of an answer: its time is bounded by the deadline alone
+MAX_ANSWER_BYTES = 16 << 20  # answers are buffered completely, so that a truncated one is never forwarded
+READ_TIMEOUT = 120.0  # s between two reads of an answer: its total time is limited by the deadline only
 CONNECT_TIMEOUT_MS = 400.0
-IDLE_TIMEOUT_MS = 9000.0  # for which an endpoint is taken to keep an idle connection until it says
-QUIET_PERIOD = 0.1  # s of silence from which on a connection may be forgotten by the endpoint, without notice
-LAST_BYTE_DELAY = 0.002  # s for which the last byte is held back on one: what is sent first tells whether it stands
-MAX_RECONNECTS = 2  # connections that a request is sent on again, after one that ended before it was whole
+IDLE_TIMEOUT_MS = 9000.0  # for which an endpoint is assumed to keep an idle connection open, until it states a timeout
+QUIET_PERIOD = 0.1  # s of silence after which the endpoint may have dropped a connection without closing it
+LAST_BYTE_DELAY = 0.002  # s for which the last byte is then held back: a reset shows that the connection was dropped
+MAX_RECONNECTS = 2  # repeated sends after a connection broke before the request was complete
 ENDPOINT_HEADERS = b"X-Expected-Endpoint: %b\r\nX-Deadline-Ms: %d\r\n"
 
 OnReply = Callable[[ForwardReply], None]
 
 
 class EndpointExchange(Exchange):
-    """One request at the endpoint. An answer that is not its own proves nothing."""
+    """One request at the endpoint. An answer with another request's id proves nothing about it."""
 
     __slots__ = ("endpoint", "expires_at", "id")
 
     def __init__(self, forward: ForwardRequest, body: bytes, ended: Ended, expires_at: float) -> None:
-        """``expires_at``: instant in s at which nobody waits for it any more."""
+        """Create an exchange. ``expires_at``: instant in s from which no caller waits for the answer."""
         super().__init__(forward.head, body, forward.framed, ended, 0.0, ignore_sent)
         self.id = forward.id.encode("latin-1")
         self.endpoint = forward.endpoint.encode()
         self.expires_at = expires_at
 
     def run(self, connection: ClientConnection) -> None:
-        """Send it, unless its time has passed while a connection was made or this process stood still."""
+        """Send the request, unless it expired while the connection was opened or this process was stalled."""
         now = asyncio.get_running_loop().time()
         time_left = self.expires_at - now
         if time_left <= 0.0:
@@ -60,14 +60,14 @@
         super().run(connection)
 
     def done(self, result: Reply | Broken) -> None:
-        """The endpoint has answered, or the connection broke."""
+        """Handle the endpoint's answer, or a broken connection."""
         if self.connection is not None:
             self.connection.heard_at = asyncio.get_running_loop().time()
         if isinstance(result, Broken):
             self.end("dropped" if result.unsent else "reset")
         elif result.header(b"x-attempt-id") != self.id:
             if self.connection is not None:
-                self.connection.abort()  # an answer to another request: what follows on it is no better
+                self.connection.abort()  # an answer to another request: the connection is out of sync
             self.end("reset")
         else:
             self.end("error", result)
@@ -94,24 +94,24 @@
         self.body = body
         self.queue = queue
         self.on_reply: OnReply | None = on_reply
-        """None once it was answered or cancelled."""
+        """None once the request was answered or cancelled."""
         self.exchange: EndpointExchange | None = None
-        """While it is at the endpoint."""
+        """Set while the request is at the endpoint."""
         self.timer: asyncio.TimerHandle | None = None
         self.reconnects = 0
-        """Connections that ended before the endpoint had it whole."""
+        """Connections that broke before the endpoint had received the complete request."""
 
     @property
     def expires_at(self) -> float:
-        """Instant in s at which nobody waits for it any more."""
+        """Instant in s from which no caller waits for the answer."""
         return self.received_at + self.deadline_left
 
     def may_have_reached(self) -> bool:
-        """Whether any of it may be at the endpoint."""
+        """Return whether any part of the request may have reached the endpoint."""
         return self.reconnects > 0 or (self.exchange is not None and self.exchange.connection is not None)
 
     def cancel_timer(self) -> None:
-        """Nothing more is to happen by itself."""
+        """Cancel the timer of the queue timeout or of the deadline."""
         if self.timer is not None:
             self.timer.cancel()
 
@@ -128,30 +128,30 @@
         connections.configure(interface.Shares(), 1, 0, 0)
         self.pools.configure(CONNECT_TIMEOUT_MS, IDLE_TIMEOUT_MS, connections)
         self.endpoint = ""
-        """The id of the endpoint; empty where there is none."""
+        """The id of the endpoint; empty if there is none."""
         self.is_open = False
-        """The endpoint takes new requests."""
+        """The endpoint accepts new requests."""
         self.queue = SlotQueue(1)
         self.requests: set[InboundRequest] = set()
         self.running: dict[str, set[InboundRequest]] = {}
-        """Requests that are at the endpoint, by id."""
+        """Requests at the endpoint, by id."""
         self.on_connection_refused: Callable[[], None] | None = None
-        """Called when nobody listens at the endpoint's address."""
+        """Called when nothing listens at the endpoint's address."""
         self.counts = {"offered": 0, "ran": 0, "full": 0, "maybe": 0, "gone": 0, "dropped": 0}
-        """For the log."""
+        """Counters for the log."""
 
     # --- the endpoint ---
 
     def is_running(self, request_id: str) -> bool:
-        """Whether a request with this id is at the endpoint."""
+        """Return whether a request with this id is at the endpoint."""
         return request_id in self.running
 
     def is_running_retry(self, request_id: str) -> bool:
-        """Whether a run of this request that is at the endpoint is a retry: the calls that it issues are, too."""
+        """Return whether a retry with this id is at the endpoint: calls that it issues count as retries, too."""
         return any(request.forward.retry for request in self.running.get(request_id, ()))
 
-    def admit(self, endpoint: str, address: Address, slots: int) -> None:
-        """Forward requests for an endpoint to its address from now on."""
+    def attach_endpoint(self, endpoint: str, address: Address, slots: int) -> None:
+        """Accept requests for an endpoint, and forward them to its address."""
         if endpoint != self.endpoint:
             self.close()
             if self.endpoint:
@@ -164,13 +164,13 @@
         self.begin_waiting()
 
     def close(self) -> None:
-        """The endpoint takes nothing new: requests that have not begun may go elsewhere."""
+        """Accept no new requests; those that have not begun are rejected and may be sent elsewhere."""
         self.is_open = False
         for request in [entry for entry in self.queue.waiting if isinstance(entry, InboundRequest)]:
             self.reject(request, AttemptOutcome.NOT_EXECUTED, "draining")
 
     def forget(self) -> None:
-        """The endpoint has gone."""
+        """Remove the endpoint, which is gone."""
         self.close()
         self.pools.forget(self.endpoint)
         self.endpoint = ""
@@ -178,7 +178,7 @@
     # --- admission ---
 
     def refusal(self, forward: ForwardRequest) -> ForwardReply | None:
-        """The reply to a request whose body is still to come; None where it would be admitted now."""
+        """Return the rejection of a request whose body is still to come; None if it would be admitted now."""
         request = InboundRequest(forward, b"", ignore_reply, self.loop.time(), self.queue)
         if forward.endpoint != self.endpoint or not self.is_open:
             self.counts["gone"] += 1
@@ -191,16 +191,16 @@
         return None
 
     def retry_after_us(self) -> int:
-        """The time in which a slot is expected to come free."""
+        """Return the time in microseconds in which a slot is expected to become free."""
         return int(1e6 * self.queue.expected_service_time() / self.queue.slots)
 
     def submit(
         self, forward: ForwardRequest, body: bytes, on_reply: OnReply, received_at: float | None = None
     ) -> InboundRequest | None:
-        """Take a request for the endpoint; None where it was rejected at once.
+        """Accept a request for the endpoint. Returns None if it is rejected immediately.
 
-        ``on_reply`` is called once unless :meth:`cancel` comes before, maybe at once. ``received_at``: when it came,
-        where its body took a while.
+        ``on_reply`` is called once, possibly from within this method, unless :meth:`cancel` is called before.
+        ``received_at`` is the instant at which the request arrived, if its body took longer.
         """
         now = self.loop.time()
         request = InboundRequest(forward, body, on_reply, now if received_at is None else received_at, self.queue)
@@ -219,34 +219,34 @@
         return request
 
     def on_queue_timeout(self, request: InboundRequest) -> None:
-        """Reject a request that still waits."""
+        """Reject a request that is still queued."""
         if request.exchange is None and request.on_reply is not None:
             self.counts["full"] += 1
             self.reject(request, AttemptOutcome.NO_CAPACITY, "queue")
 
     def reject(self, request: InboundRequest, outcome: AttemptOutcome, reason: str) -> None:
-        """A request that has not begun goes elsewhere."""
+        """Reject a request that has not begun, so that it may be sent elsewhere."""
         request.queue.remove(request)
         self.reply(request, ForwardReply(outcome=outcome, reason=reason))
 
     # --- at the endpoint ---
 
     def begin_waiting(self) -> None:
-        """Begin the waiting requests that there are free slots for."""
+        """Start queued requests while there are free slots."""
         while self.is_open:
             now = self.loop.time()
             request = self.queue.next(now)
             if request is None:
                 break
             assert isinstance(request, InboundRequest)
-            if request.expires_at <= now:  # its timer is due, but hasn't run yet
+            if request.expires_at <= now:  # its timer is due, but hasn't fired yet
                 self.queue.release_slot()
                 self.reject(request, AttemptOutcome.NOT_EXECUTED, "deadline")
             else:
                 self.begin(request)
 
     def begin(self, request: InboundRequest) -> None:
-        """Send a request to the endpoint, until its deadline."""
+        """Send a request to the endpoint; it expires at its deadline."""
         request.cancel_timer()
         time_left = max(0.0, request.expires_at - self.loop.time())
         request.timer = self.loop.call_later(time_left, self.expire, request)
@@ -256,7 +256,7 @@
         self.send_to_endpoint(request)
 
     def send_to_endpoint(self, request: InboundRequest) -> None:
-        """Send a request, on whichever connection there is."""
+        """Send a request on an idle or a new connection."""
         on_ended = partial(self.on_exchange_ended, request)
         request.exchange = EndpointExchange(request.forward, request.body, on_ended, request.expires_at)
         self.pools.carry(request.forward.endpoint, request.exchange)
@@ -264,7 +264,7 @@
     def on_exchange_ended(
         self, request: InboundRequest, outcome: interface.Outcome, reply: Reply | None = None, report: object = None
     ) -> None:
-        """The endpoint has answered, or its connection tells how far a request got."""
+        """Handle the endpoint's answer, or a broken connection and how much of the request was sent on it."""
         request.exchange = None
         if outcome == "dropped" and request.reconnects < MAX_RECONNECTS and self.is_open:
             request.reconnects += 1
@@ -273,27 +273,30 @@
             return
         self.remove_running(request)
         service_time = self.loop.time() - request.begun_at
-        answer = self.reply_without_answer(outcome) if reply is None else self.reply_with_answer(reply, service_time)
+        forward_reply = (
+            self.reply_without_answer(outcome) if reply is None else self.reply_with_answer(reply, service_time)
+        )
         request.queue.release_slot()
-        answer.service_ms = int(1000 * service_time)
-        answer.queued_ms = int(1000 * (request.begun_at - request.received_at))
-        self.reply(request, answer)
+        forward_reply.service_ms = int(1000 * service_time)
+        forward_reply.queued_ms = int(1000 * (request.begun_at - request.received_at))
+        self.reply(request, forward_reply)
         self.begin_waiting()
 
     def reply_without_answer(self, outcome: interface.Outcome) -> ForwardReply:
-        """The reply for a request that the endpoint hasn't answered."""
-        is_proven = outcome in interface.NEVER_RAN
-        self.counts["maybe"] += not is_proven
+        """Return the reply for a request that the endpoint hasn't answered."""
+        proves_not_executed = outcome in interface.NEVER_RAN
+        self.counts["maybe"] += not proves_not_executed
         if outcome == "connect_failed" and self.on_connection_refused is not None:
             self.on_connection_refused()
         return ForwardReply(
-            outcome=AttemptOutcome.NOT_EXECUTED if is_proven else AttemptOutcome.UNKNOWN,
+            outcome=AttemptOutcome.NOT_EXECUTED if proves_not_executed else AttemptOutcome.UNKNOWN,
             reason=outcome,
-            sent_to_endpoint=not is_proven or outcome == "dropped",  # a part of one that was dropped has arrived
+            sent_to_endpoint=not proves_not_executed
+            or outcome == "dropped",  # part of a request that was dropped has arrived
         )
 
     def reply_with_answer(self, reply: Reply, service_time: float) -> ForwardReply:
-        """The reply for a request that the endpoint has answered, after ``service_time`` s."""
+        """Return the reply for a request that the endpoint has answered after ``service_time`` s."""
         if reply.header(b"x-not-executed") is not None:
             self.counts["full"] += 1
             return ForwardReply(
@@ -313,16 +316,16 @@
         )
 
     def remove_running(self, request: InboundRequest) -> None:
-        """A request is at the endpoint no more."""
-        same_id = self.running.get(request.forward.id, set())
-        same_id.discard(request)
-        if not same_id:
+        """Remove a request from those at the endpoint."""
+        requests_with_id = self.running.get(request.forward.id, set())
+        requests_with_id.discard(request)
+        if not requests_with_id:
             self.running.pop(request.forward.id, None)
 
-    # --- the end of a request ---
+    # --- completion of a request ---
 
     def expire(self, request: InboundRequest) -> None:
-        """The deadline of a request has passed: nobody waits for it any more."""
+        """Cancel a request whose deadline has passed, and report its outcome."""
         if request.on_reply is None:
             return
         may_have_run = self.cancel(request, silent=True)
@@ -332,9 +335,10 @@
             on_reply(ForwardReply(outcome=outcome, reason="deadline", sent_to_endpoint=may_have_run))
 
     def cancel(self, request: InboundRequest, silent: bool = False) -> bool:
-        """Cancel a request: if it has not begun it never does, and a run is ended.
+        """Cancel a request: it is removed from the queue, or aborted at the endpoint.
 
-        Returns whether any of it may be at the endpoint. ``silent``: its time is up without an answer.
+        Returns whether any part of it may have reached the endpoint. ``silent``: its deadline has passed without an
+        answer.
         """
         if not silent:
             request.on_reply = None
@@ -352,7 +356,7 @@
         return may_have_reached
 
     def reply(self, request: InboundRequest, reply: ForwardReply) -> None:
-        """Answer a request, with what is known of the endpoint's load."""
+        """Reply to a request, and report the endpoint's load with it."""
         request.cancel_timer()
         self.requests.discard(request)
         if reply.outcome == AttemptOutcome.NO_CAPACITY:
@@ -365,13 +369,13 @@
 
 
 def is_sealed(reply: Reply) -> bool:
-    """Whether a success is the endpoint's own: it has the endpoint's seal, and its body is as the endpoint made it."""
+    """Return whether a successful answer has the endpoint's seal and an unmodified body."""
     return bool(reply.header(b"x-server-seal")) and reply.header(b"content-encoding") in (None, b"identity")
 
 
 def ignore_reply(reply: ForwardReply) -> None:
-    """Of a request that is only checked."""
+    """Ignore the reply: the request is only used to check admission."""
 
 
 def ignore_sent() -> None:
-    """Nobody counts what has been handed to the kernel here."""
+    """Ignore that the kernel has accepted the request."""
--- a/zinclever/mesh/dataplane/outbound_request.py
+++ b/zinclever/mesh/dataplane/outbound_request.py
@@ -1,4 +1,4 @@
-"""A client's request on its way to endpoints, and what is known of its attempts."""
+"""A client's request that is being forwarded to endpoints, and the state of its attempts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, eq=False)
 class OutboundRequest:
-    """What is sent to an endpoint for one request. Instants in s of the event loop."""
+    """A request and the state of its attempts. Instants are in s of the event loop's clock."""
 
     service: str
     id: str
@@ -19,32 +19,33 @@
     """Request line and end-to-end headers, without the empty line."""
     body: bytes
     has_body: bool
-    """It is framed as a request with a body, if an empty one."""
+    """Whether it is framed as a request with a body, possibly an empty one."""
     safe: bool
     """It may run more than once."""
     priority: int
     """0 is the highest."""
     latency_target_at: float
-    """When its latency target has passed."""
+    """Instant at which its latency target passes."""
     attempt_count: AttemptCount
     received_at: float
     is_nested: bool = False
-    """It was issued by the endpoint of this machine while that works on another request."""
+    """It was issued by this machine's endpoint while processing another request."""
     was_refused: bool = False
-    """It was refused before. It takes free capacity and doesn't queue: in a crowd, a request that is served at its
-    first try earns more with the same slot."""
+    """An earlier try was refused. It only takes free capacity and isn't queued: under overload, a request that is
+    served at its first try earns more with the same slot.
+    """
     is_retry: bool = False
-    """A run that was itself a retry issued it: it counts in the budget from its first attempt on."""
+    """It was issued by a retry, so it is charged to the retry budget from its first attempt on."""
     attempts_made: int = 0
     in_flight: int = 0
-    """Attempts that have been forwarded and not ended."""
+    """Attempts that have been forwarded and have not ended."""
     rejected_by: list[str] = field(default_factory=list)
-    """Endpoints that rejected it themselves: they are not asked again."""
+    """Endpoints that rejected it themselves: it is not sent to them again."""
     may_have_run: bool = False
     attempt_log: list[str] = field(default_factory=list)
-    """What came of each attempt."""
+    """The outcome of each attempt."""
 
     def log_attempt(self, text: str) -> None:
-        """Note what came of an attempt, up to :data:`MAX_LOGGED_ATTEMPTS`."""
+        """Log the outcome of an attempt, up to :data:`MAX_LOGGED_ATTEMPTS`."""
         if len(self.attempt_log) < MAX_LOGGED_ATTEMPTS:
             self.attempt_log.append(text)
--- a/zinclever/mesh/dataplane/retry_budget.py
+++ b/zinclever/mesh/dataplane/retry_budget.py
@@ -1,44 +1,45 @@
-"""The retry budget that all sidecars share, kept by each without asking the others. Pure.
+"""The retry budget that all sidecars share, enforced by each sidecar without coordination. Without side effects.
 
-What a sidecar may add follows from the requests that it was asked for. Any window of the rule holds at most what each
-sidecar was asked in two windows before each of its retries, times :data:`RATIO_SHARE`; as that is below half of the
-rule's ratio, the sum stays below it whatever the sidecars are, and however many. What is free without any request
-(``slack``) is shared out by the number of sidecars, and half of it is never touched.
+The rule limits the retries within any window to a ratio of the requests, plus a slack. A sidecar allows a retry as long
+as its retries in the window that ends now stay below :data:`RATIO_SHARE` times the rule's ratio of its requests in it.
+So the retries of a sidecar in any window are limited by its requests in that window and in the one before. As the share
+is below one half, the sum over all sidecars stays below the rule's ratio, however many there are. The slack, which
+needs no requests, is divided by the number of sidecars, and less than half of it is used.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-RATIO_SHARE = 0.45  # of the rule's ratio: a window here reaches back into the one before it
+RATIO_SHARE = 0.45  # of the rule's ratio: below half, as a window here reaches back into the one before it
 SLACK_SHARE = 0.4  # of the rule's slack
-BUCKET_SPAN = 0.25  # s that are counted together
+BUCKET_SPAN = 0.25  # s; the resolution of a sliding count
 
 
 class Bucket:
-    """What was counted within one :data:`BUCKET_SPAN`."""
+    """The count within one :data:`BUCKET_SPAN`."""
 
     __slots__ = ("count", "started_at")
 
     def __init__(self, started_at: float) -> None:
         self.started_at = started_at
-        """Instant in s of the first one counted."""
+        """Instant in s of its first event."""
         self.count = 0
 
 
 class SlidingCount:
-    """A count over a sliding window, rounded up to a :data:`BUCKET_SPAN`."""
+    """A count over a sliding window, whose length is rounded up to a :data:`BUCKET_SPAN`."""
 
     __slots__ = ("buckets", "total", "window")
 
     def __init__(self, window: float) -> None:
-        """``window`` in s."""
+        """Create an empty count over ``window`` s."""
         self.window = window
         self.buckets: deque[Bucket] = deque()
         self.total = 0
 
     def add(self, now: float) -> Bucket:
-        """Count one; the bucket that holds it."""
+        """Count an event, and return the bucket that holds it."""
         self.value(now)
         if not self.buckets or now - self.buckets[-1].started_at >= BUCKET_SPAN:
             self.buckets.append(Bucket(now))
@@ -47,21 +48,21 @@
         return self.buckets[-1]
 
     def remove(self, now: float, bucket: Bucket) -> None:
-        """One that a bucket holds did not happen. Nothing changes where the window has passed the bucket."""
+        """Remove an event from its bucket. Has no effect if the window has passed the bucket."""
         self.value(now)
         if self.buckets and bucket.started_at >= self.buckets[0].started_at:
             bucket.count -= 1
             self.total -= 1
 
     def value(self, now: float) -> int:
-        """How many the window holds."""
+        """Return the count in the window."""
         while self.buckets and now - self.buckets[0].started_at > self.window + BUCKET_SPAN:
             self.total -= self.buckets.popleft().count
         return self.total
 
 
 class BudgetCharge:
-    """One retry that counts against the budget until :meth:`RetryBudget.refund`."""
+    """One retry that is charged to the budget until :meth:`RetryBudget.refund`."""
 
     __slots__ = ("bucket", "is_counted")
 
@@ -71,30 +72,30 @@
 
 
 class RetryBudget:
-    """The budget of one service: requests that this sidecar was asked for, and retries that it made."""
+    """This sidecar's part of one service's retry budget: counts its requests and retries."""
 
     def __init__(self, ratio: float, window: float, slack: float) -> None:
-        """By the rule: retries per request within ``window`` s, and ``slack`` retries more."""
+        """Create a budget: ``ratio`` retries per request within ``window`` s, and ``slack`` further retries."""
         self.ratio, self.slack = ratio, slack
         self.requests, self.retries = SlidingCount(window), SlidingCount(window)
         self.sidecars = 1
-        """How many share the budget."""
+        """Number of sidecars that share the budget."""
 
     def on_request(self, now: float) -> None:
-        """A client sent a request for the service."""
+        """Count a client's request to the service."""
         self.requests.add(now)
 
     def allows_retry(self, now: float) -> bool:
-        """Whether one more retry is within this sidecar's part."""
+        """Return whether this sidecar's part of the budget allows one more retry."""
         free = SLACK_SHARE * self.slack / max(1, self.sidecars)
         return self.retries.value(now) + 1 <= RATIO_SHARE * self.ratio * self.requests.value(now) + free
 
     def charge(self, now: float) -> BudgetCharge:
-        """Count a retry, before it is sent."""
+        """Charge a retry to the budget, before it is sent."""
         return BudgetCharge(self.retries.add(now))
 
     def refund(self, now: float, charge: BudgetCharge) -> None:
-        """The retry certainly reached no endpoint. Has an effect once for each, in the window that holds it."""
+        """Refund a retry that certainly reached no endpoint. Idempotent."""
         if charge.is_counted:
             charge.is_counted = False
             self.retries.remove(now, charge.bucket)
--- a/zinclever/mesh/dataplane/service_clients.py
+++ b/zinclever/mesh/dataplane/service_clients.py
@@ -1,4 +1,4 @@
-"""The client side of each service: a ledger with the sidecar's own decisions, fed with what the mesh knows."""
+"""The client side of each service: a ledger with the standalone sidecar's balancer, fed with endpoints from gossip."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 from .forwarding import Forwarder
 from .retry_budget import RetryBudget
 
-MAX_ATTEMPTS = 8  # of a request that reach an ingress: those that reach an endpoint are the route's
-CONNECT_TIMEOUT_MS = 400.0  # a multiple of it is how long a sidecar that can't be reached is left alone
-ZONE_CROSSING_PRICE = 0.3  # of leaving the zone: it is preferred unless it leaves far less of the latency target
-HEDGE_DELAY_SHARE = 0.55  # of the latency target: above what is usual, and early enough that most hedges meet it
-LATE_WORTH = 0.3  # of its worth that an answer between latency target and deadline is taken to have
-NO_ROUTE_MS = 1000.0  # of the class that stands for no route
+MAX_ATTEMPTS = 8  # of a request that reach an ingress; the route limits those that reach an endpoint
+CONNECT_TIMEOUT_MS = 400.0  # a multiple of it is how long an unreachable sidecar is avoided
+ZONE_CROSSING_PRICE = 0.3  # another zone is preferred only if it leaves far more of the latency target
+HEDGE_DELAY_SHARE = 0.55  # of the latency target: longer than usual, and early enough that most hedges meet the target
+LATE_WORTH = 0.3  # of its worth that an answer between latency target and deadline is assumed to have
+NO_ROUTE_MS = 1000.0  # aim and deadline of the class for requests without a route
 
 
 class ClassKey(NamedTuple):
-    """What the requests of a route ask for. Spans in s."""
+    """The properties of a route that distinguish request classes. Durations in s."""
 
     safe: bool
     deadline: float
@@ -36,38 +36,38 @@
 
 
 class MeshEndpointSource:
-    """The endpoints of one service as the mesh tells of them: a :class:`~zinclever.core.protocol.Source`."""
+    """The endpoints of one service as known from gossip: a :class:`~zinclever.core.protocol.Source`."""
 
     def __init__(self, on_list: OnList) -> None:
         self.on_list = on_list
         self.entries: Sequence[Entry] = ()
 
     def start(self) -> None:
-        """Report the endpoints that are known."""
+        """Report the known endpoints."""
         self.on_list("whole", self.entries)
 
     def remembered(self) -> Sequence[Entry]:
-        """The endpoints that are known."""
+        """Return the known endpoints."""
         return self.entries
 
     def watch(self, on: bool) -> None:
-        """Changes come by themselves."""
+        """Do nothing: changes are always reported."""
 
     def fetch(self) -> None:
-        """There is nobody to ask."""
+        """Do nothing: there is no server to fetch a list from."""
 
     def stop(self) -> None:
-        """Nothing is held."""
+        """Do nothing: the source holds no resources."""
 
     def set_endpoints(self, entries: Sequence[Entry]) -> None:
-        """These are the endpoints from now on."""
+        """Replace the endpoints, and report them if they have changed."""
         if list(entries) != list(self.entries):
             self.entries = entries
             self.on_list("whole", entries)
 
 
 class MeshLedger(Ledger):
-    """A ledger whose balancers all leave admission to the ingress, also one that begins anew after a stall."""
+    """A ledger whose balancers leave admission to the ingress, including one that is recreated after a stall."""
 
     def adopt(self, balancer: Balancer) -> None:
         """Use a balancer from now on."""
@@ -88,7 +88,11 @@
         descriptors: Descriptors,
         host: Host,
     ) -> None:
-        """``zone``: the index of this machine's; ``sidecars``: how many send requests to the service."""
+        """Create the client of a service.
+
+        ``zone``: the index of this machine's zone; ``sidecars``: the number of sidecars that send requests to the
+        service.
+        """
         self.service, self.forwarder, self.retry_budget = service, forwarder, retry_budget
         self.class_indexes: dict[ClassKey, int] = {}
         self.classes: list[interface.RequestClass] = [
@@ -109,19 +113,20 @@
         self.ledger = MeshLedger(balancer, forwarder, self.make_source, descriptors, host)
 
     def make_source(self, on_list: OnList) -> MeshEndpointSource:
-        """The source of the ledger's endpoints."""
+        """Create the source of the ledger's endpoints."""
         self.source = MeshEndpointSource(on_list)
         return self.source
 
     def set_endpoints(self, entries: Sequence[Entry]) -> None:
-        """These are the endpoints of the service from now on."""
-        assert self.source is not None  # the ledger has made it
+        """Replace the endpoints of the service."""
+        assert self.source is not None  # created by the ledger
         self.source.set_endpoints(entries)
 
     def class_index(self, route: Route, deadline: float) -> int:
-        """The request class of a route, made when it is first asked for.
+        """Return the index of a route's request class, which is created at its first use.
 
-        Routes that ask for the same share one, so that what is learnt stays through changes of names and places.
+        Routes with the same properties share a class, so that learnt estimates survive changes of route names and
+        paths.
         """
         key = ClassKey(route.safe, deadline, route.latency_target, route.priority)
         index = self.class_indexes.get(key)
@@ -140,14 +145,14 @@
 
 
 def prepare_balancer(balancer: Balancer) -> None:
-    """Make a balancer that has served nothing yet one of the mesh."""
+    """Set up an unused balancer for the mesh."""
     delegate_to_ingress(balancer)
-    for klass in balancer.classes:
-        klass.hedge_delay = HEDGE_DELAY_SHARE * klass.settings.aim
+    for class_state in balancer.classes:
+        class_state.hedge_delay = HEDGE_DELAY_SHARE * class_state.settings.aim
 
 
 def add_class(balancer: Balancer, request_class: interface.RequestClass) -> None:
-    """Add a class to a balancer that runs: what it has learnt stays."""
+    """Add a class to a running balancer, which keeps its learnt estimates."""
     if len(balancer.classes) < len(balancer.settings.classes):
         balancer.classes.append(ClassState(request_class))
         balancer.classes[-1].hedge_delay = HEDGE_DELAY_SHARE * request_class.aim
@@ -156,7 +161,7 @@
 
 
 class ServiceClients:
-    """The clients of all services. Each is made when the service is first asked for or known of."""
+    """The clients of all services. Each is created at the first use of its service."""
 
     def __init__(self, make_client: Callable[[str], ServiceClient]) -> None:
         self.make_client = make_client
@@ -164,7 +169,7 @@
         self.loop = asyncio.get_running_loop()
 
     def to(self, service: str) -> ServiceClient:
-        """The client of a service."""
+        """Return the client of a service."""
         client = self.clients.get(service)
         if client is None:
             client = self.clients[service] = self.make_client(service)
--- a/zinclever/mesh/dataplane/slot_queue.py
+++ b/zinclever/mesh/dataplane/slot_queue.py
@@ -1,19 +1,21 @@
-"""The slots of one endpoint: who waits for one, who is next, and who is better rejected at once. Pure."""
+"""The slots of one endpoint and the queue for them: order, expected wait and early rejection. Without side effects."""
 
 from __future__ import annotations
 
-EXTRA_SLOTS = 0  # requests beyond its slots that an endpoint is sent
-INITIAL_SERVICE_TIME = 0.1  # s that is assumed until one has ended
-SERVICE_TIME_WEIGHT = 0.1  # of one run in the mean
-MAX_WAIT_SHARE = 0.35  # of the latency target left, up to which waiting beats going elsewhere, or coming again
-QUEUE_TIMEOUT_SHARE = 0.5  # of it, after which one that waits is rejected: the expected wait was a guess
+EXTRA_SLOTS = 0  # requests sent to an endpoint beyond its slots
+INITIAL_SERVICE_TIME = 0.1  # s; assumed until the first request has been served
+SERVICE_TIME_WEIGHT = 0.1  # of one request in the moving average
+MAX_WAIT_SHARE = 0.35  # of the latency target left, up to which queueing beats a retry at another endpoint or later
+QUEUE_TIMEOUT_SHARE = (
+    0.5  # of the latency target left, after which a queued request is rejected: estimates may be wrong
+)
 QUEUE_TIMEOUT_MARGIN = 0.005  # s
-MAX_NESTED_WAIT_SHARE = 0.7  # of the deadline left, for a nested call: with it its parent's run is lost
-MAX_HEDGE_UTILIZATION = 0.7  # of the slots in use, from which on no hedge is admitted
+MAX_NESTED_WAIT_SHARE = 0.7  # of the deadline left, for a nested call: if it fails, its parent's work is lost, too
+MAX_HEDGE_UTILIZATION = 0.7  # share of the slots in use from which no hedge is admitted
 
 
 class QueueEntry:
-    """A request that waits for a slot, or has it. Spans and instants in s."""
+    """A request that waits for a slot, or holds one. Durations and instants in s."""
 
     __slots__ = (
         "begun_at",
@@ -36,9 +38,16 @@
         is_hedge: bool = False,
         may_queue: bool = True,
     ) -> None:
-        """What was left of its deadline and of its latency target when it came; 0 for a target that has passed.
-
-        ``may_queue``: other endpoints had no capacity. A request that may still find some elsewhere doesn't wait.
+        """Create an entry.
+
+        Args:
+            received_at: Instant at which the request arrived.
+            deadline_left: Time left until its deadline, at arrival.
+            latency_target_left: Time left until its latency target, at arrival; 0 if that has passed.
+            priority: 0 is the highest.
+            is_nested: Whether it is a nested call.
+            is_hedge: Whether it is a hedge.
+            may_queue: Whether it may wait for a slot; not if other endpoints may still have free capacity.
         """
         self.received_at = received_at
         self.deadline_left = deadline_left
@@ -50,41 +59,42 @@
         self.begun_at = 0.0
 
     def rank(self, now: float) -> tuple[bool, bool, int, float]:
-        """The lowest goes first.
+        """Return the sort key of the entry; the lowest is served first.
 
-        Nested calls, whose parents hold a slot elsewhere; who can still meet the latency target; by priority; by age.
+        The order is: nested calls, as their parents hold a slot elsewhere; requests that can still meet their latency
+        target; priority; age.
         """
         has_missed_target = self.received_at + self.latency_target_left <= now
         return not self.is_nested, has_missed_target, self.priority, self.received_at
 
     def usable_time(self) -> float:
-        """The time left of its latency target or, where that has passed, of its deadline."""
+        """Return the time left until the latency target or, if that has passed, until the deadline."""
         return self.latency_target_left if self.latency_target_left > 0.0 else self.deadline_left
 
 
 class SlotQueue:
-    """The slots of one endpoint. Instants in s are handed in."""
+    """The slots of one endpoint. Instants in s are passed in."""
 
     def __init__(self, slots: int) -> None:
         self.slots = slots
         self.busy = 0
-        """Slots in use."""
+        """Number of slots in use."""
         self.waiting: list[QueueEntry] = []
         self.mean_service_time = 0.0
 
     def expected_service_time(self) -> float:
-        """The mean time of a run, in s."""
+        """Return the mean service time in s."""
         return self.mean_service_time or INITIAL_SERVICE_TIME
 
     def record_service_time(self, seconds: float) -> None:
-        """A run has ended."""
+        """Update the mean service time."""
         if not self.mean_service_time:
             self.mean_service_time = seconds
         else:
             self.mean_service_time += SERVICE_TIME_WEIGHT * (seconds - self.mean_service_time)
 
     def expected_wait(self, entry: QueueEntry) -> float:
-        """The time that a request would wait, in s, as far as can be told."""
+        """Return the estimated time in s that a request would wait for a slot."""
         ahead = sum(
             1 for other in self.waiting if other.is_nested or (not entry.is_nested and other.priority <= entry.priority)
         )
@@ -92,7 +102,7 @@
         return max(0.0, excess / self.slots * self.expected_service_time())
 
     def admits(self, now: float, entry: QueueEntry) -> bool:
-        """Whether waiting here can end in time."""
+        """Return whether a request can be expected to get a slot in time."""
         if entry.is_hedge:
             return not self.waiting and self.busy < MAX_HEDGE_UTILIZATION * self.slots
         wait = self.expected_wait(entry)
@@ -103,17 +113,20 @@
         return entry.may_queue and wait <= MAX_WAIT_SHARE * entry.usable_time()
 
     def queue_timeout(self, entry: QueueEntry) -> float:
-        """The time after which a request that still waits is rejected, in s: nested calls may have come before it."""
+        """Return the time in s after which a request that is still queued is rejected.
+
+        It may wait longer than expected, as nested calls can overtake it.
+        """
         if entry.is_nested:
             return MAX_NESTED_WAIT_SHARE * entry.deadline_left
         return min(entry.deadline_left, QUEUE_TIMEOUT_MARGIN + QUEUE_TIMEOUT_SHARE * entry.usable_time())
 
     def add(self, entry: QueueEntry) -> None:
-        """Let a request wait."""
+        """Queue a request."""
         self.waiting.append(entry)
 
     def next(self, now: float) -> QueueEntry | None:
-        """Give a slot to the next request; None where none waits, or no slot is free."""
+        """Assign a slot to the next request, and return it; None if none waits or no slot is free."""
         if not self.waiting or self.busy >= self.slots + EXTRA_SLOTS:
             return None
         chosen = min(self.waiting, key=lambda entry: entry.rank(now))
@@ -122,10 +135,10 @@
         return chosen
 
     def release_slot(self) -> None:
-        """A request that had a slot has ended."""
+        """Release the slot of a request that has ended."""
         self.busy -= 1
 
     def remove(self, entry: QueueEntry) -> None:
-        """A request waits no more."""
+        """Remove a request from the queue, if it is still queued."""
         if entry in self.waiting:
             self.waiting.remove(entry)
--- a/zinclever/mesh/roles/local_endpoint.py
+++ b/zinclever/mesh/roles/local_endpoint.py
@@ -87,7 +87,7 @@
             address = self.settings.application_address or (host, int(port))
             if endpoint != previous or not self.ingress.is_open:
                 log.info("endpoint admitted", extra={"code": "ENDPOINT_READY", "endpoint": endpoint})
-            self.ingress.admit(endpoint, address, info.slots)
+            self.ingress.attach_endpoint(endpoint, address, info.slots)
         elif endpoint == self.ingress.endpoint:
             if self.ingress.is_open:
                 log.info("endpoint draining", extra={"code": "ENDPOINT_DRAINS", "endpoint": endpoint})
--- a/zinclever/mesh/roles/operator_calls.py
+++ b/zinclever/mesh/roles/operator_calls.py
@@ -89,9 +89,7 @@
     # --- calls to the leader, local or remote ---
 
     async def answer(self, call: ControlCall) -> CallAnswer:
-        """Return the leader's answer, from this node or another; 503 early enough for the caller to go on to another
-        node.
-        """
+        """Return the leader's answer, or 503 early enough for the caller to go on to another node."""
         size = len(self.replica.committed.text) if call.kind == GET else len(call.text)
         deadline = self.loop.time() + call_timeout(size) + FORWARDING_TIME
         while (time_left := deadline - self.loop.time()) > 0:
