--- a/tests/mesh/cases.py
+++ b/tests/mesh/cases.py
@@ -1,4 +1,4 @@
-"""Tables of cases, typed."""
+"""A typed version of nose2's parameterized tests."""
 
 from __future__ import annotations
 
@@ -11,5 +11,5 @@
 
 
 def params(*cases: Any) -> Callable[[F], F]:
-    """One test for each case: a tuple of arguments, or the only one."""
+    """Run a test once for each case, which is a tuple of arguments or a single argument."""
     return cast(Callable[[F], F], untyped(*cases))
--- a/tests/mesh/test_answers.py
+++ b/tests/mesh/test_answers.py
@@ -1,4 +1,4 @@
-"""Answers and callers: who gets which answer, and what may run how often, where hops break off or stand still."""
+"""Answers and executions when connections between sidecars break, or a process stalls."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 
 from mesh.cases import params
 from mesh.cluster import App, Mesh, good, run, until
-from mesh.test_attempts import SPEAKS, World
+from mesh.test_attempts import PROTOCOL_VERSION, AttemptModel
 from zinclever.core.descriptors import Descriptors
 from zinclever.mesh.attempt_outcome import AttemptOutcome
 from zinclever.mesh.dataplane.ingress import Ingress
 from zinclever.mesh.transport.mesh_pb2 import ForwardReply, ForwardRequest, Frame
 from zinclever.system import System
 
-STEP = 1  # bytes between two cuts
+STEP = 1  # bytes between two cut positions
 BODY = b"b" * 90
 
 
 class Relay:
-    """Stands between two sidecars. The first connection ends once so many bytes have passed one way."""
+    """A TCP relay between two sidecars. Cuts the first connection after a number of bytes in one direction."""
 
     def __init__(self, host: str, target: tuple[str, int]) -> None:
         self.host, self.target = host, target
         self.limits: dict[str, int | None] = {}
-        self.passed = Counter[str]()
+        self.bytes_passed = Counter[str]()
         self.writers: set[asyncio.StreamWriter] = set()
-        self.flows = asyncio.Event()
-        self.flows.set()
-        """While it is clear, what comes is held back: the far end stands still, or the net does."""
+        self.is_forwarding = asyncio.Event()
+        self.is_forwarding.set()
+        """While cleared, received data is held back, as if the far end or the network had stalled."""
 
     async def start(self) -> None:
         self.server = await asyncio.start_server(self.accept, self.host, 0)
@@ -40,27 +40,27 @@
     async def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         limits, self.limits = self.limits, {}
         far_reader, far_writer = await asyncio.open_connection(*self.target)
-        both = {writer, far_writer}
-        self.writers |= both
+        pair = {writer, far_writer}
+        self.writers |= pair
         await asyncio.gather(
-            self.pump("there", reader, far_writer, both, limits.get("there")),
-            self.pump("back", far_reader, writer, both, limits.get("back")),
+            self.pump("there", reader, far_writer, pair, limits.get("there")),
+            self.pump("back", far_reader, writer, pair, limits.get("back")),
         )
-        self.writers -= both
+        self.writers -= pair
 
     async def pump(
         self,
-        way: str,
+        direction: str,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        both: set[asyncio.StreamWriter],
+        pair: set[asyncio.StreamWriter],
         limit: int | None,
     ) -> None:
         try:
             while data := await reader.read(65536 if limit is None else max(1, limit)):
-                await self.flows.wait()
+                await self.is_forwarding.wait()
                 writer.write(data)
-                self.passed[way] += len(data)
+                self.bytes_passed[direction] += len(data)
                 if limit is not None:
                     limit -= len(data)
                     if limit <= 0:
@@ -68,23 +68,23 @@
                         break
         except ConnectionError:
             pass
-        for each in both:
-            each.close() if limit is None else each.transport.abort()
+        for member in pair:
+            member.close() if limit is None else member.transport.abort()
 
-    def cut(self) -> None:
+    def close_connections(self) -> None:
         for writer in self.writers:
             writer.transport.abort()
 
     def stop(self) -> None:
         self.server.close()
-        self.cut()
+        self.close_connections()
 
 
-class Cut(unittest.TestCase):
-    """The hop to the endpoint's sidecar ends at each part of request and answer."""
+class ConnectionLoss(unittest.TestCase):
+    """The connection to the endpoint's sidecar breaks at any byte of the request or the answer."""
 
     @params("safe", "unsafe")
-    def test_the_hop_is_lost_at_any_byte(self, kind: str) -> None:
+    def test_connection_loss_at_any_byte(self, kind: str) -> None:
         outcomes: Counter[str] = Counter()
 
         async def test() -> None:
@@ -94,52 +94,52 @@
                 caller = m.sidecars[1]
                 relay = Relay(m.ips[1], (m.ips[0], m.sidecars[0].node.port))
                 await relay.start()
-                wire = caller.clients.to("a").forwarder
-                wire.place(app.id, relay.address)
+                forwarder = caller.clients.to("a").forwarder
+                forwarder.place(app.id, relay.address)
                 await m.ask(f"/a/{kind}/", "POST", at=1, body=BODY)
-                whole = dict(relay.passed)
-                self.assertGreater(min(whole.values()), 50)
-                asked: dict[str, int] = {}
-                for way, size in whole.items():
-                    for cut in range(1, size, STEP):
-                        relay.cut()
+                total_bytes = dict(relay.bytes_passed)
+                self.assertGreater(min(total_bytes.values()), 50)
+                statuses: dict[str, int] = {}
+                for direction, size in total_bytes.items():
+                    for position in range(1, size, STEP):
+                        relay.close_connections()
                         await until(lambda: caller.node.channel_to(relay.address).connection is None)
-                        wire.place(app.id, relay.address)
-                        relay.limits = {way: cut}
-                        name = f"{way}-{cut}"
+                        forwarder.place(app.id, relay.address)
+                        relay.limits = {direction: position}
+                        name = f"{direction}-{position}"
                         status, headers, _ = await m.ask(
                             f"/a/{kind}/", "POST", at=1, body=BODY, X_Attempt_Id=name, X_Deadline_Ms="2000"
                         )
-                        asked[name] = status
+                        statuses[name] = status
                         if status == 200:
                             self.assertEqual(headers["x-attempt-id"], name)
                 await asyncio.sleep(0.05)
                 relay.stop()
-                self.judge(kind, asked, app, outcomes)
+                self.check_executions(kind, statuses, app, outcomes)
 
         run(test)
         self.assertGreater(outcomes["tried"], 50)
 
-    def judge(self, kind: str, asked: dict[str, int], app: App, outcomes: Counter[str]) -> None:
-        ran = Counter(headers["x-attempt-id"] for _, headers, _ in app.seen)
-        for name, status in asked.items():
+    def check_executions(self, kind: str, statuses: dict[str, int], app: App, outcomes: Counter[str]) -> None:
+        executions = Counter(headers["x-attempt-id"] for _, headers, _ in app.seen)
+        for name, status in statuses.items():
             outcomes["tried"] += 1
-            outcomes["ran"] += ran[name]
+            outcomes["ran"] += executions[name]
             outcomes["answered" if status == 200 else "refused" if status == 503 else "unknown"] += 1
             self.assertIn(status, (200, 502, 503, 504), name)
-            self.assertLessEqual(ran[name], 1 if kind == "unsafe" else 2, name)
+            self.assertLessEqual(executions[name], 1 if kind == "unsafe" else 2, name)
             if status == 200:
-                self.assertGreaterEqual(ran[name], 1, name)
+                self.assertGreaterEqual(executions[name], 1, name)
             if status == 503:
-                self.assertEqual(ran[name], 0, name)
+                self.assertEqual(executions[name], 0, name)
         print(kind, dict(outcomes))
 
 
-class StandsStill(unittest.TestCase):
-    """The endpoint's sidecar hears nothing for longer than a link is trusted, and then all of it at once."""
+class StalledSidecar(unittest.TestCase):
+    """The endpoint's sidecar stalls for longer than the silence timeout, and then receives everything at once."""
 
     @params("safe", "unsafe")
-    def test_what_is_read_late_runs_no_more_often_than_it_may(self, kind: str) -> None:
+    def test_requests_received_late_run_no_more_often_than_allowed(self, kind: str) -> None:
         async def test() -> None:
             async with Mesh(["a", "b"]) as m:
                 await m.serve()
@@ -149,136 +149,138 @@
                 await relay.start()
                 caller.clients.to("a").forwarder.place(app.id, relay.address)
                 await m.ask(f"/a/{kind}/", at=1)
-                relay.flows.clear()
+                relay.is_forwarding.clear()
                 names = [f"held-{n}" for n in range(20)]
-                asked = [m.ask(f"/a/{kind}/", at=1, X_Attempt_Id=name, X_Deadline_Ms="1600") for name in names]
-                waiting = asyncio.gather(*asked)
+                requests = [m.ask(f"/a/{kind}/", at=1, X_Attempt_Id=name, X_Deadline_Ms="1600") for name in names]
+                waiting = asyncio.gather(*requests)
                 await asyncio.sleep(1.3)
-                relay.flows.set()
+                relay.is_forwarding.set()
                 answers = await waiting
                 await asyncio.sleep(0.1)
                 relay.stop()
-                ran = Counter(headers["x-attempt-id"] for _, headers, _ in app.seen)
+                executions = Counter(headers["x-attempt-id"] for _, headers, _ in app.seen)
                 statuses = Counter(status for status, _, _ in answers)
-                print(kind, dict(statuses), "ran", sum(ran[n] for n in names))
+                print(kind, dict(statuses), "ran", sum(executions[n] for n in names))
                 for name, (status, headers, _) in zip(names, answers, strict=True):
-                    self.assertLessEqual(ran[name], 1 if kind == "unsafe" else 2, name)
+                    self.assertLessEqual(executions[name], 1 if kind == "unsafe" else 2, name)
                     if status == 200:
-                        self.assertEqual((headers["x-attempt-id"], ran[name] > 0), (name, True))
+                        self.assertEqual((headers["x-attempt-id"], executions[name] > 0), (name, True))
                     if status == 503 and kind == "unsafe":
-                        self.assertEqual(ran[name], 0, name)
+                        self.assertEqual(executions[name], 0, name)
 
         run(test)
 
 
-class Frames(unittest.TestCase):
-    """What comes on a link for a call that is over, or from a link that is."""
+class LateFrames(unittest.TestCase):
+    """Frames for a call that has ended, or from a connection that was given up."""
 
     def setUp(self) -> None:
-        self.world = World(2, b"", SPEAKS)
-        self.told: list[str] = []
-        self.world.start(1)
-        self.world.dialled(0)
-        self.line = next(iter(self.world.lines.values()))
-        assert self.line.connection is not None
-        self.link = self.line.connection
-        self.world.ended = lambda *told, **more: self.told.append(told[0])  # type: ignore[method-assign]
-        self.world.hops[0].on_ended = self.world.ended
-        self.answer = Frame(
-            stream=self.world.hops[0].stream,
+        self.model = AttemptModel(2, b"", PROTOCOL_VERSION)
+        self.outcomes: list[str] = []
+        self.model.start(1)
+        self.model.complete_dial(0)
+        self.channel = next(iter(self.model.channels.values()))
+        assert self.channel.connection is not None
+        self.connection = self.channel.connection
+        self.model.on_ended = lambda *args, **kwargs: self.outcomes.append(args[0])  # type: ignore[method-assign]
+        self.model.attempts[0].on_ended = self.model.on_ended
+        self.reply = Frame(
+            stream=self.model.attempts[0].stream,
             forward_reply=ForwardReply(outcome=AttemptOutcome.EXECUTED, status=200, sent_to_endpoint=True),
         )
 
-    def test_a_second_answer_is_nobodys(self) -> None:
-        self.line.on_frame(self.link, self.answer)
-        self.line.on_frame(self.link, self.answer)
-        self.assertEqual(self.told, ["served"])
+    def test_second_reply_is_ignored(self) -> None:
+        self.channel.on_frame(self.connection, self.reply)
+        self.channel.on_frame(self.connection, self.reply)
+        self.assertEqual(self.outcomes, ["served"])
 
-    def test_an_answer_after_a_cancel_is_nobodys(self) -> None:
-        self.world.hops[0].cancel(False)
-        self.line.on_frame(self.link, self.answer)
-        self.assertEqual(self.told, [])
+    def test_reply_after_cancellation_is_ignored(self) -> None:
+        self.model.attempts[0].cancel(False)
+        self.channel.on_frame(self.connection, self.reply)
+        self.assertEqual(self.outcomes, [])
 
-    def test_an_answer_of_a_link_that_was_given_up_is_nobodys(self) -> None:
-        self.world.lose(2)
-        self.world.start(1)
-        self.world.dialled(0)
-        self.answer.stream = self.world.hops[1].stream
-        self.line.on_frame(self.link, self.answer)
-        self.assertEqual(self.told, ["reset"])
+    def test_reply_from_a_lost_connection_is_ignored(self) -> None:
+        self.model.lose_connection(2)
+        self.model.start(1)
+        self.model.complete_dial(0)
+        self.reply.stream = self.model.attempts[1].stream
+        self.channel.on_frame(self.connection, self.reply)
+        self.assertEqual(self.outcomes, ["reset"])
 
-    def test_once_it_was_out_a_lost_link_is_no_proof(self) -> None:
-        self.world.lose(0)
-        self.assertEqual(self.told, ["reset"])
-        self.assertTrue(self.world.order.may_have_run)
+    def test_connection_loss_after_sending_leaves_the_outcome_unknown(self) -> None:
+        self.model.lose_connection(0)
+        self.assertEqual(self.outcomes, ["reset"])
+        self.assertTrue(self.model.request.may_have_run)
 
 
-class Late(unittest.TestCase):
-    """A keeper that stood still: what was queued meanwhile doesn't begin once its time has passed."""
+class ExpiredInQueue(unittest.TestCase):
+    """A request that expired in the queue while the ingress's process stalled is not started."""
 
-    def test_a_queued_request_whose_deadline_has_passed_is_not_begun(self) -> None:
+    def test_expired_queued_request_is_not_started(self) -> None:
         async def test() -> None:
-            keeper = Ingress(System(), Descriptors(100))
-            carried: list[Any] = []
-            keeper.pools.carry = lambda endpoint, attempt: carried.append(attempt)  # type: ignore[method-assign]
-            keeper.attach_endpoint("e", ("127.0.0.1", 9), 1)
-            told: list[ForwardReply] = []
-            for name, left in (("first", 900), ("second", 40)):
-                load = ForwardRequest(endpoint="e", id=name, deadline_ms=left, latency_target_ms=2000, nested=True)
-                keeper.queue.mean_service_time = 0.01
-                keeper.submit(load, b"", told.append)
-            self.assertEqual(len(carried), 1)
-            time.sleep(0.06)  # the process stands still: no timer has run when the answer is read
-            carried[0].end("reset")
-            self.assertEqual(len(carried), 1)
+            ingress = Ingress(System(), Descriptors(100))
+            exchanges: list[Any] = []
+            ingress.pools.carry = lambda endpoint, attempt: exchanges.append(attempt)  # type: ignore[method-assign]
+            ingress.attach_endpoint("e", ("127.0.0.1", 9), 1)
+            replies: list[ForwardReply] = []
+            for name, deadline_ms_left in (("first", 900), ("second", 40)):
+                forward = ForwardRequest(
+                    endpoint="e", id=name, deadline_ms=deadline_ms_left, latency_target_ms=2000, nested=True
+                )
+                ingress.queue.mean_service_time = 0.01
+                ingress.submit(forward, b"", replies.append)
+            self.assertEqual(len(exchanges), 1)
+            time.sleep(0.06)  # the process stalls: no timer has fired when the answer is read
+            exchanges[0].end("reset")
+            self.assertEqual(len(exchanges), 1)
             self.assertEqual(
-                [(t.outcome, t.sent_to_endpoint) for t in told],
+                [(t.outcome, t.sent_to_endpoint) for t in replies],
                 [(AttemptOutcome.UNKNOWN, True), (AttemptOutcome.NOT_EXECUTED, False)],
             )
-            self.assertEqual(keeper.queue.busy, 0)
+            self.assertEqual(ingress.queue.busy, 0)
 
         run(test)
 
 
-class RunsOfRepeats(unittest.TestCase):
-    """What a run calls counts as a repeat while a repeat is at work under its id, and no longer."""
+class RunningRetries(unittest.TestCase):
+    """Calls that a run issues count as retries only while a retry with its id is running."""
 
-    def test_told_while_it_is_at_work(self) -> None:
+    def test_retry_is_reported_only_while_it_runs(self) -> None:
         async def test() -> None:
-            keeper = Ingress(System(), Descriptors(100))
-            keeper.pools.carry = lambda endpoint, attempt: None  # type: ignore[method-assign]
-            keeper.attach_endpoint("e", ("127.0.0.1", 9), 4)
-            first, again = (
-                keeper.submit(
-                    ForwardRequest(endpoint="e", id="r", deadline_ms=900, retry=repeat), b"", lambda made: None
+            ingress = Ingress(System(), Descriptors(100))
+            ingress.pools.carry = lambda endpoint, attempt: None  # type: ignore[method-assign]
+            ingress.attach_endpoint("e", ("127.0.0.1", 9), 4)
+            first_run, retry_run = (
+                ingress.submit(
+                    ForwardRequest(endpoint="e", id="r", deadline_ms=900, retry=is_retry), b"", lambda reply: None
                 )
-                for repeat in (False, True)
+                for is_retry in (False, True)
             )
-            assert first is not None and again is not None
-            self.assertTrue(keeper.is_running_retry("r"))
-            keeper.cancel(again)
-            self.assertEqual((keeper.is_running("r"), keeper.is_running_retry("r")), (True, False))
-            keeper.cancel(first)
-            self.assertFalse(keeper.is_running("r"))
-            self.assertEqual(keeper.running, {})
+            assert first_run is not None and retry_run is not None
+            self.assertTrue(ingress.is_running_retry("r"))
+            ingress.cancel(retry_run)
+            self.assertEqual((ingress.is_running("r"), ingress.is_running_retry("r")), (True, False))
+            ingress.cancel(first_run)
+            self.assertFalse(ingress.is_running("r"))
+            self.assertEqual(ingress.running, {})
 
         run(test)
 
 
-class Surplus(unittest.TestCase):
-    def test_two_answers_in_one_read_reach_only_who_asked(self) -> None:
-        def twice(headers: dict[str, str]) -> bytes:
+class UnsolicitedAnswers(unittest.TestCase):
+    def test_unsolicited_second_answer_is_not_delivered(self) -> None:
+        def two_answers(headers: dict[str, str]) -> bytes:
             return good(headers) + good({"x-attempt-id": "r-other"}, b"stray")
 
         async def test() -> None:
-            async with Mesh(["a"], {0: twice}) as m:
+            async with Mesh(["a"], {0: two_answers}) as m:
                 await m.serve()
                 for n in range(20):
                     status, headers, body = await m.ask("/a/unsafe/", X_Attempt_Id=f"u{n}")
                     if status == 200:
                         self.assertEqual((headers["x-attempt-id"], body), (f"u{n}", b"made"))
-                ran = Counter(headers["x-attempt-id"] for _, headers, _ in m.apps[0].seen)
-                self.assertEqual(set(ran.values()), {1})
+                executions = Counter(headers["x-attempt-id"] for _, headers, _ in m.apps[0].seen)
+                self.assertEqual(set(executions.values()), {1})
 
         run(test)
 
--- a/tests/mesh/test_program.py
+++ b/tests/mesh/test_program.py
@@ -1,4 +1,4 @@
-"""The program as it is started: which modules run, and what it says of settings that it can't use."""
+"""The program as started from the command line: which modules run, and errors in the settings."""
 
 from __future__ import annotations
 
@@ -27,37 +27,37 @@
 
 class Program(unittest.TestCase):
     @params("sidecar", "control")
-    def test_settings_that_can_not_be_used(self, role: str) -> None:
-        with tempfile.TemporaryDirectory() as folder:
-            path = Path(folder) / "boot.json"
+    def test_invalid_settings(self, role: str) -> None:
+        with tempfile.TemporaryDirectory() as directory:
+            path = Path(directory) / "boot.json"
             path.write_text('{"NodeName": ""}')
-            for boot, code in ((None, "BOOT_MISSING"), (folder, "BOOT_UNREADABLE"), (str(path), "BOOT_INVALID")):
-                done = start(role, boot=boot)
-                self.assertEqual(done.returncode, 2)
-                self.assertIn(code, done.stderr)
-                self.assertEqual(len(done.stderr.splitlines()), 1)
+            for boot, code in ((None, "BOOT_MISSING"), (directory, "BOOT_UNREADABLE"), (str(path), "BOOT_INVALID")):
+                process = start(role, boot=boot)
+                self.assertEqual(process.returncode, 2)
+                self.assertIn(code, process.stderr)
+                self.assertEqual(len(process.stderr.splitlines()), 1)
 
-    def test_the_modules_run_as_they_are_written(self) -> None:
-        """Whatever has been compiled for the sidecar in service, and whatever the environment says."""
+    def test_interpreted_modules_are_used(self) -> None:
+        """Compiled modules of the standalone sidecar are not used, whatever the environment says."""
         code = (
             "import sys, meshd, zinclever.http1.desk as d, zinclever.policy.admission as a;"
             "print(d.__file__[-3:], a.__file__[-3:])"
         )
         env = {**os.environ, "ZINCLEVER_NATIVE": os.fspath(ROOT / "zinclever" / "_native")}
-        done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, env=env, capture_output=True, text=True)
-        self.assertEqual(done.stdout.strip(), ".py .py", done.stderr)
+        process = subprocess.run([sys.executable, "-c", code], cwd=ROOT, env=env, capture_output=True, text=True)
+        self.assertEqual(process.stdout.strip(), ".py .py", process.stderr)
 
     def test_help_names_each_role(self) -> None:
-        done = start("--help")
-        self.assertEqual(done.returncode, 0)
+        process = start("--help")
+        self.assertEqual(process.returncode, 0)
         for role in ("sidecar", "control"):
-            self.assertIn(role, done.stdout)
+            self.assertIn(role, process.stdout)
 
-    def test_role_names_of_the_version_before_are_understood(self) -> None:
+    def test_role_names_of_the_previous_version(self) -> None:
         for role in ("forager", "comb"):
-            done = start(role, boot="{")
-            self.assertEqual(done.returncode, 2)
-            self.assertIn("BOOT_UNREADABLE", done.stderr)
+            process = start(role, boot="{")
+            self.assertEqual(process.returncode, 2)
+            self.assertIn("BOOT_UNREADABLE", process.stderr)
 
 
 if __name__ == "__main__":
--- a/zinclever/mesh/dataplane/retry_detector.py
+++ b/zinclever/mesh/dataplane/retry_detector.py
@@ -12,9 +12,7 @@
 from dataclasses import dataclass
 
 WINDOW = 20.0  # s
-TIMEOUT_SLACK = (
-    0.005  # s by which a first try's timeout may be shorter: it is rounded to ms, and time passes in transit
-)
+TIMEOUT_SLACK = 0.005  # s by which a first try's timeout may be shorter, due to its resolution of 1 ms and transit time
 MIN_FIRST_TRY_SHARE = 0.3  # of a route's requests that have to be first tries before any counts as a retry
 MIN_USED = 0.01  # s; less counts as nothing
 
--- a/zinclever/mesh/roles/local_endpoint.py
+++ b/zinclever/mesh/roles/local_endpoint.py
@@ -1,6 +1,4 @@
-"""The endpoint beside a sidecar: its heartbeats, what other processes gossip about it, and the detection of its
-failure.
-"""
+"""The endpoint beside a sidecar: its heartbeats, gossip about it from other processes, and its failure detection."""
 
 from __future__ import annotations
 
