--- a/tests/mesh/test_attempts.py
+++ b/tests/mesh/test_attempts.py
@@ -131,7 +131,7 @@
             head=b"GET / HTTP/1.1\r\n",
             body=body,
             has_body=bool(body),
-            safe=True,
+            is_idempotent=True,
             priority=0,
             latency_target_at=1.0,
             attempt_count=AttemptCount(limit),
@@ -400,14 +400,14 @@
 
     def test_call_issued_by_a_retry_counts_from_its_first_attempt(self) -> None:
         model = AttemptModel(2, b"", PROTOCOL_VERSION)
-        model.request.is_retry = True
+        model.request.issued_by_retry = True
         model.start(1)
         self.assertEqual(self.retry_flags(model), [True])
         self.assertEqual(model.forwarder.retry_budget.retries.total, 1)
 
     def test_cancelled_unsent_retry_does_not_count(self) -> None:
         model = AttemptModel(2, b"", PROTOCOL_VERSION)
-        model.request.is_retry = True
+        model.request.issued_by_retry = True
         model.start(1)
         model.attempts[0].cancel(False)
         self.assertEqual(model.forwarder.retry_budget.retries.total, 0)
--- a/zinclever/mesh/control_api/listener.py
+++ b/zinclever/mesh/control_api/listener.py
@@ -77,27 +77,27 @@
         call = Call(match.path_parameters, headers_by_name, body)
         return Incoming(str(self.last_number), 0, 0, "", 0.0, 0.0, False, (match.handler, call))
 
-    def take(self, incoming: Incoming, answer: Callable[[Final | Answer], None]) -> None:
+    def take(self, incoming: Incoming, on_answer: Callable[[Final | Answer], None]) -> None:
         """Handle a call, immediately or in a task."""
         handler, call = incoming.payload
         try:
             result = handler(call)
         except Exception as error:
-            answer(failure_answer(error))
+            on_answer(failure_answer(error))
             return
         if isinstance(result, Answer):
-            answer(result)
+            on_answer(result)
         else:
-            self.tasks[incoming.id] = asyncio.ensure_future(self.answer_later(incoming.id, result, answer))
+            self.tasks[incoming.id] = asyncio.ensure_future(self.answer_later(incoming.id, result, on_answer))
 
     async def answer_later(
-        self, call_number: str, result: Awaitable[Answer], answer: Callable[[Final | Answer], None]
+        self, call_number: str, result: Awaitable[Answer], on_answer: Callable[[Final | Answer], None]
     ) -> None:
         """Answer a call once its handler has completed."""
         try:
-            answer(await result)
+            on_answer(await result)
         except Exception as error:
-            answer(failure_answer(error))
+            on_answer(failure_answer(error))
         finally:
             self.tasks.pop(call_number, None)
 
--- a/zinclever/mesh/dataplane/egress.py
+++ b/zinclever/mesh/dataplane/egress.py
@@ -141,14 +141,14 @@
             head=head,
             body=body,
             has_body=method not in BODILESS_METHODS or bool(body),
-            safe=route.safe,
+            is_idempotent=route.safe,
             priority=int(route.priority),
             latency_target_at=now + max(0.0, route.latency_target - time_used),
             attempt_count=AttemptCount(route.max_attempts),
             received_at=now,
             is_nested=is_nested,
-            was_refused=time_used > 0.0 and not is_nested,
-            is_retry=is_nested and self.is_running_retry(parent),
+            is_client_retry=time_used > 0.0 and not is_nested,
+            issued_by_retry=is_nested and self.is_running_retry(parent),
         )
         class_index = self.service_clients.to(service).class_index(route, route.deadline)
         return Incoming(number, class_index, 0, "", 1000.0 * time_left, 0.0, False, request)
@@ -171,11 +171,11 @@
         credits[chosen] -= 1.0
         return chosen
 
-    def take(self, incoming: Incoming, answer: Callable[[Final | Answer], None]) -> None:
-        """Send a request to its service; ``answer`` is called with the answer to the client."""
+    def take(self, incoming: Incoming, on_answer: Callable[[Final | Answer], None]) -> None:
+        """Send a request to its service; ``on_answer`` is called with the answer to the client."""
         request = incoming.payload
         if isinstance(request, Answer):
-            answer(request)
+            on_answer(request)
             return
         client = self.service_clients.to(request.service)
         client.retry_budget.on_request(self.loop.time())
@@ -183,7 +183,7 @@
 
         def on_final(final: Final) -> None:
             self.open_requests.pop(incoming.id, None)
-            answer(self.answer_for(request, final))
+            on_answer(self.answer_for(request, final))
 
         client.ledger.take(incoming, on_final)
 
--- a/zinclever/mesh/dataplane/forwarding.py
+++ b/zinclever/mesh/dataplane/forwarding.py
@@ -296,7 +296,7 @@
             return attempt
         now = self.loop.time()
         has_tried_enough = request.attempts_made >= min(ATTEMPTS_BEFORE_QUEUEING, len(self.addresses))
-        attempt.may_queue = request.is_nested or (has_tried_enough and not request.was_refused)
+        attempt.may_queue = request.is_nested or (has_tried_enough and not request.is_client_retry)
         reason = self.reason_to_avoid(attempt, address, has_tried_enough, now)
         if reason:
             request.attempts_made += 1
@@ -316,7 +316,7 @@
         request, endpoint = attempt.request, attempt.endpoint
         until = self.no_capacity_until.get(CapacityKey(endpoint, attempt.may_queue), 0.0)
         had_no_capacity = not request.is_nested and until > now
-        if had_no_capacity or endpoint in request.rejected_by or (request.was_refused and has_tried_enough):
+        if had_no_capacity or endpoint in request.rejected_by or (request.is_client_retry and has_tried_enough):
             return "had no capacity recently"
         if address != self.own_address and self.channel_to(address).is_unresponsive():
             return "silent"
@@ -334,7 +334,7 @@
             deadline_ms=max(1, int(1000 * left)),
             latency_target_ms=max(0, int(1000 * (request.latency_target_at - now))),
             priority=request.priority,
-            safe=request.safe,
+            safe=request.is_idempotent,
             id=request.id,
             length=len(request.body),
             nested=request.is_nested,
@@ -382,7 +382,7 @@
         attempt.reservation = attempt_count.reserve()
         if attempt.reservation is None:
             return "attempt limit of the route reached"
-        if is_additional or attempt.request.is_retry:
+        if is_additional or attempt.request.issued_by_retry:
             attempt.budget_charge = self.retry_budget.charge(now)
             self.counts["copies"] += is_additional
         return ""
--- a/zinclever/mesh/dataplane/ingress.py
+++ b/zinclever/mesh/dataplane/ingress.py
@@ -25,7 +25,7 @@
 MAX_ANSWER_BYTES = 16 << 20  # answers are buffered completely, so that a truncated one is never forwarded
 READ_TIMEOUT = 120.0  # s between two reads of an answer: its total time is limited by the deadline only
 CONNECT_TIMEOUT_MS = 400.0
-IDLE_TIMEOUT_MS = 9000.0  # for which an endpoint is assumed to keep an idle connection open, until it states a timeout
+IDLE_TIMEOUT_MS = 9000.0  # for which an endpoint is assumed to keep an idle connection open
 QUIET_PERIOD = 0.1  # s of silence after which the endpoint may have dropped a connection without closing it
 LAST_BYTE_DELAY = 0.002  # s for which the last byte is then held back: a reset shows that the connection was dropped
 MAX_RECONNECTS = 2  # repeated sends after a connection broke before the request was complete
--- a/zinclever/mesh/dataplane/outbound_request.py
+++ b/zinclever/mesh/dataplane/outbound_request.py
@@ -20,7 +20,7 @@
     body: bytes
     has_body: bool
     """Whether it is framed as a request with a body, possibly an empty one."""
-    safe: bool
+    is_idempotent: bool
     """It may run more than once."""
     priority: int
     """0 is the highest."""
@@ -30,11 +30,11 @@
     received_at: float
     is_nested: bool = False
     """It was issued by this machine's endpoint while processing another request."""
-    was_refused: bool = False
-    """An earlier try was refused. It only takes free capacity and isn't queued: under overload, a request that is
-    served at its first try earns more with the same slot.
+    is_client_retry: bool = False
+    """It is a client's retry after a refusal or timeout. It only takes free capacity and isn't queued: under overload,
+    a request that is served at its first try earns more with the same slot.
     """
-    is_retry: bool = False
+    issued_by_retry: bool = False
     """It was issued by a retry, so it is charged to the retry budget from its first attempt on."""
     attempts_made: int = 0
     in_flight: int = 0
--- a/zinclever/mesh/dataplane/service_clients.py
+++ b/zinclever/mesh/dataplane/service_clients.py
@@ -29,7 +29,7 @@
 class ClassKey(NamedTuple):
     """The properties of a route that distinguish request classes. Durations in s."""
 
-    safe: bool
+    is_idempotent: bool
     deadline: float
     latency_target: float
     priority: float
