--- a/zinclever/mesh/dataplane/attempt_count.py
+++ b/zinclever/mesh/dataplane/attempt_count.py
@@ -1,4 +1,4 @@
-"""Limit on the number of endpoints that one request may have reached. Without side effects.
+"""Limit on the number of endpoints that one request may have reached. Performs no I/O.
 
 A route's ``MaxAttempts`` limits the endpoints that one try of a client may be sent to. The limit covers what may have
 happened, not only what is known: an attempt counts from before its first byte is sent until it is certain that it
--- a/zinclever/mesh/dataplane/retry_budget.py
+++ b/zinclever/mesh/dataplane/retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget that all sidecars share, enforced by each sidecar without coordination. Without side effects.
+"""The retry budget that all sidecars share, enforced by each sidecar without coordination. Performs no I/O.
 
 The rule limits the retries within any window to a ratio of the requests, plus a slack. A sidecar allows a retry as long
 as its retries in the window that ends now stay below :data:`RATIO_SHARE` times the rule's ratio of its requests in it.
@@ -87,8 +87,8 @@
 
     def allows_retry(self, now: float) -> bool:
         """Return whether this sidecar's part of the budget allows one more retry."""
-        free = SLACK_SHARE * self.slack / max(1, self.sidecars)
-        return self.retries.value(now) + 1 <= RATIO_SHARE * self.ratio * self.requests.value(now) + free
+        own_slack = SLACK_SHARE * self.slack / max(1, self.sidecars)
+        return self.retries.value(now) + 1 <= RATIO_SHARE * self.ratio * self.requests.value(now) + own_slack
 
     def charge(self, now: float) -> BudgetCharge:
         """Charge a retry to the budget, before it is sent."""
--- a/zinclever/mesh/dataplane/retry_detector.py
+++ b/zinclever/mesh/dataplane/retry_detector.py
@@ -1,4 +1,4 @@
-"""Detection of client retries, and of the time that a client has used up before a retry. Without side effects.
+"""Detection of client retries, and of the time that a client has used up before a retry. Performs no I/O.
 
 Each request states its client's timeout. All first tries of a route state the same total timeout, while a retry states
 the remaining part of it. So a timeout below the longest one recently seen on the route shows how much time was used up
@@ -11,10 +11,10 @@
 from collections.abc import Container
 from dataclasses import dataclass
 
-WINDOW = 20.0  # s
+WINDOW = 20.0  # s; length of a window
 TIMEOUT_SLACK = 0.005  # s by which a first try's timeout may be shorter, due to its resolution of 1 ms and transit time
 MIN_FIRST_TRY_SHARE = 0.3  # of a route's requests that have to be first tries before any counts as a retry
-MIN_USED = 0.01  # s; less counts as nothing
+MIN_TIME_USED = 0.01  # s; less counts as no time used
 
 
 @dataclass(slots=True)
@@ -58,7 +58,7 @@
         if first_tries < MIN_FIRST_TRY_SHARE * (previous.total + current.total):
             return 0.0
         used = longest_timeout - timeout
-        return used if used >= MIN_USED else 0.0
+        return used if used >= MIN_TIME_USED else 0.0
 
     def keep_only(self, routes: Container[str]) -> None:
         """Drop the state of all routes but these."""
--- a/zinclever/mesh/dataplane/service_clients.py
+++ b/zinclever/mesh/dataplane/service_clients.py
@@ -18,7 +18,7 @@
 from .forwarding import Forwarder
 from .retry_budget import RetryBudget
 
-MAX_ATTEMPTS = 8  # of a request that reach an ingress; the route limits those that reach an endpoint
+MAX_ATTEMPTS = 8  # attempts of a request that may reach an ingress; the route limits those that reach an endpoint
 CONNECT_TIMEOUT_MS = 400.0  # a multiple of it is how long an unreachable sidecar is avoided
 ZONE_CROSSING_PRICE = 0.3  # another zone is preferred only if it leaves far more of the latency target
 HEDGE_DELAY_SHARE = 0.55  # of the latency target: longer than usual, and early enough that most hedges meet the target
--- a/zinclever/mesh/dataplane/slot_queue.py
+++ b/zinclever/mesh/dataplane/slot_queue.py
@@ -1,4 +1,4 @@
-"""The slots of one endpoint and the queue for them: order, expected wait and early rejection. Without side effects."""
+"""The slots of one endpoint and the queue for them: order, expected wait and early rejection. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 INITIAL_SERVICE_TIME = 0.1  # s; assumed until the first request has been served
 SERVICE_TIME_WEIGHT = 0.1  # of one request in the moving average
 MAX_WAIT_SHARE = 0.35  # of the latency target left, up to which queueing beats a retry at another endpoint or later
-QUEUE_TIMEOUT_SHARE = 0.5  # of the latency target left, after which a queued request is rejected if it waits too long
+QUEUE_TIMEOUT_SHARE = 0.5  # of the latency target left: the maximum time in the queue, as the expected wait is a guess
 QUEUE_TIMEOUT_MARGIN = 0.005  # s
 MAX_NESTED_WAIT_SHARE = 0.7  # of the deadline left, for a nested call: if it fails, its parent's work is lost, too
 MAX_HEDGE_UTILIZATION = 0.7  # share of the slots in use from which no hedge is admitted
--- a/zinclever/mesh/roles/control.py
+++ b/zinclever/mesh/roles/control.py
@@ -118,9 +118,9 @@
         self.store.close()
 
     async def leave(self, deadline: float) -> None:
-        """Give up leadership, and wait until no other replica depends on this one, which may not return.
+        """Give up leadership, and wait until no other node depends on this replica, which may never start again.
 
-        Gives up at the instant ``until``.
+        ``deadline`` is the instant in s at which to stop waiting.
         """
         self.replica.leave(self.loop.time())
         self.run_actions()
--- a/zinclever/mesh/roles/heartbeats.py
+++ b/zinclever/mesh/roles/heartbeats.py
@@ -1,6 +1,6 @@
-"""Conversion of endpoint heartbeats and departures to gossip records, and their precedence.
+"""Conversion of endpoint heartbeats and departures to gossip records, and the precedence of these records.
 
-Without side effects; reads only the time of day.
+Performs no I/O, apart from reading the time of day.
 """
 
 from __future__ import annotations
