--- a/tests/mesh/test_attempts.py
+++ b/tests/mesh/test_attempts.py
@@ -41,7 +41,7 @@
 
 
 class ModelLoop:
-    """An event loop whose callbacks run one at a time when the test says so; time advances likewise."""
+    """An event loop whose callbacks run one at a time under control of the test, as does time."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -356,7 +356,7 @@
         model.start(1)
         model.complete_dial(0)
         model.deliver_frame(0)  # the hello frame
-        model.deliver_frame(0)  # the request, which asks for a reservation
+        model.deliver_frame(0)  # the request, which requires a reservation
         model.start(3)
         self.assertIsNone(model.attempts[1].channel)  # not sent
         model.grant_reservation(model.received_attempts[0])
--- a/tests/mesh/test_endpoint_calls.py
+++ b/tests/mesh/test_endpoint_calls.py
@@ -29,13 +29,13 @@
         yield
 
 
-async def beat(m: Mesh, app: App, phase: str, ip: str, port: int) -> int:
+async def post_heartbeat(m: Mesh, app: App, phase: str, ip: str, port: int) -> int:
     """Send a heartbeat of an endpoint to a process, and return the status."""
     body = app.beat(phase)
     return (await m.call(f"{ip}:{port}", "POST", f"/v1/endpoints/{app.id}/heartbeat", body))[0]
 
 
-async def departure(m: Mesh, app: App, ip: str, port: int) -> int:
+async def post_departure(m: Mesh, app: App, ip: str, port: int) -> int:
     return (await m.call(f"{ip}:{port}", "POST", f"/v1/endpoints/{app.id}/departure"))[0]
 
 
@@ -55,8 +55,8 @@
 
                 async def announce() -> int:
                     if call == "departure":
-                        return await departure(m, app, m.core, port)
-                    return await beat(m, app, call, m.core, port)
+                        return await post_departure(m, app, m.core, port)
+                    return await post_heartbeat(m, app, call, m.core, port)
 
                 with datagrams_dropped(m.control.node):
                     self.assertEqual([await announce(), await announce()], [503, 503])
@@ -76,8 +76,8 @@
 
                 async def announce() -> int:
                     if call == "departure":
-                        return await departure(m, app, m.ips[0], port)
-                    return await beat(m, app, call, m.ips[0], port)
+                        return await post_departure(m, app, m.ips[0], port)
+                    return await post_heartbeat(m, app, call, m.ips[0], port)
 
                 with datagrams_dropped(m.sidecars[0].node):
                     self.assertEqual([await announce(), await announce()], [503, 503])
@@ -142,7 +142,7 @@
                     datagrams_dropped(m.control.node),
                     mock.patch.object(m.control.node.gossip.members, "others", list),
                 ):
-                    self.assertEqual(await beat(m, m.apps[0], "draining", m.core, m.port + 2), 503)
+                    self.assertEqual(await post_heartbeat(m, m.apps[0], "draining", m.core, m.port + 2), 503)
 
         run(test)
 
@@ -192,7 +192,7 @@
                 app = m.apps[0]
                 self.assertEqual(await m.beat(0, "draining"), 200)
                 ip, port = (m.ips[0], m.port + 4) if at == "sidecar" else (m.core, m.port + 2)
-                self.assertEqual(await beat(m, app, "ready", ip, port), 200)
+                self.assertEqual(await post_heartbeat(m, app, "ready", ip, port), 200)
                 record = known_record(m, app)
                 assert record is not None
                 self.assertEqual(record.rank, EndpointPhase.DRAINING)
--- a/zinclever/mesh/dataplane/service_clients.py
+++ b/zinclever/mesh/dataplane/service_clients.py
@@ -1,4 +1,4 @@
-"""The client side of each service: a ledger with the standalone sidecar's balancer, fed with endpoints from gossip."""
+"""The client side of each service: a dispatcher with the standalone sidecar's balancer, fed with endpoints from gossip."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
 
 
 class MeshLedger(Ledger):
-    """A ledger whose balancers leave admission to the ingress, including one that is recreated after a stall."""
+    """A dispatcher whose balancers leave admission to the ingress, including one that is recreated after a stall."""
 
     def adopt(self, balancer: Balancer) -> None:
         """Use a balancer from now on."""
@@ -113,13 +113,13 @@
         self.ledger = MeshLedger(balancer, forwarder, self.make_source, descriptors, host)
 
     def make_source(self, on_list: OnList) -> MeshEndpointSource:
-        """Create the source of the ledger's endpoints."""
+        """Create the source of the dispatcher's endpoints."""
         self.source = MeshEndpointSource(on_list)
         return self.source
 
     def set_endpoints(self, entries: Sequence[Entry]) -> None:
         """Replace the endpoints of the service."""
-        assert self.source is not None  # created by the ledger
+        assert self.source is not None  # created by the dispatcher
         self.source.set_endpoints(entries)
 
     def class_index(self, route: Route, deadline: float) -> int:
