--- a/zinclever/mesh/dataplane/service_clients.py
+++ b/zinclever/mesh/dataplane/service_clients.py
@@ -1,4 +1,4 @@
-"""The client side of each service: a dispatcher with the standalone sidecar's balancer, fed with endpoints from gossip."""
+"""The client side of each service: a dispatcher with the standalone balancer, fed with endpoints from gossip."""
 
 from __future__ import annotations
 
