--- a/tests/mesh/test_answers.py
+++ b/tests/mesh/test_answers.py
@@ -90,12 +90,12 @@
         async def test() -> None:
             async with Mesh(["a", "b"]) as m:
                 await m.serve()
-                app = m.apps[0]
+                app = m.stub_endpoints[0]
                 caller = m.sidecars[1]
                 relay = Relay(m.ips[1], (m.ips[0], m.sidecars[0].node.port))
                 await relay.start()
                 forwarder = caller.clients.to("a").forwarder
-                forwarder.place(app.id, relay.address)
+                forwarder.set_address(app.id, relay.address)
                 await m.ask(f"/a/{kind}/", "POST", at=1, body=BODY)
                 total_bytes = dict(relay.bytes_passed)
                 self.assertGreater(min(total_bytes.values()), 50)
@@ -104,7 +104,7 @@
                     for position in range(1, size, STEP):
                         relay.close_connections()
                         await until(lambda: caller.node.channel_to(relay.address).connection is None)
-                        forwarder.place(app.id, relay.address)
+                        forwarder.set_address(app.id, relay.address)
                         relay.limits = {direction: position}
                         name = f"{direction}-{position}"
                         status, headers, _ = await m.ask(
@@ -121,7 +121,7 @@
         self.assertGreater(outcomes["tried"], 50)
 
     def check_executions(self, kind: str, statuses: dict[str, int], app: App, outcomes: Counter[str]) -> None:
-        executions = Counter(headers["x-attempt-id"] for _, headers, _ in app.seen)
+        executions = Counter(headers["x-attempt-id"] for _, headers, _ in app.received_requests)
         for name, status in statuses.items():
             outcomes["tried"] += 1
             outcomes["ran"] += executions[name]
@@ -143,11 +143,11 @@
         async def test() -> None:
             async with Mesh(["a", "b"]) as m:
                 await m.serve()
-                app = m.apps[0]
+                app = m.stub_endpoints[0]
                 caller = m.sidecars[1]
                 relay = Relay(m.ips[1], (m.ips[0], m.sidecars[0].node.port))
                 await relay.start()
-                caller.clients.to("a").forwarder.place(app.id, relay.address)
+                caller.clients.to("a").forwarder.set_address(app.id, relay.address)
                 await m.ask(f"/a/{kind}/", at=1)
                 relay.is_forwarding.clear()
                 names = [f"held-{n}" for n in range(20)]
@@ -158,7 +158,7 @@
                 answers = await waiting
                 await asyncio.sleep(0.1)
                 relay.stop()
-                executions = Counter(headers["x-attempt-id"] for _, headers, _ in app.seen)
+                executions = Counter(headers["x-attempt-id"] for _, headers, _ in app.received_requests)
                 statuses = Counter(status for status, _, _ in answers)
                 print(kind, dict(statuses), "ran", sum(executions[n] for n in names))
                 for name, (status, headers, _) in zip(names, answers, strict=True):
@@ -220,7 +220,7 @@
         async def test() -> None:
             ingress = Ingress(System(), Descriptors(100))
             exchanges: list[Any] = []
-            ingress.pools.carry = lambda endpoint, attempt: exchanges.append(attempt)  # type: ignore[method-assign]
+            ingress.pools.send_attempt = lambda endpoint, attempt: exchanges.append(attempt)  # type: ignore[method-assign]
             ingress.attach_endpoint("e", ("127.0.0.1", 9), 1)
             replies: list[ForwardReply] = []
             for name, deadline_ms_left in (("first", 900), ("second", 40)):
@@ -248,7 +248,7 @@
     def test_retry_is_reported_only_while_it_runs(self) -> None:
         async def test() -> None:
             ingress = Ingress(System(), Descriptors(100))
-            ingress.pools.carry = lambda endpoint, attempt: None  # type: ignore[method-assign]
+            ingress.pools.send_attempt = lambda endpoint, attempt: None  # type: ignore[method-assign]
             ingress.attach_endpoint("e", ("127.0.0.1", 9), 4)
             first_run, retry_run = (
                 ingress.submit(
@@ -279,7 +279,7 @@
                     status, headers, body = await m.ask("/a/unsafe/", X_Attempt_Id=f"u{n}")
                     if status == 200:
                         self.assertEqual((headers["x-attempt-id"], body), (f"u{n}", b"made"))
-                executions = Counter(headers["x-attempt-id"] for _, headers, _ in m.apps[0].seen)
+                executions = Counter(headers["x-attempt-id"] for _, headers, _ in m.stub_endpoints[0].received_requests)
                 self.assertEqual(set(executions.values()), {1})
 
         run(test)
--- a/tests/mesh/test_attempts.py
+++ b/tests/mesh/test_attempts.py
@@ -124,7 +124,7 @@
             )
         for endpoint, address in ENDPOINTS.items():
             if address is not None:
-                self.forwarder.place(endpoint, address)
+                self.forwarder.set_address(endpoint, address)
         self.request = OutboundRequest(
             service="s",
             id="id",
--- a/tests/mesh/test_endpoint_calls.py
+++ b/tests/mesh/test_endpoint_calls.py
@@ -9,7 +9,7 @@
 
 from mesh.cases import params
 from mesh.cluster import App, Mesh, run, until
-from zinclever.mesh.membership.receipt_quorum import SIDECAR_PREFERRED_FOR, ReceiptQuorum
+from zinclever.mesh.membership.receipt_quorum import SIDECAR_PREFERENCE_PERIOD, ReceiptQuorum
 from zinclever.mesh.membership.records import DEPARTED_SEQ, EndpointPhase, RecordKind
 from zinclever.mesh.model.field import endpoint
 from zinclever.mesh.roles import endpoint_api
@@ -31,7 +31,7 @@
 
 async def post_heartbeat(m: Mesh, app: App, phase: str, ip: str, port: int) -> int:
     """Send a heartbeat of an endpoint to a process, and return the status."""
-    body = app.beat(phase)
+    body = app.heartbeat_body(phase)
     return (await m.call(f"{ip}:{port}", "POST", f"/v1/endpoints/{app.id}/heartbeat", body))[0]
 
 
@@ -51,12 +51,12 @@
         async def test() -> None:
             async with Mesh(["one", "one", "two"]) as m:
                 await m.serve()
-                app, port = m.apps[0], m.port + 2
+                app, port = m.stub_endpoints[0], m.port + 2
 
                 async def announce() -> int:
                     if call == "departure":
-                        return await post_departure(m, app, m.core, port)
-                    return await post_heartbeat(m, app, call, m.core, port)
+                        return await post_departure(m, app, m.control_ip, port)
+                    return await post_heartbeat(m, app, call, m.control_ip, port)
 
                 with datagrams_dropped(m.control.node):
                     self.assertEqual([await announce(), await announce()], [503, 503])
@@ -72,7 +72,7 @@
         async def test() -> None:
             async with Mesh(["one", "one", "two"]) as m:
                 await m.serve()
-                app, port = m.apps[0], m.port + 4
+                app, port = m.stub_endpoints[0], m.port + 4
 
                 async def announce() -> int:
                     if call == "departure":
@@ -84,7 +84,7 @@
                     self.assertFalse(m.sidecars[0].ingress.is_open)
                     for _ in range(5):
                         self.assertEqual((await m.ask("/one/unsafe/x", "POST", 2))[0], 200)
-                    self.assertEqual(len(app.seen), 0)
+                    self.assertEqual(len(app.received_requests), 0)
                 self.assertEqual(await announce(), 200)
                 record = known_record(m, app)
                 assert record is not None
@@ -98,7 +98,7 @@
         async def test() -> None:
             async with Mesh(["one", "one", "two"]) as m:
                 await m.serve()
-                app, old = m.apps[0], m.sidecars[0]
+                app, old = m.stub_endpoints[0], m.sidecars[0]
                 flush = old.node.gossip_socket.flush
 
                 def flush_only_confirmed() -> None:
@@ -119,7 +119,7 @@
                 record = known_record(m, app)
                 assert record is not None
                 self.assertEqual(record.rank, EndpointPhase.DRAINING)
-                new = Sidecar(m.boot(m.ips[0], "forager", AppAddr=app.address, Target=app.service))
+                new = Sidecar(m.make_settings(m.ips[0], "forager", AppAddr=app.address, Target=app.service))
                 await new.start()
                 m.sidecars[0] = new
                 with mock.patch.object(new.ingress, "attach_endpoint", side_effect=AssertionError("endpoint attached")):
@@ -137,12 +137,14 @@
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                m.control.endpoint_api.announcer.tolerated_losses = 1
+                m.control.endpoint_api.announcer.tolerated_failures = 1
                 with (
                     datagrams_dropped(m.control.node),
                     mock.patch.object(m.control.node.gossip.members, "others", list),
                 ):
-                    self.assertEqual(await post_heartbeat(m, m.apps[0], "draining", m.core, m.port + 2), 503)
+                    self.assertEqual(
+                        await post_heartbeat(m, m.stub_endpoints[0], "draining", m.control_ip, m.port + 2), 503
+                    )
 
         run(test)
 
@@ -155,7 +157,7 @@
             "own sidecar has not confirmed in time",
             ReceiptQuorum(frozenset("abc"), 2, "k", frozenset("kl")),
             "abl",
-            SIDECAR_PREFERRED_FOR,
+            SIDECAR_PREFERENCE_PERIOD,
             True,
         ),
         (
@@ -189,9 +191,9 @@
         async def test() -> None:
             async with Mesh(["one", "one", "two"]) as m:
                 await m.serve()
-                app = m.apps[0]
+                app = m.stub_endpoints[0]
                 self.assertEqual(await m.beat(0, "draining"), 200)
-                ip, port = (m.ips[0], m.port + 4) if at == "sidecar" else (m.core, m.port + 2)
+                ip, port = (m.ips[0], m.port + 4) if at == "sidecar" else (m.control_ip, m.port + 2)
                 self.assertEqual(await post_heartbeat(m, app, "ready", ip, port), 200)
                 record = known_record(m, app)
                 assert record is not None
@@ -206,7 +208,7 @@
         async def test() -> None:
             async with Mesh(["one", "one", "two"]) as m:
                 await m.serve()
-                app, sidecar = m.apps[0], m.sidecars[0]
+                app, sidecar = m.stub_endpoints[0], m.sidecars[0]
                 for _ in range(5):  # they change no state, so they are not gossiped
                     self.assertEqual(await m.beat(0), 200)
                 sidecar.local_endpoint.declare_gone(app.id)
@@ -224,7 +226,7 @@
         async def test() -> None:
             async with Mesh(["one", "one", "two"]) as m:
                 await m.serve()
-                app, sidecar = m.apps[0], m.sidecars[0]
+                app, sidecar = m.stub_endpoints[0], m.sidecars[0]
                 self.assertEqual(await m.beat(0, "draining"), 200)
                 sidecar.local_endpoint.declare_gone(app.id)
                 self.assertEqual(await m.beat(0), 200)
@@ -244,7 +246,7 @@
         async def test() -> None:
             async with Mesh(["one"]) as m:
                 await m.serve()
-                sidecar, app = m.sidecars[0], m.apps[0]
+                sidecar, app = m.sidecars[0], m.stub_endpoints[0]
                 for stalled_for in (20.0, 0.0):  # how long the process stalled; if not, the endpoint was silent
                     sidecar.local_endpoint.heartbeat_at -= 20.0
                     sidecar.local_endpoint.checked_at -= stalled_for
@@ -262,7 +264,7 @@
                 await m.serve()
                 for _ in range(3):
                     self.assertEqual(await m.beat(0), 200)
-                known = known_record(m, m.apps[0])
+                known = known_record(m, m.stub_endpoints[0])
                 assert known is not None
                 gone = Record(
                     kind=2,
@@ -273,7 +275,9 @@
                     body=known.body,
                 )
                 m.control.node.broadcast(gone)
-                await until(lambda: (r := known_record(m, m.apps[0])) is not None and r.rank == EndpointPhase.READY)
+                await until(
+                    lambda: (r := known_record(m, m.stub_endpoints[0])) is not None and r.rank == EndpointPhase.READY
+                )
                 self.assertTrue(m.sidecars[0].ingress.is_open)
 
         run(test)
@@ -284,7 +288,7 @@
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                known = known_record(m, m.apps[0])
+                known = known_record(m, m.stub_endpoints[0])
                 assert known is not None
                 m.control.node.broadcast(Record(kind=2, id="i-long-gone", seq=9, body=known.body))
                 sidecar = m.sidecars[0]
--- a/tests/mesh/test_operator_calls.py
+++ b/tests/mesh/test_operator_calls.py
@@ -21,7 +21,7 @@
 
     def __init__(self, started: int = 3) -> None:
         self.mesh = Mesh([])
-        network = self.mesh.core.rpartition(".")[0]
+        network = self.mesh.control_ip.rpartition(".")[0]
         self.ips = [f"{network}.{n}" for n in (1, 2, 3)]
         self.started = started
         self.nodes: list[ControlNode] = []
@@ -31,7 +31,7 @@
         for ip in self.ips[: self.started]:
             directory = str(Path(self.mesh.folder.name) / ip)
             settings: dict[str, Any] = {"StateDir": directory, "SeedNodes": seeds, "FaultModel": {"HostLosses": 1}}
-            control_node = ControlNode(self.mesh.boot(ip, "comb", **settings))
+            control_node = ControlNode(self.mesh.make_settings(ip, "comb", **settings))
             await control_node.start()
             self.nodes.append(control_node)
         return self
--- a/zinclever/mesh/control_api/listener.py
+++ b/zinclever/mesh/control_api/listener.py
@@ -9,10 +9,10 @@
 
 import orjson
 
-from ...core.counts import Replies
+from ...core.counts import ReplyCounts
 from ...core.descriptors import Descriptors
 from ...core.host import Host
-from ...core.protocol import Final, Incoming
+from ...core.protocol import FinalAnswer, IncomingRequest
 from ...http1.bodies import Body
 from ...http1.connection import Headers
 from ...http1.desk import Desk
@@ -62,9 +62,9 @@
         self.last_number = 0
         self.tasks: dict[str, asyncio.Task[None]] = {}
         """By call number: the calls whose handlers are still running."""
-        self.reply_counts = Replies()
+        self.reply_counts = ReplyCounts()
 
-    def read(self, method: str, target: str, headers: Headers, body: bytes | Body, waited: float) -> Incoming:
+    def read(self, method: str, target: str, headers: Headers, body: bytes | Body, waited: float) -> IncomingRequest:
         """Find the handler of a call. Raises Rejected with 404 or 405 if there is none."""
         match = self.router.find(method, target)
         if match.handler is None:
@@ -75,9 +75,9 @@
             headers_by_name.setdefault(name.decode("latin-1").lower(), value.decode("latin-1"))
         self.last_number += 1
         call = Call(match.path_parameters, headers_by_name, body)
-        return Incoming(str(self.last_number), 0, 0, "", 0.0, 0.0, False, (match.handler, call))
+        return IncomingRequest(str(self.last_number), 0, 0, "", 0.0, 0.0, False, (match.handler, call))
 
-    def take(self, incoming: Incoming, on_answer: Callable[[Final | Answer], None]) -> None:
+    def take(self, incoming: IncomingRequest, on_answer: Callable[[FinalAnswer | Answer], None]) -> None:
         """Handle a call, immediately or in a task."""
         handler, call = incoming.payload
         try:
@@ -91,7 +91,7 @@
             self.tasks[incoming.id] = asyncio.ensure_future(self.answer_later(incoming.id, result, on_answer))
 
     async def answer_later(
-        self, call_number: str, result: Awaitable[Answer], on_answer: Callable[[Final | Answer], None]
+        self, call_number: str, result: Awaitable[Answer], on_answer: Callable[[FinalAnswer | Answer], None]
     ) -> None:
         """Answer a call once its handler has completed."""
         try:
@@ -104,7 +104,7 @@
     def abandon(self, request_id: str) -> None:
         """Do nothing when the caller has disconnected: the call is still completed."""
 
-    def replies(self, incoming: Incoming) -> Replies:
+    def replies(self, incoming: IncomingRequest) -> ReplyCounts:
         """Return the counters of final answers."""
         return self.reply_counts
 
--- a/zinclever/mesh/dataplane/admission.py
+++ b/zinclever/mesh/dataplane/admission.py
@@ -23,11 +23,11 @@
     immediately, and they are retried at other endpoints.
     """
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Return True: there is no concurrency window."""
         return True
 
-    def is_crowded(self) -> bool:
+    def is_saturated(self) -> bool:
         """Return False: a busy ingress refuses hedges itself."""
         return False
 
--- a/zinclever/mesh/dataplane/egress.py
+++ b/zinclever/mesh/dataplane/egress.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from ...core.counts import Replies
+from ...core.counts import ReplyCounts
 from ...core.descriptors import Descriptors
 from ...core.host import Host
-from ...core.protocol import Final, Incoming, Refused, Served
+from ...core.protocol import FinalAnswer, IncomingRequest, Refused, Served
 from ...http1.bodies import Body
 from ...http1.clients import READ_FOR
 from ...http1.connection import OWN_HEADERS, Headers, end_to_end
@@ -81,7 +81,7 @@
         """By request number."""
         self.target_credits: dict[str, dict[str, float]] = {}
         """By route: how far each weighted target is behind its share."""
-        self.reply_counts = Replies()
+        self.reply_counts = ReplyCounts()
         self.failure_log = FailureLog()
         self.retry_detector = RetryDetector()
         self.counts = {"served": 0, "refused": 0, "failed": 0, "unknown": 0, "left": 0, "untried": 0}
@@ -97,7 +97,7 @@
 
     # --- requests ---
 
-    def read(self, method: str, target: str, headers: Headers, body: bytes | Body, waited: float) -> Incoming:
+    def read(self, method: str, target: str, headers: Headers, body: bytes | Body, waited: float) -> IncomingRequest:
         """Match a request to a route. ``waited`` is the time in ms since it arrived.
 
         A request that can't be forwarded already carries its answer.
@@ -141,7 +141,7 @@
             head=head,
             body=body,
             has_body=method not in BODILESS_METHODS or bool(body),
-            is_idempotent=route.safe,
+            is_idempotent=route.is_idempotent,
             priority=int(route.priority),
             latency_target_at=now + max(0.0, route.latency_target - time_used),
             attempt_count=AttemptCount(route.max_attempts),
@@ -151,7 +151,7 @@
             issued_by_retry=is_nested and self.is_running_retry(parent),
         )
         class_index = self.service_clients.to(service).class_index(route, route.deadline)
-        return Incoming(number, class_index, 0, "", 1000.0 * time_left, 0.0, False, request)
+        return IncomingRequest(number, class_index, 0, "", 1000.0 * time_left, 0.0, False, request)
 
     def choose_service(self, route: Route) -> str:
         """Return the service for a request.
@@ -171,7 +171,7 @@
         credits[chosen] -= 1.0
         return chosen
 
-    def take(self, incoming: Incoming, on_answer: Callable[[Final | Answer], None]) -> None:
+    def take(self, incoming: IncomingRequest, on_answer: Callable[[FinalAnswer | Answer], None]) -> None:
         """Send a request to its service; ``on_answer`` is called with the answer to the client."""
         request = incoming.payload
         if isinstance(request, Answer):
@@ -181,22 +181,22 @@
         client.retry_budget.on_request(self.loop.time())
         self.open_requests[incoming.id] = request
 
-        def on_final(final: Final) -> None:
+        def on_final(final: FinalAnswer) -> None:
             self.open_requests.pop(incoming.id, None)
             on_answer(self.answer_for(request, final))
 
-        client.ledger.take(incoming, on_final)
+        client.dispatcher.take(incoming, on_final)
 
     def abandon(self, request_id: str) -> None:
         """Stop processing a request whose client has disconnected."""
         request = self.open_requests.pop(request_id, None)
         if request is not None:
             self.counts["left"] += 1
-            self.service_clients.to(request.service).ledger.leave(request_id)
+            self.service_clients.to(request.service).dispatcher.leave(request_id)
 
     # --- answers ---
 
-    def answer_for(self, request: OutboundRequest, final: Final) -> Answer:
+    def answer_for(self, request: OutboundRequest, final: FinalAnswer) -> Answer:
         """Return the client's answer for a final answer; errors are added to the failure log."""
         answer = self.make_answer(request, final)
         if answer.status >= 500:
@@ -205,7 +205,7 @@
             self.failure_log.add(request.id, failure)
         return answer
 
-    def make_answer(self, request: OutboundRequest, final: Final) -> Answer:
+    def make_answer(self, request: OutboundRequest, final: FinalAnswer) -> Answer:
         """Return the endpoint's answer, 503 if the request has certainly not run, else 502."""
         if isinstance(final, Served):
             self.counts["served"] += 1
@@ -225,7 +225,7 @@
         """
         return RETRY_AFTER_SHARE * max(0.0, request.latency_target_at - request.received_at)
 
-    def replies(self, incoming: Incoming) -> Replies:
+    def replies(self, incoming: IncomingRequest) -> ReplyCounts:
         """Return the counters of final answers."""
         return self.reply_counts
 
@@ -256,6 +256,6 @@
     return Answer(reply.status, end_to_end(reply.headers, RESPONSE_HOP_HEADERS), reply.body)
 
 
-def already_answered(number: str, answer: Answer) -> Incoming:
+def already_answered(number: str, answer: Answer) -> IncomingRequest:
     """Return a request that is not forwarded, with its answer as the payload."""
-    return Incoming(number, 0, 0, "", 0.0, 0.0, False, answer)
+    return IncomingRequest(number, 0, 0, "", 0.0, 0.0, False, answer)
--- a/zinclever/mesh/roles/control.py
+++ b/zinclever/mesh/roles/control.py
@@ -124,7 +124,7 @@
         """
         self.replica.leave(self.loop.time())
         self.run_actions()
-        while not self.replica.may_end(self.loop.time()):
+        while not self.replica.can_shut_down(self.loop.time()):
             if self.loop.time() > deadline:
                 log.warning(
                     "exits without confirmation from the leader that its state is stored elsewhere",
@@ -178,7 +178,7 @@
         elif isinstance(action, Commit):
             entry = action.entry
             if entry.text:
-                self.node.put_in_force(entry.index, entry.generation, entry.text)
+                self.node.activate_configuration(entry.index, entry.generation, entry.text)
         elif isinstance(action, VotersChanged):
             self.log_voters(action)
         elif isinstance(action, Reply):
@@ -213,4 +213,4 @@
             self.replica.known_addresses = [(info.ip, info.port) for info in control_nodes]
             regions = self.settings.regions
             locations = [Location(info.zone, regions.get(info.zone, "")) for info in control_nodes]
-            self.replica.tolerated_losses = self.settings.fault_model.tolerated_losses(locations)
+            self.replica.tolerated_failures = self.settings.fault_model.tolerated_failures(locations)
--- a/zinclever/mesh/roles/endpoint_api.py
+++ b/zinclever/mesh/roles/endpoint_api.py
@@ -27,10 +27,10 @@
 class EndpointAnnouncer:
     """Gossips drains and departures, and decides when they may be acknowledged."""
 
-    def __init__(self, node: Node, tolerated_losses: int) -> None:
-        """Create an announcer. ``tolerated_losses``: the number of control nodes that may be lost at once."""
+    def __init__(self, node: Node, tolerated_failures: int) -> None:
+        """Create an announcer. ``tolerated_failures``: the number of control nodes that may be lost at once."""
         self.node = node
-        self.tolerated_losses = tolerated_losses
+        self.tolerated_failures = tolerated_failures
         self.in_progress = 0
         self.confirmed: dict[str, int] = {}
         """By endpoint id: the phase that enough other processes have confirmed, oldest entry first."""
@@ -47,7 +47,7 @@
         if endpoint_sidecar in roles:
             recipients.add(endpoint_sidecar)
         is_control_node = self.node.role == CONTROL
-        required = self.tolerated_losses if is_control_node else self.tolerated_losses + 1
+        required = self.tolerated_failures if is_control_node else self.tolerated_failures + 1
         if endpoint_sidecar == self.node.name:
             return ReceiptQuorum(control_nodes, required, "", frozenset())
         return ReceiptQuorum(control_nodes, required, endpoint_sidecar, frozenset(recipients))
@@ -93,15 +93,15 @@
                 if current is not None and current.rank < record.rank:
                     # A record that takes precedence has come from another process: announce one that supersedes it.
                     record = superseding_record(current, record)
-                    gossip.broadcasts.confirmed.pop(number, None)
+                    gossip.broadcasts.awaiting_receipts.pop(number, None)
                     number = gossip.broadcast_confirmed(loop.time(), record, quorum.recipients())
                     self.node.gossip_socket.flush()
-                if quorum.is_reached(gossip.broadcasts.confirmed[number].confirmed_by, waited):
+                if quorum.is_reached(gossip.broadcasts.awaiting_receipts[number].confirmed_by, waited):
                     return True
                 await asyncio.sleep(RECEIPT_CHECK_INTERVAL)
             return False
         finally:
-            gossip.broadcasts.confirmed.pop(number, None)
+            gossip.broadcasts.awaiting_receipts.pop(number, None)
 
 
 class ControlEndpointApi:
