--- a/tests/mesh/processes.py
+++ b/tests/mesh/processes.py
@@ -312,8 +312,8 @@
 
     def __init__(self, make: Callable[[str, str], Endpoint] = Endpoint) -> None:
         super().__init__([SERVICE] * 2)
-        self.endpoints = [make(a.address, a.service) for a in self.apps]
-        self.apps = [*self.endpoints]
+        self.endpoints = [make(a.address, a.service) for a in self.stub_endpoints]
+        self.stub_endpoints = [*self.endpoints]
         self.processes: list[Process] = []
         self.beats: asyncio.Task[None] | None = None
         self.warm_up: set[str] = set()
