--- a/zinclever/mesh/control_api/listener.py
+++ b/zinclever/mesh/control_api/listener.py
@@ -69,7 +69,7 @@
         match = self.router.find(method, target)
         if match.handler is None:
             raise Rejected(405 if match.is_known_path else 404)
-        assert isinstance(body, bytes)  # Desk.whole_only is set
+        assert isinstance(body, bytes)  # as `whole_only` is set
         headers_by_name: dict[str, str] = {}
         for name, value in headers:
             headers_by_name.setdefault(name.decode("latin-1").lower(), value.decode("latin-1"))
--- a/zinclever/mesh/dataplane/egress.py
+++ b/zinclever/mesh/dataplane/egress.py
@@ -102,7 +102,7 @@
 
         A request that can't be forwarded already carries its answer.
         """
-        assert isinstance(body, bytes)  # Desk.whole_only is set
+        assert isinstance(body, bytes)  # as `whole_only` is set
         request_headers = read_headers(headers)
         self.last_number += 1
         number = str(self.last_number)
--- a/zinclever/mesh/dataplane/ingress.py
+++ b/zinclever/mesh/dataplane/ingress.py
@@ -243,9 +243,9 @@
                 self.queue.release_slot()
                 self.reject(request, AttemptOutcome.NOT_EXECUTED, "deadline")
             else:
-                self.begin(request)
+                self.start_request(request)
 
-    def begin(self, request: InboundRequest) -> None:
+    def start_request(self, request: InboundRequest) -> None:
         """Send a request to the endpoint; it expires at its deadline."""
         request.cancel_timer()
         time_left = max(0.0, request.expires_at - self.loop.time())
--- a/zinclever/mesh/roles/endpoint_api.py
+++ b/zinclever/mesh/roles/endpoint_api.py
@@ -88,7 +88,7 @@
         number = gossip.broadcast_confirmed(started_at, record, quorum.recipients())
         self.node.gossip_socket.flush()
         try:
-            while (waited := loop.time() - started_at) < ACKNOWLEDGE_TIMEOUT:
+            while (elapsed := loop.time() - started_at) < ACKNOWLEDGE_TIMEOUT:
                 current = gossip.records.get(RecordKind.ENDPOINT, record.id)
                 if current is not None and current.rank < record.rank:
                     # A record that takes precedence has come from another process: announce one that supersedes it.
@@ -96,7 +96,7 @@
                     gossip.broadcasts.awaiting_receipts.pop(number, None)
                     number = gossip.broadcast_confirmed(loop.time(), record, quorum.recipients())
                     self.node.gossip_socket.flush()
-                if quorum.is_reached(gossip.broadcasts.awaiting_receipts[number].confirmed_by, waited):
+                if quorum.is_reached(gossip.broadcasts.awaiting_receipts[number].confirmed_by, elapsed):
                     return True
                 await asyncio.sleep(RECEIPT_CHECK_INTERVAL)
             return False
--- a/zinclever/mesh/roles/operator_calls.py
+++ b/zinclever/mesh/roles/operator_calls.py
@@ -58,12 +58,12 @@
 
     # --- calls at the local replica ---
 
-    def submit(self, begin: Callable[[int], None]) -> asyncio.Future[CallAnswer]:
-        """Submit a call to this node's replica by calling ``begin`` with a new id. Returns the future answer."""
+    def submit(self, start_call: Callable[[int], None]) -> asyncio.Future[CallAnswer]:
+        """Submit a call to this node's replica by calling ``start_call`` with a new id. Returns the future answer."""
         self.last_call_id += 1
         future: asyncio.Future[CallAnswer] = self.loop.create_future()
         self.unanswered[self.last_call_id] = future
-        begin(self.last_call_id)
+        start_call(self.last_call_id)
         self.run_actions()
         return future
 
@@ -81,10 +81,10 @@
         configuration = parse(call.text, already_validated=True)  # by the node that received the call
         digest = hashlib.blake2b(call.text, digest_size=16).digest()
 
-        def begin(call_id: int) -> None:
+        def start_call(call_id: int) -> None:
             self.replica.change(now, call_id, call.base, configuration.generation, call.text, digest)
 
-        return await self.submit(begin)
+        return await self.submit(start_call)
 
     # --- calls to the leader, local or remote ---
 
