--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -8,7 +8,7 @@
 from helpers import RULES, Sidecar, fleet, settings
 
 from zinclever import interface
-from zinclever.fleet.returns import AS_USUAL, JUDGED, OUT_AFTER, OUT_FOR, Returns
+from zinclever.fleet.returns import MAX_WARM_RATIO, MIN_JUDGED_ANSWERS, MIN_OUTAGE, OUTAGE_FAILURES, ZoneReachability
 from zinclever.policy.endpoints import Endpoint
 
 ZONES = [interface.Listed(f"e{n}", zone=n % 2, started_at=1.0) for n in range(12)]
@@ -76,24 +76,26 @@
     assert not any(s.b.slow_start.is_cold(s.now, e) for e in s.b.endpoint_list.ready)
 
 
-@pytest.mark.parametrize("failures, span", [(OUT_AFTER - 1, 10 * OUT_FOR), (OUT_AFTER, OUT_FOR / 2)])
+@pytest.mark.parametrize("failures, span", [(OUTAGE_FAILURES - 1, 10 * MIN_OUTAGE), (OUTAGE_FAILURES, MIN_OUTAGE / 2)])
 def test_a_bad_moment_is_no_outage(failures: int, span: float) -> None:
-    zones = Returns()
+    zones = ZoneReachability()
     for n in range(failures):
-        zones.outage(1).failed(n * span / failures)
-        zones.answered(n * span / failures + 1.0, 0)
-    assert zones.answered(span, 1) is None
+        zones.state_of(1).on_failure(n * span / failures)
+        zones.on_answer(n * span / failures + 1.0, 0)
+    assert zones.on_answer(span, 1) is None
 
 
 def test_the_presumption_ends_by_what_answers_say() -> None:
-    for ratio, took in itertools.product((0.9 * AS_USUAL, 1.1 * AS_USUAL), (JUDGED, 5 * JUDGED)):
-        zones = Returns()
-        for n in range(OUT_AFTER):
-            zones.outage(1).failed(float(n))
-        zones.answered(10.0, 0)
-        assert zones.answered(OUT_FOR + 1.0, 1) == 0.0
-        said = [zones.outage(1).judge(ratio) for _ in range(took)]
-        assert any(said) == (ratio < AS_USUAL) and not any(said[: JUDGED - 1])
+    for ratio, took in itertools.product(
+        (0.9 * MAX_WARM_RATIO, 1.1 * MAX_WARM_RATIO), (MIN_JUDGED_ANSWERS, 5 * MIN_JUDGED_ANSWERS)
+    ):
+        zones = ZoneReachability()
+        for n in range(OUTAGE_FAILURES):
+            zones.state_of(1).on_failure(float(n))
+        zones.on_answer(10.0, 0)
+        assert zones.on_answer(MIN_OUTAGE + 1.0, 1) == 0.0
+        said = [zones.state_of(1).confirms_warm(ratio) for _ in range(took)]
+        assert any(said) == (ratio < MAX_WARM_RATIO) and not any(said[: MIN_JUDGED_ANSWERS - 1])
 
 
 @pytest.mark.parametrize("lost", [0, 1])
@@ -196,6 +198,6 @@
 
 
 def test_a_zone_that_is_out_says_nothing_of_its_endpoints() -> None:
-    zones = Returns()
-    said = [zones.outage(1).failed(float(n)) for n in range(OUT_AFTER + 2)]
-    assert said == [n < OUT_AFTER - 1 for n in range(OUT_AFTER + 2)]
+    zones = ZoneReachability()
+    said = [zones.state_of(1).on_failure(float(n)) for n in range(OUTAGE_FAILURES + 2)]
+    assert said == [n < OUTAGE_FAILURES - 1 for n in range(OUTAGE_FAILURES + 2)]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -97,7 +97,7 @@
             e.down_until = s.now + 1e6
             s.b.endpoint_list.near.mark_down(s.now, e)
     assert s.b.endpoint_list.near.is_mostly_down(s.now)
-    s.b.endpoint_list.near.draw_by_size(s.b.rng, 2000)
+    s.b.endpoint_list.near.sample_by_size(s.b.rng, 2000)
     watched(s)
     # Where most looks down everything is tried; the one that doesn't is among the two of each draw.
     for n in range(20):
@@ -114,7 +114,7 @@
     s.b.slow_start.warm_rate = 1e-9
     for e in s.b.endpoint_list.endpoints.values():
         e.tokens = 0.0
-    s.b.endpoint_list.near.draw_by_size(s.b.rng, 10_000)
+    s.b.endpoint_list.near.sample_by_size(s.b.rng, 10_000)
     watched(s)
     for _ in range(20):
         s.ask()
@@ -280,7 +280,7 @@
     assert side.is_mostly_down(now) and len(side.down.members) == 79
     assert side.is_mostly_down(now + 200.0) and len(side.down.members) == 59
     assert not side.is_mostly_down(now + 400.0) and len(side.down.members) == 39
-    assert not side.is_mostly_down(now + 1000.0) and not side.down.members and not side.down.due
+    assert not side.is_mostly_down(now + 1000.0) and not side.down.members and not side.down.deadlines
 
 
 def test_marks_don_t_pile_up() -> None:
@@ -293,7 +293,7 @@
         e = side.ready[n % 3]
         e.down_until = now + 5.0
         side.mark_down(now, e)
-    assert len(side.down.due) < 10
+    assert len(side.down.deadlines) < 10
 
 
 @pytest.mark.parametrize("size", [0, 1, 2, 3, 5, 33, 2000])
@@ -374,7 +374,7 @@
                 e for e in side.ready if e.is_near is (side is s.b.endpoint_list.near)
             ]
             if side.ready:
-                side.draw_by_size(s.b.rng, len(side.ready))
+                side.sample_by_size(s.b.rng, len(side.ready))
                 assert side.cumulative_sizes[-1] == pytest.approx(sum(e.size for e in side.ready))
 
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -20,7 +20,16 @@
 from test_program import started as started_program
 
 from zinclever import interface
-from zinclever.fleet.limits import ALIVE_FOR, BACK_OFF_EACH, CALM_FOR, LONGEST_WATCH, Bucket, Budget, Calls, Connections
+from zinclever.fleet.limits import (
+    ALIVE_WINDOW,
+    BACKOFF_INTERVAL,
+    DECREASE_AFTER,
+    MAX_WATCH_TIMEOUT,
+    Budget,
+    Calls,
+    Connections,
+    TokenBucket,
+)
 from zinclever.standins import audit
 from zinclever.standins.clients import HttpClient
 from zinclever.standins.day import ask_http
@@ -36,7 +45,7 @@
 @pytest.mark.parametrize(("rate", "each"), [(0.05, 50.0), (1.0, 3.0), (0.0002, 900.0)])
 def test_a_bucket_keeps_its_rate_in_the_long_run(rate: float, each: float) -> None:
     """Also where its part is less than one in all that it may save up."""
-    bucket, taken, span = Bucket(Random(1)), 0, 4_000_000.0 if rate < 0.001 else 40_000.0
+    bucket, taken, span = TokenBucket(Random(1)), 0, 4_000_000.0 if rate < 0.001 else 40_000.0
     bucket.configure(1.5 * rate)
     now = 0.0
     while now < span:
@@ -49,7 +58,7 @@
 def test_buckets_that_are_emptied_together_spend_no_more_than_all_may_save() -> None:
     """20,000 of them at one instant, after a long quiet, and at their start: each holds a tenth of one."""
     rng = Random(2)
-    buckets = [Bucket(rng) for _ in range(GROUP)]
+    buckets = [TokenBucket(rng) for _ in range(GROUP)]
     for bucket in buckets:
         bucket.configure(0.0003)
     for now in (0.0, 1e7):
@@ -60,7 +69,7 @@
 
 
 def test_a_bucket_that_is_told_less_gives_up_what_it_saved() -> None:
-    bucket = Bucket(Random(1))
+    bucket = TokenBucket(Random(1))
     bucket.configure(1.0)
     assert bucket.take(0.0)
     bucket.take(10_000.0)
@@ -72,7 +81,7 @@
     budget = Budget(0.2, Random(1))
     assert not any(budget.take(float(n)) for n in range(100))
     for n in range(100):
-        budget.asked(100.0 + n)
+        budget.on_request(100.0 + n)
     assert sum(budget.take(200.0) for _ in range(100)) in (18, 19)
     budget.configure(0.01)
     assert sum(budget.take(200.0 + n) for n in range(10_000)) in range(60, 80)
@@ -82,7 +91,7 @@
     """What a busy hour saved is not there for the quiet one after it."""
     budget = Budget(0.5, Random(1))
     for n in range(1000):
-        budget.asked(float(n))
+        budget.on_request(float(n))
     assert budget.take(200_000.0) and not budget.take(200_000.0)
 
 
@@ -175,13 +184,15 @@
         width = min(servers, max(20, 10 * servers // group))
         one = connections(group=group, servers=servers, width=width)
         sharing = group * width / servers
-        assert sharing * one.most_each() <= max(400.0, sharing)
-        one.part = one.most
+        assert sharing * one.max_per_server() <= max(400.0, sharing)
+        one.share_factor = one.max_share_factor
         busy = min(4, group)
         assert (sharing - busy) * connections(
             group=group, servers=servers, width=width
-        ).most_each() + busy * one.most_each() <= (400.0 if sharing <= 300.0 else sharing + busy * one.hot_each)
-        assert group * connections(group=group, servers=servers, width=width).level <= max(200.0 * servers, group)
+        ).max_per_server() + busy * one.max_per_server() <= (
+            400.0 if sharing <= 300.0 else sharing + busy * one.busy_extra_per_server
+        )
+        assert group * connections(group=group, servers=servers, width=width).max_total <= max(200.0 * servers, group)
 
 
 def test_who_lacks_connections_gets_more_step_by_step_and_gives_them_back() -> None:
@@ -190,16 +201,16 @@
     for _ in range(100):
         now += 1000.0
         one.lacks(now, 10**6)
-        seen.append(one.part)
-    assert seen[3] < 2.0 < seen[10] < seen[-1] == one.most
-    assert one.most_each() <= 1.5 + 25.0  # to a single server a busy one's part of the cap
-    one.may_open(now + 0.9 * CALM_FOR, 0, 0)
-    assert one.part == one.most
-    one.may_open(now + 2.0 * CALM_FOR, 0, 0)
-    assert 1.0 < one.part < one.most
+        seen.append(one.share_factor)
+    assert seen[3] < 2.0 < seen[10] < seen[-1] == one.max_share_factor
+    assert one.max_per_server() <= 1.5 + 25.0  # to a single server a busy one's part of the cap
+    one.may_open(now + 0.9 * DECREASE_AFTER, 0, 0)
+    assert one.share_factor == one.max_share_factor
+    one.may_open(now + 2.0 * DECREASE_AFTER, 0, 0)
+    assert 1.0 < one.share_factor < one.max_share_factor
     for n in range(100):
-        one.may_open(now + (3.0 + n) * CALM_FOR, 0, 0)
-    assert one.level == one.equal
+        one.may_open(now + (3.0 + n) * DECREASE_AFTER, 0, 0)
+    assert one.max_total == one.equal_share
 
 
 def test_a_busy_one_gets_handshakes_too() -> None:
@@ -216,28 +227,28 @@
     one = connections(replace(CAPS, handshakes_per_s=0.0))
     one.refused(0.0)
     one.refused(1.0)  # of the same burst
-    assert one.level == pytest.approx(0.7 * one.equal)
+    assert one.max_total == pytest.approx(0.7 * one.equal_share)
     now = 0.0
     for _ in range(60):
-        now += BACK_OFF_EACH
+        now += BACKOFF_INTERVAL
         one.refused(now)
-    assert one.level == 1.0 and one.may_open(now, 0, 0) and not one.may_open(now, 0, 1)
+    assert one.max_total == 1.0 and one.may_open(now, 0, 0) and not one.may_open(now, 0, 1)
     one.may_open(now + 2000.0, 0, 0)
-    assert one.level < 0.5 * one.equal
+    assert one.max_total < 0.5 * one.equal_share
     one.may_open(now + 20_000.0, 0, 0)
-    assert one.level == one.equal
+    assert one.max_total == one.equal_share
 
 
 def test_a_group_that_shrinks_is_no_burst_and_one_that_grows_counts_at_once() -> None:
     one = connections()
-    level = one.level
+    level = one.max_total
     one.configure(CAPS, GROUP // 10, SERVERS, WIDTH)
-    assert one.level == pytest.approx(level) and level < one.equal
+    assert one.max_total == pytest.approx(level) and level < one.equal_share
     assert not one.may_open(0.0, 0, round(level))
     one.may_open(2000.0, 0, 0)
-    assert level < one.level < one.equal
+    assert level < one.max_total < one.equal_share
     one.configure(CAPS, 100 * GROUP, SERVERS, WIDTH)
-    assert one.level == 1.0
+    assert one.max_total == 1.0
 
 
 def test_a_group_told_ten_times_too_small_ends_within_the_cap() -> None:
@@ -252,7 +263,7 @@
     for _ in range(60):
         now += 500.0
         for n in rng.sample(range(len(all_)), len(all_)):
-            while held[n] > all_[n].level:
+            while held[n] > all_[n].max_total:
                 held[n] -= 1
                 total -= 1
             if all_[n].may_open(now, 0, held[n]):
@@ -261,7 +272,7 @@
                     total += 1
                 else:
                     all_[n].refused(now)
-        rounds.append(fmean(c.level for c in all_))
+        rounds.append(fmean(c.max_total for c in all_))
     assert rounds[-1] < 0.5 * rounds[0]
 
 
@@ -288,7 +299,7 @@
                 react, {"seq": 1, "whole": True, "hosts": [host("a", at)]}, shares=interface.Shares(connections=4.0)
             ) as s,
         ):
-            assert s.sidecar.connections.equal == 2.0
+            assert s.sidecar.connections.equal_share == 2.0
             clients = [await s.client() for _ in range(3)]
             for n, client in enumerate(clients[:2]):
                 client.send(Req_Id=f"r{n}")
@@ -360,7 +371,7 @@
     rng = Random(4)
     assert 2700.0 < Calls(400.0, 10, 10_000.0, rng).watch_for(3000.0) < 3300.0
     assert 90_000.0 <= Calls(400.0, GROUP, 10_000.0, rng).watch_for(20_000.0) <= 110_000.0
-    assert Calls(1.0, GROUP, 10_000.0, rng).watch_for(20_000.0) <= 1.1 * LONGEST_WATCH
+    assert Calls(1.0, GROUP, 10_000.0, rng).watch_for(20_000.0) <= 1.1 * MAX_WATCH_TIMEOUT
 
 
 def test_the_module_asks_after_a_spread_where_it_has_a_list_and_at_once_where_it_has_none() -> None:
@@ -463,7 +474,7 @@
     for n in range(20):
         one.may_open(100.0 * n, 0, 0)
         one.not_connected(100.0 * n, -math.inf)
-    assert one.level < 0.5 * one.equal
+    assert one.max_total < 0.5 * one.equal_share
 
 
 def test_a_dead_server_is_no_refusal_and_a_full_one_is() -> None:
@@ -471,10 +482,10 @@
     for n in range(50):
         for _ in range(5):
             assert one.may_open(1000.0 * n, 0, 0)
-        one.not_connected(1000.0 * n, 1000.0 * n - ALIVE_FOR - 1.0 if n % 2 else -math.inf)
-    assert one.level == one.equal
-    one.not_connected(60_000.0, 60_000.0 - ALIVE_FOR)
-    assert one.level == pytest.approx(0.7 * one.equal)
+        one.not_connected(1000.0 * n, 1000.0 * n - ALIVE_WINDOW - 1.0 if n % 2 else -math.inf)
+    assert one.max_total == one.equal_share
+    one.not_connected(60_000.0, 60_000.0 - ALIVE_WINDOW)
+    assert one.max_total == pytest.approx(0.7 * one.equal_share)
 
 
 def test_an_endpoint_that_has_answered_and_takes_no_more_counts_as_full() -> None:
@@ -495,12 +506,12 @@
                 c = await s.client()
                 for n in range(3):
                     assert (await c.ask(Req_Id=f"none{n}")).status == 503
-                assert s.sidecar.connections.part == 1.0
+                assert s.sidecar.connections.share_factor == 1.0
                 assert (await c.ask(Req_Id="e1")).status == 200
                 pool = s.wire.pools["e"]
                 s.wire.close_idle("e")
                 pool.address = ("127.0.0.1", 1)
                 assert (await c.ask(Req_Id="e2")).status == 503
-                assert s.sidecar.connections.part == pytest.approx(0.7)
+                assert s.sidecar.connections.share_factor == pytest.approx(0.7)
 
     run_real(test)
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -12,8 +12,8 @@
 from hypothesis import strategies as st
 
 from zinclever import interface
-from zinclever.fleet.layout import EMPTIEST, FULLEST, SMALLEST, Layout, table_size
-from zinclever.fleet.subset import FAILED_FOR, FAR_LEAST, PER_SERVER, SHRINK_AFTER, Shape, Subset
+from zinclever.fleet.layout import MAX_LOAD_FACTOR, MIN_LOAD_FACTOR, MIN_TABLE_SIZE, Layout, table_size
+from zinclever.fleet.subset import INFLIGHT_PER_SERVER, MIN_FAR_SERVERS, NARROW_AFTER, REPLACED_FOR, Shape, Subset
 
 GROUP = 2000
 
@@ -24,14 +24,14 @@
 
 def well_formed(layout: Layout) -> None:
     """Every server sits in the slot it says, and no server and slot would both rather have each other."""
-    places = layout.places()
-    assert sorted(places.values()) == [n for n, seat in enumerate(layout.table) if seat is not None]
-    for name, seat in layout.seats.items():
-        assert layout.table[places[name]] is seat
-        for number in range(seat.tried):
-            slot = seat.proposal(number, layout.size)
+    slots_by_name = layout.slots_by_name()
+    assert sorted(slots_by_name.values()) == [n for n, placement in enumerate(layout.table) if placement is not None]
+    for name, placement in layout.seats.items():
+        assert layout.table[slots_by_name[name]] is placement
+        for number in range(placement.accepted):
+            slot = placement.proposal(number, layout.size)
             holder = layout.table[slot]
-            assert holder is not None and holder.rank(holder.tried, slot) < seat.rank(number, slot)
+            assert holder is not None and holder.rank(holder.accepted, slot) < placement.rank(number, slot)
 
 
 NAMES = st.integers(0, 40).map(lambda n: f"s{n}")
@@ -48,29 +48,29 @@
         else:
             layout.drop(name)
         well_formed(layout)
-        if layout.size > SMALLEST:
-            assert EMPTIEST <= len(layout) / layout.size <= FULLEST
+        if layout.size > MIN_TABLE_SIZE:
+            assert MIN_LOAD_FACTOR <= len(layout) / layout.size <= MAX_LOAD_FACTOR
     names = list(layout.seats)
     Random(3).shuffle(names)
     anew = Layout(map(interface.Listed, names))
     if anew.size == layout.size:
-        assert anew.places() == layout.places()
-    assert sum(map(len, layout.wanting.values())) == sum(s.tried for s in layout.seats.values())
+        assert anew.slots_by_name() == layout.slots_by_name()
+    assert sum(map(len, layout.rejected.values())) == sum(s.accepted for s in layout.seats.values())
 
 
 def test_a_layout_that_flaps_over_a_step_of_its_size_stays() -> None:
     listed = servers(200)
     edge = next(n for n in range(100, 200) if table_size(n + 1) > table_size(n))
     layout = Layout(listed[: edge + 1])
-    size, places = layout.size, layout.places()
+    size, slots_by_name = layout.size, layout.slots_by_name()
     for _ in range(10):
         layout.drop(listed[edge].endpoint)
         layout.put(listed[edge])
-    assert (layout.size, layout.places()) == (size, places)
+    assert (layout.size, layout.slots_by_name()) == (size, slots_by_name)
 
 
 def subsets(layout: Layout, least: int, group: int = GROUP) -> list[set[str]]:
-    return [set(Subset(Shape(least, me, group), layout).wanted()) for me in range(group)]
+    return [set(Subset(Shape(least, me, group), layout).select_members()) for me in range(group)]
 
 
 def variation(counts: Counter[str], names: list[str]) -> float:
@@ -150,14 +150,14 @@
 
 def test_it_grows_with_the_load_at_once_and_shrinks_step_by_step() -> None:
     subset = told()
-    assert not subset.load(0.0, int(12 * PER_SERVER))
+    assert not subset.load(0.0, int(12 * INFLIGHT_PER_SERVER))
     assert subset.load(1.0, 60)
     known = set(subset.members)
     subset.changes(1.0)
     assert len(subset.members) == 30 and known < set(subset.members)
     now, widths = 1.0, []
-    while subset.wide:
-        now += SHRINK_AFTER
+    while subset.load_width:
+        now += NARROW_AFTER
         subset.load(now, 1)
         subset.changes(now)
         widths.append(len(subset.members))
@@ -175,7 +175,7 @@
     assert [x.phase for x in gone] == ["gone"] and list(subset.members) == before
     subset.failed(3.0, first)
     subset.changes(3.0)
-    subset.changes(3.0 + FAILED_FOR)
+    subset.changes(3.0 + REPLACED_FOR)
     assert list(subset.members) == before
 
 
@@ -184,7 +184,7 @@
     one, tries = servers(500)[123].endpoint, 0
     while one not in subset.members:
         tries += 1
-        subset.failed(0.0, next(n for n in subset.members if n not in subset.failing))
+        subset.failed(0.0, next(n for n in subset.members if n not in subset.unreachable))
         subset.changes(0.0)
     assert tries <= 250  # from half of the fleet on all is tried
 
@@ -215,7 +215,7 @@
     subset.whole(listed)
     subset.changes(0.0)
     zones = Counter(x.zone == 1 for x in subset.members.values())
-    assert zones == {True: 12, False: FAR_LEAST}
+    assert zones == {True: 12, False: MIN_FAR_SERVERS}
     subset.change([x._replace(phase="gone") for x in listed if x.zone == 1])
     subset.load(0.0, 100)
     subset.changes(1.0)
@@ -223,7 +223,7 @@
 
 
 def test_a_cell_that_is_met_is_met_twice() -> None:
-    subset = Subset(Shape(12, 7, GROUP, mates=True))
+    subset = Subset(Shape(12, 7, GROUP, has_cell_classes=True))
     listed = [x._replace(cell=n // 3) for n, x in enumerate(servers(300))]
     subset.whole(listed)
     subset.changes(0.0)
--- a/zinclever/fleet/layout.py
+++ b/zinclever/fleet/layout.py
@@ -15,10 +15,12 @@
 
 from .. import interface
 
-FULLEST = 0.85  # part of the table in use from which on it grows: beyond, a change moves ever more servers
-EMPTIEST = 0.4  # below which it shrinks; apart from FULLEST, as a list that flaps must not lay out anew each time
-STEP = 1.25  # by which it grows: 68 to 85 per cent are in use after it
-SMALLEST = 8  # slots
+MAX_LOAD_FACTOR = 0.85  # part of the table in use from which on it grows: beyond, a change moves ever more servers
+MIN_LOAD_FACTOR = (
+    0.4  # below which it shrinks; apart from FULLEST, as a list that flaps must not lay out anew each time
+)
+GROWTH_FACTOR = 1.25  # by which it grows: 68 to 85 per cent are in use after it
+MIN_TABLE_SIZE = 8  # slots
 MASK = 2**64 - 1
 GOLDEN = 0x9E3779B97F4A7C15  # splitmix64's increment
 
@@ -30,36 +32,36 @@
     return x ^ x >> 31
 
 
-def mark_of(name: str) -> int:
+def hash_of(name: str) -> int:
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest())
 
 
 def table_size(servers: int) -> int:
     """Slots for so many servers: the first step that leaves enough of them empty."""
-    size = SMALLEST
-    while servers > FULLEST * size:
-        size = int(size * STEP) + 1
+    size = MIN_TABLE_SIZE
+    while servers > MAX_LOAD_FACTOR * size:
+        size = int(size * GROWTH_FACTOR) + 1
     return size
 
 
-class Seat:
+class Placement:
     """One server: which of its own proposals was taken."""
 
-    __slots__ = ("listed", "mark", "tried")
+    __slots__ = ("accepted", "hash", "listed")
 
     def __init__(self, listed: interface.Listed) -> None:
-        self.listed, self.mark = listed, mark_of(listed.endpoint)
-        self.tried = 0
+        self.listed, self.hash = listed, hash_of(listed.endpoint)
+        self.accepted = 0
 
     def proposal(self, number: int, size: int) -> int:
-        return mix(self.mark + number * GOLDEN & MASK) % size
+        return mix(self.hash + number * GOLDEN & MASK) % size
 
     def slot(self, size: int) -> int:
-        return self.proposal(self.tried, size)
+        return self.proposal(self.accepted, size)
 
     def rank(self, number: int, slot: int) -> tuple[int, int, str]:
         """Where a slot ranks this proposal of it: the least is kept."""
-        return number, mix(self.mark ^ slot * GOLDEN & MASK), self.listed.endpoint
+        return number, mix(self.hash ^ slot * GOLDEN & MASK), self.listed.endpoint
 
 
 class Layout:
@@ -70,31 +72,31 @@
     """
 
     def __init__(self, listed: Iterable[interface.Listed] = ()) -> None:
-        self.seats: dict[str, Seat] = {x.endpoint: Seat(x) for x in listed}
-        self.lay_out()
+        self.seats: dict[str, Placement] = {x.endpoint: Placement(x) for x in listed}
+        self.rebuild()
 
-    def lay_out(self) -> None:
+    def rebuild(self) -> None:
         self.size = table_size(len(self.seats))
-        self.table: list[Seat | None] = [None] * self.size
-        self.wanting: dict[int, list[tuple[int, Seat]]] = {}
+        self.table: list[Placement | None] = [None] * self.size
+        self.rejected: dict[int, list[tuple[int, Placement]]] = {}
         """Who proposed to a slot and was not kept, and by which proposal."""
-        for seat in self.seats.values():
-            self.settle(seat, 0)
+        for placement in self.seats.values():
+            self.assign(placement, 0)
 
     def __len__(self) -> int:
         return len(self.seats)
 
-    def settle(self, seat: Seat, number: int) -> None:
+    def assign(self, placement: Placement, number: int) -> None:
         """Propose on until one is taken, for whoever is without a slot."""
         while True:
-            slot = seat.proposal(number, self.size)
-            holder = self.table[slot]
-            if holder is None or seat.rank(number, slot) < holder.rank(holder.tried, slot):
-                self.table[slot], seat.tried = seat, number
-                if holder is None:
+            slot = placement.proposal(number, self.size)
+            occupant = self.table[slot]
+            if occupant is None or placement.rank(number, slot) < occupant.rank(occupant.accepted, slot):
+                self.table[slot], placement.accepted = placement, number
+                if occupant is None:
                     return
-                seat, number = holder, holder.tried
-            self.wanting.setdefault(slot, []).append((number, seat))
+                placement, number = occupant, occupant.accepted
+            self.rejected.setdefault(slot, []).append((number, placement))
             number += 1
 
     def put(self, listed: interface.Listed) -> None:
@@ -103,44 +105,44 @@
         if known is not None:
             known.listed = listed
             return
-        seat = self.seats[listed.endpoint] = Seat(listed)
-        if len(self.seats) > FULLEST * self.size:
-            self.lay_out()
+        placement = self.seats[listed.endpoint] = Placement(listed)
+        if len(self.seats) > MAX_LOAD_FACTOR * self.size:
+            self.rebuild()
         else:
-            self.settle(seat, 0)
+            self.assign(placement, 0)
 
     def drop(self, name: str) -> None:
         """A server has gone: its slot is for the first of those that wanted it, and so on."""
-        seat = self.seats.pop(name, None)
-        if seat is None:
+        placement = self.seats.pop(name, None)
+        if placement is None:
             return
-        if self.size > SMALLEST and len(self.seats) < EMPTIEST * self.size:
-            self.lay_out()
+        if self.size > MIN_TABLE_SIZE and len(self.seats) < MIN_LOAD_FACTOR * self.size:
+            self.rebuild()
             return
-        slot = seat.slot(self.size)
-        self.withdraw(seat, 0, seat.tried)
+        slot = placement.slot(self.size)
+        self.withdraw(placement, 0, placement.accepted)
         self.refill(slot)
 
     def refill(self, slot: int) -> None:
         while True:
-            waiting = self.wanting.get(slot)
+            waiting = self.rejected.get(slot)
             if not waiting:
                 self.table[slot] = None
                 return
-            number, heir = min(waiting, key=lambda x, slot=slot: x[1].rank(x[0], slot))  # type: ignore[misc]
-            left = heir.slot(self.size)
-            self.withdraw(heir, number, heir.tried)
-            self.table[slot], heir.tried = heir, number
-            slot = left
+            number, successor = min(waiting, key=lambda x, slot=slot: x[1].rank(x[0], slot))  # type: ignore[misc]
+            vacated = successor.slot(self.size)
+            self.withdraw(successor, number, successor.accepted)
+            self.table[slot], successor.accepted = successor, number
+            slot = vacated
 
-    def withdraw(self, seat: Seat, first: int, end: int) -> None:
+    def withdraw(self, placement: Placement, first: int, end: int) -> None:
         """It wants the slots of these proposals no longer."""
         for number in range(first, end):
-            slot = seat.proposal(number, self.size)
-            self.wanting[slot].remove((number, seat))
-            if not self.wanting[slot]:
-                del self.wanting[slot]
+            slot = placement.proposal(number, self.size)
+            self.rejected[slot].remove((number, placement))
+            if not self.rejected[slot]:
+                del self.rejected[slot]
 
-    def places(self) -> Mapping[str, int]:
+    def slots_by_name(self) -> Mapping[str, int]:
         """Each server's slot."""
-        return {name: seat.slot(self.size) for name, seat in self.seats.items()}
+        return {name: placement.slot(self.size) for name, placement in self.seats.items()}
--- a/zinclever/fleet/ranked.py
+++ b/zinclever/fleet/ranked.py
@@ -17,9 +17,9 @@
     return member.rank
 
 
-def cut(listed: list[R], member: R) -> None:
+def remove_ranked(ranked: list[R], member: R) -> None:
     """Take a member out of a list by rank; others may be of the same rank. IndexError where it isn't in it."""
-    at = bisect.bisect_left(listed, member.rank, key=rank_of)
-    while listed[at] is not member:
-        at += 1
-    del listed[at]
+    index = bisect.bisect_left(ranked, member.rank, key=rank_of)
+    while ranked[index] is not member:
+        index += 1
+    del ranked[index]
--- a/zinclever/fleet/returns.py
+++ b/zinclever/fleet/returns.py
@@ -12,100 +12,102 @@
 from random import Random
 from typing import Literal
 
-OUT_AFTER = 3  # failures to connect, one after another with no answer between: a path that is lost, not a bad moment
-OUT_FOR = 1000.0  # ms between the first of them and the return: a process doesn't start anew in less
-JUDGED = 3  # answers from which on their time is judged
-TRIED = 0.1  # of the draws that go to what is lost
-AS_USUAL = 1.4  # of the uncrowded time, on average: a cold server takes at least half as long again
+OUTAGE_FAILURES = (
+    3  # failures to connect, one after another with no answer between: a path that is lost, not a bad moment
+)
+MIN_OUTAGE = 1000.0  # ms between the first of them and the return: a process doesn't start anew in less
+MIN_JUDGED_ANSWERS = 3  # answers from which on their time is judged
+PROBE_SHARE = 0.1  # of the draws that go to what is lost
+MAX_WARM_RATIO = 1.4  # of the uncrowded time, on average: a cold server takes at least half as long again
 
 
 Side = Literal["home", "away", "either"]
 
 
-def presumed(since: float, at: float, failures: int, refusals: int) -> bool:
+def is_presumed_cold(warm_before: float, cold_since: float, failures: int, refusals: int) -> bool:
     """Whether an endpoint taken for cold at an instant is so still; it would be warm if that was before ``since``.
 
     At infinity: it was out, by itself, and will have started anew when it answers. One failure in a row may be a bad
     moment, unless discovery, which refused so often, would not tell of a start.
     """
-    if at < math.inf:
-        return at > since
+    if cold_since < math.inf:
+        return cold_since > warm_before
     return failures > 1 or (failures > 0 and refusals > 0)
 
 
-class Outage:
+class ZoneState:
     """What one instance has seen of one zone."""
 
-    __slots__ = ("answers", "back_at", "failures", "heard_at", "ratios", "since")
+    __slots__ = ("answered_at", "answers", "failing_since", "failures", "ratio_sum", "returned_at")
 
     def __init__(self) -> None:
         self.failures = 0
-        self.since = math.inf  # ms: first of the failures
-        self.heard_at = self.back_at = -math.inf  # ms: latest answer, latest return
-        self.answers, self.ratios = 0, 0.0  # since its return
+        self.failing_since = math.inf  # ms: first of the failures
+        self.answered_at = self.returned_at = -math.inf  # ms: latest answer, latest return
+        self.answers, self.ratio_sum = 0, 0.0  # since its return
 
-    def failed(self, now: float) -> bool:
+    def on_failure(self, now: float) -> bool:
         """An attempt found no way there; whether the endpoint it went to may be out by itself: where the whole zone
         can't be reached, that says nothing of the one."""
         if not self.failures:
-            self.since = now
+            self.failing_since = now
         self.failures += 1
-        return not self.out()
+        return not self.is_out()
 
-    def out(self) -> bool:
-        return self.failures >= OUT_AFTER
+    def is_out(self) -> bool:
+        return self.failures >= OUTAGE_FAILURES
 
-    def answered(self, now: float) -> bool:
+    def on_answer(self, now: float) -> bool:
         """Something was reached; whether that is a return from an outage."""
-        back = self.out() and now - self.since >= OUT_FOR
-        self.failures, self.since, self.heard_at = 0, math.inf, now
-        if back:
-            self.back_at, self.answers, self.ratios = now, 0, 0.0
-        return back
+        is_return = self.is_out() and now - self.failing_since >= MIN_OUTAGE
+        self.failures, self.failing_since, self.answered_at = 0, math.inf, now
+        if is_return:
+            self.returned_at, self.answers, self.ratio_sum = now, 0, 0.0
+        return is_return
 
-    def there(self, since: float) -> bool:
+    def has_answered_since(self, since: float) -> bool:
         """Whether it has answered since, and not only after an outage of its own."""
-        return self.heard_at > since > self.back_at
+        return self.answered_at > since > self.returned_at
 
-    def judge(self, ratio: float) -> bool:
+    def confirms_warm(self, ratio: float) -> bool:
         """What is presumed to be cold took ``ratio`` times the uncrowded time for an answer; whether that ends it."""
         self.answers += 1
-        self.ratios += ratio
-        return self.answers >= JUDGED and self.ratios <= AS_USUAL * self.answers
+        self.ratio_sum += ratio
+        return self.answers >= MIN_JUDGED_ANSWERS and self.ratio_sum <= MAX_WARM_RATIO * self.answers
 
 
-class Returns:
+class ZoneReachability:
     """The zones of one instance's list: which can't be reached, and which are back."""
 
     def __init__(self) -> None:
-        self.zones: dict[int, Outage] = {}
+        self.zones: dict[int, ZoneState] = {}
 
-    def outage(self, zone: int) -> Outage:
+    def state_of(self, zone: int) -> ZoneState:
         if zone not in self.zones:
-            self.zones[zone] = Outage()
+            self.zones[zone] = ZoneState()
         return self.zones[zone]
 
-    def only(self, home: int, rng: Random) -> Side:
+    def reachable_side(self, home: int, rng: Random) -> Side:
         """Where draws are to go alone, as the rest can't be reached: the home zone, the others, or either.
 
-        One in :data:`TRIED` tries what is lost, so that its return is seen.
+        One in :data:`PROBE_SHARE` tries what is lost, so that its return is seen.
         """
-        here, out, there = False, 0, 0
-        for zone, o in self.zones.items():
+        home_out, others_out, others = False, 0, 0
+        for zone, zone_state in self.zones.items():
             if zone == home:
-                here = o.out()
+                home_out = zone_state.is_out()
             else:
-                there += 1
-                out += o.out()
-        if here is (0 < out == there):
+                others += 1
+                others_out += zone_state.is_out()
+        if home_out is (0 < others_out == others):
             return "either"
-        return "home" if here is (rng.random() < TRIED) else "away"
+        return "home" if home_out is (rng.random() < PROBE_SHARE) else "away"
 
-    def answered(self, now: float, zone: int) -> float | None:
+    def on_answer(self, now: float, zone: int) -> float | None:
         """An endpoint of a zone has answered. Where the zone has been out while another answered, since when; what has
         not been heard of since is to be taken for cold. Where all were out the fault is as likely on this side."""
-        out = self.outage(zone)
-        since = out.since
-        if not out.answered(now) or not any(o.there(since) for z, o in self.zones.items() if z != zone):
+        state = self.state_of(zone)
+        since = state.failing_since
+        if not state.on_answer(now) or not any(s.has_answered_since(since) for z, s in self.zones.items() if z != zone):
             return None
         return since
--- a/zinclever/fleet/ring.py
+++ b/zinclever/fleet/ring.py
@@ -22,35 +22,35 @@
 class Ring(Generic[T]):
     """Owners by their marks of 32 bits. Each has one place, and one more or less moves the keys next to it only."""
 
-    __slots__ = ("marks", "owners", "sizes")
+    __slots__ = ("owners", "positions", "sizes")
 
     def __init__(self, owners: Iterable[tuple[int, float, T]]) -> None:
         """``owners``: mark, size and owner of each."""
-        told = sorted(owners, key=lambda x: x[0])
-        self.marks = [mark for mark, _, _ in told]
-        self.sizes = [size for _, size, _ in told]
-        self.owners = [owner for _, _, owner in told]
-
-    def insert(self, mark: int, size: float, owner: T) -> None:
-        at = bisect.bisect(self.marks, mark)
-        self.marks.insert(at, mark)
-        self.sizes.insert(at, size)
-        self.owners.insert(at, owner)
-
-    def remove(self, mark: int, owner: T) -> None:
+        ordered = sorted(owners, key=lambda x: x[0])
+        self.positions = [position for position, _, _ in ordered]
+        self.sizes = [size for _, size, _ in ordered]
+        self.owners = [owner for _, _, owner in ordered]
+
+    def insert(self, position: int, size: float, owner: T) -> None:
+        index = bisect.bisect(self.positions, position)
+        self.positions.insert(index, position)
+        self.sizes.insert(index, size)
+        self.owners.insert(index, owner)
+
+    def remove(self, position: int, owner: T) -> None:
         """Take out one that is there; others may have the same mark."""
-        at = bisect.bisect_left(self.marks, mark)
-        while self.owners[at] is not owner:
-            at += 1
-        del self.marks[at], self.sizes[at], self.owners[at]
+        index = bisect.bisect_left(self.positions, position)
+        while self.owners[index] is not owner:
+            index += 1
+        del self.positions[index], self.sizes[index], self.owners[index]
 
-    def keeper(self, seed: int) -> T:
+    def owner_of(self, seed: int) -> T:
         """Whose mark comes soonest, by size, after one of the places that a seed gives. IndexError without owners."""
-        best, least = self.owners[0], math.inf
+        nearest, shortest = self.owners[0], math.inf
         for n in range(PROBES):
-            place = mix(seed ^ n * 0x9E3779B1)
-            at = bisect.bisect_left(self.marks, place) % len(self.marks)
-            distance = float((self.marks[at] - place) % 2**32) / self.sizes[at]
-            if distance < least:
-                best, least = self.owners[at], distance
-        return best
+            point = mix(seed ^ n * 0x9E3779B1)
+            index = bisect.bisect_left(self.positions, point) % len(self.positions)
+            distance = float((self.positions[index] - point) % 2**32) / self.sizes[index]
+            if distance < shortest:
+                nearest, shortest = self.owners[index], distance
+        return nearest
--- a/zinclever/fleet/smooth.py
+++ b/zinclever/fleet/smooth.py
@@ -4,32 +4,32 @@
 
 import math
 
-MEMORY = 2500.0  # ms: how fast payoffs forget; troubles come and go in seconds
+DECAY_TIME = 2500.0  # ms: how fast payoffs forget; troubles come and go in seconds
 NEVER = math.inf
 
 
-class Smooth:
+class DecayingMean:
     """A mean and a rate that forget by time, not by count."""
 
-    __slots__ = ("at", "tau", "total", "weight")
+    __slots__ = ("tau", "total", "updated_at", "weight")
 
     def __init__(self, tau: float) -> None:
-        self.tau, self.total, self.weight, self.at = tau, 0.0, 0.0, -NEVER
+        self.tau, self.total, self.weight, self.updated_at = tau, 0.0, 0.0, -NEVER
 
     def add(self, now: float, value: float, weight: float = 1.0, count: float = 1.0) -> None:
-        if now > self.at:
-            kept = math.exp((self.at - now) / self.tau)
-            self.total, self.weight, self.at = self.total * kept, self.weight * kept, now
+        if now > self.updated_at:
+            decay = math.exp((self.updated_at - now) / self.tau)
+            self.total, self.weight, self.updated_at = self.total * decay, self.weight * decay, now
         self.total += value * weight
         self.weight += weight * count
 
-    def kept(self, now: float) -> float:
-        return math.exp((self.at - now) / self.tau) if now > self.at else 1.0
+    def decay(self, now: float) -> float:
+        return math.exp((self.updated_at - now) / self.tau) if now > self.updated_at else 1.0
 
     def mean(self, now: float, prior: float, strength: float) -> float:
-        kept = self.kept(now)
-        return (self.total * kept + prior * strength) / (self.weight * kept + strength)
+        decay = self.decay(now)
+        return (self.total * decay + prior * strength) / (self.weight * decay + strength)
 
     def rate(self, now: float) -> float:
         """Weight a millisecond."""
-        return self.weight * self.kept(now) / self.tau
+        return self.weight * self.decay(now) / self.tau
--- a/zinclever/policy/admission.py
+++ b/zinclever/policy/admission.py
@@ -7,7 +7,7 @@
 from collections import deque
 
 from .. import interface
-from ..fleet.smooth import MEMORY, Smooth
+from ..fleet.smooth import DECAY_TIME, DecayingMean
 from .endpoint_list import EndpointList
 from .partition import ZonePartition
 from .requests import ClassState, Request, TenantState
@@ -26,14 +26,14 @@
         settings: interface.Settings,
         classes: list[ClassState],
         tenants: list[TenantState],
-        members: EndpointList,
-        crossing: ZoneCrossing,
+        endpoint_list: EndpointList,
+        zone_crossing: ZoneCrossing,
         rng: random.Random,
     ) -> None:
         self.settings, self.classes, self.tenants, self.rng = settings, classes, tenants, rng
-        self.endpoint_list, self.zone_crossing = members, crossing
+        self.endpoint_list, self.zone_crossing = endpoint_list, zone_crossing
         self.quota = sum((t.quota for t in tenants), 0.0)
-        self.used = Smooth(MEMORY)
+        self.usage = DecayingMean(DECAY_TIME)
         self.held_count = 0
         self.hold_deadlines: list[tuple[float, int, Request]] = []  # held requests by when waiting stops to help
         self.sequence = 0
@@ -48,36 +48,36 @@
 
     def admits(self, now: float, r: Request) -> bool:
         """Whether a request may go out: there is room, and its worth ranks above what is to be shed."""
-        return self.has_room() and r.worth_rank >= self.zone_crossing.shed_share(now)
+        return self.has_room() and r.value_rank >= self.zone_crossing.shed_share(now)
 
-    def worth(self, k: ClassState) -> float:
+    def value_rate(self, k: ClassState) -> float:
         """The worth of a class's request by the time that it occupies, or by its work where that is what counts."""
         return k.settings.value / (1.0 if self.settings.value_by == "work" else k.mean_latency)
 
-    def worth_rank(self, now: float, r: Request) -> float:
+    def value_rank(self, now: float, r: Request) -> float:
         """Where a request's worth ranks in the demand, from 0 to 1; at random within its class."""
-        level = 1.2 * self.used.rate(now) / self.quota
-        over = self.settings.over_share_worth if r.tenant.used.rate(now) / r.tenant.quota > level else 1.0
-        worth = over * self.worth(r.klass)
-        below = own = whole = 1e-9
+        even_usage = 1.2 * self.usage.rate(now) / self.quota
+        share_factor = self.settings.over_share_worth if r.tenant.usage.rate(now) / r.tenant.quota > even_usage else 1.0
+        value_rate = share_factor * self.value_rate(r.klass)
+        lower = same_class = total = 1e-9
         for k in self.classes:
-            part = k.demand.rate(now)
-            whole += part
+            demand = k.demand.rate(now)
+            total += demand
             if k is r.klass:
-                own = part * over
-            elif self.worth(k) < worth:
-                below += part
-        return (below + own * self.rng.random()) / whole
+                same_class = demand * share_factor
+            elif self.value_rate(k) < value_rate:
+                lower += demand
+        return (lower + same_class * self.rng.random()) / total
 
-    def adapt_window(self, now: float, side: ZonePartition) -> None:
+    def adapt_window(self, now: float, partition: ZonePartition) -> None:
         """Adapt a partition's window to the answers of late."""
-        own = 2.0 if side is self.endpoint_list.near else MIN_FAR_WINDOW
-        side.window.steer(now, self.held_count > 0, len(side.ready), self.endpoint_list.sharing, own)
+        min_size = 2.0 if partition is self.endpoint_list.near else MIN_FAR_WINDOW
+        partition.window.update(now, self.held_count > 0, len(partition.ready), self.endpoint_list.sharing, min_size)
 
     def start(self) -> None:
         """There is a list."""
-        for side in (self.endpoint_list.near, self.endpoint_list.far):
-            side.window.start(len(side.ready), self.endpoint_list.sharing)
+        for partition in (self.endpoint_list.near, self.endpoint_list.far):
+            partition.window.start(len(partition.ready), self.endpoint_list.sharing)
 
     def hold(self, r: Request) -> None:
         """Keep a request until there is room, or until it could no longer be served in time."""
@@ -104,18 +104,18 @@
 
     def held_queues(self, now: float) -> list[deque[Request]]:
         """The queues of held requests, what is worth most first; the newest of each is at its end."""
-        level = 1.2 * self.used.rate(now) / self.quota
+        even_usage = 1.2 * self.usage.rate(now) / self.quota
         order: list[tuple[float, float, deque[Request]]] = []
         for t in self.tenants:
-            use = t.used.rate(now) / t.quota
+            usage = t.usage.rate(now) / t.quota
             for k, queue in zip(self.classes, t.queues, strict=True):
                 while queue and not queue[0].is_held:
                     queue.popleft()
                 while queue and not queue[-1].is_held:
                     queue.pop()
                 if queue:
-                    over = self.settings.over_share_worth if use > level else 1.0
-                    order.append((-over * self.worth(k), use, queue))
+                    share_factor = self.settings.over_share_worth if usage > even_usage else 1.0
+                    order.append((-share_factor * self.value_rate(k), usage, queue))
         order.sort(key=lambda x: x[:2])
         return [queue for _, _, queue in order]
 
@@ -125,5 +125,5 @@
 
     def on_sent(self, now: float, r: Request) -> None:
         """The first attempt of a request goes out."""
-        r.tenant.used.add(now, 0.0)
-        self.used.add(now, 0.0)
+        r.tenant.usage.add(now, 0.0)
+        self.usage.add(now, 0.0)
--- a/zinclever/policy/balancer.py
+++ b/zinclever/policy/balancer.py
@@ -12,7 +12,7 @@
 
 from .. import interface
 from ..fleet.limits import Budget
-from ..fleet.returns import Returns
+from ..fleet.returns import ZoneReachability
 from ..fleet.smooth import NEVER
 from ..fleet.window import RATE_SPAN
 from .admission import Admission
@@ -44,12 +44,12 @@
         self.admission = Admission(
             settings, self.classes, self.tenants, self.endpoint_list, self.zone_crossing, self.rng
         )
-        returns = Returns()
+        reachability = ZoneReachability()
         self.selector = EndpointSelector(
-            settings, self.classes, self.endpoint_list, self.slow_start, self.zone_crossing, returns, self.rng
+            settings, self.classes, self.endpoint_list, self.slow_start, self.zone_crossing, reachability, self.rng
         )
         self.learner = OutcomeLearner(
-            settings, self.endpoint_list, self.slow_start, self.zone_crossing, self.admission, returns, self.rng
+            settings, self.endpoint_list, self.slow_start, self.zone_crossing, self.admission, reachability, self.rng
         )
         self.stalled_attempts = StalledAttempts(settings)
         self.requests: dict[str, Request] = {}
@@ -95,13 +95,13 @@
         self.requests[r.id] = r
         self.slow_start.demand.add(now, 0.0)
         klass.demand.add(now, 0.0, klass.mean_latency)
-        self.zone_crossing.request_worth.add(now, self.zone_crossing.worth(r))
-        r.worth_rank = self.admission.worth_rank(now, r)
+        self.zone_crossing.request_value.add(now, self.zone_crossing.value(r))
+        r.value_rank = self.admission.value_rank(now, r)
         self.selector.recent_keys.append(r.key)
         self.hedge_tokens = min(HEDGE_BURST, self.hedge_tokens + HEDGES_PER_REQUEST)
         for budget in (self.retry_budget, self.hedge_budget):
             if budget is not None:
-                budget.asked(now)
+                budget.on_request(now)
         if r.is_uploading:
             self.send_early(now, r)
         elif event.client_retry and klass.settings.late_worth == 0 and self.admission.is_crowded():
--- a/zinclever/policy/endpoint_list.py
+++ b/zinclever/policy/endpoint_list.py
@@ -7,7 +7,7 @@
 
 from .. import interface
 from ..fleet.limits import Calls
-from ..fleet.ranked import cut, rank_of
+from ..fleet.ranked import rank_of, remove_ranked
 from ..fleet.smooth import NEVER
 from .endpoints import Endpoint
 from .partition import ZonePartition
@@ -25,18 +25,18 @@
 class EndpointList:
     """The list of endpoints as it was last told, by side and by cell; when discovery is asked."""
 
-    def __init__(self, settings: interface.Settings, rng: random.Random, part: random.Random) -> None:
+    def __init__(self, settings: interface.Settings, rng: random.Random, limits_rng: random.Random) -> None:
         self.settings, self.rules, self.rng = settings, settings.rules, rng
         self.endpoints: dict[str, Endpoint] = {}
         self.ready: list[Endpoint] = []
-        self.leaving: set[Endpoint] = set()  # gone, and with attempts out
+        self.gone_in_flight: set[Endpoint] = set()  # gone, and with attempts out
         self.by_cell = any(c.group == "cell" for c in settings.classes)
         self.cells: dict[int, list[Endpoint]] = {}  # those ready, where a class is bound to cells
         self.near, self.far = ZonePartition(), ZonePartition()  # far: those that are dear to cross to
         self.fetch_at = -NEVER if settings.discovery == "on_request" else NEVER
         self.refusals = 0
         self.sharing = float(settings.group_size)  # balancers that share each endpoint: fewer than all, of a subset
-        self.calls = Calls(settings.shares.list_calls_per_s, settings.group_size, self.rules.ask_within, part)
+        self.calls = Calls(settings.shares.list_calls_per_s, settings.group_size, self.rules.ask_within, limits_rng)
 
     def apply(self, now: float, news: interface.MembershipNews) -> bool:
         """Whether there is a list to go by: discovery may have refused."""
@@ -52,26 +52,26 @@
             # Guards discovery against all that start at once: each begins with the list that it remembers.
             self.fetch_at = now + self.calls.start()
         if news.kind == "changes" and len(news.entries) < INCREMENTAL_SHARE * len(self.endpoints):
-            for x in news.entries:
-                self.apply_change(now, x)
+            for entry in news.entries:
+                self.apply_change(now, entry)
         else:
             self.rebuild(now, news)
-        self.leaving = {e for e in self.leaving if e.phase == "gone" and e.inflight}
-        part = min(1.0, len(self.ready) / news.of) if news.of else 1.0
-        self.sharing = max(1.0, part * self.settings.group_size)
+        self.gone_in_flight = {e for e in self.gone_in_flight if e.phase == "gone" and e.inflight}
+        known_share = min(1.0, len(self.ready) / news.of) if news.of else 1.0
+        self.sharing = max(1.0, known_share * self.settings.group_size)
         return True
 
     def rebuild(self, now: float, news: interface.MembershipNews) -> None:
         """A whole list, or changes to much of it: everything is put in order anew."""
         if news.kind != "changes":
-            present = {x.endpoint for x in news.entries}
+            present = {entry.endpoint for entry in news.entries}
             for name, e in self.endpoints.items():
                 if name not in present:
                     e.phase = "gone"
-        for x in news.entries:
-            self.update_endpoint(now, x)
+        for entry in news.entries:
+            self.update_endpoint(now, entry)
         self.endpoints = {n: e for n, e in self.endpoints.items() if e.phase != "gone" or e.inflight}
-        self.leaving = {e for e in self.endpoints.values() if e.phase == "gone"}
+        self.gone_in_flight = {e for e in self.endpoints.values() if e.phase == "gone"}
         self.ready = [e for e in self.endpoints.values() if e.phase == "ready"]
         self.ready.sort(key=rank_of)
         for e in self.ready:
@@ -83,15 +83,15 @@
             for e in self.ready:
                 self.cells.setdefault(e.cell, []).append(e)
 
-    def apply_change(self, now: float, x: interface.Listed) -> None:
+    def apply_change(self, now: float, entry: interface.Listed) -> None:
         """One endpoint's news, at a cost that doesn't grow with the list but for moving its tail."""
-        known = self.endpoints.get(x.endpoint)
+        known = self.endpoints.get(entry.endpoint)
         if known is not None and known.phase == "ready":
-            cut(self.ready, known)
+            remove_ranked(self.ready, known)
             self.partition_of(known).remove(known)
             if self.by_cell:
-                cut(self.cells[known.cell], known)
-        e = self.update_endpoint(now, x)
+                remove_ranked(self.cells[known.cell], known)
+        e = self.update_endpoint(now, entry)
         if e.phase == "ready":
             e.is_near = self.is_near(e)
             bisect.insort(self.ready, e, key=rank_of)
@@ -99,20 +99,20 @@
             if self.by_cell:
                 bisect.insort(self.cells.setdefault(e.cell, []), e, key=rank_of)
         elif e.phase == "gone":
-            self.leaving.add(e)
-        for left in [e for e in self.leaving if e.phase == "gone" and not e.inflight]:
-            self.leaving.discard(left)
-            self.endpoints.pop(left.name, None)
+            self.gone_in_flight.add(e)
+        for finished in [e for e in self.gone_in_flight if e.phase == "gone" and not e.inflight]:
+            self.gone_in_flight.discard(finished)
+            self.endpoints.pop(finished.name, None)
 
-    def update_endpoint(self, now: float, x: interface.Listed) -> Endpoint:
+    def update_endpoint(self, now: float, entry: interface.Listed) -> Endpoint:
         """The endpoint of an entry, made or updated; a new start resets what was learnt of it."""
-        known = self.endpoints.get(x.endpoint)
+        known = self.endpoints.get(entry.endpoint)
         if known is None:
-            known = self.endpoints[x.endpoint] = Endpoint(x, now, self.rng)
-        elif known.started_at != x.started_at:
-            known.reset(x, now, self.rng)
+            known = self.endpoints[entry.endpoint] = Endpoint(entry, now, self.rng)
+        elif known.started_at != entry.started_at:
+            known.reset(entry, now, self.rng)
         else:
-            known.update(x)
+            known.update(entry)
         return known
 
     def is_near(self, e: Endpoint) -> bool:
--- a/zinclever/policy/endpoints.py
+++ b/zinclever/policy/endpoints.py
@@ -7,7 +7,7 @@
 
 from .. import interface
 from ..fleet.ring import mix
-from ..fleet.smooth import MEMORY, NEVER, Smooth
+from ..fleet.smooth import DECAY_TIME, NEVER, DecayingMean
 
 
 class Endpoint:
@@ -49,7 +49,11 @@
 
     def reset(self, listed: interface.Listed, now: float, rng: random.Random) -> None:
         """A new process: nothing learnt of the old one holds."""
-        self.success, self.latency, self.served = Smooth(MEMORY), Smooth(MEMORY), Smooth(MEMORY)
+        self.success, self.latency, self.served = (
+            DecayingMean(DECAY_TIME),
+            DecayingMean(DECAY_TIME),
+            DecayingMean(DECAY_TIME),
+        )
         self.silent_since = self.silent_until = NEVER
         self.served_at = -NEVER
         self.down_until, self.failures = -NEVER, 0
--- a/zinclever/policy/learning.py
+++ b/zinclever/policy/learning.py
@@ -5,7 +5,7 @@
 import random
 
 from .. import interface
-from ..fleet.returns import Returns
+from ..fleet.returns import ZoneReachability
 from ..fleet.smooth import NEVER
 from .admission import Admission
 from .endpoint_list import EndpointList
@@ -24,15 +24,20 @@
     def __init__(
         self,
         settings: interface.Settings,
-        members: EndpointList,
-        cold: SlowStart,
-        crossing: ZoneCrossing,
+        endpoint_list: EndpointList,
+        slow_start: SlowStart,
+        zone_crossing: ZoneCrossing,
         admission: Admission,
-        returns: Returns,
+        reachability: ZoneReachability,
         rng: random.Random,
     ) -> None:
-        self.settings, self.limits, self.rng, self.returns = settings, settings.limits, rng, returns
-        self.endpoint_list, self.slow_start, self.zone_crossing, self.admission = members, cold, crossing, admission
+        self.settings, self.limits, self.rng, self.reachability = settings, settings.limits, rng, reachability
+        self.endpoint_list, self.slow_start, self.zone_crossing, self.admission = (
+            endpoint_list,
+            slow_start,
+            zone_crossing,
+            admission,
+        )
         self.first_answer_at = NEVER  # first answer
 
     def learn(
@@ -49,10 +54,10 @@
             return
         # An answer costs what all its attempts were out for, losers included.
         count = 1.0 if outcome == "served" else 0.0
-        span = min(event.elapsed, a.overdue_at - a.sent_at) if a.is_stalled else event.elapsed
-        k.occupancy.add(now, span, 1.0, count)
+        duration = min(event.elapsed, a.overdue_at - a.sent_at) if a.is_stalled else event.elapsed
+        k.occupancy.add(now, duration, 1.0, count)
         if not a.is_stalled:  # what is swallowed makes no crowd
-            a.partition.window.load.add(now, span / k.uncrowded_latency, 1.0, count)
+            a.partition.window.relative_latency.add(now, duration / k.uncrowded_latency, 1.0, count)
         ratio = event.elapsed / k.mean_latency
         if outcome == "cancelled":
             # A loser counts as served at the time it had waited, and for less if that was short: one
@@ -77,10 +82,12 @@
                 self.endpoint_list.partition_of(e).mark_up(e)
             k.latency.add(now, event.elapsed)
             k.mean_latency = k.latency.mean(now, UNCROWDED_LATENCY_SHARE * k.settings.aim, 0.3)
-            known = k.occupancy.weight > UNCROWDED_MIN_ANSWERS
+            has_history = k.occupancy.weight > UNCROWDED_MIN_ANSWERS
             per_answer = k.occupancy.mean(now, UNCROWDED_LATENCY_SHARE * k.settings.aim, 0.3)
             k.uncrowded_latency = min(
-                k.uncrowded_latency * (1.0 + UNCROWDED_DRIFT) if known else UNCROWDED_LATENCY_SHARE * k.settings.aim,
+                k.uncrowded_latency * (1.0 + UNCROWDED_DRIFT)
+                if has_history
+                else UNCROWDED_LATENCY_SHARE * k.settings.aim,
                 per_answer,
             )
             a.partition.window.served.add(now, 0.0, k.uncrowded_latency)
@@ -89,10 +96,10 @@
         elif outcome == "connect_failed" and e.served_at < a.sent_at:
             # No word since the send: down. With answers in between, its connection table is full.
             e.failures += 1
-            if self.returns.outage(e.zone).failed(now) is (e.presumed_cold_at < NEVER):
+            if self.reachability.state_of(e.zone).on_failure(now) is (e.presumed_cold_at < NEVER):
                 self.slow_start.mark_cold(now, e, NEVER if e.presumed_cold_at < NEVER else -NEVER)
-            span = self.limits.connect_timeout * 2.0 ** min(e.failures, 5)
-            e.down_until = now + span * (0.5 + self.rng.random())
+            duration = self.limits.connect_timeout * 2.0 ** min(e.failures, 5)
+            e.down_until = now + duration * (0.5 + self.rng.random())
             if e.phase == "ready":
                 self.endpoint_list.partition_of(e).mark_down(now, e)
         if outcome in ("served", "error", "full"):
@@ -105,13 +112,13 @@
 
         Guards cold endpoints against hundreds of balancers whose lists are late: each sends what a warm one gets.
         """
-        since = self.returns.answered(now, e.zone)
+        since = self.reachability.on_answer(now, e.zone)
         if since is not None:
             self.slow_start.presume_cold(now, e.zone, since)
             self.zone_crossing.on_zone_returned(e.zone)
         elif e.presumed_cold_at == NEVER:
             self.slow_start.mark_cold(now, e, now if self.slow_start.is_cold(now, e) else -NEVER)
-        elif -NEVER < e.presumed_cold_at == self.returns.zones[e.zone].back_at and self.returns.zones[e.zone].judge(
-            ratio
-        ):
+        elif -NEVER < e.presumed_cold_at == self.reachability.zones[e.zone].returned_at and self.reachability.zones[
+            e.zone
+        ].confirms_warm(ratio):
             self.slow_start.withdraw_presumption(now, e.zone, e.presumed_cold_at)
--- a/zinclever/policy/partition.py
+++ b/zinclever/policy/partition.py
@@ -6,10 +6,10 @@
 import itertools
 import random
 
-from ..fleet.ranked import cut, rank_of
+from ..fleet.ranked import rank_of, remove_ranked
 from ..fleet.ring import Ring
-from ..fleet.timed import Timed
-from ..fleet.window import Window
+from ..fleet.timed import ExpiringSet
+from ..fleet.window import InflightWindow
 from .endpoints import Endpoint
 
 MAX_STALLED_SHARE = 0.5  # of a window: as many overdue attempts at the most leave their place in it to others
@@ -37,17 +37,20 @@
     def __init__(self) -> None:
         self.ready: list[Endpoint] = []  # in this balancer's own random order
         self.cumulative_sizes: list[float] = []  # of their sizes, one after another; empty: not made yet
-        self.down, self.cold = Timed[Endpoint](), Timed[Endpoint]()  # of these, those taken to be down, or cold
+        self.down, self.cold = (
+            ExpiringSet[Endpoint](),
+            ExpiringSet[Endpoint](),
+        )  # of these, those taken to be down, or cold
         self.up: list[Endpoint] = []  # the others than those down, in no order
         self.ring: Ring[Endpoint] | None = None  # of all, where keys have keepers; None: not made yet
         self.inflight = 0
         self.stalled = 0  # of these, where attempts are being swallowed
-        self.window = Window()
+        self.window = InflightWindow()
 
     def replace_all(self, now: float, ready: list[Endpoint], cold_for: float) -> None:
         """Take another list. Costs its length; draws between two lists don't."""
         self.ready, self.cumulative_sizes, self.ring, self.up = ready, [], None, []
-        self.down, self.cold = Timed[Endpoint](), Timed[Endpoint]()
+        self.down, self.cold = ExpiringSet[Endpoint](), ExpiringSet[Endpoint]()
         for e in ready:
             self.index(now, e, cold_for)
 
@@ -70,15 +73,15 @@
 
     def remove(self, e: Endpoint) -> None:
         """Remove an endpoint."""
-        cut(self.ready, e)
+        remove_ranked(self.ready, e)
         self.cumulative_sizes = []
         if self.ring is not None:
             self.ring.remove(e.ring_position, e)
         self.down.members.discard(e)
         self.cold.members.discard(e)
-        self.leave_up(e)
+        self.remove_from_up(e)
 
-    def leave_up(self, e: Endpoint) -> None:
+    def remove_from_up(self, e: Endpoint) -> None:
         """Out of those that are up: the last one takes its place."""
         if e.up_index >= 0:
             last = self.up.pop()
@@ -87,19 +90,19 @@
                 last.up_index = e.up_index
             e.up_index = -1
 
-    def draw_by_size(self, rng: random.Random, among: int) -> Endpoint:
+    def sample_by_size(self, rng: random.Random, count: int) -> Endpoint:
         """Any one of so many first ones, by size. The running sums are made once after each change of the list."""
         if not self.cumulative_sizes:
             self.cumulative_sizes = list(itertools.accumulate(e.size for e in self.ready))
         return self.ready[
-            bisect.bisect(self.cumulative_sizes, rng.random() * self.cumulative_sizes[among - 1], 0, among - 1)
+            bisect.bisect(self.cumulative_sizes, rng.random() * self.cumulative_sizes[count - 1], 0, count - 1)
         ]
 
     def mark_down(self, now: float, e: Endpoint) -> None:
         """An endpoint is taken to be down."""
         self.expire_down(now)
         self.down.add(e.down_until, e.rank, e)
-        self.leave_up(e)
+        self.remove_from_up(e)
 
     def mark_up(self, e: Endpoint) -> None:
         """It has answered, or it has been left alone for long enough."""
@@ -115,13 +118,13 @@
 
     def expire_down(self, now: float) -> None:
         """Those whose time has passed count as up again."""
-        for e in self.down.over(now):
+        for e in self.down.pop_due(now):
             if e.down_until <= now:
                 self.mark_up(e)
 
     def warm_count(self, now: float) -> int:
         """How many are not cold."""
-        for e in self.cold.over(now):
+        for e in self.cold.pop_due(now):
             self.cold.members.discard(e)
         return len(self.ready) - len(self.cold.members)
 
@@ -129,9 +132,9 @@
         """The endpoint that owns a key, by consistent hashing."""
         if self.ring is None:
             self.ring = Ring((e.ring_position, e.size, e) for e in self.ready)
-        return self.ring.keeper(seed)
+        return self.ring.owner_of(seed)
 
     def has_room(self) -> bool:
         """Whether one more may go out."""
-        forgiven = min(self.stalled, MAX_STALLED_SHARE * self.window.size)
-        return bool(self.ready) and self.inflight - forgiven < self.window.size
+        discounted = min(self.stalled, MAX_STALLED_SHARE * self.window.size)
+        return bool(self.ready) and self.inflight - discounted < self.window.size
--- a/zinclever/policy/requests.py
+++ b/zinclever/policy/requests.py
@@ -5,7 +5,7 @@
 from collections import deque
 
 from .. import interface
-from ..fleet.smooth import MEMORY, NEVER, Smooth
+from ..fleet.smooth import DECAY_TIME, NEVER, DecayingMean
 from .endpoints import Endpoint
 from .partition import ZonePartition
 
@@ -30,8 +30,8 @@
         "sent_at",
     )
 
-    def __init__(self, endpoint: Endpoint, side: ZonePartition, sent_at: float, overdue_at: float) -> None:
-        self.endpoint, self.partition, self.sent_at, self.is_open = endpoint, side, sent_at, True
+    def __init__(self, endpoint: Endpoint, partition: ZonePartition, sent_at: float, overdue_at: float) -> None:
+        self.endpoint, self.partition, self.sent_at, self.is_open = endpoint, partition, sent_at, True
         self.overdue_at = overdue_at
         self.is_in_flight = False  # counted in flight: not while its body is still coming in
         self.is_long_overdue = False  # out for so long that it counts as swallowed
@@ -56,21 +56,21 @@
         "open_attempts",
         "target_at",
         "tenant",
+        "value_rank",
         "work",
-        "worth_rank",
     )
 
-    def __init__(self, told: interface.RequestArrived, klass: ClassState, tenant: TenantState, now: float) -> None:
-        self.id, self.klass, self.tenant, self.key = told.request, klass, tenant, told.key
-        self.work, self.is_uploading = told.work, told.uploading
+    def __init__(self, event: interface.RequestArrived, klass: ClassState, tenant: TenantState, now: float) -> None:
+        self.id, self.klass, self.tenant, self.key = event.request, klass, tenant, event.key
+        self.work, self.is_uploading = event.work, event.uploading
         self.deadline = self.target_at = NEVER
-        if not told.uploading:
-            self.start(now, told.deadline)
+        if not event.uploading:
+            self.start(now, event.deadline)
         self.attempts: list[Attempt] = []
         self.open_attempts = 0
         self.first_possible_run: Attempt | None = None  # the first attempt that may have run
         self.is_closed = self.is_streaming = self.is_held = False
-        self.worth_rank = 1.0  # where its worth ranks in this balancer's demand: 0 for the least
+        self.value_rank = 1.0  # where its worth ranks in this balancer's demand: 0 for the least
 
     def start(self, now: float, deadline: float) -> None:
         """Its time begins."""
@@ -94,24 +94,24 @@
         "uncrowded_latency",
     )
 
-    def __init__(self, told: interface.RequestClass) -> None:
-        self.settings = told
-        self.idempotent = told.repeat == "idempotent"
-        self.hedge_delay = HEDGE_DELAY_SHARE * told.aim
-        self.mean_latency = UNCROWDED_LATENCY_SHARE * told.aim
+    def __init__(self, settings: interface.RequestClass) -> None:
+        self.settings = settings
+        self.idempotent = settings.repeat == "idempotent"
+        self.hedge_delay = HEDGE_DELAY_SHARE * settings.aim
+        self.mean_latency = UNCROWDED_LATENCY_SHARE * settings.aim
         self.uncrowded_latency = (
             self.mean_latency
         )  # time that attempts are out for an answer while the fleet is uncrowded
-        self.latency, self.occupancy = Smooth(2 * MEMORY), Smooth(2 * MEMORY)
-        self.demand = Smooth(2 * MEMORY)  # by time in flight
+        self.latency, self.occupancy = DecayingMean(2 * DECAY_TIME), DecayingMean(2 * DECAY_TIME)
+        self.demand = DecayingMean(2 * DECAY_TIME)  # by time in flight
         self.pending_hedges: deque[tuple[float, Request]] = deque()
 
 
 class TenantState:
     """A tenant: its quota, what it was served of late, its requests that wait, a queue for each class."""
 
-    __slots__ = ("queues", "quota", "used")
+    __slots__ = ("queues", "quota", "usage")
 
     def __init__(self, quota: float, classes: int) -> None:
-        self.quota, self.used = max(quota, 1e-9), Smooth(MEMORY)
+        self.quota, self.usage = max(quota, 1e-9), DecayingMean(DECAY_TIME)
         self.queues: list[deque[Request]] = [deque() for _ in range(classes)]
--- a/zinclever/policy/selection.py
+++ b/zinclever/policy/selection.py
@@ -9,7 +9,7 @@
 from collections import deque
 
 from .. import interface
-from ..fleet.returns import Returns
+from ..fleet.returns import ZoneReachability
 from .endpoint_list import EndpointList
 from .endpoints import Endpoint
 from .partition import ZonePartition
@@ -34,14 +34,14 @@
         self,
         settings: interface.Settings,
         classes: list[ClassState],
-        members: EndpointList,
-        cold: SlowStart,
-        crossing: ZoneCrossing,
-        returns: Returns,
+        endpoint_list: EndpointList,
+        slow_start: SlowStart,
+        zone_crossing: ZoneCrossing,
+        reachability: ZoneReachability,
         rng: random.Random,
     ) -> None:
-        self.settings, self.classes, self.rng, self.returns = settings, classes, rng, returns
-        self.endpoint_list, self.slow_start, self.zone_crossing = members, cold, crossing
+        self.settings, self.classes, self.rng, self.reachability = settings, classes, rng, reachability
+        self.endpoint_list, self.slow_start, self.zone_crossing = endpoint_list, slow_start, zone_crossing
         self.recent_keys: deque[str] = deque(maxlen=RECENT_KEYS)
 
     def select(self, now: float, r: Request) -> Endpoint | None:
@@ -51,9 +51,9 @@
         to tell it by the payoff.
         """
         drawn: tuple[Endpoint, Endpoint, float] | None = None
-        for side in self.partitions(now, r):
-            if side.has_room():
-                drawn = self.draw_two(now, r, side)
+        for partition in self.partitions(now, r):
+            if partition.has_room():
+                drawn = self.draw_two(now, r, partition)
                 if drawn is not None:
                     break
         drawn = drawn or self.choose_two(now, r, self.reusable(now, r))
@@ -69,57 +69,63 @@
         shares = [e.size for e in pool]
         first = self.key_owner(now, r, pool[0].is_near)
         gain = WARM_KEY_GAIN if first else 1.0
-        first = first or self.weighted(pool, shares)
+        first = first or self.weighted_choice(pool, shares)
         if first in pool:
             shares[pool.index(first)] = 0.0
-        return first, self.weighted(pool, shares) if any(shares) else first, gain
+        return first, self.weighted_choice(pool, shares) if any(shares) else first, gain
 
-    def weighted(self, pool: list[Endpoint], shares: list[float]) -> Endpoint:
+    def weighted_choice(self, pool: list[Endpoint], shares: list[float]) -> Endpoint:
         """As ``random.choices`` draws one, without its calls in Python."""
         sums = list(itertools.accumulate(shares))
         return pool[bisect.bisect(sums, self.rng.random() * sums[-1], 0, len(pool) - 1)]
 
-    def draw_two(self, now: float, r: Request, side: ZonePartition) -> tuple[Endpoint, Endpoint, float] | None:
+    def draw_two(self, now: float, r: Request, partition: ZonePartition) -> tuple[Endpoint, Endpoint, float] | None:
         """Two of a side at a cost that doesn't grow with it: by draws, or by a look at LOOK or ``enough`` of it."""
-        count = len(side.ready)
-        part = int(min(self.endpoint_list.pool_size(), count))
+        count = len(partition.ready)
+        pool_count = int(min(self.endpoint_list.pool_size(), count))
         if count <= MAX_SCANNED:
             drawn = None
-            if part == count > SMALL_PARTITION and not side.is_mostly_down(now):
-                drawn = self.sample_two(now, r, side, count)
-            return drawn or self.choose_two(now, r, self.eligible(now, r, side.ready))
+            if pool_count == count > SMALL_PARTITION and not partition.is_mostly_down(now):
+                drawn = self.sample_two(now, r, partition, count)
+            return drawn or self.choose_two(now, r, self.eligible(now, r, partition.ready))
         if self.is_bound_to_cell(r):
             assert r.first_possible_run is not None
-            near = side is self.endpoint_list.near
+            near = partition is self.endpoint_list.near
             cell = [
                 e
                 for e in self.sample_run(self.endpoint_list.cells.get(r.first_possible_run.endpoint.cell, []))
                 if e.is_near is near
             ]
             return self.choose_two(now, r, self.eligible(now, r, cell))
-        if side.is_mostly_down(now):
-            return self.try_all(now, r, side)
-        if part > MAX_SCANNED:
-            drawn = self.sample_two(now, r, side, part)
-            return drawn or self.choose_two(now, r, self.eligible(now, r, self.sample_run(side.ready)))
-        drawn = self.choose_two(now, r, self.eligible(now, r, side.ready[:MAX_SCANNED]))
-        return drawn or self.sample_two(now, r, side, count)
+        if partition.is_mostly_down(now):
+            return self.try_all(now, r, partition)
+        if pool_count > MAX_SCANNED:
+            drawn = self.sample_two(now, r, partition, pool_count)
+            return drawn or self.choose_two(now, r, self.eligible(now, r, self.sample_run(partition.ready)))
+        drawn = self.choose_two(now, r, self.eligible(now, r, partition.ready[:MAX_SCANNED]))
+        return drawn or self.sample_two(now, r, partition, count)
 
     def sample_run(self, listed: list[Endpoint]) -> list[Endpoint]:
         """As many as are looked through, from a random place on."""
-        at = int(self.rng.random() * len(listed)) if len(listed) > MAX_SCANNED else 0
-        return listed[at : at + MAX_SCANNED] + listed[: max(0, min(at, at + MAX_SCANNED - len(listed)))]
+        start = int(self.rng.random() * len(listed)) if len(listed) > MAX_SCANNED else 0
+        return listed[start : start + MAX_SCANNED] + listed[: max(0, min(start, start + MAX_SCANNED - len(listed)))]
 
     def is_bound_to_cell(self, r: Request) -> bool:
         """Whether only endpoints of the first attempt's cell discard a repeat."""
         return r.first_possible_run is not None and not r.klass.idempotent and r.klass.settings.group == "cell"
 
-    def try_all(self, now: float, r: Request, side: ZonePartition) -> tuple[Endpoint, Endpoint, float] | None:
+    def try_all(self, now: float, r: Request, partition: ZonePartition) -> tuple[Endpoint, Endpoint, float] | None:
         """Where most of a large side looks down the fault is as likely on this side: any one, and one of those that
         don't, so that a single one that answers is found at once."""
-        other = self.first_eligible(now, r, [side.draw_by_size(self.rng, len(side.ready)) for _ in range(MAX_DRAWS)])
+        other = self.first_eligible(
+            now, r, [partition.sample_by_size(self.rng, len(partition.ready)) for _ in range(MAX_DRAWS)]
+        )
         up = self.first_eligible(
-            now, r, [side.up[int(self.rng.random() * len(side.up))] for _ in range(MAX_DRAWS)] if side.up else []
+            now,
+            r,
+            [partition.up[int(self.rng.random() * len(partition.up))] for _ in range(MAX_DRAWS)]
+            if partition.up
+            else [],
         )
         first, second = up or other, other or up
         return (first, second, 1.0) if first is not None and second is not None else None
@@ -133,26 +139,26 @@
         return None
 
     def sample_two(
-        self, now: float, r: Request, side: ZonePartition, among: int
+        self, now: float, r: Request, partition: ZonePartition, count: int
     ) -> tuple[Endpoint, Endpoint, float] | None:
         """The same draw from so many first ones of a side, at a cost that doesn't grow with it.
 
         Endpoints are drawn by size from the list, and again while they are not fit: what remains has the shares
         that it would have in a pool of the fit ones. None where few are fit.
         """
-        first = self.key_owner(now, r, side is self.endpoint_list.near)
+        first = self.key_owner(now, r, partition is self.endpoint_list.near)
         gain = WARM_KEY_GAIN if first else 1.0
-        first = first or self.sample(now, r, side, among, None)
-        second = self.sample(now, r, side, among, first) if first is not None else None
+        first = first or self.sample(now, r, partition, count, None)
+        second = self.sample(now, r, partition, count, first) if first is not None else None
         return (first, second, gain) if first is not None and second is not None else None
 
     def sample(
-        self, now: float, r: Request, side: ZonePartition, among: int, other: Endpoint | None
+        self, now: float, r: Request, partition: ZonePartition, count: int, other: Endpoint | None
     ) -> Endpoint | None:
         """One that is fit and not the other; None after a few tries."""
         used = [a.endpoint for a in r.attempts]
         for _ in range(MAX_DRAWS):
-            e = side.draw_by_size(self.rng, among)
+            e = partition.sample_by_size(self.rng, count)
             if e is other or e.down_until > now or e in used:
                 continue
             if self.endpoint_list.is_same_group(r, e) and self.slow_start.admits(now, e):
@@ -169,11 +175,11 @@
             return None
         turn = int(self.rng.random() * self.recent_keys.count(r.key))
         seed = zlib.crc32(f"{r.key} {turn}".encode())
-        side = self.endpoint_list.near if near else self.endpoint_list.far
+        partition = self.endpoint_list.near if near else self.endpoint_list.far
         e = (
-            side.key_owner(seed)
-            if len(side.ready) > MAX_SCANNED
-            else max(side.ready, key=lambda e: (((e.hash ^ seed) * 0x9E3779B1 % 2**32) / 2**32) ** (1.0 / e.size))
+            partition.key_owner(seed)
+            if len(partition.ready) > MAX_SCANNED
+            else max(partition.ready, key=lambda e: (((e.hash ^ seed) * 0x9E3779B1 % 2**32) / 2**32) ** (1.0 / e.size))
         )
         used = any(a.endpoint is e for a in r.attempts)
         fit = (
@@ -187,18 +193,18 @@
     def partitions(self, now: float, r: Request) -> list[ZonePartition]:
         """What to draw from: the home zone, or the others where it is full or they are better by more than
         the crossing."""
-        only = self.returns.only(self.settings.zone, self.rng)
+        only = self.reachability.reachable_side(self.settings.zone, self.rng)
         if only != "either" and self.endpoint_list.near.ready and self.endpoint_list.far.ready:
             return [self.endpoint_list.near if only == "home" else self.endpoint_list.far]
-        sides = [self.endpoint_list.near]
+        candidates = [self.endpoint_list.near]
         if (
             not self.endpoint_list.near.ready
-            or FULL_ZONE_GAIN * self.zone_crossing.relative_worth(now, r) >= self.settings.prices.cross_zone
+            or FULL_ZONE_GAIN * self.zone_crossing.relative_value(now, r) >= self.settings.prices.cross_zone
         ):
-            sides.append(self.endpoint_list.far)
+            candidates.append(self.endpoint_list.far)
             if self.endpoint_list.far.ready and self.zone_crossing.crosses(now, r):
-                sides.reverse()
-        return sides
+                candidates.reverse()
+        return candidates
 
     def reusable(self, now: float, r: Request) -> list[Endpoint]:
         """Where a retry may go back to: a fleet may be smaller than the attempts allowed."""
@@ -214,7 +220,7 @@
             and self.endpoint_list.is_same_group(r, e)
         ]
 
-    def eligible(self, now: float, r: Request, side: list[Endpoint]) -> list[Endpoint]:
+    def eligible(self, now: float, r: Request, partition: list[Endpoint]) -> list[Endpoint]:
         """The first of this balancer's own order that are unused by the request, not down, not cold and full.
 
         Guards against hundreds of balancers that each connect to the whole fleet and learn little of each
@@ -224,7 +230,7 @@
         enough = self.endpoint_list.pool_size()
         up: list[Endpoint] = []
         down: list[Endpoint] = []
-        for e in side:
+        for e in partition:
             if e in used or not self.endpoint_list.is_same_group(r, e) or not self.slow_start.admits(now, e):
                 continue
             if e.down_until > now:
@@ -242,7 +248,7 @@
         silence = e.silence(now)
         if silence > 0.0:
             # A server that swallows requests looks idle: its silence counts before any attempt times out.
-            over = silence / (SILENCE_TOLERANCE * max(k.mean_latency for k in self.classes))
-            if over > 1.0:
-                payoff /= over * over
+            excess = silence / (SILENCE_TOLERANCE * max(k.mean_latency for k in self.classes))
+            if excess > 1.0:
+                payoff /= excess * excess
         return payoff / (1 + e.inflight)
--- a/zinclever/policy/slow_start.py
+++ b/zinclever/policy/slow_start.py
@@ -5,8 +5,8 @@
 import itertools
 
 from .. import interface
-from ..fleet.returns import presumed
-from ..fleet.smooth import MEMORY, NEVER, Smooth
+from ..fleet.returns import is_presumed_cold
+from ..fleet.smooth import DECAY_TIME, NEVER, DecayingMean
 from .endpoint_list import EndpointList
 from .endpoints import Endpoint
 
@@ -18,16 +18,16 @@
 class SlowStart:
     """How much of its capacity a cold endpoint may be sent by this balancer."""
 
-    def __init__(self, settings: interface.Settings, members: EndpointList) -> None:
-        self.rules, self.endpoint_list = settings.rules, members
-        self.demand = Smooth(MEMORY)
+    def __init__(self, settings: interface.Settings, endpoint_list: EndpointList) -> None:
+        self.rules, self.endpoint_list = settings.rules, endpoint_list
+        self.demand = DecayingMean(DECAY_TIME)
         self.warm_rate = 0.0  # answers a millisecond and size of a warm endpoint
-        self.warm_at = -NEVER
+        self.measured_at = -NEVER
 
     def is_cold(self, now: float, e: Endpoint) -> bool:
         """Whether an endpoint has started lately, or is presumed to have."""
         # A start at 0 is long past: guards against a clock near 0, by which all would be cold.
-        if presumed(now - self.rules.cold_for, e.presumed_cold_at, e.failures, self.endpoint_list.refusals):
+        if is_presumed_cold(now - self.rules.cold_for, e.presumed_cold_at, e.failures, self.endpoint_list.refusals):
             return True
         return e.started_at != 0.0 and e.started_at + self.rules.cold_for > now
 
@@ -46,7 +46,7 @@
         """
         if not self.is_cold(now, e):
             return True
-        if now - self.warm_at > HELD_CHECK_INTERVAL:
+        if now - self.measured_at > HELD_CHECK_INTERVAL:
             self.measure_warm(now)
         rate = (
             min(CAPACITY_FACTOR, self.rules.overload_factor / 2) * self.capacity_share(now, e) * e.size * self.warm_rate
@@ -83,12 +83,12 @@
         A zone that is all cold is measured by the others: guards against taking the demand for what it can
         do, when it comes back from an outage to clients that repeat all they ask.
         """
-        self.warm_at = now
-        enough = int(min(self.endpoint_list.pool_size(), MAX_MEASURED))
+        self.measured_at = now
+        limit = int(min(self.endpoint_list.pool_size(), MAX_MEASURED))
         rates: list[float] = []
         for side in (self.endpoint_list.near, self.endpoint_list.far):
             if 3 * side.warm_count(now) >= len(side.ready) > 0:
-                warm = list(itertools.islice((e for e in side.ready if not self.is_cold(now, e)), enough))
+                warm = list(itertools.islice((e for e in side.ready if not self.is_cold(now, e)), limit))
                 served = sum((e.served.rate(now) for e in warm), 0.0)
                 rates.append(served / sum((e.size for e in warm), 0.0))
         if rates:
@@ -96,7 +96,7 @@
         elif (
             self.endpoint_list.ready and self.warm_rate == 0.0
         ):  # all is cold: it starts with an even part of the demand
-            self.warm_rate = self.demand.rate(now) / sum((e.size for e in self.endpoint_list.ready[:enough]), 0.0)
+            self.warm_rate = self.demand.rate(now) / sum((e.size for e in self.endpoint_list.ready[:limit]), 0.0)
 
     def on_sent(self, now: float, e: Endpoint) -> None:
         """One more goes there."""
--- a/zinclever/policy/stalled_attempts.py
+++ b/zinclever/policy/stalled_attempts.py
@@ -5,7 +5,7 @@
 import heapq
 
 from .. import interface
-from ..fleet.smooth import MEMORY, NEVER, Smooth
+from ..fleet.smooth import DECAY_TIME, NEVER, DecayingMean
 from .requests import Attempt, ClassState, Request
 
 OVERDUE_LATENCIES = 1.8  # mean latencies after which most attempts that are still out stay out
@@ -23,7 +23,7 @@
     def __init__(self, settings: interface.Settings) -> None:
         self.limits = settings.limits
         self.pending: list[tuple[float, int, Request, Attempt]] = []  # attempts by when they are overdue
-        self.stalled_share = Smooth(MEMORY)  # share of attempts that came to be overdue
+        self.stalled_share = DecayingMean(DECAY_TIME)  # share of attempts that came to be overdue
         self.sequence = 0
 
     def add(self, r: Request, a: Attempt) -> None:
@@ -53,7 +53,7 @@
             and self.stalled_share.mean(now, 0.0, STALLED_PRIOR) > STALLED_THRESHOLD
         )
 
-    def check(self, now: float, out: list[interface.Action]) -> None:
+    def check(self, now: float, actions: list[interface.Action]) -> None:
         """Attempts without a word in their time, where too many are: they leave their place in the window to
         others, and a keyed request goes elsewhere within its group.
 
@@ -82,13 +82,13 @@
             if self.may_move(now, r, a):
                 r.first_possible_run = r.first_possible_run or a
                 a.is_given_up = True
-                out.append(interface.Cancel(r.id, r.attempts.index(a)))
+                actions.append(interface.Cancel(r.id, r.attempts.index(a)))
 
     def may_move(self, now: float, r: Request, a: Attempt) -> bool:
         """Whether a keyed request gains by going to another endpoint of its group."""
-        told, bound = r.klass.settings, r.first_possible_run or a
-        if told.repeat != "deduplicated" or not self.limits.cancel or r.is_closed or r.open_attempts > 1:
+        settings, origin = r.klass.settings, r.first_possible_run or a
+        if settings.repeat != "deduplicated" or not self.limits.cancel or r.is_closed or r.open_attempts > 1:
             return False
-        if len(r.attempts) >= self.limits.max_attempts or now >= bound.sent_at + told.window:
+        if len(r.attempts) >= self.limits.max_attempts or now >= origin.sent_at + settings.window:
             return False
         return now + MIN_LATENCIES_LEFT * r.klass.mean_latency + r.work <= r.target_at and a.partition.has_room()
--- a/zinclever/policy/zone_crossing.py
+++ b/zinclever/policy/zone_crossing.py
@@ -5,7 +5,7 @@
 import random
 
 from .. import interface
-from ..fleet.smooth import MEMORY, Smooth
+from ..fleet.smooth import DECAY_TIME, DecayingMean
 from .requests import UNCROWDED_LATENCY_SHARE, Request
 
 CROSSING_STEP = 0.25  # of the price: gain in aims from which on some leave the zone; it also relieves who stay
@@ -20,23 +20,26 @@
 
     def __init__(self, settings: interface.Settings, rng: random.Random) -> None:
         self.settings, self.rng = settings, rng
-        self.home, self.away = Smooth(2 * MEMORY), Smooth(2 * MEMORY)  # share of the aim that answers left
-        self.request_worth = Smooth(2 * MEMORY)  # worth of a request
+        self.home, self.away = (
+            DecayingMean(2 * DECAY_TIME),
+            DecayingMean(2 * DECAY_TIME),
+        )  # share of the aim that answers left
+        self.request_value = DecayingMean(2 * DECAY_TIME)  # worth of a request
 
     def on_zone_returned(self, zone: int) -> None:
         """A zone is back: what its outage taught would keep requests away for as long again."""
         if zone == self.settings.zone:
-            self.home = Smooth(2 * MEMORY)
+            self.home = DecayingMean(2 * DECAY_TIME)
         else:
-            self.away = Smooth(2 * MEMORY)
+            self.away = DecayingMean(2 * DECAY_TIME)
 
-    def worth(self, r: Request) -> float:
+    def value(self, r: Request) -> float:
         """What an answer in time to this request is worth."""
         return r.klass.settings.value * ((r.work or r.klass.mean_latency) if self.settings.value_by == "work" else 1.0)
 
-    def relative_worth(self, now: float, r: Request) -> float:
+    def relative_value(self, now: float, r: Request) -> float:
         """What an answer to this request is worth, over the usual."""
-        return self.worth(r) / self.request_worth.mean(now, self.worth(r), 1.0)
+        return self.value(r) / self.request_value.mean(now, self.value(r), 1.0)
 
     def crosses(self, now: float, r: Request) -> bool:
         """Whether an attempt leaves the zone: the likelier the further home falls behind and the more the
@@ -45,21 +48,21 @@
         Guards against a home zone with more traffic than its endpoints can carry, and against one that is
         left by all, stands idle and is not heard of again: what is worth little stays.
         """
-        step = CROSSING_STEP * self.settings.prices.cross_zone
+        threshold = CROSSING_STEP * self.settings.prices.cross_zone
         away = self.away.mean(now, 1.0 - UNCROWDED_LATENCY_SHARE, 1.0)
         gain = away - self.home.mean(now, away, HOME_PRIOR)  # a home not heard of lately is given another chance
-        gain *= self.relative_worth(now, r)
-        return gain > step and gain > step * (1.0 + self.rng.random())
+        gain *= self.relative_value(now, r)
+        return gain > threshold and gain > threshold * (1.0 + self.rng.random())
 
     def shed_share(self, now: float) -> float:
         """Share of the demand that is held back, least worth first, as answers leave little of their aim.
 
         Guards against a crowd that no window shows: hundreds of balancers with one or two requests each.
         """
-        near, far = self.home.kept(now), self.away.kept(now)
-        weight = self.home.weight * near + self.away.weight * far
+        home_weight, away_weight = self.home.decay(now), self.away.decay(now)
+        weight = self.home.weight * home_weight + self.away.weight * away_weight
         if weight <= SHED_PRIOR:
             return 0.0
-        total = self.home.total * near + self.away.total * far
-        ease = (total + SHED_PRIOR * (1.0 - UNCROWDED_LATENCY_SHARE)) / (weight + SHED_PRIOR)
-        return min(MAX_SHED_SHARE, max(0.0, 2.0 - 2.0 * ease / TARGET_SLACK))
+        total = self.home.total * home_weight + self.away.total * away_weight
+        slack = (total + SHED_PRIOR * (1.0 - UNCROWDED_LATENCY_SHARE)) / (weight + SHED_PRIOR)
+        return min(MAX_SHED_SHARE, max(0.0, 2.0 - 2.0 * slack / TARGET_SLACK))
