--- a/zinclever/drill.py
+++ b/zinclever/drill.py
@@ -1,4 +1,7 @@
-"""The simulator's wire: lines of JSON to and from many balancers. It decides nothing."""
+"""Adapter between the simulator's wire protocol and the balancers: one JSON array a line in both directions.
+
+It translates messages into events and actions into replies, and makes no decision of its own.
+"""
 
 from __future__ import annotations
 
@@ -32,131 +35,149 @@
 }
 
 
-SHOWN = 120  # characters of a malformed line that are shown
+MAX_SHOWN = 120  # characters of a malformed message in an error text
 
 
 class WireError(Exception):
-    """A line that the wire's description does not allow."""
+    """A line that the wire protocol does not allow."""
 
 
-def _shown(e: list[Any]) -> str:
-    return "bad event " + orjson.dumps(e)[:SHOWN].decode(errors="replace")
+def _describe(message: list[Any]) -> str:
+    return "bad event " + orjson.dumps(message)[:MAX_SHOWN].decode(errors="replace")
 
 
-def _entry(e: list[Any]) -> interface.Listed:
-    started, endpoint, zone, size, cell, _kind, phase = e[:7]
-    return interface.Listed(endpoint, PHASES[phase], size or 1.0, zone or 0, cell or 0, started or 0.0)
+def _entry(fields: list[Any]) -> interface.Listed:
+    started_at, endpoint, zone, size, cell, _kind, phase = fields[:7]
+    return interface.Listed(endpoint, PHASES[phase], size or 1.0, zone or 0, cell or 0, started_at or 0.0)
 
 
-def _arrival(e: list[Any]) -> interface.Event:
-    _, _, rid, klass, tenant, key, deadline, work, again = e[:9]
-    return interface.RequestArrived(rid, klass, deadline, tenant or 0, key or "", work or 0.0, bool(again))
+def _arrival(message: list[Any]) -> interface.Event:
+    _, _, request, klass, tenant, key, deadline, work, client_retry = message[:9]
+    return interface.RequestArrived(request, klass, deadline, tenant or 0, key or "", work or 0.0, bool(client_retry))
 
 
-def _report(told: Any) -> dict[str, float]:
-    """The numbers of a load report; what is no number is skipped."""
-    pairs = told.items() if isinstance(told, dict) else told or ()
+def _report(raw: Any) -> dict[str, float]:
+    """Return the numbers of a load report; other values are skipped."""
+    pairs = raw.items() if isinstance(raw, dict) else raw or ()
     return {k: float(v) for k, v in pairs if isinstance(v, int | float)}
 
 
-def _answer(e: list[Any]) -> interface.Event:
-    gauge = _report(e[8] if len(e) > 8 else None)
-    return interface.AttemptEnded(e[2], e[3], e[6], OUTCOMES[e[7]], e[4] or 0.0, bool(e[5]), gauge)
+def _answer(message: list[Any]) -> interface.Event:
+    report = _report(message[8] if len(message) > 8 else None)
+    return interface.AttemptEnded(
+        message[2], message[3], message[6], OUTCOMES[message[7]], message[4] or 0.0, bool(message[5]), report
+    )
 
 
 EVENTS: dict[str, Callable[[list[Any]], interface.Event]] = {
     "arrival": _arrival,
     "answer": _answer,
-    "ring": lambda e: interface.TimerFired(e[2]),
-    "expired": lambda e: interface.RequestClosed(e[2]),
-    "begun": lambda e: interface.StreamStarted(e[2], e[3], e[4], e[5] or 0.0),
-    "mail": lambda e: interface.PeerMessage(e[2], base64.b64decode(e[3] or "")),
-    "checked": lambda e: interface.ProbeEnded(e[3], OUTCOMES[e[4]], e[2] or 0.0, _report(e[5] if len(e) > 5 else None)),
+    "ring": lambda message: interface.TimerFired(message[2]),
+    "expired": lambda message: interface.RequestClosed(message[2]),
+    "begun": lambda message: interface.StreamStarted(message[2], message[3], message[4], message[5] or 0.0),
+    "mail": lambda message: interface.PeerMessage(message[2], base64.b64decode(message[3] or "")),
+    "checked": lambda message: interface.ProbeEnded(
+        message[3], OUTCOMES[message[4]], message[2] or 0.0, _report(message[5] if len(message) > 5 else None)
+    ),
 }
 
 ACTIONS: dict[type, Callable[[int, Any], list[Any]]] = {
-    interface.Send: lambda n, a: ["call-out", n, a.request, a.endpoint, a.expires_at],
-    interface.Cancel: lambda n, a: ["drop-attempt", n, a.request, a.attempt],
-    interface.Refuse: lambda n, a: ["not-now", n, a.request, a.retry_after],
-    interface.Fail: lambda n, a: ["lose", n, a.request],
-    interface.SetTimer: lambda n, a: ["wake-me", n, a.at, a.token],
-    interface.FetchMembership: lambda n, a: ["refresh", n],
-    interface.WatchMembership: lambda n, a: ["subscribe", n, a.on],
-    interface.Probe: lambda n, a: ["touch", n, a.endpoint],
-    interface.TellPeers: lambda n, a: [
+    interface.Send: lambda number, action: ["call-out", number, action.request, action.endpoint, action.expires_at],
+    interface.Cancel: lambda number, action: ["drop-attempt", number, action.request, action.attempt],
+    interface.Refuse: lambda number, action: ["not-now", number, action.request, action.retry_after],
+    interface.Fail: lambda number, action: ["lose", number, action.request],
+    interface.SetTimer: lambda number, action: ["wake-me", number, action.at, action.token],
+    interface.FetchMembership: lambda number, action: ["refresh", number],
+    interface.WatchMembership: lambda number, action: ["subscribe", number, action.on],
+    interface.Probe: lambda number, action: ["touch", number, action.endpoint],
+    interface.SendToPeers: lambda number, action: [
         "broadcast-to",
-        n,
-        "all" if a.peer is None else a.peer,
-        base64.b64encode(a.payload).decode(),
+        number,
+        "all" if action.peer is None else action.peer,
+        base64.b64encode(action.payload).decode(),
     ],
-    interface.CloseIdle: lambda n, a: ["release", n, a.endpoint],
-    interface.Note: lambda n, a: ["say-log", n, a.text],
+    interface.CloseIdle: lambda number, action: ["release", number, action.endpoint],
+    interface.Note: lambda number, action: ["say-log", number, action.text],
 }
 
 
-class Host:
-    """Many balancers behind one wire."""
+class BalancerHost:
+    """The balancers that one simulator connection drives, by number."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self.balancers: dict[int, Balancer] = {}
         self.lists: dict[int, tuple[interface.Listed, ...]] = {}
 
-    def event(self, e: list[Any], out: list[bytes]) -> None:
-        """One event of the batch; its actions go to ``out`` as lines."""
-        name = e[0]
-        number = e[1]
+    def process_message(self, message: list[Any], replies: list[bytes]) -> None:
+        """Process one message of a batch and append the resulting actions to ``replies``, one line each.
+
+        Raises:
+            WireError: the message is malformed.
+        """
+        name = message[0]
+        number = message[1]
         try:
             if name == "mark":
-                self.now = float(e[1])
+                self.now = float(message[1])
                 return
             if name == "catalog":
-                self.lists[e[1]] = tuple(_entry(x) for x in e[2])
+                self.lists[message[1]] = tuple(_entry(fields) for fields in message[2])
                 return
             if name == "launch":
-                self.balancers[number] = Balancer(read_settings(e[3]), e[2])
+                self.balancers[number] = Balancer(read_settings(message[3]), message[2])
                 return
             if name == "kill":
                 self.balancers.pop(number)
                 return
             if number not in self.balancers:
-                raise WireError(f"{_shown(e)}: no instance {number}")
+                raise WireError(f"{_describe(message)}: no instance {number}")
             if name == "view":
-                scope = SCOPES[e[2]]
-                told: interface.Event = interface.MembershipNews(scope, () if scope == "refused" else self.lists[e[4]])
+                scope = SCOPES[message[2]]
+                event: interface.Event = interface.MembershipNews(
+                    scope, () if scope == "refused" else self.lists[message[4]]
+                )
             else:
-                told = EVENTS[name](e)
-        except (LookupError, TypeError, ValueError, AttributeError) as wrong:
-            raise WireError(f"{_shown(e)}: {wrong}") from wrong
-        for a in self.balancers[number].handle(self.now, told):
-            out.append(orjson.dumps(ACTIONS[type(a)](number, a)))
+                event = EVENTS[name](message)
+        except (LookupError, TypeError, ValueError, AttributeError) as error:
+            raise WireError(f"{_describe(message)}: {error}") from error
+        for action in self.balancers[number].handle(self.now, event):
+            replies.append(orjson.dumps(ACTIONS[type(action)](number, action)))
 
     def batch(self, lines: list[bytes]) -> list[bytes]:
-        """The reply to the lines of one batch, ``your-turn`` left out."""
-        out: list[bytes] = []
+        """Process the lines of one batch, without its ``your-turn``, and return the lines of the reply.
+
+        Raises:
+            WireError: a line is malformed.
+        """
+        replies: list[bytes] = []
         for line in lines:
             try:
-                e = orjson.loads(line)
-            except orjson.JSONDecodeError as wrong:
-                raise WireError(f"not JSON: {line[:SHOWN]!r}: {wrong}") from wrong
-            if not isinstance(e, list) or len(e) < 2 or not isinstance(e[0], str):
-                raise WireError(f"not a message: {line[:SHOWN]!r}")
+                message = orjson.loads(line)
+            except orjson.JSONDecodeError as error:
+                raise WireError(f"not JSON: {line[:MAX_SHOWN]!r}: {error}") from error
+            if not isinstance(message, list) or len(message) < 2 or not isinstance(message[0], str):
+                raise WireError(f"not a message: {line[:MAX_SHOWN]!r}")
             try:
-                self.event(e, out)
+                self.process_message(message, replies)
             except WireError:
                 raise
-            except Exception as wrong:  # the decision code failed: say so, never fall silent
-                text = f"{type(wrong).__name__}: {wrong}"
-                print(text, file=sys.stderr)
-                out = [orjson.dumps(["broken", e[1], text])]
+            except Exception as error:  # a fault of the balancer: the simulator must get a reply
+                description = f"{type(error).__name__}: {error}"
+                print(description, file=sys.stderr)
+                replies = [orjson.dumps(["broken", message[1], description])]
                 break
-        out.append(b'["end"]\n')
-        return out
+        replies.append(b'["end"]\n')
+        return replies
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
-    host = Host()
+    """Reply to batches from ``source`` on ``sink`` until the input ends.
+
+    Raises:
+        WireError: the input is malformed.
+    """
+    host = BalancerHost()
     lines: list[bytes] = []
     for line in source:
         if line[:40].replace(b" ", b"").startswith(b'["your-turn"'):
@@ -168,11 +189,11 @@
 
 
 def main() -> int:
-    """Serve standard input; 1 after input that is not the wire."""
+    """Serve standard input and output. Returns 1 if the input is malformed."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except WireError as wrong:
-        print(f"zinclever: {wrong}", file=sys.stderr)
+    except WireError as error:
+        print(f"zinclever: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/zinclever/interface.py
+++ b/zinclever/interface.py
@@ -1,8 +1,8 @@
-"""What goes into the balancer and what comes out: settings, events, actions.
+"""Types exchanged with the balancer: its settings, the events it receives and the actions it returns.
 
-Every time is in milliseconds. An instant (``now``, ``deadline``, ``expires_at``, ``started_at``) is read
-off the clock of the caller, which may begin anywhere and only moves forward; everything else is a span.
-Identifiers of requests and endpoints are opaque texts.
+All times are in milliseconds. An instant (``now``, ``deadline``, ``expires_at``, ``started_at``) is a reading of the
+caller's clock, which may start at any value and never goes backwards; every other time is a duration. Identifiers of
+requests and endpoints are opaque strings.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 ListKind = Literal["changes", "whole", "remembered", "refused"]
 Phase = Literal["ready", "draining", "gone"]
 
-#: Outcomes that prove the attempt never ran. ``dropped``: an open connection ended before all was written.
-#: ``barred``: this sidecar's own part of the connections or handshakes is used up.
+#: Outcomes that prove that the endpoint never executed the attempt. ``dropped``: an open connection ended before the
+#: request was written in full. ``barred``: this sidecar's share of the connections or handshakes is used up.
 NEVER_RAN = frozenset({"full", "connect_failed", "dropped", "not_sent", "barred"})
 
 
@@ -28,29 +28,32 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests and what may be done with it."""
+    """A class of requests: its latency target, its deadline and its retry semantics."""
 
     aim: float
-    """Answered within this, a request earns its full worth."""
+    """Latency target: an answer within it earns the full value of the request."""
     deadline: float
-    """How long a client waits in all."""
+    """Time after which the client gives up."""
     value: float = 1.0
+    """Value of an answer within the target, relative to other classes."""
     repeat: Repeat = "at_most_once"
+    """What a repeated execution does: nothing, nothing within ``group`` and ``window``, or it takes effect again."""
     group: Literal["all", "zone", "cell"] = "all"
-    """Deduplicated classes: the endpoints that discard a repeat."""
+    """Deduplicated classes: the endpoints that share the memory of keys and so discard a repeat."""
     window: float = 0.0
-    """Deduplicated classes: how long they remember, from the first send that may have run."""
+    """Deduplicated classes: how long endpoints remember a key, counted from the first send that may have run."""
     streamed: bool = False
+    """The response is a stream."""
     late_worth: float = 0.0
-    """Fraction of the worth earned between aim and deadline."""
+    """Fraction of the value that an answer between target and deadline earns."""
     aim_stretch: float = 0.0
-    """The aim grows by this multiple of the request's own work."""
+    """The target is extended by this multiple of the request's own work."""
     name: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant and what it may use of the service, summed over all balancers."""
+    """A tenant and its quota, which covers all balancers together."""
 
     quota_per_s: float
     portion: float = 0.0
@@ -62,21 +65,28 @@
     """What the deployment permits."""
 
     max_attempts: int = 1
+    """Attempts for each request, including the first."""
     cancel: bool = False
+    """Attempts may be cancelled."""
     second_copies: bool = False
-    """A request may have two attempts in flight."""
+    """A request may have two attempts in flight (hedging)."""
     probes: bool = False
+    """Health probes may be sent."""
     peers: bool = False
+    """Balancers may exchange messages."""
     retry_after: bool = False
+    """Refusals may carry a retry delay."""
     max_retry_after: float = 0.0
+    """Longest retry delay that clients observe."""
     connect_timeout: float = 1000.0
     connection_idle: float = 60000.0
+    """Time after which endpoints close an idle connection."""
     streams_per_connection: int = 1
 
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Points taken off the result, each times its share or rate."""
+    """Penalties, each multiplied by the share or rate that it names."""
 
     waste: float = 0.0
     late_fail: float = 0.0
@@ -89,48 +99,53 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """Figures of the four rules."""
+    """Limits set by the protocol between clients, balancers, endpoints and discovery."""
 
     answer_slack: float = 0.0
-    """A final answer still counts this long after the deadline."""
+    """A final answer still counts when it comes this long after the deadline."""
     ask_within: float = 10000.0
-    """Without a subscription, the list has to be asked for this often."""
+    """Without a subscription, the endpoint list must be fetched at least this often."""
     drain_grace: float = 0.0
-    """Sends to a draining endpoint must have stopped by then."""
+    """Time after which a draining endpoint must receive no more requests."""
     cold_share: float = 1.0
-    """An endpoint starts with this share of its capacity, at least."""
+    """Share of its capacity that an endpoint has at least when it starts (slow start)."""
     cold_for: float = 0.0
-    """And has all of it after this, at the latest."""
+    """Time after its start by which an endpoint has its full capacity."""
     overload_factor: float = 3.0
     overload_for: float = 2000.0
-    """More than that multiple of its capacity for this long pushes a cold endpoint over."""
+    """A load above ``overload_factor`` times its capacity for this long makes a cold endpoint fail."""
 
 
 @dataclass(frozen=True, slots=True)
 class Shares:
-    """What all balancers together may use, of which each takes its part. Zero: not bounded."""
+    """Limits on what all balancers may use together; each of them takes its share. 0 means unlimited."""
 
     subset: int = 0
-    """Endpoints of the home zone that each balancer knows at least; 0: it knows all."""
+    """Minimum number of endpoints of the home zone that each balancer knows; 0: it knows all."""
     connections: float = 0.0
-    """Open at once to each endpoint, of all balancers."""
+    """Open connections to each endpoint."""
     handshakes_per_s: float = 0.0
-    """To each endpoint, of all balancers."""
+    """New connections to each endpoint."""
     list_calls_per_s: float = 0.0
-    """To discovery, of all balancers."""
+    """Calls of discovery."""
     busy: int = 1
-    """Balancers that may be far busier than the rest at once; half of the connections is theirs."""
+    """Balancers that may be far busier than the rest at the same time. A quarter of the connections is set aside for
+    them."""
     retry_ratio: float = 0.0
-    """Retries for each request, over some seconds."""
+    """Retries for each request, averaged over some seconds."""
     copy_ratio: float = 0.0
-    """Copies for each request, over some seconds."""
+    """Hedges for each request, averaged over some seconds."""
     floor_per_s: float = 0.0
-    """Retries, and copies, to each endpoint of all balancers that are free whatever the ratios."""
+    """Retries, and as many hedges, to each endpoint that are allowed whatever the ratios."""
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Everything a balancer is told at its start."""
+    """Everything that a balancer is configured with at its start.
+
+    Raises:
+        ValueError: a value is out of range; the message starts with the path of the setting.
+    """
 
     classes: Sequence[RequestClass]
     tenants: Sequence[Tenant] = ()
@@ -138,82 +153,90 @@
     prices: Prices = field(default_factory=Prices)
     rules: Rules = field(default_factory=Rules)
     group_size: int = 1
-    """How many balancers share the fleet."""
+    """Number of balancers that share the fleet."""
     me: int = 0
+    """Number of this balancer within the group, from 0."""
     zone: int = 0
+    """This balancer's own zone."""
     discovery: Literal["pushed", "on_request"] = "pushed"
     reports: Literal["piggyback", "pull", "silent"] = "silent"
     value_by: Literal["request", "work"] = "request"
-    """What a class's value is counted for: a request, or a unit of its work."""
+    """Whether the value of a class counts for each request or for each unit of its work."""
     over_share_worth: float = 1.0
-    """Worth of a request beyond its tenant's share, as a fraction."""
+    """Factor on the value of requests beyond their tenant's fair share."""
     report_fields: Sequence[str] = ()
-    """The values that load reports hold."""
+    """Names of the values in a load report."""
     warm_keys: bool = False
-    """An endpoint that served a key lately serves it at less work."""
+    """An endpoint that served a key recently serves it with less work."""
     sizes_told: bool = True
-    """List entries carry a size that compares endpoints."""
+    """List entries carry a size that makes endpoints comparable."""
     tick: float = 1.0
-    """Least time between two batches of events."""
+    """Minimum time between two batches of events."""
     shares: Shares = field(default_factory=Shares)
 
     def __post_init__(self) -> None:
-        def need(good: bool, name: str, what: str) -> None:
-            if not good:
-                raise ValueError(f"{name}: {what}")
+        def require(valid: bool, path: str, problem: str) -> None:
+            if not valid:
+                raise ValueError(f"{path}: {problem}")
 
-        need(len(self.classes) > 0, "classes", "at least one is needed")
+        require(len(self.classes) > 0, "classes", "at least one is needed")
         for i, c in enumerate(self.classes):
-            at = f"classes[{i}]"
-            need(0 < c.aim < float("inf"), f"{at}.aim", "must be above 0")
-            need(0 < c.deadline < float("inf"), f"{at}.deadline", "must be above 0")
-            need(c.value >= 0, f"{at}.value", "must not be negative")
-            need(c.window >= 0, f"{at}.window", "must not be negative")
-            need(0 <= c.late_worth <= 1, f"{at}.late_worth", "must lie between 0 and 1")
-            need(c.repeat in ("idempotent", "deduplicated", "at_most_once"), f"{at}.repeat", "unknown kind")
-            need(c.group in ("all", "zone", "cell"), f"{at}.group", "unknown kind")
+            prefix = f"classes[{i}]"
+            require(0 < c.aim < float("inf"), f"{prefix}.aim", "must be above 0")
+            require(0 < c.deadline < float("inf"), f"{prefix}.deadline", "must be above 0")
+            require(c.value >= 0, f"{prefix}.value", "must not be negative")
+            require(c.window >= 0, f"{prefix}.window", "must not be negative")
+            require(0 <= c.late_worth <= 1, f"{prefix}.late_worth", "must lie between 0 and 1")
+            require(c.repeat in ("idempotent", "deduplicated", "at_most_once"), f"{prefix}.repeat", "unknown kind")
+            require(c.group in ("all", "zone", "cell"), f"{prefix}.group", "unknown kind")
         for i, t in enumerate(self.tenants):
-            need(t.quota_per_s >= 0, f"tenants[{i}].quota_per_s", "must not be negative")
-        need(self.prices.cross_zone >= 0, "prices.cross_zone", "must not be negative")
+            require(t.quota_per_s >= 0, f"tenants[{i}].quota_per_s", "must not be negative")
+        require(self.prices.cross_zone >= 0, "prices.cross_zone", "must not be negative")
         r = self.rules
-        need(self.limits.max_attempts >= 1, "limits.max_attempts", "must be at least 1")
-        need(0 < r.cold_share <= 1, "rules.cold_share", "must lie above 0 and at most at 1")
-        need(r.cold_for >= 0, "rules.cold_for", "must not be negative")
-        need(r.overload_factor > 0, "rules.overload_factor", "must be above 0")
-        need(r.overload_for > 0, "rules.overload_for", "must be above 0")
-        need(r.ask_within > 0, "rules.ask_within", "must be above 0")
-        need(self.group_size >= 1, "group_size", "must be at least 1")
-        need(self.discovery in ("pushed", "on_request"), "discovery", "unknown kind")
-        need(self.value_by in ("request", "work"), "value_by", "must be 'request' or 'work'")
-        need(0 <= self.over_share_worth <= 1, "over_share_worth", "must lie between 0 and 1")
+        require(self.limits.max_attempts >= 1, "limits.max_attempts", "must be at least 1")
+        require(0 < r.cold_share <= 1, "rules.cold_share", "must lie above 0 and at most at 1")
+        require(r.cold_for >= 0, "rules.cold_for", "must not be negative")
+        require(r.overload_factor > 0, "rules.overload_factor", "must be above 0")
+        require(r.overload_for > 0, "rules.overload_for", "must be above 0")
+        require(r.ask_within > 0, "rules.ask_within", "must be above 0")
+        require(self.group_size >= 1, "group_size", "must be at least 1")
+        require(self.discovery in ("pushed", "on_request"), "discovery", "unknown kind")
+        require(self.value_by in ("request", "work"), "value_by", "must be 'request' or 'work'")
+        require(0 <= self.over_share_worth <= 1, "over_share_worth", "must lie between 0 and 1")
 
 
 # --- events -----------------------------------------------------------------------------------------------
 
 
 class Listed(NamedTuple):
-    """One endpoint as discovery lists it."""
+    """An endpoint as discovery lists it."""
 
     endpoint: str
     phase: Phase = "ready"
     size: float = 1.0
+    """Capacity relative to other endpoints."""
     zone: int = 0
     cell: int = 0
+    """Group of endpoints that share the memory of keys."""
     started_at: float = 0.0
-    """Instant of its latest start; 0: long past."""
+    """Instant of its latest start; 0: long ago."""
 
 
 class MembershipNews(NamedTuple):
-    """Discovery's news. ``remembered``: the list of an earlier life; ``refused``: a call failed."""
+    """An update of the endpoint list.
+
+    ``kind`` is ``whole`` (the full list), ``changes`` (changed entries only), ``remembered`` (the list that a previous
+    process stored) or ``refused`` (the call of discovery failed).
+    """
 
     kind: ListKind
     entries: Sequence[Listed] = ()
     of: int = 0
-    """Endpoints in all, where the balancer is told a subset of them only; 0: it is told all."""
+    """Total number of endpoints if the balancer is given only a subset; 0: it is given all of them."""
 
 
 class RequestArrived(NamedTuple):
-    """A client's request, to be given exactly one final answer before ``deadline``."""
+    """A request of a client. It gets exactly one final answer before ``deadline``."""
 
     request: str
     klass: int
@@ -221,28 +244,29 @@
     tenant: int = 0
     key: str = ""
     work: float = 0.0
-    """Expected work, as time on a standard core; 0: not told."""
+    """Expected work, as time on a standard core; 0: unknown."""
     client_retry: bool = False
+    """The client marked the request as a retry."""
     uploading: bool = False
-    """Its body is still coming in: its time begins with :class:`UploadEnded`. An attempt gets the body as it comes and
-    can't run before its end; the whole body is kept for another one."""
+    """The body is still being received, and the request's time starts with :class:`UploadEnded`. An attempt is sent the
+    body as it arrives and can't run before the body ends; the body is buffered for further attempts."""
 
 
 class UploadEnded(NamedTuple):
-    """The body of a request that was ``uploading`` is whole: from now on it is as any other."""
+    """The body of an ``uploading`` request is complete: from now on it is treated as any other request."""
 
     request: str
     deadline: float
 
 
 class RequestClosed(NamedTuple):
-    """The client has left; nothing more is owed."""
+    """The client has disconnected; it is owed no answer."""
 
     request: str
 
 
 class StreamStarted(NamedTuple):
-    """The answer of a streamed class has begun; the client owns the attempt from here."""
+    """The response of a streamed class has begun. From here on the client controls the attempt."""
 
     request: str
     attempt: int
@@ -251,7 +275,7 @@
 
 
 class AttemptEnded(NamedTuple):
-    """How an attempt ended; each send gets exactly one."""
+    """The end of an attempt. Each :class:`Send` is followed by exactly one."""
 
     request: str
     attempt: int
@@ -259,19 +283,19 @@
     outcome: Outcome
     elapsed: float
     complete: bool
-    """The request is finished, by this outcome or before it."""
+    """The request is finished, by this outcome or an earlier one."""
     report: Mapping[str, float] = {}
-    """The endpoint's load report, if one came along: late and noisy; names: ``Settings.report_fields``."""
+    """The endpoint's load report if it sent one; delayed and noisy. Its names are ``Settings.report_fields``."""
 
 
 class TimerFired(NamedTuple):
-    """A timer set by :class:`SetTimer` has come due."""
+    """A timer set by :class:`SetTimer` has expired."""
 
     token: str
 
 
 class PeerMessage(NamedTuple):
-    """Bytes from another balancer of the group."""
+    """A message from another balancer of the group."""
 
     sender: int
     payload: bytes
@@ -303,54 +327,59 @@
 
 
 class Send(NamedTuple):
-    """Start an attempt. Those of a request are numbered 0, 1, 2 ... in the order of their sends."""
+    """Start an attempt. The attempts of a request are numbered 0, 1, 2, ... in the order of their sends."""
 
     request: str
     endpoint: str
     expires_at: float
+    """Instant at which the attempt is given up."""
 
 
 class Cancel(NamedTuple):
-    """Stop waiting for one attempt."""
+    """Stop waiting for an attempt."""
 
     request: str
     attempt: int
 
 
 class Refuse(NamedTuple):
-    """Final answer: nothing was done, a repeat is harmless. ``retry_after``: 0 gives no advice."""
+    """Final answer: nothing was executed, so that a retry is harmless. ``retry_after`` of 0 gives no retry delay."""
 
     request: str
     retry_after: float = 0.0
 
 
 class Fail(NamedTuple):
-    """Final answer: failed, and it may have run."""
+    """Final answer: the request failed and may have been executed."""
 
     request: str
 
 
 class SetTimer(NamedTuple):
+    """Deliver :class:`TimerFired` with ``token`` at instant ``at``."""
+
     at: float
     token: str
 
 
 class FetchMembership(NamedTuple):
-    """Ask discovery for the whole list, once."""
+    """Fetch the full endpoint list from discovery once."""
 
 
 class WatchMembership(NamedTuple):
-    """Subscribe to discovery's changes, or leave."""
+    """Subscribe to changes of the endpoint list, or end the subscription."""
 
     on: bool
 
 
 class Probe(NamedTuple):
+    """Probe the health of an endpoint."""
+
     endpoint: str
 
 
-class TellPeers(NamedTuple):
-    """Send bytes to one balancer of the group, or to all (``peer`` is None)."""
+class SendToPeers(NamedTuple):
+    """Send a message to one balancer of the group, or to all if ``peer`` is None."""
 
     peer: int | None
     payload: bytes
@@ -363,11 +392,21 @@
 
 
 class Note(NamedTuple):
-    """A line for the operators' log."""
+    """Write a line to the operators' log."""
 
     text: str
 
 
 Action = (
-    Send | Cancel | Refuse | Fail | SetTimer | FetchMembership | WatchMembership | Probe | TellPeers | CloseIdle | Note
+    Send
+    | Cancel
+    | Refuse
+    | Fail
+    | SetTimer
+    | FetchMembership
+    | WatchMembership
+    | Probe
+    | SendToPeers
+    | CloseIdle
+    | Note
 )
--- a/zinclever/settings.py
+++ b/zinclever/settings.py
@@ -1,4 +1,4 @@
-"""The settings object of the first message or of the configuration, read into :class:`Settings`."""
+"""Converts the platform's settings object into :class:`zinclever.interface.Settings`."""
 
 from __future__ import annotations
 
@@ -7,15 +7,19 @@
 from . import interface
 
 
-def _given(source: Any, names: dict[str, str]) -> dict[str, Any]:
-    """The values that ``source`` holds under the wire's names, under ours; absent ones keep their default."""
-    return {ours: source[wire] for wire, ours in names.items() if source.get(wire) is not None}
+def _present(source: Any, names: dict[str, str]) -> dict[str, Any]:
+    """Return the values that ``source`` holds, renamed from wire keys to field names. Absent ones keep their default."""
+    return {name: source[key] for key, name in names.items() if source.get(key) is not None}
 
 
-def read_settings(told: dict[str, Any]) -> interface.Settings:
-    """Settings from the wire's object; keys not known here are skipped."""
-    same = ("aim", "deadline", "value", "repeat", "group", "window", "streamed", "name")
-    per_class = {k: k for k in same} | {"late-worth": "late_worth", "aim-stretch": "aim_stretch"}
+def read_settings(raw: dict[str, Any]) -> interface.Settings:
+    """Build the settings from the platform's object; unknown keys are ignored.
+
+    Raises:
+        ValueError: a value is out of range.
+    """
+    unchanged = ("aim", "deadline", "value", "repeat", "group", "window", "streamed", "name")
+    per_class = {k: k for k in unchanged} | {"late-worth": "late_worth", "aim-stretch": "aim_stretch"}
     limits = {
         "attempts-cap": "max_attempts",
         "cancel": "cancel",
@@ -49,17 +53,17 @@
         "over-share-worth": "over_share_worth",
         "granularity": "tick",
     }
-    family: dict[str, Any] = told.get("family-info") or {}
-    report: dict[str, Any] = told.get("report") or {}
+    family: dict[str, Any] = raw.get("family-info") or {}
+    report: dict[str, Any] = raw.get("report") or {}
     return interface.Settings(
-        classes=tuple(interface.RequestClass(**_given(c, per_class)) for c in told.get("classes") or ()),
-        tenants=tuple(interface.Tenant(**_given(t, tenants)) for t in told.get("realms") or ()),
-        limits=interface.Limits(**_given(told.get("limits") or {}, limits)),
-        prices=interface.Prices(**_given(told.get("prices") or {}, prices)),
-        rules=interface.Rules(**_given(told.get("rules") or {}, rules)),
+        classes=tuple(interface.RequestClass(**_present(c, per_class)) for c in raw.get("classes") or ()),
+        tenants=tuple(interface.Tenant(**_present(t, tenants)) for t in raw.get("realms") or ()),
+        limits=interface.Limits(**_present(raw.get("limits") or {}, limits)),
+        prices=interface.Prices(**_present(raw.get("prices") or {}, prices)),
+        rules=interface.Rules(**_present(raw.get("rules") or {}, rules)),
         reports=report.get("how", "silent"),
         report_fields=tuple(report.get("fields") or ()),
         warm_keys=bool(family.get("warm-keys")),
-        sizes_told=told.get("weights") != "silent",
-        **_given(told, top),
+        sizes_told=raw.get("weights") != "silent",
+        **_present(raw, top),
     )
