--- a/zinclever/policy/balancer.py
+++ b/zinclever/policy/balancer.py
@@ -1,9 +1,9 @@
-"""Every decision of the balancer. Settings, events and actions: see interface.py.
+"""The balancer: turns events into actions. Settings, events and actions are defined in :mod:`zinclever.interface`.
 
-The ordinary path: a request goes to the better of two random unused ready endpoints by payoff over
-(1 + own in-flight); after each fixed delay without an answer an idempotent one gets a copy on an unused
-endpoint; the first good answer wins and the losers are cancelled. The modules beside this one say what is
-ready, where to draw, who waits when the fleet is full, and what outcomes teach.
+Usually a request goes to the better of two random ready endpoints that it has not used yet, compared by payoff over
+(1 + own in-flight requests). After each fixed delay without an answer an idempotent request is hedged on an endpoint
+that it has not used; the first good answer wins and the other attempts are cancelled. The other modules of this package
+keep the endpoint list, select endpoints, admit requests and learn from outcomes.
 """
 
 from __future__ import annotations
@@ -24,21 +24,24 @@
 from .stalled_attempts import MIN_LATENCIES_LEFT, StalledAttempts
 from .zone_crossing import ZoneCrossing
 
-HEDGES_PER_REQUEST = 0.2  # copies per request on the long run: what bounds the extra load
-HEDGE_BURST = 10.0  # copies: what may be saved up of the budget
+HEDGES_PER_REQUEST = 0.2  # hedges per request in the long run, which bounds the extra load
+HEDGE_BURST = 10.0  # hedges that may be saved up in the budget
 
 
 class Balancer:
-    """The decisions of one balancer: feed :meth:`handle` every event, carry out what it returns, in order."""
+    """The decisions of one balancer.
+
+    Pass every event to :meth:`handle` and carry out the actions that it returns, in their order.
+    """
 
     def __init__(self, settings: interface.Settings, seed: int) -> None:
         self.settings, self.rng = settings, random.Random(seed)
         self.limits, self.rules = settings.limits, settings.rules
-        shares, part = settings.shares, random.Random(seed)
+        shares, limits_rng = settings.shares, random.Random(seed)
         self.classes = [ClassState(c) for c in settings.classes]
-        tenants = [t.quota_per_s for t in settings.tenants] or [1.0]
+        tenants = [tenant.quota_per_s for tenant in settings.tenants] or [1.0]
         self.tenants = [TenantState(q, len(self.classes)) for q in tenants]
-        self.endpoint_list = EndpointList(settings, self.rng, part)
+        self.endpoint_list = EndpointList(settings, self.rng, limits_rng)
         self.slow_start = SlowStart(settings, self.endpoint_list)
         self.zone_crossing = ZoneCrossing(settings, self.rng)
         self.admission = Admission(
@@ -54,20 +57,20 @@
         self.stalled_attempts = StalledAttempts(settings)
         self.requests: dict[str, Request] = {}
         self.hedge_tokens = HEDGE_BURST
-        self.retry_budget = Budget(shares.retry_ratio, part) if shares.retry_ratio else None
-        self.hedge_budget = Budget(shares.copy_ratio, part) if shares.copy_ratio else None
+        self.retry_budget = Budget(shares.retry_ratio, limits_rng) if shares.retry_ratio else None
+        self.hedge_budget = Budget(shares.copy_ratio, limits_rng) if shares.copy_ratio else None
         self.timer_at = NEVER
         self.actions: list[interface.Action] = []
 
     def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
-        """Take in one event and return what to do, in order."""
+        """Process an event and return the resulting actions, in order."""
         self.actions = []
         if isinstance(event, interface.AttemptEnded):
             self.on_ended(now, event)
         elif isinstance(event, interface.RequestArrived):
             self.on_arrived(now, event)
         elif isinstance(event, interface.TimerFired):
-            if now >= self.timer_at:  # else one that an earlier timer overtook: it is not to be set again
+            if now >= self.timer_at:  # otherwise a later timer, replaced by an earlier one
                 self.timer_at = NEVER
             self.send_due_hedges(now)
         elif isinstance(event, interface.MembershipNews):
@@ -89,101 +92,110 @@
         return self.actions
 
     def on_arrived(self, now: float, event: interface.RequestArrived) -> None:
-        """A request has come: send it, hold it, or refuse it."""
+        """Send, hold or refuse a new request."""
         klass = self.classes[event.klass]
-        r = Request(event, klass, self.tenants[event.tenant], now)
-        self.requests[r.id] = r
+        request = Request(event, klass, self.tenants[event.tenant], now)
+        self.requests[request.id] = request
         self.slow_start.demand.add(now, 0.0)
         klass.demand.add(now, 0.0, klass.mean_latency)
-        self.zone_crossing.request_value.add(now, self.zone_crossing.value(r))
-        r.value_rank = self.admission.value_rank(now, r)
-        self.selector.recent_keys.append(r.key)
+        self.zone_crossing.request_value.add(now, self.zone_crossing.value(request))
+        request.value_rank = self.admission.value_rank(now, request)
+        self.selector.recent_keys.append(request.key)
         self.hedge_tokens = min(HEDGE_BURST, self.hedge_tokens + HEDGES_PER_REQUEST)
         for budget in (self.retry_budget, self.hedge_budget):
             if budget is not None:
                 budget.on_request(now)
-        if r.is_uploading:
-            self.send_early(now, r)
+        if request.is_uploading:
+            self.send_early(now, request)
         elif event.client_retry and klass.settings.late_worth == 0 and self.admission.is_crowded():
-            # Its first try waited out most of the aim: in a crowd others can still be served in time.
-            self.refuse_or_fail(now, r)
-        elif not self.admission.admits(now, r) or not self.send(now, r):
-            self.admission.hold(r)
+            # The client's first try has used up most of the target: others can still be answered in time.
+            self.refuse_or_fail(now, request)
+        elif not self.admission.admits(now, request) or not self.send(now, request):
+            self.admission.hold(request)
 
     def on_ended(self, now: float, event: interface.AttemptEnded) -> None:
-        """An attempt has ended: learn from it, and send the request elsewhere where that is due."""
-        r = self.requests.get(event.request)
-        if r is None or event.attempt >= len(r.attempts):
+        """Learn from an attempt that has ended, and retry the request if needed."""
+        request = self.requests.get(event.request)
+        if request is None or event.attempt >= len(request.attempts):
             return
-        a = r.attempts[event.attempt]
-        if not a.is_open:
+        attempt = request.attempts[event.attempt]
+        if not attempt.is_open:
             return
-        if not a.is_in_flight:  # its body was still coming in: it was nowhere in flight, and took no time
-            self.count_in_flight(now, r, a)
+        if not attempt.is_in_flight:  # its body was still being received: it was not in flight and took no time
+            self.count_in_flight(now, request, attempt)
             event = event._replace(elapsed=0.0)
-        a.is_open = False
-        r.open_attempts -= 1
-        a.partition.inflight -= 1
-        if a.is_stalled:
-            a.partition.stalled -= 1
-        if event.outcome == "served" and self.stalled_attempts.is_indicative(r) and not a.is_long_overdue:
+        attempt.is_open = False
+        request.open_attempts -= 1
+        attempt.partition.inflight -= 1
+        if attempt.is_stalled:
+            attempt.partition.stalled -= 1
+        if event.outcome == "served" and self.stalled_attempts.is_indicative(request) and not attempt.is_long_overdue:
             self.stalled_attempts.stalled_share.add(now, 0.0)
-        outcome: interface.Outcome = "timeout" if a.is_given_up and event.outcome == "cancelled" else event.outcome
-        self.learner.learn(now, r, a, event, outcome)
-        if outcome not in interface.NEVER_RAN and r.first_possible_run is None:
-            r.first_possible_run = a
-        if r.is_closed or event.complete:
-            self.close(now, r)
-        elif r.is_uploading:
-            if r.first_possible_run is not None and not r.klass.idempotent:
-                self.refuse_or_fail(now, r)
-            elif not r.open_attempts:
-                self.send_early(now, r)
-        elif not r.is_streaming and not r.is_held and not self.retry_elsewhere(now, r, outcome) and not r.open_attempts:
-            self.refuse_or_fail(now, r)
-
-    def send_early(self, now: float, r: Request) -> None:
-        """An attempt for a body that is still coming in, where there is room: what it has of it by the end is not
-        waited for then. One attempt is left for when it is whole."""
-        if len(r.attempts) < self.limits.max_attempts - 1 and self.admission.admits(now, r):
-            self.send(now, r)
+        outcome: interface.Outcome = (
+            "timeout" if attempt.is_given_up and event.outcome == "cancelled" else event.outcome
+        )
+        self.learner.learn(now, request, attempt, event, outcome)
+        if outcome not in interface.NEVER_RAN and request.first_possible_run is None:
+            request.first_possible_run = attempt
+        if request.is_closed or event.complete:
+            self.close(now, request)
+        elif request.is_uploading:
+            if request.first_possible_run is not None and not request.klass.idempotent:
+                self.refuse_or_fail(now, request)
+            elif not request.open_attempts:
+                self.send_early(now, request)
+        elif (
+            not request.is_streaming
+            and not request.is_held
+            and not self.retry_elsewhere(now, request, outcome)
+            and not request.open_attempts
+        ):
+            self.refuse_or_fail(now, request)
+
+    def send_early(self, now: float, request: Request) -> None:
+        """Start an attempt while the request's body is still being received, if there is capacity.
+
+        The endpoint then has most of the body by the time it ends. One attempt is kept for the complete body.
+        """
+        if len(request.attempts) < self.limits.max_attempts - 1 and self.admission.admits(now, request):
+            self.send(now, request)
 
     def on_uploaded(self, now: float, event: interface.UploadEnded) -> None:
-        """A body is whole: the request's time begins, and its attempts are in flight from now on."""
-        r = self.requests.get(event.request)
-        if r is None or r.is_closed or not r.is_uploading:
+        """Start the request's time, as its body is complete. Its open attempts count as in flight from now on."""
+        request = self.requests.get(event.request)
+        if request is None or request.is_closed or not request.is_uploading:
             return
-        r.is_uploading = False
-        r.start(now, event.deadline)
-        for a in r.attempts:
-            if a.is_open:
-                a.sent_at, a.overdue_at = now, now + self.stalled_attempts.expected_time(r)
-                self.count_in_flight(now, r, a)
-        if r.open_attempts:
-            self.schedule_hedge(now, r)
-        elif r.attempts and not self.may_send(now, r):
-            self.refuse_or_fail(now, r)
-        elif not self.admission.admits(now, r) or not self.send(now, r):
-            self.admission.hold(r)
+        request.is_uploading = False
+        request.start(now, event.deadline)
+        for attempt in request.attempts:
+            if attempt.is_open:
+                attempt.sent_at, attempt.overdue_at = now, now + self.stalled_attempts.expected_time(request)
+                self.count_in_flight(now, request, attempt)
+        if request.open_attempts:
+            self.schedule_hedge(now, request)
+        elif request.attempts and not self.may_send(now, request):
+            self.refuse_or_fail(now, request)
+        elif not self.admission.admits(now, request) or not self.send(now, request):
+            self.admission.hold(request)
 
     def on_stream(self, now: float, event: interface.StreamStarted) -> None:
-        """The answer of a streamed request has begun: the other attempts are not needed any more."""
-        r = self.requests.get(event.request)
-        if r is None or r.is_closed or event.attempt >= len(r.attempts):
+        """Cancel the other attempts of a streamed request, as its response has begun."""
+        request = self.requests.get(event.request)
+        if request is None or request.is_closed or event.attempt >= len(request.attempts):
             return
-        r.is_streaming = True
-        winner = r.attempts[event.attempt]
+        request.is_streaming = True
+        winner = request.attempts[event.attempt]
         winner.endpoint.silent_since = NEVER
-        self.cancel_others(r, winner)
+        self.cancel_others(request, winner)
 
-    def on_membership(self, now: float, news: interface.MembershipNews) -> None:
-        """Discovery tells of endpoints."""
-        if not self.endpoint_list.apply(now, news):
+    def on_membership(self, now: float, update: interface.MembershipNews) -> None:
+        """Apply an update of the endpoint list to windows and budgets."""
+        if not self.endpoint_list.apply(now, update):
             return
         floor = (
             self.settings.shares.floor_per_s
             / 1000.0
-            * (news.of or len(self.endpoint_list.ready))
+            * (update.of or len(self.endpoint_list.ready))
             / self.settings.group_size
         )
         for budget in (self.retry_budget, self.hedge_budget):
@@ -193,149 +205,167 @@
 
     # --- requests ---
 
-    def retry_elsewhere(self, now: float, r: Request, outcome: str) -> bool:
-        """An attempt failed: try elsewhere, or wait for room. False where nothing may be sent."""
-        if outcome in ("cancelled", "not_sent") or not self.may_send(now, r):
+    def retry_elsewhere(self, now: float, request: Request, outcome: str) -> bool:
+        """Retry or hold a request whose attempt failed. Returns False if it may not be sent again."""
+        if outcome in ("cancelled", "not_sent") or not self.may_send(now, request):
             return False
         if self.retry_budget is not None and outcome != "barred" and not self.retry_budget.take(now):
-            return False  # what was barred has reached nobody: another try adds to no load
-        if not self.admission.admits(now, r) or not self.send(now, r):
-            if r.open_attempts:
+            return False  # a barred attempt has reached no endpoint, so that a retry adds no load
+        if not self.admission.admits(now, request) or not self.send(now, request):
+            if request.open_attempts:
                 return True
-            self.admission.hold(r)
+            self.admission.hold(request)
         return True
 
-    def may_send(self, now: float, r: Request) -> bool:
-        """Whether the rules allow one more attempt and it can still be of use."""
-        if r.is_closed or r.is_streaming or len(r.attempts) >= self.limits.max_attempts:
+    def may_send(self, now: float, request: Request) -> bool:
+        """Return whether the limits allow one more attempt and it can still succeed in time."""
+        if request.is_closed or request.is_streaming or len(request.attempts) >= self.limits.max_attempts:
             return False
-        if now + MIN_LATENCIES_LEFT * r.klass.mean_latency > r.target_at and (r.attempts or now >= r.target_at):
+        if now + MIN_LATENCIES_LEFT * request.klass.mean_latency > request.target_at and (
+            request.attempts or now >= request.target_at
+        ):
             return False
-        if r.open_attempts and (not r.klass.idempotent or not self.limits.second_copies):
+        if request.open_attempts and (not request.klass.idempotent or not self.limits.second_copies):
             return False
-        if r.first_possible_run is None or r.klass.idempotent:
+        if request.first_possible_run is None or request.klass.idempotent:
             return True
         return (
-            r.klass.settings.repeat == "deduplicated" and now < r.first_possible_run.sent_at + r.klass.settings.window
+            request.klass.settings.repeat == "deduplicated"
+            and now < request.first_possible_run.sent_at + request.klass.settings.window
         )
 
-    def may_refuse(self, r: Request) -> bool:
-        """A refusal says that a repeat is harmless."""
-        if r.klass.idempotent or (r.first_possible_run is None and not r.open_attempts):
+    def may_refuse(self, request: Request) -> bool:
+        """Return whether the request may be refused: a refusal promises that a retry is harmless."""
+        if request.klass.idempotent or (request.first_possible_run is None and not request.open_attempts):
             return True
-        return r.klass.settings.repeat == "deduplicated" and r.klass.settings.group == "all"
-
-    def refuse_or_fail(self, now: float, r: Request) -> None:
-        """The final answer, where no attempt will bring one."""
-        # A late answer is worth nothing to some classes: their clients are asked not to come back in vain.
-        vain = self.limits.retry_after and r.klass.settings.late_worth == 0
-        advice = self.limits.max_retry_after if vain else 0.0
-        self.actions.append(interface.Refuse(r.id, advice) if self.may_refuse(r) else interface.Fail(r.id))
-        self.close(now, r)
-
-    def close(self, now: float, r: Request) -> None:
-        """Nothing more is owed; what is still out is cancelled, and its outcome will still teach."""
-        if not r.is_closed:
-            r.is_closed = True
-            if r.is_held:
-                self.admission.release(r)
-            if not r.is_streaming:
-                self.cancel_others(r, None)
-        if not r.open_attempts:
-            self.requests.pop(r.id, None)
-
-    def cancel_others(self, r: Request, kept: Attempt | None) -> None:
-        """Cancel the open attempts of a request but one, where the limits permit it."""
-        if self.limits.cancel and r.open_attempts:
-            for n, a in enumerate(r.attempts):
-                if a.is_open and a is not kept:
-                    self.actions.append(interface.Cancel(r.id, n))
+        return request.klass.settings.repeat == "deduplicated" and request.klass.settings.group == "all"
+
+    def refuse_or_fail(self, now: float, request: Request) -> None:
+        """Give the final answer to a request that no attempt will answer."""
+        # Classes without value in a late answer: clients are advised not to retry a request that would be late anyway.
+        is_futile = self.limits.retry_after and request.klass.settings.late_worth == 0
+        retry_after = self.limits.max_retry_after if is_futile else 0.0
+        self.actions.append(
+            interface.Refuse(request.id, retry_after) if self.may_refuse(request) else interface.Fail(request.id)
+        )
+        self.close(now, request)
+
+    def close(self, now: float, request: Request) -> None:
+        """Close a request: cancel its open attempts, whose outcomes are still learned from."""
+        if not request.is_closed:
+            request.is_closed = True
+            if request.is_held:
+                self.admission.release(request)
+            if not request.is_streaming:
+                self.cancel_others(request, None)
+        if not request.open_attempts:
+            self.requests.pop(request.id, None)
+
+    def cancel_others(self, request: Request, winner: Attempt | None) -> None:
+        """Cancel the open attempts of a request except one, if the limits permit it."""
+        if self.limits.cancel and request.open_attempts:
+            for n, attempt in enumerate(request.attempts):
+                if attempt.is_open and attempt is not winner:
+                    self.actions.append(interface.Cancel(request.id, n))
 
     def send_held(self, now: float) -> None:
-        """A refusal for who can no longer be served in time, and room for who is worth most."""
-        for r in self.admission.expire_held(now):
-            self.refuse_or_fail(now, r)
+        """Refuse held requests that can no longer be answered in time, and send the most valuable ones while there is
+        capacity."""
+        for request in self.admission.expire_held(now):
+            self.refuse_or_fail(now, request)
         if not self.admission.has_room():
             return
         for queue in self.admission.held_queues(now):
             while queue and self.admission.has_room():
-                r = queue[-1]  # the newest: under lasting overload the oldest would all be served too late
-                if r.is_held and not self.may_send(now, r):
-                    # Guards against a repeat past the window, which may have closed while it was held.
-                    self.admission.release(r)
-                    self.refuse_or_fail(now, r)
-                elif r.is_held:
-                    if not self.admission.admits(now, r):
+                request = queue[-1]  # the newest first: in lasting overload the oldest would all be answered too late
+                if request.is_held and not self.may_send(now, request):
+                    # The deduplication window may have ended while the request was held.
+                    self.admission.release(request)
+                    self.refuse_or_fail(now, request)
+                elif request.is_held:
+                    if not self.admission.admits(now, request):
                         break
-                    if not self.send(now, r):
+                    if not self.send(now, request):
                         break
-                    self.admission.release(r)
+                    self.admission.release(request)
                 queue.pop()
 
     # --- attempts ---
 
-    def send(self, now: float, r: Request) -> bool:
-        """Start an attempt on the endpoint that the draw gives; False where none is to be had."""
-        e = self.selector.select(now, r)
-        if e is None:
+    def send(self, now: float, request: Request) -> bool:
+        """Start an attempt on the selected endpoint. Returns False if there is none."""
+        endpoint = self.selector.select(now, request)
+        if endpoint is None:
             return False
-        self.slow_start.on_sent(now, e)
-        if not r.attempts:
-            self.admission.on_sent(now, r)
-        a = Attempt(e, self.endpoint_list.partition_of(e), now, now + self.stalled_attempts.expected_time(r))
-        r.attempts.append(a)
-        r.open_attempts += 1
-        if not r.is_uploading:
-            self.count_in_flight(now, r, a)
-        # In a crowd work that misses its aim is stopped; else it may run on: a late answer spares a retry.
-        self.actions.append(interface.Send(r.id, e.name, r.target_at if self.admission.is_crowded() else r.deadline))
-        if not r.is_uploading:
-            self.schedule_hedge(now, r)
+        self.slow_start.on_sent(now, endpoint)
+        if not request.attempts:
+            self.admission.on_sent(now, request)
+        attempt = Attempt(
+            endpoint, self.endpoint_list.partition_of(endpoint), now, now + self.stalled_attempts.expected_time(request)
+        )
+        request.attempts.append(attempt)
+        request.open_attempts += 1
+        if not request.is_uploading:
+            self.count_in_flight(now, request, attempt)
+        # In overload, work that misses its target is stopped. Otherwise it may go on: a late answer saves a retry.
+        self.actions.append(
+            interface.Send(
+                request.id, endpoint.name, request.target_at if self.admission.is_crowded() else request.deadline
+            )
+        )
+        if not request.is_uploading:
+            self.schedule_hedge(now, request)
         return True
 
-    def count_in_flight(self, now: float, r: Request, a: Attempt) -> None:
-        """An attempt is in flight from now on, and is to be heard of in its time."""
-        e = a.endpoint
-        if not e.inflight:
-            e.silent_since = now - e.silence(now)
-        e.inflight += 1
-        a.partition.inflight += 1
-        a.is_in_flight = True
-        self.stalled_attempts.add(r, a)
-
-    def schedule_hedge(self, now: float, r: Request) -> None:
-        """Send one more attempt after the class's delay, where an attempt may run twice."""
-        if r.klass.idempotent and self.limits.second_copies:
-            r.klass.pending_hedges.append((now + r.klass.hedge_delay, r))
+    def count_in_flight(self, now: float, request: Request, attempt: Attempt) -> None:
+        """Count an attempt as in flight from now on, and watch for its being overdue."""
+        endpoint = attempt.endpoint
+        if not endpoint.inflight:
+            endpoint.silent_since = now - endpoint.silence(now)
+        endpoint.inflight += 1
+        attempt.partition.inflight += 1
+        attempt.is_in_flight = True
+        self.stalled_attempts.add(request, attempt)
+
+    def schedule_hedge(self, now: float, request: Request) -> None:
+        """Schedule a hedge after the class's delay, if the request may run twice."""
+        if request.klass.idempotent and self.limits.second_copies:
+            request.klass.pending_hedges.append((now + request.klass.hedge_delay, request))
 
     def send_due_hedges(self, now: float) -> None:
-        """A copy for each request whose fixed delay has passed unanswered.
+        """Hedge each request that is still unanswered after its delay.
 
-        None in a crowd, nor before the window is known: they could push over a fleet that is barely up
-        to its load.
+        No hedge is sent in overload or before the in-flight window is known: hedges could overload a fleet that just
+        carries its load.
         """
-        barred = self.admission.is_crowded() or now < self.learner.first_answer_at + RATE_SPAN
-        for k in self.classes:
-            while k.pending_hedges and k.pending_hedges[0][0] <= now:
-                r = k.pending_hedges.popleft()[1]
-                if r.is_closed or not r.open_attempts or barred or self.hedge_tokens < 1.0 or not self.may_send(now, r):
+        is_blocked = self.admission.is_crowded() or now < self.learner.first_answer_at + RATE_SPAN
+        for klass in self.classes:
+            while klass.pending_hedges and klass.pending_hedges[0][0] <= now:
+                request = klass.pending_hedges.popleft()[1]
+                if (
+                    request.is_closed
+                    or not request.open_attempts
+                    or is_blocked
+                    or self.hedge_tokens < 1.0
+                    or not self.may_send(now, request)
+                ):
                     continue
-                if (self.hedge_budget is None or self.hedge_budget.take(now)) and self.send(now, r):
+                if (self.hedge_budget is None or self.hedge_budget.take(now)) and self.send(now, request):
                     self.hedge_tokens -= 1.0
 
     # --- time ---
 
     def set_timer(self, now: float) -> None:
-        """One timer is kept, for whatever is due first."""
+        """Keep one timer, set for whatever is due first."""
         due = min(self.endpoint_list.fetch_at, self.stalled_attempts.next_due())
         if self.admission.held_count:
             due = min(due, self.admission.next_due(now))
-        for k in self.classes:
-            copies = k.pending_hedges
-            while copies and copies[0][1].is_closed:
-                copies.popleft()
-            if copies and copies[0][0] < due:
-                due = copies[0][0]
+        for klass in self.classes:
+            hedges = klass.pending_hedges
+            while hedges and hedges[0][1].is_closed:
+                hedges.popleft()
+            if hedges and hedges[0][0] < due:
+                due = hedges[0][0]
         if due < self.timer_at:
             self.timer_at = due
             self.actions.append(interface.SetTimer(due, "due"))
--- a/zinclever/policy/endpoint_list.py
+++ b/zinclever/policy/endpoint_list.py
@@ -38,50 +38,54 @@
         self.sharing = float(settings.group_size)  # balancers that share each endpoint: fewer than all, of a subset
         self.calls = Calls(settings.shares.list_calls_per_s, settings.group_size, self.rules.ask_within, limits_rng)
 
-    def apply(self, now: float, news: interface.MembershipNews) -> bool:
+    def apply(self, now: float, update: interface.MembershipNews) -> bool:
         """Whether there is a list to go by: discovery may have refused."""
-        if news.kind == "refused":
+        if update.kind == "refused":
             self.refusals += 1
             pause = min(INITIAL_RETRY_DELAY * 2.0**self.refusals, self.rules.ask_within / 3)
             pause *= 0.5 + 0.5 * self.rng.random()
             self.fetch_at = now + (self.calls.again(self.refusals) if self.calls.span else pause)
             return False
-        if news.kind != "remembered":
+        if update.kind != "remembered":
             self.refusals, self.fetch_at = 0, NEVER
-        elif news.entries and self.fetch_at == -NEVER and self.calls.span:
+        elif update.entries and self.fetch_at == -NEVER and self.calls.span:
             # Guards discovery against all that start at once: each begins with the list that it remembers.
             self.fetch_at = now + self.calls.start()
-        if news.kind == "changes" and len(news.entries) < INCREMENTAL_SHARE * len(self.endpoints):
-            for entry in news.entries:
+        if update.kind == "changes" and len(update.entries) < INCREMENTAL_SHARE * len(self.endpoints):
+            for entry in update.entries:
                 self.apply_change(now, entry)
         else:
-            self.rebuild(now, news)
-        self.gone_in_flight = {e for e in self.gone_in_flight if e.phase == "gone" and e.inflight}
-        known_share = min(1.0, len(self.ready) / news.of) if news.of else 1.0
+            self.rebuild(now, update)
+        self.gone_in_flight = {
+            endpoint for endpoint in self.gone_in_flight if endpoint.phase == "gone" and endpoint.inflight
+        }
+        known_share = min(1.0, len(self.ready) / update.of) if update.of else 1.0
         self.sharing = max(1.0, known_share * self.settings.group_size)
         return True
 
-    def rebuild(self, now: float, news: interface.MembershipNews) -> None:
+    def rebuild(self, now: float, update: interface.MembershipNews) -> None:
         """A whole list, or changes to much of it: everything is put in order anew."""
-        if news.kind != "changes":
-            present = {entry.endpoint for entry in news.entries}
-            for name, e in self.endpoints.items():
+        if update.kind != "changes":
+            present = {entry.endpoint for entry in update.entries}
+            for name, endpoint in self.endpoints.items():
                 if name not in present:
-                    e.phase = "gone"
-        for entry in news.entries:
+                    endpoint.phase = "gone"
+        for entry in update.entries:
             self.update_endpoint(now, entry)
-        self.endpoints = {n: e for n, e in self.endpoints.items() if e.phase != "gone" or e.inflight}
-        self.gone_in_flight = {e for e in self.endpoints.values() if e.phase == "gone"}
-        self.ready = [e for e in self.endpoints.values() if e.phase == "ready"]
+        self.endpoints = {
+            n: endpoint for n, endpoint in self.endpoints.items() if endpoint.phase != "gone" or endpoint.inflight
+        }
+        self.gone_in_flight = {endpoint for endpoint in self.endpoints.values() if endpoint.phase == "gone"}
+        self.ready = [endpoint for endpoint in self.endpoints.values() if endpoint.phase == "ready"]
         self.ready.sort(key=rank_of)
-        for e in self.ready:
-            e.is_near = self.is_near(e)
-        self.near.replace_all(now, [e for e in self.ready if e.is_near], self.rules.cold_for)
-        self.far.replace_all(now, [e for e in self.ready if not e.is_near], self.rules.cold_for)
+        for endpoint in self.ready:
+            endpoint.is_near = self.is_near(endpoint)
+        self.near.replace_all(now, [endpoint for endpoint in self.ready if endpoint.is_near], self.rules.cold_for)
+        self.far.replace_all(now, [endpoint for endpoint in self.ready if not endpoint.is_near], self.rules.cold_for)
         self.cells.clear()
         if self.by_cell:
-            for e in self.ready:
-                self.cells.setdefault(e.cell, []).append(e)
+            for endpoint in self.ready:
+                self.cells.setdefault(endpoint.cell, []).append(endpoint)
 
     def apply_change(self, now: float, entry: interface.Listed) -> None:
         """One endpoint's news, at a cost that doesn't grow with the list but for moving its tail."""
@@ -91,16 +95,18 @@
             self.partition_of(known).remove(known)
             if self.by_cell:
                 remove_ranked(self.cells[known.cell], known)
-        e = self.update_endpoint(now, entry)
-        if e.phase == "ready":
-            e.is_near = self.is_near(e)
-            bisect.insort(self.ready, e, key=rank_of)
-            self.partition_of(e).insert(now, e, self.rules.cold_for)
+        endpoint = self.update_endpoint(now, entry)
+        if endpoint.phase == "ready":
+            endpoint.is_near = self.is_near(endpoint)
+            bisect.insort(self.ready, endpoint, key=rank_of)
+            self.partition_of(endpoint).insert(now, endpoint, self.rules.cold_for)
             if self.by_cell:
-                bisect.insort(self.cells.setdefault(e.cell, []), e, key=rank_of)
-        elif e.phase == "gone":
-            self.gone_in_flight.add(e)
-        for finished in [e for e in self.gone_in_flight if e.phase == "gone" and not e.inflight]:
+                bisect.insort(self.cells.setdefault(endpoint.cell, []), endpoint, key=rank_of)
+        elif endpoint.phase == "gone":
+            self.gone_in_flight.add(endpoint)
+        for finished in [
+            endpoint for endpoint in self.gone_in_flight if endpoint.phase == "gone" and not endpoint.inflight
+        ]:
             self.gone_in_flight.discard(finished)
             self.endpoints.pop(finished.name, None)
 
@@ -115,17 +121,17 @@
             known.update(entry)
         return known
 
-    def is_near(self, e: Endpoint) -> bool:
+    def is_near(self, endpoint: Endpoint) -> bool:
         """Whether an endpoint is in the home zone, or crossing costs too little to matter."""
-        return self.settings.prices.cross_zone < HOME_PREFERRED_PRICE or e.zone == self.settings.zone
+        return self.settings.prices.cross_zone < HOME_PREFERRED_PRICE or endpoint.zone == self.settings.zone
 
     def on_fetched(self, now: float) -> None:
         """Discovery is being asked: it will be again if no answer comes within half the time that the rules give."""
         self.fetch_at = now + self.rules.ask_within / 2
 
-    def partition_of(self, e: Endpoint) -> ZonePartition:
+    def partition_of(self, endpoint: Endpoint) -> ZonePartition:
         """The partition of an endpoint."""
-        return self.near if e.is_near else self.far
+        return self.near if endpoint.is_near else self.far
 
     def inflight(self) -> int:
         """Attempts, at all endpoints."""
@@ -136,9 +142,9 @@
         shared = MIN_SHARING * len(self.ready) / self.sharing
         return max(MIN_POOL, shared) + self.inflight()
 
-    def is_same_group(self, r: Request, e: Endpoint) -> bool:
-        """Whether ``e`` discards a repeat of what may have run."""
-        if r.first_possible_run is None or r.klass.idempotent or r.klass.settings.group == "all":
+    def is_same_group(self, request: Request, endpoint: Endpoint) -> bool:
+        """Whether ``endpoint`` discards a repeat of what may have run."""
+        if request.first_possible_run is None or request.klass.idempotent or request.klass.settings.group == "all":
             return True
-        home = r.first_possible_run.endpoint
-        return e.zone == home.zone if r.klass.settings.group == "zone" else e.cell == home.cell
+        home = request.first_possible_run.endpoint
+        return endpoint.zone == home.zone if request.klass.settings.group == "zone" else endpoint.cell == home.cell
--- a/zinclever/policy/learning.py
+++ b/zinclever/policy/learning.py
@@ -41,84 +41,84 @@
         self.first_answer_at = NEVER  # first answer
 
     def learn(
-        self, now: float, r: Request, a: Attempt, event: interface.AttemptEnded, outcome: interface.Outcome
+        self, now: float, request: Request, attempt: Attempt, event: interface.AttemptEnded, outcome: interface.Outcome
     ) -> None:
         """What an outcome teaches of the endpoint, of the class and of the fleet."""
-        e, k = a.endpoint, r.klass
-        e.inflight -= 1
+        endpoint, klass = attempt.endpoint, request.klass
+        endpoint.inflight -= 1
         if outcome == "barred":
             # It reached nobody and tells of no crowd; but those that are connected are to be drawn now.
-            e.success.add(now, 0.0)
-            if not e.inflight:
-                e.silent_until = now
+            endpoint.success.add(now, 0.0)
+            if not endpoint.inflight:
+                endpoint.silent_until = now
             return
         # An answer costs what all its attempts were out for, losers included.
         count = 1.0 if outcome == "served" else 0.0
-        duration = min(event.elapsed, a.overdue_at - a.sent_at) if a.is_stalled else event.elapsed
-        k.occupancy.add(now, duration, 1.0, count)
-        if not a.is_stalled:  # what is swallowed makes no crowd
-            a.partition.window.relative_latency.add(now, duration / k.uncrowded_latency, 1.0, count)
-        ratio = event.elapsed / k.mean_latency
+        duration = min(event.elapsed, attempt.overdue_at - attempt.sent_at) if attempt.is_stalled else event.elapsed
+        klass.occupancy.add(now, duration, 1.0, count)
+        if not attempt.is_stalled:  # what is swallowed makes no crowd
+            attempt.partition.window.relative_latency.add(now, duration / klass.uncrowded_latency, 1.0, count)
+        ratio = event.elapsed / klass.mean_latency
         if outcome == "cancelled":
             # A loser counts as served at the time it had waited, and for less if that was short: one
             # cancelled right after its send would else make the endpoint look fast.
             weight = min(1.0, ratio)
-            e.success.add(now, 1.0, weight)
-            e.latency.add(now, max(1.0, ratio), weight)
+            endpoint.success.add(now, 1.0, weight)
+            endpoint.latency.add(now, max(1.0, ratio), weight)
         elif outcome != "not_sent":
-            e.success.add(now, count)
-        if outcome != "not_sent" and not a.is_stalled and (outcome != "cancelled" or ratio >= 1.0):
+            endpoint.success.add(now, count)
+        if outcome != "not_sent" and not attempt.is_stalled and (outcome != "cancelled" or ratio >= 1.0):
             # The short wait of a loser says nothing of the crowd, nor does what was swallowed.
-            zone = self.zone_crossing.home if e.zone == self.settings.zone else self.zone_crossing.away
+            zone = self.zone_crossing.home if endpoint.zone == self.settings.zone else self.zone_crossing.away
             answered = outcome in ("served", "cancelled")
-            zone.add(now, max(0.0, 1.0 - event.elapsed / k.settings.aim) if answered else 0.0)
+            zone.add(now, max(0.0, 1.0 - event.elapsed / klass.settings.aim) if answered else 0.0)
         if outcome == "served":
-            self.on_answer(now, e, event.elapsed / k.uncrowded_latency)
-            e.latency.add(now, ratio)
-            e.served_at = now
-            e.served.add(now, 0.0)
-            e.down_until, e.failures = -NEVER, 0
-            if e.phase == "ready":
-                self.endpoint_list.partition_of(e).mark_up(e)
-            k.latency.add(now, event.elapsed)
-            k.mean_latency = k.latency.mean(now, UNCROWDED_LATENCY_SHARE * k.settings.aim, 0.3)
-            has_history = k.occupancy.weight > UNCROWDED_MIN_ANSWERS
-            per_answer = k.occupancy.mean(now, UNCROWDED_LATENCY_SHARE * k.settings.aim, 0.3)
-            k.uncrowded_latency = min(
-                k.uncrowded_latency * (1.0 + UNCROWDED_DRIFT)
+            self.on_answer(now, endpoint, event.elapsed / klass.uncrowded_latency)
+            endpoint.latency.add(now, ratio)
+            endpoint.served_at = now
+            endpoint.served.add(now, 0.0)
+            endpoint.down_until, endpoint.failures = -NEVER, 0
+            if endpoint.phase == "ready":
+                self.endpoint_list.partition_of(endpoint).mark_up(endpoint)
+            klass.latency.add(now, event.elapsed)
+            klass.mean_latency = klass.latency.mean(now, UNCROWDED_LATENCY_SHARE * klass.settings.aim, 0.3)
+            has_history = klass.occupancy.weight > UNCROWDED_MIN_ANSWERS
+            per_answer = klass.occupancy.mean(now, UNCROWDED_LATENCY_SHARE * klass.settings.aim, 0.3)
+            klass.uncrowded_latency = min(
+                klass.uncrowded_latency * (1.0 + UNCROWDED_DRIFT)
                 if has_history
-                else UNCROWDED_LATENCY_SHARE * k.settings.aim,
+                else UNCROWDED_LATENCY_SHARE * klass.settings.aim,
                 per_answer,
             )
-            a.partition.window.served.add(now, 0.0, k.uncrowded_latency)
+            attempt.partition.window.served.add(now, 0.0, klass.uncrowded_latency)
             self.first_answer_at = min(self.first_answer_at, now)
-            self.admission.adapt_window(now, a.partition)
-        elif outcome == "connect_failed" and e.served_at < a.sent_at:
+            self.admission.adapt_window(now, attempt.partition)
+        elif outcome == "connect_failed" and endpoint.served_at < attempt.sent_at:
             # No word since the send: down. With answers in between, its connection table is full.
-            e.failures += 1
-            if self.reachability.state_of(e.zone).on_failure(now) is (e.presumed_cold_at < NEVER):
-                self.slow_start.mark_cold(now, e, NEVER if e.presumed_cold_at < NEVER else -NEVER)
-            duration = self.limits.connect_timeout * 2.0 ** min(e.failures, 5)
-            e.down_until = now + duration * (0.5 + self.rng.random())
-            if e.phase == "ready":
-                self.endpoint_list.partition_of(e).mark_down(now, e)
+            endpoint.failures += 1
+            if self.reachability.state_of(endpoint.zone).on_failure(now) is (endpoint.presumed_cold_at < NEVER):
+                self.slow_start.mark_cold(now, endpoint, NEVER if endpoint.presumed_cold_at < NEVER else -NEVER)
+            duration = self.limits.connect_timeout * 2.0 ** min(endpoint.failures, 5)
+            endpoint.down_until = now + duration * (0.5 + self.rng.random())
+            if endpoint.phase == "ready":
+                self.endpoint_list.partition_of(endpoint).mark_down(now, endpoint)
         if outcome in ("served", "error", "full"):
-            e.silent_since = now if e.inflight else NEVER
-        elif not e.inflight:
-            e.silent_until = now
+            endpoint.silent_since = now if endpoint.inflight else NEVER
+        elif not endpoint.inflight:
+            endpoint.silent_until = now
 
-    def on_answer(self, now: float, e: Endpoint, ratio: float) -> None:
+    def on_answer(self, now: float, endpoint: Endpoint, ratio: float) -> None:
         """An answer, after ``ratio`` times what an uncrowded fleet takes.
 
         Guards cold endpoints against hundreds of balancers whose lists are late: each sends what a warm one gets.
         """
-        since = self.reachability.on_answer(now, e.zone)
+        since = self.reachability.on_answer(now, endpoint.zone)
         if since is not None:
-            self.slow_start.presume_cold(now, e.zone, since)
-            self.zone_crossing.on_zone_returned(e.zone)
-        elif e.presumed_cold_at == NEVER:
-            self.slow_start.mark_cold(now, e, now if self.slow_start.is_cold(now, e) else -NEVER)
-        elif -NEVER < e.presumed_cold_at == self.reachability.zones[e.zone].returned_at and self.reachability.zones[
-            e.zone
-        ].confirms_warm(ratio):
-            self.slow_start.withdraw_presumption(now, e.zone, e.presumed_cold_at)
+            self.slow_start.presume_cold(now, endpoint.zone, since)
+            self.zone_crossing.on_zone_returned(endpoint.zone)
+        elif endpoint.presumed_cold_at == NEVER:
+            self.slow_start.mark_cold(now, endpoint, now if self.slow_start.is_cold(now, endpoint) else -NEVER)
+        elif -NEVER < endpoint.presumed_cold_at == self.reachability.zones[
+            endpoint.zone
+        ].returned_at and self.reachability.zones[endpoint.zone].confirms_warm(ratio):
+            self.slow_start.withdraw_presumption(now, endpoint.zone, endpoint.presumed_cold_at)
--- a/zinclever/policy/partition.py
+++ b/zinclever/policy/partition.py
@@ -51,65 +51,65 @@
         """Take another list. Costs its length; draws between two lists don't."""
         self.ready, self.cumulative_sizes, self.ring, self.up = ready, [], None, []
         self.down, self.cold = ExpiringSet[Endpoint](), ExpiringSet[Endpoint]()
-        for e in ready:
-            self.index(now, e, cold_for)
+        for endpoint in ready:
+            self.index(now, endpoint, cold_for)
 
-    def insert(self, now: float, e: Endpoint, cold_for: float) -> None:
+    def insert(self, now: float, endpoint: Endpoint, cold_for: float) -> None:
         """Add an endpoint."""
-        bisect.insort(self.ready, e, key=rank_of)
+        bisect.insort(self.ready, endpoint, key=rank_of)
         self.cumulative_sizes = []
         if self.ring is not None:
-            self.ring.insert(e.ring_position, e.size, e)
-        self.index(now, e, cold_for)
+            self.ring.insert(endpoint.ring_position, endpoint.size, endpoint)
+        self.index(now, endpoint, cold_for)
 
-    def index(self, now: float, e: Endpoint, cold_for: float) -> None:
+    def index(self, now: float, endpoint: Endpoint, cold_for: float) -> None:
         """Sort an endpoint in among those that are up, down or cold."""
-        e.up_index = len(self.up)
-        self.up.append(e)
-        if e.down_until > now:
-            self.mark_down(now, e)
-        if e.started_at + cold_for > now:
-            self.cold.add(e.started_at + cold_for, e.rank, e)
-
-    def remove(self, e: Endpoint) -> None:
+        endpoint.up_index = len(self.up)
+        self.up.append(endpoint)
+        if endpoint.down_until > now:
+            self.mark_down(now, endpoint)
+        if endpoint.started_at + cold_for > now:
+            self.cold.add(endpoint.started_at + cold_for, endpoint.rank, endpoint)
+
+    def remove(self, endpoint: Endpoint) -> None:
         """Remove an endpoint."""
-        remove_ranked(self.ready, e)
+        remove_ranked(self.ready, endpoint)
         self.cumulative_sizes = []
         if self.ring is not None:
-            self.ring.remove(e.ring_position, e)
-        self.down.members.discard(e)
-        self.cold.members.discard(e)
-        self.remove_from_up(e)
+            self.ring.remove(endpoint.ring_position, endpoint)
+        self.down.members.discard(endpoint)
+        self.cold.members.discard(endpoint)
+        self.remove_from_up(endpoint)
 
-    def remove_from_up(self, e: Endpoint) -> None:
+    def remove_from_up(self, endpoint: Endpoint) -> None:
         """Out of those that are up: the last one takes its place."""
-        if e.up_index >= 0:
+        if endpoint.up_index >= 0:
             last = self.up.pop()
-            if last is not e:
-                self.up[e.up_index] = last
-                last.up_index = e.up_index
-            e.up_index = -1
+            if last is not endpoint:
+                self.up[endpoint.up_index] = last
+                last.up_index = endpoint.up_index
+            endpoint.up_index = -1
 
     def sample_by_size(self, rng: random.Random, count: int) -> Endpoint:
         """Any one of so many first ones, by size. The running sums are made once after each change of the list."""
         if not self.cumulative_sizes:
-            self.cumulative_sizes = list(itertools.accumulate(e.size for e in self.ready))
+            self.cumulative_sizes = list(itertools.accumulate(endpoint.size for endpoint in self.ready))
         return self.ready[
             bisect.bisect(self.cumulative_sizes, rng.random() * self.cumulative_sizes[count - 1], 0, count - 1)
         ]
 
-    def mark_down(self, now: float, e: Endpoint) -> None:
+    def mark_down(self, now: float, endpoint: Endpoint) -> None:
         """An endpoint is taken to be down."""
         self.expire_down(now)
-        self.down.add(e.down_until, e.rank, e)
-        self.remove_from_up(e)
+        self.down.add(endpoint.down_until, endpoint.rank, endpoint)
+        self.remove_from_up(endpoint)
 
-    def mark_up(self, e: Endpoint) -> None:
+    def mark_up(self, endpoint: Endpoint) -> None:
         """It has answered, or it has been left alone for long enough."""
-        if e in self.down.members:
-            self.down.members.discard(e)
-            e.up_index = len(self.up)
-            self.up.append(e)
+        if endpoint in self.down.members:
+            self.down.members.discard(endpoint)
+            endpoint.up_index = len(self.up)
+            self.up.append(endpoint)
 
     def is_mostly_down(self, now: float) -> bool:
         """Whether more than half of the endpoints are down."""
@@ -118,20 +118,20 @@
 
     def expire_down(self, now: float) -> None:
         """Those whose time has passed count as up again."""
-        for e in self.down.pop_due(now):
-            if e.down_until <= now:
-                self.mark_up(e)
+        for endpoint in self.down.pop_due(now):
+            if endpoint.down_until <= now:
+                self.mark_up(endpoint)
 
     def warm_count(self, now: float) -> int:
         """How many are not cold."""
-        for e in self.cold.pop_due(now):
-            self.cold.members.discard(e)
+        for endpoint in self.cold.pop_due(now):
+            self.cold.members.discard(endpoint)
         return len(self.ready) - len(self.cold.members)
 
     def key_owner(self, seed: int) -> Endpoint:
         """The endpoint that owns a key, by consistent hashing."""
         if self.ring is None:
-            self.ring = Ring((e.ring_position, e.size, e) for e in self.ready)
+            self.ring = Ring((endpoint.ring_position, endpoint.size, endpoint) for endpoint in self.ready)
         return self.ring.owner_of(seed)
 
     def has_room(self) -> bool:
--- a/zinclever/policy/stalled_attempts.py
+++ b/zinclever/policy/stalled_attempts.py
@@ -26,30 +26,33 @@
         self.stalled_share = DecayingMean(DECAY_TIME)  # share of attempts that came to be overdue
         self.sequence = 0
 
-    def add(self, r: Request, a: Attempt) -> None:
+    def add(self, request: Request, attempt: Attempt) -> None:
         """Watch an attempt from now on."""
         self.sequence += 1
-        heapq.heappush(self.pending, (a.overdue_at, self.sequence, r, a))
+        heapq.heappush(self.pending, (attempt.overdue_at, self.sequence, request, attempt))
 
     def next_due(self) -> float:
         """When the next attempt is overdue, in ms."""
         return self.pending[0][0] if self.pending else NEVER
 
-    def expected_time(self, r: Request) -> float:
+    def expected_time(self, request: Request) -> float:
         """The time within which an attempt is answered, if it is at all."""
-        return max(r.klass.hedge_delay, OVERDUE_LATENCIES * r.klass.mean_latency) + OWN_WORK_FACTOR * r.work
+        return (
+            max(request.klass.hedge_delay, OVERDUE_LATENCIES * request.klass.mean_latency)
+            + OWN_WORK_FACTOR * request.work
+        )
 
-    def is_indicative(self, r: Request) -> bool:
+    def is_indicative(self, request: Request) -> bool:
         """Whether a request's attempts show what is swallowed: keyed ones are given up before."""
-        return r.klass.settings.repeat != "deduplicated"
+        return request.klass.settings.repeat != "deduplicated"
 
-    def is_stalling(self, now: float, k: ClassState) -> bool:
+    def is_stalling(self, now: float, klass: ClassState) -> bool:
         """Whether more attempts are overdue than slow answers account for, while those that come are quick.
 
         In a crowd they are not: guards against pushing on what is overrun already.
         """
         return (
-            k.mean_latency < UNCROWDED_SHARE * k.settings.aim
+            klass.mean_latency < UNCROWDED_SHARE * klass.settings.aim
             and self.stalled_share.mean(now, 0.0, STALLED_PRIOR) > STALLED_THRESHOLD
         )
 
@@ -65,30 +68,38 @@
         request has to have left.
         """
         while self.pending and (self.pending[0][0] <= now or not self.pending[0][3].is_open):
-            _, _, r, a = heapq.heappop(self.pending)
-            if not a.is_open:
+            _, _, request, attempt = heapq.heappop(self.pending)
+            if not attempt.is_open:
                 continue
-            long_at = a.sent_at + STALLED_FACTOR * (a.overdue_at - a.sent_at)
-            a.is_long_overdue = now >= long_at
-            if a.is_long_overdue and self.is_indicative(r):
+            long_at = attempt.sent_at + STALLED_FACTOR * (attempt.overdue_at - attempt.sent_at)
+            attempt.is_long_overdue = now >= long_at
+            if attempt.is_long_overdue and self.is_indicative(request):
                 self.stalled_share.add(now, 1.0)
-            if not a.is_long_overdue:
+            if not attempt.is_long_overdue:
                 self.sequence += 1
-                heapq.heappush(self.pending, (long_at, self.sequence, r, a))
-            if r.is_streaming or a.is_stalled or not self.is_stalling(now, r.klass):
+                heapq.heappush(self.pending, (long_at, self.sequence, request, attempt))
+            if request.is_streaming or attempt.is_stalled or not self.is_stalling(now, request.klass):
                 continue
-            a.is_stalled = True
-            a.partition.stalled += 1
-            if self.may_move(now, r, a):
-                r.first_possible_run = r.first_possible_run or a
-                a.is_given_up = True
-                actions.append(interface.Cancel(r.id, r.attempts.index(a)))
-
-    def may_move(self, now: float, r: Request, a: Attempt) -> bool:
+            attempt.is_stalled = True
+            attempt.partition.stalled += 1
+            if self.may_move(now, request, attempt):
+                request.first_possible_run = request.first_possible_run or attempt
+                attempt.is_given_up = True
+                actions.append(interface.Cancel(request.id, request.attempts.index(attempt)))
+
+    def may_move(self, now: float, request: Request, attempt: Attempt) -> bool:
         """Whether a keyed request gains by going to another endpoint of its group."""
-        settings, origin = r.klass.settings, r.first_possible_run or a
-        if settings.repeat != "deduplicated" or not self.limits.cancel or r.is_closed or r.open_attempts > 1:
+        settings, origin = request.klass.settings, request.first_possible_run or attempt
+        if (
+            settings.repeat != "deduplicated"
+            or not self.limits.cancel
+            or request.is_closed
+            or request.open_attempts > 1
+        ):
             return False
-        if len(r.attempts) >= self.limits.max_attempts or now >= origin.sent_at + settings.window:
+        if len(request.attempts) >= self.limits.max_attempts or now >= origin.sent_at + settings.window:
             return False
-        return now + MIN_LATENCIES_LEFT * r.klass.mean_latency + r.work <= r.target_at and a.partition.has_room()
+        return (
+            now + MIN_LATENCIES_LEFT * request.klass.mean_latency + request.work <= request.target_at
+            and attempt.partition.has_room()
+        )
--- a/zinclever/policy/zone_crossing.py
+++ b/zinclever/policy/zone_crossing.py
@@ -33,15 +33,17 @@
         else:
             self.away = DecayingMean(2 * DECAY_TIME)
 
-    def value(self, r: Request) -> float:
+    def value(self, request: Request) -> float:
         """What an answer in time to this request is worth."""
-        return r.klass.settings.value * ((r.work or r.klass.mean_latency) if self.settings.value_by == "work" else 1.0)
+        return request.klass.settings.value * (
+            (request.work or request.klass.mean_latency) if self.settings.value_by == "work" else 1.0
+        )
 
-    def relative_value(self, now: float, r: Request) -> float:
+    def relative_value(self, now: float, request: Request) -> float:
         """What an answer to this request is worth, over the usual."""
-        return self.value(r) / self.request_value.mean(now, self.value(r), 1.0)
+        return self.value(request) / self.request_value.mean(now, self.value(request), 1.0)
 
-    def crosses(self, now: float, r: Request) -> bool:
+    def crosses(self, now: float, request: Request) -> bool:
         """Whether an attempt leaves the zone: the likelier the further home falls behind and the more the
         request is worth, as crossing costs the same for all.
 
@@ -51,7 +53,7 @@
         threshold = CROSSING_STEP * self.settings.prices.cross_zone
         away = self.away.mean(now, 1.0 - UNCROWDED_LATENCY_SHARE, 1.0)
         gain = away - self.home.mean(now, away, HOME_PRIOR)  # a home not heard of lately is given another chance
-        gain *= self.relative_value(now, r)
+        gain *= self.relative_value(now, request)
         return gain > threshold and gain > threshold * (1.0 + self.rng.random())
 
     def shed_share(self, now: float) -> float:
--- a/zinclever/settings.py
+++ b/zinclever/settings.py
@@ -8,7 +8,7 @@
 
 
 def _present(source: Any, names: dict[str, str]) -> dict[str, Any]:
-    """Return the values that ``source`` holds, renamed from wire keys to field names. Absent ones keep their default."""
+    """Return the values that ``source`` holds, renamed from wire keys to field names; absent ones are left out."""
     return {name: source[key] for key, name in names.items() if source.get(key) is not None}
 
 
