--- a/zinclever/fleet/window.py
+++ b/zinclever/fleet/window.py
@@ -8,7 +8,7 @@
 
 MIN_RATE_SPAN = 100.0  # ms: the shortest record that a rate is told from
 RATE_SPAN = 1000.0  # ms over which the rate of service is taken
-UNCROWDED_RATIO = 1.15  # times the uncrowded time for an answer below which a full window may grow
+UNLOADED_RATIO = 1.15  # times the uncrowded time for an answer below which a full window may grow
 GROWTH = 0.02  # by which it then grows with each answer, to half as much again at most
 SHRINK = 0.95  # factor by which that is taken back with each answer when it takes longer
 PEAK_SPAN = 15000.0  # ms for which the best rate of service is remembered
@@ -43,7 +43,7 @@
         needed = self.served.rate(now) / (1.0 - math.exp(-age / RATE_SPAN))
         if age >= RATE_SPAN:
             self.peak_rate = needed = max(needed, self.peak_rate * math.exp((self.updated_at - now) / PEAK_SPAN))
-        if self.relative_latency.mean(now, 1.0, 3.0) >= UNCROWDED_RATIO:
+        if self.relative_latency.mean(now, 1.0, 3.0) >= UNLOADED_RATIO:
             self.probing_extra *= SHRINK
         elif requests_waiting:
             self.probing_extra = min(self.probing_extra + GROWTH, 0.5 * needed)
--- a/zinclever/policy/__init__.py
+++ b/zinclever/policy/__init__.py
@@ -1,4 +1,4 @@
-"""The decision module: events in, actions out, no sockets and no clock. :class:`Balancer` joins its parts."""
+"""The balancing policy: :class:`Balancer` turns events into actions. It has no sockets and reads no clock."""
 
 from .balancer import Balancer
 from .requests import HEDGE_DELAY_SHARE
--- a/zinclever/policy/admission.py
+++ b/zinclever/policy/admission.py
@@ -39,9 +39,7 @@
         self.quota = sum((tenant.quota for tenant in tenants), 0.0)
         self.usage = DecayingMean(DECAY_TIME)
         self.held_count = 0
-        self.hold_deadlines: list[
-            tuple[float, int, Request]
-        ] = []  # (instant after which waiting is useless, tie-break, request)
+        self.hold_deadlines: list[tuple[float, int, Request]] = []  # heap by the instant after which waiting is useless
         self.sequence = 0
 
     def has_room(self) -> bool:
--- a/zinclever/policy/endpoint_list.py
+++ b/zinclever/policy/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The list of endpoints as it was last told, in the order that draws need it in."""
+"""The endpoint list as last received, indexed for selection."""
 
 from __future__ import annotations
 
@@ -13,33 +13,31 @@
 from .partition import ZonePartition
 from .requests import Request
 
-INITIAL_RETRY_DELAY = 300.0  # ms before discovery is asked again, doubled each time
-MIN_POOL = 3.0  # unused endpoints to draw two from, where hundreds of balancers share them
-MIN_SHARING = 10.0  # balancers to draw on each endpoint at least, so that their uneven loads even out
-HOME_PREFERRED_PRICE = (
-    0.05  # price of crossing zones from which on home is preferred; below, the wider draw is worth more
-)
-INCREMENTAL_SHARE = 0.1  # share of the list up to which changes are taken one by one
+INITIAL_RETRY_DELAY = 300.0  # ms before discovery is called again, doubled with each refusal
+MIN_POOL = 3.0  # unused endpoints to draw two from when hundreds of balancers share them
+MIN_SHARING = 10.0  # balancers that draw on each endpoint at least, so that their uneven loads average out
+HOME_PREFERRED_PRICE = 0.05  # price of crossing zones from which the home zone is preferred over a wider choice
+INCREMENTAL_SHARE = 0.1  # share of the list up to which changes are applied one by one
 
 
 class EndpointList:
-    """The list of endpoints as it was last told, by side and by cell; when discovery is asked."""
+    """The endpoints as last received, partitioned by zone and by cell, and the schedule of discovery calls."""
 
     def __init__(self, settings: interface.Settings, rng: random.Random, limits_rng: random.Random) -> None:
         self.settings, self.rules, self.rng = settings, settings.rules, rng
         self.endpoints: dict[str, Endpoint] = {}
         self.ready: list[Endpoint] = []
-        self.gone_in_flight: set[Endpoint] = set()  # gone, and with attempts out
+        self.gone_in_flight: set[Endpoint] = set()  # removed from the list with attempts in flight
         self.by_cell = any(c.group == "cell" for c in settings.classes)
-        self.cells: dict[int, list[Endpoint]] = {}  # those ready, where a class is bound to cells
-        self.near, self.far = ZonePartition(), ZonePartition()  # far: those that are dear to cross to
+        self.cells: dict[int, list[Endpoint]] = {}  # ready endpoints by cell, kept only if a class is bound to cells
+        self.near, self.far = ZonePartition(), ZonePartition()  # far: zones that cost something to cross to
         self.fetch_at = -NEVER if settings.discovery == "on_request" else NEVER
         self.refusals = 0
-        self.sharing = float(settings.group_size)  # balancers that share each endpoint: fewer than all, of a subset
+        self.sharing = float(settings.group_size)  # fewer than all with a subset
         self.calls = Calls(settings.shares.list_calls_per_s, settings.group_size, self.rules.ask_within, limits_rng)
 
     def apply(self, now: float, update: interface.MembershipNews) -> bool:
-        """Whether there is a list to go by: discovery may have refused."""
+        """Apply an update of the list. Returns False if discovery refused and there is nothing to apply."""
         if update.kind == "refused":
             self.refusals += 1
             pause = min(INITIAL_RETRY_DELAY * 2.0**self.refusals, self.rules.ask_within / 3)
@@ -49,7 +47,7 @@
         if update.kind != "remembered":
             self.refusals, self.fetch_at = 0, NEVER
         elif update.entries and self.fetch_at == -NEVER and self.calls.span:
-            # Guards discovery against all that start at once: each begins with the list that it remembers.
+            # Spreads the first calls of balancers that start at the same time, each with the list it remembers.
             self.fetch_at = now + self.calls.start()
         if update.kind == "changes" and len(update.entries) < INCREMENTAL_SHARE * len(self.endpoints):
             for entry in update.entries:
@@ -64,7 +62,7 @@
         return True
 
     def rebuild(self, now: float, update: interface.MembershipNews) -> None:
-        """A whole list, or changes to much of it: everything is put in order anew."""
+        """Rebuild all indexes from a full list, or after changes to a large part of it."""
         if update.kind != "changes":
             present = {entry.endpoint for entry in update.entries}
             for name, endpoint in self.endpoints.items():
@@ -88,7 +86,7 @@
                 self.cells.setdefault(endpoint.cell, []).append(endpoint)
 
     def apply_change(self, now: float, entry: interface.Listed) -> None:
-        """One endpoint's news, at a cost that doesn't grow with the list but for moving its tail."""
+        """Apply the change of one endpoint. Apart from shifting list items, the cost does not grow with the list."""
         known = self.endpoints.get(entry.endpoint)
         if known is not None and known.phase == "ready":
             remove_ranked(self.ready, known)
@@ -111,7 +109,7 @@
             self.endpoints.pop(finished.name, None)
 
     def update_endpoint(self, now: float, entry: interface.Listed) -> Endpoint:
-        """The endpoint of an entry, made or updated; a new start resets what was learnt of it."""
+        """Create or update the endpoint of an entry. A new start of the process discards what was learned about it."""
         known = self.endpoints.get(entry.endpoint)
         if known is None:
             known = self.endpoints[entry.endpoint] = Endpoint(entry, now, self.rng)
@@ -122,28 +120,28 @@
         return known
 
     def is_near(self, endpoint: Endpoint) -> bool:
-        """Whether an endpoint is in the home zone, or crossing costs too little to matter."""
+        """Return whether an endpoint is in the home zone, or crossing zones costs too little to matter."""
         return self.settings.prices.cross_zone < HOME_PREFERRED_PRICE or endpoint.zone == self.settings.zone
 
     def on_fetched(self, now: float) -> None:
-        """Discovery is being asked: it will be again if no answer comes within half the time that the rules give."""
+        """Schedule the next call if discovery does not answer within half of the allowed interval."""
         self.fetch_at = now + self.rules.ask_within / 2
 
     def partition_of(self, endpoint: Endpoint) -> ZonePartition:
-        """The partition of an endpoint."""
+        """Return the partition that an endpoint belongs to."""
         return self.near if endpoint.is_near else self.far
 
     def inflight(self) -> int:
-        """Attempts, at all endpoints."""
+        """Return the number of attempts in flight at all endpoints."""
         return self.near.inflight + self.far.inflight
 
     def pool_size(self) -> float:
-        """How many unused endpoints to draw from: few, each shared with others, more with more in flight."""
+        """Return how many unused endpoints to draw from: few, as others share them, and more with more in flight."""
         shared = MIN_SHARING * len(self.ready) / self.sharing
         return max(MIN_POOL, shared) + self.inflight()
 
     def is_same_group(self, request: Request, endpoint: Endpoint) -> bool:
-        """Whether ``endpoint`` discards a repeat of what may have run."""
+        """Return whether ``endpoint`` would discard a repeat of the attempt that may have run."""
         if request.first_possible_run is None or request.klass.idempotent or request.klass.settings.group == "all":
             return True
         home = request.first_possible_run.endpoint
--- a/zinclever/policy/endpoints.py
+++ b/zinclever/policy/endpoints.py
@@ -1,4 +1,4 @@
-"""What this balancer knows of one endpoint."""
+"""Per-endpoint state."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 class Endpoint:
-    """What this balancer knows of one endpoint."""
+    """What this balancer has learned about an endpoint.
+
+    ``rank`` is the endpoint's place in this balancer's own random order; all instants and durations are in ms.
+    """
 
     __slots__ = (
         "cell",
@@ -42,13 +45,13 @@
     def __init__(self, listed: interface.Listed, now: float, rng: random.Random) -> None:
         self.name, self.rank, self.is_near = listed.endpoint, rng.random(), True
         self.hash = zlib.crc32(self.name.encode())
-        self.ring_position = mix(self.hash)  # its place on the ring of keepers
+        self.ring_position = mix(self.hash)  # on the consistent-hashing ring
         self.inflight = 0
-        self.up_index = -1  # place among those of its side that are up
+        self.up_index = -1  # index in the partition's list of endpoints that are up; -1: not in it
         self.reset(listed, now, rng)
 
     def reset(self, listed: interface.Listed, now: float, rng: random.Random) -> None:
-        """A new process: nothing learnt of the old one holds."""
+        """Discard what was learned, as the endpoint's process is a new one."""
         self.success, self.latency, self.served = (
             DecayingMean(DECAY_TIME),
             DecayingMean(DECAY_TIME),
@@ -57,17 +60,20 @@
         self.silent_since = self.silent_until = NEVER
         self.served_at = -NEVER
         self.down_until, self.failures = -NEVER, 0
-        self.presumed_cold_at = -NEVER  # from when on it is taken for cold, whatever the list says
+        self.presumed_cold_at = -NEVER  # start of the slow start that is presumed whatever the list says
         self.tokens, self.tokens_at = rng.random(), now
         self.update(listed)
 
     def update(self, listed: interface.Listed) -> None:
-        """Take in what discovery lists."""
+        """Apply the endpoint's entry in the list."""
         self.phase, self.size, self.zone, self.cell = listed.phase, listed.size, listed.zone, listed.cell
         self.started_at = listed.started_at
 
     def silence(self, now: float) -> float:
-        """How long it was asked without a word; once nothing is out this wears off as fast as it grew."""
+        """Return how long the endpoint has been sent requests without answering, in ms.
+
+        Once nothing is in flight the value decreases as fast as it grew.
+        """
         if self.silent_since == NEVER:
             return 0.0
         if self.inflight:
--- a/zinclever/policy/learning.py
+++ b/zinclever/policy/learning.py
@@ -1,4 +1,4 @@
-"""What outcomes teach of endpoints, classes and the fleet."""
+"""Learning from the outcomes of attempts."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from .admission import Admission
 from .endpoint_list import EndpointList
 from .endpoints import Endpoint
-from .requests import UNCROWDED_LATENCY_SHARE, Attempt, Request
+from .requests import UNLOADED_LATENCY_SHARE, Attempt, Request
 from .slow_start import SlowStart
 from .zone_crossing import ZoneCrossing
 
-UNCROWDED_MIN_ANSWERS = 50.0  # answers from which on the lowest mean is kept; before, the mean of the moment is taken
-UNCROWDED_DRIFT = 0.0002  # part by which the uncrowded latency may rise again with each answer
+UNLOADED_MIN_ANSWERS = 50.0  # answers after which the lowest mean is kept; before, the current mean is used
+UNLOADED_DRIFT = 0.0002  # relative increase of the unloaded latency with each answer
 
 
 class OutcomeLearner:
-    """Takes in how attempts ended."""
+    """Updates the statistics of endpoints, classes and zones with the outcome of each attempt."""
 
     def __init__(
         self,
@@ -38,42 +38,42 @@
             zone_crossing,
             admission,
         )
-        self.first_answer_at = NEVER  # first answer
+        self.first_answer_at = NEVER  # instant of the first answer
 
     def learn(
         self, now: float, request: Request, attempt: Attempt, event: interface.AttemptEnded, outcome: interface.Outcome
     ) -> None:
-        """What an outcome teaches of the endpoint, of the class and of the fleet."""
+        """Learn from an outcome about the endpoint, the class and the fleet."""
         endpoint, klass = attempt.endpoint, request.klass
         endpoint.inflight -= 1
         if outcome == "barred":
-            # It reached nobody and tells of no crowd; but those that are connected are to be drawn now.
+            # No endpoint was reached, which says nothing about load; endpoints with open connections are preferred now.
             endpoint.success.add(now, 0.0)
             if not endpoint.inflight:
                 endpoint.silent_until = now
             return
-        # An answer costs what all its attempts were out for, losers included.
+        # The cost of an answer includes the time in flight of all its attempts, cancelled ones among them.
         count = 1.0 if outcome == "served" else 0.0
         duration = min(event.elapsed, attempt.overdue_at - attempt.sent_at) if attempt.is_stalled else event.elapsed
         klass.occupancy.add(now, duration, 1.0, count)
-        if not attempt.is_stalled:  # what is swallowed makes no crowd
-            attempt.partition.window.relative_latency.add(now, duration / klass.uncrowded_latency, 1.0, count)
+        if not attempt.is_stalled:  # a stalled attempt is no sign of load
+            attempt.partition.window.relative_latency.add(now, duration / klass.unloaded_latency, 1.0, count)
         ratio = event.elapsed / klass.mean_latency
         if outcome == "cancelled":
-            # A loser counts as served at the time it had waited, and for less if that was short: one
-            # cancelled right after its send would else make the endpoint look fast.
+            # A cancelled attempt counts as served in the time it had waited, with less weight if that was short: one
+            # cancelled right after its send would otherwise make the endpoint look fast.
             weight = min(1.0, ratio)
             endpoint.success.add(now, 1.0, weight)
             endpoint.latency.add(now, max(1.0, ratio), weight)
         elif outcome != "not_sent":
             endpoint.success.add(now, count)
         if outcome != "not_sent" and not attempt.is_stalled and (outcome != "cancelled" or ratio >= 1.0):
-            # The short wait of a loser says nothing of the crowd, nor does what was swallowed.
+            # Neither a short wait before a cancellation nor a stalled attempt says anything about load.
             zone = self.zone_crossing.home if endpoint.zone == self.settings.zone else self.zone_crossing.away
             answered = outcome in ("served", "cancelled")
             zone.add(now, max(0.0, 1.0 - event.elapsed / klass.settings.aim) if answered else 0.0)
         if outcome == "served":
-            self.on_answer(now, endpoint, event.elapsed / klass.uncrowded_latency)
+            self.on_answer(now, endpoint, event.elapsed / klass.unloaded_latency)
             endpoint.latency.add(now, ratio)
             endpoint.served_at = now
             endpoint.served.add(now, 0.0)
@@ -81,20 +81,21 @@
             if endpoint.phase == "ready":
                 self.endpoint_list.partition_of(endpoint).mark_up(endpoint)
             klass.latency.add(now, event.elapsed)
-            klass.mean_latency = klass.latency.mean(now, UNCROWDED_LATENCY_SHARE * klass.settings.aim, 0.3)
-            has_history = klass.occupancy.weight > UNCROWDED_MIN_ANSWERS
-            per_answer = klass.occupancy.mean(now, UNCROWDED_LATENCY_SHARE * klass.settings.aim, 0.3)
-            klass.uncrowded_latency = min(
-                klass.uncrowded_latency * (1.0 + UNCROWDED_DRIFT)
+            klass.mean_latency = klass.latency.mean(now, UNLOADED_LATENCY_SHARE * klass.settings.aim, 0.3)
+            has_history = klass.occupancy.weight > UNLOADED_MIN_ANSWERS
+            per_answer = klass.occupancy.mean(now, UNLOADED_LATENCY_SHARE * klass.settings.aim, 0.3)
+            klass.unloaded_latency = min(
+                klass.unloaded_latency * (1.0 + UNLOADED_DRIFT)
                 if has_history
-                else UNCROWDED_LATENCY_SHARE * klass.settings.aim,
+                else UNLOADED_LATENCY_SHARE * klass.settings.aim,
                 per_answer,
             )
-            attempt.partition.window.served.add(now, 0.0, klass.uncrowded_latency)
+            attempt.partition.window.served.add(now, 0.0, klass.unloaded_latency)
             self.first_answer_at = min(self.first_answer_at, now)
             self.admission.adapt_window(now, attempt.partition)
         elif outcome == "connect_failed" and endpoint.served_at < attempt.sent_at:
-            # No word since the send: down. With answers in between, its connection table is full.
+            # Without an answer since the send the endpoint is down; with answers in between its connections are used
+            # up.
             endpoint.failures += 1
             if self.reachability.state_of(endpoint.zone).on_failure(now) is (endpoint.presumed_cold_at < NEVER):
                 self.slow_start.mark_cold(now, endpoint, NEVER if endpoint.presumed_cold_at < NEVER else -NEVER)
@@ -108,9 +109,10 @@
             endpoint.silent_until = now
 
     def on_answer(self, now: float, endpoint: Endpoint, ratio: float) -> None:
-        """An answer, after ``ratio`` times what an uncrowded fleet takes.
+        """Update reachability and slow start with an answer that took ``ratio`` times the unloaded latency.
 
-        Guards cold endpoints against hundreds of balancers whose lists are late: each sends what a warm one gets.
+        Protects endpoints that have just started while the lists of hundreds of balancers are late: each balancer would
+        send them as much as a warm endpoint.
         """
         since = self.reachability.on_answer(now, endpoint.zone)
         if since is not None:
--- a/zinclever/policy/partition.py
+++ b/zinclever/policy/partition.py
@@ -1,4 +1,4 @@
-"""The ready endpoints of the home zone, or of the others, and how much each side can carry."""
+"""The ready endpoints of the home zone or of the other zones, with an in-flight window of their own."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from ..fleet.window import InflightWindow
 from .endpoints import Endpoint
 
-MAX_STALLED_SHARE = 0.5  # of a window: as many overdue attempts at the most leave their place in it to others
+MAX_STALLED_SHARE = 0.5  # of a window: overdue attempts up to this share no longer count against it
 
 
 class ZonePartition:
-    """The ready endpoints of the home zone, or of the others: each can carry so much.
+    """The ready endpoints of the home zone, or of all other zones.
 
-    Guards against a home zone that is full, and requests that wait for it, while others have room: what one
-    zone answers tells nothing of what the others could.
+    Each partition has its own in-flight window, so that requests don't wait for a full home zone while others have
+    capacity: the answers of one zone say nothing about the capacity of another.
     """
 
     __slots__ = (
@@ -35,20 +35,17 @@
     )
 
     def __init__(self) -> None:
-        self.ready: list[Endpoint] = []  # in this balancer's own random order
-        self.cumulative_sizes: list[float] = []  # of their sizes, one after another; empty: not made yet
-        self.down, self.cold = (
-            ExpiringSet[Endpoint](),
-            ExpiringSet[Endpoint](),
-        )  # of these, those taken to be down, or cold
-        self.up: list[Endpoint] = []  # the others than those down, in no order
-        self.ring: Ring[Endpoint] | None = None  # of all, where keys have keepers; None: not made yet
+        self.ready: list[Endpoint] = []  # in this balancer's random order
+        self.cumulative_sizes: list[float] = []  # running sums of the sizes; empty: not computed yet
+        self.down, self.cold = ExpiringSet[Endpoint](), ExpiringSet[Endpoint]()
+        self.up: list[Endpoint] = []  # ready endpoints that are not down, in no order
+        self.ring: Ring[Endpoint] | None = None  # consistent hashing of keys; None: not built yet
         self.inflight = 0
-        self.stalled = 0  # of these, where attempts are being swallowed
+        self.stalled = 0  # overdue attempts among those in flight
         self.window = InflightWindow()
 
     def replace_all(self, now: float, ready: list[Endpoint], cold_for: float) -> None:
-        """Take another list. Costs its length; draws between two lists don't."""
+        """Replace the list. The cost grows with its length, that of draws between two lists doesn't."""
         self.ready, self.cumulative_sizes, self.ring, self.up = ready, [], None, []
         self.down, self.cold = ExpiringSet[Endpoint](), ExpiringSet[Endpoint]()
         for endpoint in ready:
@@ -63,7 +60,7 @@
         self.index(now, endpoint, cold_for)
 
     def index(self, now: float, endpoint: Endpoint, cold_for: float) -> None:
-        """Sort an endpoint in among those that are up, down or cold."""
+        """Add an endpoint to those that are up, down or cold."""
         endpoint.up_index = len(self.up)
         self.up.append(endpoint)
         if endpoint.down_until > now:
@@ -82,7 +79,7 @@
         self.remove_from_up(endpoint)
 
     def remove_from_up(self, endpoint: Endpoint) -> None:
-        """Out of those that are up: the last one takes its place."""
+        """Remove an endpoint from those that are up, by moving the last one into its place."""
         if endpoint.up_index >= 0:
             last = self.up.pop()
             if last is not endpoint:
@@ -91,7 +88,7 @@
             endpoint.up_index = -1
 
     def sample_by_size(self, rng: random.Random, count: int) -> Endpoint:
-        """Any one of so many first ones, by size. The running sums are made once after each change of the list."""
+        """Draw one of the first ``count`` endpoints, weighted by size. The sums are computed once after each change."""
         if not self.cumulative_sizes:
             self.cumulative_sizes = list(itertools.accumulate(endpoint.size for endpoint in self.ready))
         return self.ready[
@@ -99,42 +96,42 @@
         ]
 
     def mark_down(self, now: float, endpoint: Endpoint) -> None:
-        """An endpoint is taken to be down."""
+        """Mark an endpoint as down until its ``down_until``."""
         self.expire_down(now)
         self.down.add(endpoint.down_until, endpoint.rank, endpoint)
         self.remove_from_up(endpoint)
 
     def mark_up(self, endpoint: Endpoint) -> None:
-        """It has answered, or it has been left alone for long enough."""
+        """Mark an endpoint as up: it has answered, or its time as down has passed."""
         if endpoint in self.down.members:
             self.down.members.discard(endpoint)
             endpoint.up_index = len(self.up)
             self.up.append(endpoint)
 
     def is_mostly_down(self, now: float) -> bool:
-        """Whether more than half of the endpoints are down."""
+        """Return whether more than half of the endpoints are down."""
         self.expire_down(now)
         return 2 * len(self.down.members) > len(self.ready)
 
     def expire_down(self, now: float) -> None:
-        """Those whose time has passed count as up again."""
+        """Mark the endpoints as up whose time as down has passed."""
         for endpoint in self.down.pop_due(now):
             if endpoint.down_until <= now:
                 self.mark_up(endpoint)
 
     def warm_count(self, now: float) -> int:
-        """How many are not cold."""
+        """Return the number of endpoints that are not cold."""
         for endpoint in self.cold.pop_due(now):
             self.cold.members.discard(endpoint)
         return len(self.ready) - len(self.cold.members)
 
     def key_owner(self, seed: int) -> Endpoint:
-        """The endpoint that owns a key, by consistent hashing."""
+        """Return the endpoint that owns a key, by consistent hashing."""
         if self.ring is None:
             self.ring = Ring((endpoint.ring_position, endpoint.size, endpoint) for endpoint in self.ready)
         return self.ring.owner_of(seed)
 
     def has_room(self) -> bool:
-        """Whether one more may go out."""
+        """Return whether the window has capacity for one more attempt."""
         discounted = min(self.stalled, MAX_STALLED_SHARE * self.window.size)
         return bool(self.ready) and self.inflight - discounted < self.window.size
--- a/zinclever/policy/requests.py
+++ b/zinclever/policy/requests.py
@@ -1,4 +1,4 @@
-"""Requests and their attempts; their classes and tenants."""
+"""Requests and their attempts, request classes and tenants."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from .endpoints import Endpoint
 from .partition import ZonePartition
 
-HEDGE_DELAY_SHARE = 0.36  # share of a class's aim: late enough that most are answered, early enough to win in time
-UNCROWDED_LATENCY_SHARE = (
-    0.4  # share of the aim: an uncrowded fleet answers within it, or the aim would be out of reach
+HEDGE_DELAY_SHARE = (
+    0.36  # share of a class's target: most requests are answered by then, and a hedge can still answer in time
 )
+UNLOADED_LATENCY_SHARE = 0.4  # share of the target: prior for the latency of a fleet without queueing
 
 
 class Attempt:
@@ -33,14 +33,14 @@
     def __init__(self, endpoint: Endpoint, partition: ZonePartition, sent_at: float, overdue_at: float) -> None:
         self.endpoint, self.partition, self.sent_at, self.is_open = endpoint, partition, sent_at, True
         self.overdue_at = overdue_at
-        self.is_in_flight = False  # counted in flight: not while its body is still coming in
-        self.is_long_overdue = False  # out for so long that it counts as swallowed
-        self.is_stalled = False  # counted among the side's overdue ones
-        self.is_given_up = False  # cancelled so that the request may go elsewhere
+        self.is_in_flight = False  # counted as in flight, which it is not while its body is being received
+        self.is_long_overdue = False  # unanswered for so long that it counts as lost
+        self.is_stalled = False  # counted among the partition's stalled attempts
+        self.is_given_up = False  # cancelled so that the request can be sent elsewhere
 
 
 class Request:
-    """A request that is owed an answer, or whose attempts are still out."""
+    """A request that is still owed an answer, or that has open attempts."""
 
     __slots__ = (
         "attempts",
@@ -70,17 +70,17 @@
         self.open_attempts = 0
         self.first_possible_run: Attempt | None = None  # the first attempt that may have run
         self.is_closed = self.is_streaming = self.is_held = False
-        self.value_rank = 1.0  # where its worth ranks in this balancer's demand: 0 for the least
+        self.value_rank = 1.0  # rank of its value in this balancer's demand: 0 is lowest
 
     def start(self, now: float, deadline: float) -> None:
-        """Its time begins."""
+        """Start the request's time: set its deadline and the instant by which an answer has value."""
         self.deadline = deadline
         aim = now + self.klass.settings.aim + self.klass.settings.aim_stretch * self.work
         self.target_at = min(aim, deadline) if self.klass.settings.late_worth == 0 else deadline
 
 
 class ClassState:
-    """A class of requests: its settings, its mean latency over the fleet, its copies to come."""
+    """A request class: its settings, its mean latency over the fleet and its scheduled hedges."""
 
     __slots__ = (
         "demand",
@@ -91,24 +91,22 @@
         "occupancy",
         "pending_hedges",
         "settings",
-        "uncrowded_latency",
+        "unloaded_latency",
     )
 
     def __init__(self, settings: interface.RequestClass) -> None:
         self.settings = settings
         self.idempotent = settings.repeat == "idempotent"
         self.hedge_delay = HEDGE_DELAY_SHARE * settings.aim
-        self.mean_latency = UNCROWDED_LATENCY_SHARE * settings.aim
-        self.uncrowded_latency = (
-            self.mean_latency
-        )  # time that attempts are out for an answer while the fleet is uncrowded
+        self.mean_latency = UNLOADED_LATENCY_SHARE * settings.aim
+        self.unloaded_latency = self.mean_latency  # time in flight for each answer while there is no queueing
         self.latency, self.occupancy = DecayingMean(2 * DECAY_TIME), DecayingMean(2 * DECAY_TIME)
-        self.demand = DecayingMean(2 * DECAY_TIME)  # by time in flight
+        self.demand = DecayingMean(2 * DECAY_TIME)  # weighted by time in flight
         self.pending_hedges: deque[tuple[float, Request]] = deque()
 
 
 class TenantState:
-    """A tenant: its quota, what it was served of late, its requests that wait, a queue for each class."""
+    """A tenant: its quota, its recent usage and its held requests, in one queue for each class."""
 
     __slots__ = ("queues", "quota", "usage")
 
--- a/zinclever/policy/selection.py
+++ b/zinclever/policy/selection.py
@@ -1,4 +1,4 @@
-"""Draws: the better of two random unused ready endpoints by payoff over (1 + own in-flight)."""
+"""Endpoint selection: power of two choices, by payoff over (1 + own in-flight requests)."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from .slow_start import SlowStart
 from .zone_crossing import ZoneCrossing
 
-SILENCE_TOLERANCE = 1.5  # mean latencies an endpoint may be silent before its payoff drops
-PRIOR_ANSWERS = 1.0  # answers: how many a server's payoff takes to outweigh the fleet's mean
-FULL_ZONE_GAIN = 0.6  # chance of an answer in time that a request gains by leaving a home zone that is full
-SMALL_PARTITION = 4  # endpoints up to which a side is looked through: draws there hit what has been used too often
-MAX_DRAWS = 8  # draws that may hit what is not fit before a side is looked through
-MAX_SCANNED = 64  # endpoints of a side that are looked through at the most: of more a part is, or they are drawn from
-RECENT_KEYS = 32  # latest requests that a hot key is told from
-WARM_KEY_GAIN = 1.4  # by how much better an endpoint counts for a key it is likely to have met
+SILENCE_TOLERANCE = 1.5  # mean latencies for which an endpoint may be silent before its payoff is reduced
+PRIOR_ANSWERS = 1.0  # answers that an endpoint's payoff takes to outweigh the prior, which is the fleet's mean
+FULL_ZONE_GAIN = 0.6  # probability of an answer in time that a request gains by leaving a full home zone
+SMALL_PARTITION = 4  # endpoints up to which a partition is scanned: random draws would mostly hit used ones
+MAX_DRAWS = 8  # draws of ineligible endpoints before a partition is scanned
+MAX_SCANNED = 64  # largest number of endpoints that are scanned; of a larger partition a part is, or it is sampled
+RECENT_KEYS = 32  # latest requests by which hot keys are detected
+WARM_KEY_GAIN = 1.4  # factor on the score of an endpoint that probably has the key cached
 
 
 class EndpointSelector:
-    """Which endpoint an attempt goes to."""
+    """Selects the endpoint for each attempt."""
 
     def __init__(
         self,
@@ -45,10 +45,10 @@
         self.recent_keys: deque[str] = deque(maxlen=RECENT_KEYS)
 
     def select(self, now: float, request: Request) -> Endpoint | None:
-        """The better of two random unused ready endpoints, drawn by told size.
+        """Return the better of two random ready endpoints that the request has not used, drawn by size.
 
-        Guards against small endpoints drowning in an even share: a quiet balancer hears too little of each
-        to tell it by the payoff.
+        Drawing by size protects small endpoints from an even share of the load: a balancer with little traffic gets too
+        few answers from each endpoint to tell by the payoff. Returns None if no endpoint is eligible.
         """
         drawn: tuple[Endpoint, Endpoint, float] | None = None
         for partition in self.partitions(now, request):
@@ -63,7 +63,7 @@
         return first if gain * self.score(now, first) >= self.score(now, second) else second
 
     def choose_two(self, now: float, request: Request, pool: list[Endpoint]) -> tuple[Endpoint, Endpoint, float] | None:
-        """Two of a pool, by size, and by how much the first counts for more; None where it is empty."""
+        """Draw two endpoints of a pool by size, with the factor on the first one's score. None if the pool is empty."""
         if not pool:
             return None
         shares = [endpoint.size for endpoint in pool]
@@ -75,14 +75,14 @@
         return first, self.weighted_choice(pool, shares) if any(shares) else first, gain
 
     def weighted_choice(self, pool: list[Endpoint], shares: list[float]) -> Endpoint:
-        """As ``random.choices`` draws one, without its calls in Python."""
+        """Draw as ``random.choices`` does, with fewer calls of Python code."""
         sums = list(itertools.accumulate(shares))
         return pool[bisect.bisect(sums, self.rng.random() * sums[-1], 0, len(pool) - 1)]
 
     def draw_two(
         self, now: float, request: Request, partition: ZonePartition
     ) -> tuple[Endpoint, Endpoint, float] | None:
-        """Two of a side at a cost that doesn't grow with it: by draws, or by a look at LOOK or ``enough`` of it."""
+        """Draw two endpoints of a partition, by sampling or by scanning at most MAX_SCANNED or ``pool_size`` of it."""
         count = len(partition.ready)
         pool_count = int(min(self.endpoint_list.pool_size(), count))
         if count <= MAX_SCANNED:
@@ -110,12 +110,12 @@
         return drawn or self.sample_two(now, request, partition, count)
 
     def sample_run(self, listed: list[Endpoint]) -> list[Endpoint]:
-        """As many as are looked through, from a random place on."""
+        """Return up to MAX_SCANNED consecutive endpoints from a random position on."""
         start = int(self.rng.random() * len(listed)) if len(listed) > MAX_SCANNED else 0
         return listed[start : start + MAX_SCANNED] + listed[: max(0, min(start, start + MAX_SCANNED - len(listed)))]
 
     def is_bound_to_cell(self, request: Request) -> bool:
-        """Whether only endpoints of the first attempt's cell discard a repeat."""
+        """Return whether only endpoints of the first attempt's cell discard a repeat."""
         return (
             request.first_possible_run is not None
             and not request.klass.idempotent
@@ -125,8 +125,10 @@
     def try_all(
         self, now: float, request: Request, partition: ZonePartition
     ) -> tuple[Endpoint, Endpoint, float] | None:
-        """Where most of a large side looks down the fault is as likely on this side: any one, and one of those that
-        don't, so that a single one that answers is found at once."""
+        """Draw from a large partition that is mostly down: any endpoint, and one that is not marked as down.
+
+        The fault is then as likely on this balancer's side. A single endpoint that answers is found at once.
+        """
         other = self.first_eligible(
             now, request, [partition.sample_by_size(self.rng, len(partition.ready)) for _ in range(MAX_DRAWS)]
         )
@@ -141,7 +143,7 @@
         return (first, second, 1.0) if first is not None and second is not None else None
 
     def first_eligible(self, now: float, request: Request, drawn: list[Endpoint]) -> Endpoint | None:
-        """The first of some endpoints that a request may go to; None where there is none."""
+        """Return the first of the drawn endpoints that the request may go to, or None."""
         used = [attempt.endpoint for attempt in request.attempts]
         for endpoint in drawn:
             if (
@@ -155,10 +157,10 @@
     def sample_two(
         self, now: float, request: Request, partition: ZonePartition, count: int
     ) -> tuple[Endpoint, Endpoint, float] | None:
-        """The same draw from so many first ones of a side, at a cost that doesn't grow with it.
+        """Draw two of the first ``count`` endpoints of a partition, at a cost that doesn't grow with it.
 
-        Endpoints are drawn by size from the list, and again while they are not fit: what remains has the shares
-        that it would have in a pool of the fit ones. None where few are fit.
+        Draws by size are repeated while they hit ineligible endpoints, which gives the eligible ones the same shares as
+        a pool of just these. Returns None if few are eligible.
         """
         first = self.key_owner(now, request, partition is self.endpoint_list.near)
         gain = WARM_KEY_GAIN if first else 1.0
@@ -169,7 +171,7 @@
     def sample(
         self, now: float, request: Request, partition: ZonePartition, count: int, other: Endpoint | None
     ) -> Endpoint | None:
-        """One that is fit and not the other; None after a few tries."""
+        """Draw an eligible endpoint other than ``other``, or None after MAX_DRAWS draws."""
         used = [attempt.endpoint for attempt in request.attempts]
         for _ in range(MAX_DRAWS):
             endpoint = partition.sample_by_size(self.rng, count)
@@ -180,10 +182,10 @@
         return None
 
     def key_owner(self, now: float, request: Request, near: bool) -> Endpoint | None:
-        """The endpoint that all balancers send a key to, so that it is warm there: one of the two drawn.
+        """Return the endpoint that all balancers prefer for a key, so that the key is warm there; None if ineligible.
 
-        The more of this balancer's latest requests bear the key, the more endpoints take turns: guards
-        against a hot key that all send to one.
+        The more of this balancer's latest requests have the key, the more endpoints take turns, so that a hot key does
+        not overload one of them.
         """
         if not request.key or not self.settings.warm_keys:
             return None
@@ -208,8 +210,8 @@
         return endpoint if fit else None
 
     def partitions(self, now: float, request: Request) -> list[ZonePartition]:
-        """What to draw from: the home zone, or the others where it is full or they are better by more than
-        the crossing."""
+        """Return the partitions to try, in order: the home zone, and the other zones if home is full or they are better
+        by more than the price of crossing."""
         only = self.reachability.reachable_side(self.settings.zone, self.rng)
         if only != "either" and self.endpoint_list.near.ready and self.endpoint_list.far.ready:
             return [self.endpoint_list.near if only == "home" else self.endpoint_list.far]
@@ -224,7 +226,7 @@
         return candidates
 
     def reusable(self, now: float, request: Request) -> list[Endpoint]:
-        """Where a retry may go back to: a fleet may be smaller than the attempts allowed."""
+        """Return the used endpoints that a retry may go to again, as there can be fewer endpoints than attempts."""
         if request.open_attempts:
             return []
         used = [attempt.endpoint for attempt in request.attempts]
@@ -238,10 +240,10 @@
         ]
 
     def eligible(self, now: float, request: Request, partition: list[Endpoint]) -> list[Endpoint]:
-        """The first of this balancer's own order that are unused by the request, not down, not cold and full.
+        """Return the first eligible endpoints in this balancer's own order, as many as ``pool_size`` allows.
 
-        Guards against hundreds of balancers that each connect to the whole fleet and learn little of each
-        endpoint. Those that drop out are made up for by the next in order; with more in flight it grows.
+        The limit keeps hundreds of balancers from connecting to the whole fleet and learning little about each
+        endpoint. The next ones in order replace those that are not eligible.
         """
         used = [attempt.endpoint for attempt in request.attempts]
         enough = self.endpoint_list.pool_size()
@@ -260,15 +262,15 @@
                 up.append(endpoint)
                 if len(up) >= enough:
                     break
-        # Where most of the fleet looks down the fault is as likely on this side: everything is tried.
+        # If most of them look down, the fault is as likely on this side: all of them are tried.
         return up if len(up) >= len(down) else up + down
 
     def score(self, now: float, endpoint: Endpoint) -> float:
-        """Payoff over (1 + own in-flight). The payoff: share of good answers over relative latency."""
+        """Return payoff over (1 + own in-flight requests); the payoff is share of good answers over relative latency."""
         payoff = endpoint.success.mean(now, 1.0, PRIOR_ANSWERS) / endpoint.latency.mean(now, 1.0, PRIOR_ANSWERS)
         silence = endpoint.silence(now)
         if silence > 0.0:
-            # A server that swallows requests looks idle: its silence counts before any attempt times out.
+            # An endpoint that loses requests looks idle. Its silence counts before the first attempt times out.
             excess = silence / (SILENCE_TOLERANCE * max(klass.mean_latency for klass in self.classes))
             if excess > 1.0:
                 payoff /= excess * excess
--- a/zinclever/policy/slow_start.py
+++ b/zinclever/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Cold endpoints: each balancer sends them a part that adds up to what they can do."""
+"""Slow start: limits what each balancer sends to endpoints that have just started."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from .endpoint_list import EndpointList
 from .endpoints import Endpoint
 
-CAPACITY_FACTOR = 1.25  # times the share that answers tell, and half of what pushes a cold endpoint over at the most
-MAX_MEASURED = 256  # warm endpoints by whose answers the cold ones are measured at the most
-HELD_CHECK_INTERVAL = 10.0  # ms between two looks at the held requests
+CAPACITY_FACTOR = 1.25  # on the measured share of capacity; capped at half of the factor that overloads a cold endpoint
+MAX_MEASURED = 256  # most warm endpoints whose answers are measured
+HELD_CHECK_INTERVAL = 10.0  # ms between two checks of the held requests
 
 
 class SlowStart:
-    """How much of its capacity a cold endpoint may be sent by this balancer."""
+    """Decides how much of its capacity a cold endpoint may be sent by this balancer."""
 
     def __init__(self, settings: interface.Settings, endpoint_list: EndpointList) -> None:
         self.rules, self.endpoint_list = settings.rules, endpoint_list
         self.demand = DecayingMean(DECAY_TIME)
-        self.warm_rate = 0.0  # answers a millisecond and size of a warm endpoint
+        self.warm_rate = 0.0  # answers per ms and unit of size of a warm endpoint
         self.measured_at = -NEVER
 
     def is_cold(self, now: float, endpoint: Endpoint) -> bool:
-        """Whether an endpoint has started lately, or is presumed to have."""
-        # A start at 0 is long past: guards against a clock near 0, by which all would be cold.
+        """Return whether an endpoint has started recently or is presumed to have."""
+        # 0 stands for a start long ago: with a clock near 0 all endpoints would be cold otherwise.
         if is_presumed_cold(
             now - self.rules.cold_for, endpoint.presumed_cold_at, endpoint.failures, self.endpoint_list.refusals
         ):
@@ -34,17 +34,17 @@
         return endpoint.started_at != 0.0 and endpoint.started_at + self.rules.cold_for > now
 
     def capacity_share(self, now: float, endpoint: Endpoint) -> float:
-        """Share of its capacity that a cold endpoint has at least."""
+        """Return the share of its capacity that a cold endpoint has at least."""
         age = max(0.0, now - max(endpoint.started_at, endpoint.presumed_cold_at))
         return self.rules.cold_share + (1.0 - self.rules.cold_share) * age / self.rules.cold_for
 
     def admits(self, now: float, endpoint: Endpoint) -> bool:
-        """A cold endpoint gets LEAD times its ramp's share of what a warm one of its size answers to this balancer.
+        """Return whether an endpoint may be sent a request: a warm one always, a cold one within its token bucket.
 
-        Warm ones answer what is asked, which is less than they could.
-
-        Answers, not sends: guards against a crowd whose many attempts would set the measure. What is saved
-        up starts at a random part of one send, as one each from hundreds of balancers is a burst.
+        The bucket is filled at CAPACITY_FACTOR times the endpoint's share of its capacity, times the rate at which a
+        warm endpoint of its size answers this balancer. Warm endpoints answer what they are sent, which is less than
+        their capacity. Answers are measured rather than sends, which grow with retries in overload. A bucket starts
+        with a random part of one token, as one send each from hundreds of balancers would be a burst.
         """
         if not self.is_cold(now, endpoint):
             return True
@@ -62,20 +62,23 @@
         return endpoint.tokens >= 1.0
 
     def presume_cold(self, now: float, zone: int, since: float) -> None:
-        """What a zone has not been heard of since an instant is cold from now on, whatever the list says."""
+        """Treat the endpoints of a zone that have not answered since an instant as cold from now on."""
         for endpoint in self.endpoint_list.ready:
             if endpoint.zone == zone and endpoint.served_at <= since:
                 self.mark_cold(now, endpoint, now)
 
     def mark_cold(self, now: float, endpoint: Endpoint, since: float) -> None:
-        """One is cold since an instant, whatever the list says. NEVER: it may be when it answers, and its tries until
-        then are sent as to a cold one: guards one that comes back unseen against a first try from each balancer."""
+        """Treat an endpoint as cold since an instant, whatever the list says.
+
+        With NEVER it may be cold when it answers, and attempts until then are limited as for a cold endpoint. This
+        keeps an endpoint that returns unnoticed from getting a first attempt from every balancer at once.
+        """
         endpoint.presumed_cold_at, endpoint.tokens, endpoint.tokens_at = since, self.endpoint_list.rng.random(), now
         if since > -NEVER:
             self.endpoint_list.partition_of(endpoint).cold.add(now + self.rules.cold_for, endpoint.rank, endpoint)
 
     def withdraw_presumption(self, now: float, zone: int, since: float) -> None:
-        """A zone that was presumed to be cold since its return was not."""
+        """End the presumption that a zone is cold since its return at ``since``."""
         for endpoint in self.endpoint_list.ready:
             if endpoint.zone == zone and endpoint.presumed_cold_at == since:
                 endpoint.presumed_cold_at = -NEVER
@@ -83,10 +86,10 @@
                     self.endpoint_list.partition_of(endpoint).cold.members.discard(endpoint)
 
     def measure_warm(self, now: float) -> None:
-        """Answers of the warm endpoints in use, by size. Where few are warm the last figure stands.
+        """Measure the answer rate of the warm endpoints in use, by size. With few warm endpoints the last rate is kept.
 
-        A zone that is all cold is measured by the others: guards against taking the demand for what it can
-        do, when it comes back from an outage to clients that repeat all they ask.
+        A zone that is cold as a whole is measured by the other zones. By its own demand, the retries of its clients
+        after an outage would be taken for its capacity.
         """
         self.measured_at = now
         limit = int(min(self.endpoint_list.pool_size(), MAX_MEASURED))
@@ -100,14 +103,12 @@
                 rates.append(served / sum((endpoint.size for endpoint in warm), 0.0))
         if rates:
             self.warm_rate = max(rates)
-        elif (
-            self.endpoint_list.ready and self.warm_rate == 0.0
-        ):  # all is cold: it starts with an even part of the demand
+        elif self.endpoint_list.ready and self.warm_rate == 0.0:  # all are cold: start with an even share of the demand
             self.warm_rate = self.demand.rate(now) / sum(
                 (endpoint.size for endpoint in self.endpoint_list.ready[:limit]), 0.0
             )
 
     def on_sent(self, now: float, endpoint: Endpoint) -> None:
-        """One more goes there."""
+        """Take a token for an attempt at a cold endpoint."""
         if self.is_cold(now, endpoint):
             endpoint.tokens -= 1.0
--- a/zinclever/policy/stalled_attempts.py
+++ b/zinclever/policy/stalled_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts that are swallowed: they are taken for lost once enough of them stay out."""
+"""Detection of stalled attempts: requests that endpoints, connections or paths have lost."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 from ..fleet.smooth import DECAY_TIME, NEVER, DecayingMean
 from .requests import Attempt, ClassState, Request
 
-OVERDUE_LATENCIES = 1.8  # mean latencies after which most attempts that are still out stay out
-OWN_WORK_FACTOR = 2.0  # times its own work that a request may take beyond that: a large one is not begun anew in vain
-STALLED_FACTOR = 1.5  # times the usual span after which one that is still out is taken for swallowed
-STALLED_THRESHOLD = 0.08  # share of attempts that are out for so long from which on they are acted upon
-STALLED_PRIOR = 20.0  # attempts: how many it takes to outweigh that none are
-UNCROWDED_SHARE = 0.3  # share of the aim below which a class's answers show no crowd
+OVERDUE_LATENCIES = 1.8  # mean latencies after which most attempts that are still open are never answered
+OWN_WORK_FACTOR = 2.0  # times the request's own work, added to that, so that large requests are not restarted in vain
+STALLED_FACTOR = 1.5  # times the expected time after which an open attempt counts as lost
+STALLED_THRESHOLD = 0.08  # share of lost attempts above which stalled attempts are acted upon
+STALLED_PRIOR = 20.0  # attempts that it takes to outweigh the prior of no loss
+UNLOADED_SHARE = 0.3  # share of the target below which a class's mean latency shows no overload
 MIN_LATENCIES_LEFT = 0.7  # mean latencies that an attempt needs to have a chance of finishing
 
 
 class StalledAttempts:
-    """Attempts by when they should have been answered."""
+    """The open attempts by the instant at which they are overdue, and the share of attempts that are lost."""
 
     def __init__(self, settings: interface.Settings) -> None:
         self.limits = settings.limits
-        self.pending: list[tuple[float, int, Request, Attempt]] = []  # attempts by when they are overdue
-        self.stalled_share = DecayingMean(DECAY_TIME)  # share of attempts that came to be overdue
+        self.pending: list[tuple[float, int, Request, Attempt]] = []  # heap by overdue_at
+        self.stalled_share = DecayingMean(DECAY_TIME)  # share of attempts that became long overdue
         self.sequence = 0
 
     def add(self, request: Request, attempt: Attempt) -> None:
@@ -32,40 +32,41 @@
         heapq.heappush(self.pending, (attempt.overdue_at, self.sequence, request, attempt))
 
     def next_due(self) -> float:
-        """When the next attempt is overdue, in ms."""
+        """Return the instant at which the next attempt is overdue, in ms."""
         return self.pending[0][0] if self.pending else NEVER
 
     def expected_time(self, request: Request) -> float:
-        """The time within which an attempt is answered, if it is at all."""
+        """Return the time within which an attempt is answered if it is answered at all, in ms."""
         return (
             max(request.klass.hedge_delay, OVERDUE_LATENCIES * request.klass.mean_latency)
             + OWN_WORK_FACTOR * request.work
         )
 
     def is_indicative(self, request: Request) -> bool:
-        """Whether a request's attempts show what is swallowed: keyed ones are given up before."""
+        """Return whether a request's attempts count in the share of lost ones; deduplicated requests move before."""
         return request.klass.settings.repeat != "deduplicated"
 
     def is_stalling(self, now: float, klass: ClassState) -> bool:
-        """Whether more attempts are overdue than slow answers account for, while those that come are quick.
+        """Return whether more attempts are overdue than slow answers explain, while the answers that come are quick.
 
-        In a crowd they are not: guards against pushing on what is overrun already.
+        In overload answers are slow, so that stalled attempts never add load to an overloaded fleet.
         """
         return (
-            klass.mean_latency < UNCROWDED_SHARE * klass.settings.aim
+            klass.mean_latency < UNLOADED_SHARE * klass.settings.aim
             and self.stalled_share.mean(now, 0.0, STALLED_PRIOR) > STALLED_THRESHOLD
         )
 
     def check(self, now: float, actions: list[interface.Action]) -> None:
-        """Attempts without a word in their time, where too many are: they leave their place in the window to
-        others, and a keyed request goes elsewhere within its group.
-
-        Guards against endpoints, connections or paths that swallow part of what they are sent, on as much of
-        the fleet as may be: answers are as quick as ever, so that no latency shows it, each attempt stays in
-        flight until its request's time is up, and what looks like a crowd bars the very copies that help. It
-        should cover requests lost on the way and endpoints that freeze, too. It could hurt where a fleet is
-        overrun so fast that the mean latency doesn't follow: bounded by FORGIVEN, and by the time that a
-        request has to have left.
+        """Act on overdue attempts if too many are lost: they no longer count against the window, and a deduplicated
+        request moves to another endpoint of its group.
+
+        Covers endpoints, connections or paths that lose part of the requests, on any part of the fleet, and endpoints
+        that freeze. Answers are then as quick as ever, so that no latency shows the fault. Each lost attempt stays in
+        flight until its request's deadline, and the full window looks like overload and blocks the hedges that would
+        help.
+
+        If a fleet is overloaded faster than the mean latency follows, this adds load. The amount is bounded by
+        MAX_STALLED_SHARE and by the latest instant at which a request may be sent.
         """
         while self.pending and (self.pending[0][0] <= now or not self.pending[0][3].is_open):
             _, _, request, attempt = heapq.heappop(self.pending)
@@ -88,7 +89,7 @@
                 actions.append(interface.Cancel(request.id, request.attempts.index(attempt)))
 
     def may_move(self, now: float, request: Request, attempt: Attempt) -> bool:
-        """Whether a keyed request gains by going to another endpoint of its group."""
+        """Return whether a deduplicated request gains by moving to another endpoint of its group."""
         settings, origin = request.klass.settings, request.first_possible_run or attempt
         if (
             settings.repeat != "deduplicated"
