--- a/zinclever/fleet/__init__.py
+++ b/zinclever/fleet/__init__.py
@@ -1,5 +1,4 @@
-"""What an instance decides because it is one of many: its subset of a large fleet, its part of what all may use.
+"""What each instance decides for itself so that many instances can share a fleet: its subset, its share of the limits.
 
-No I/O and no clock: the instant is handed in, in ms, and everything random comes from a generator that is
-handed in.
+The modules do no I/O and read no clock: the current instant (in ms) and the random generator are arguments.
 """
--- a/zinclever/fleet/layout.py
+++ b/zinclever/fleet/layout.py
@@ -1,11 +1,11 @@
-"""Where each server of a fleet sits in a table that all instances agree on without talking.
-
-Every server has one slot, and which one depends on the names listed and the size of the table alone, not on the
-order in which they came: each proposes to slots in an order of its own, and a slot keeps the proposer that it
-ranks first (deferred acceptance: Gale and Shapley, "College Admissions and the Stability of Marriage", 1962). Both
-sides rank by the same thing, the number of the proposal, and slots by a hash among equals: so there is one stable
-outcome only, and servers may come and go in any order. A table that is at most 85 per cent full takes some two
-proposals a server, and one server more or less moves a few others.
+"""A table of slots for the servers of a fleet that all instances compute alike, without communicating.
+
+Each server has one slot, which depends only on the listed names and the size of the table, not on the order of
+arrival. Each server proposes to slots in an order of its own, and a slot keeps the proposal that it ranks first
+(deferred acceptance: Gale and Shapley, "College Admissions and the Stability of Marriage", 1962). Both sides rank by
+the number of the proposal, and slots break ties by a hash. There is therefore only one stable outcome, whatever the
+order in which servers come and go. A table that is at most 85 % full takes about two proposals for each server, and
+adding or removing a server moves a few others.
 """
 
 from __future__ import annotations
@@ -15,29 +15,28 @@
 
 from .. import interface
 
-MAX_LOAD_FACTOR = 0.85  # part of the table in use from which on it grows: beyond, a change moves ever more servers
-MIN_LOAD_FACTOR = (
-    0.4  # below which it shrinks; apart from FULLEST, as a list that flaps must not lay out anew each time
-)
-GROWTH_FACTOR = 1.25  # by which it grows: 68 to 85 per cent are in use after it
+MAX_LOAD_FACTOR = 0.85  # share of used slots above which the table grows, as changes of a fuller one move more servers
+MIN_LOAD_FACTOR = 0.4  # below it the table shrinks; far below the maximum, so that a flapping list causes no rebuilds
+GROWTH_FACTOR = 1.25  # 68 % to 85 % of the slots are in use after growing
 MIN_TABLE_SIZE = 8  # slots
 MASK = 2**64 - 1
-GOLDEN = 0x9E3779B97F4A7C15  # splitmix64's increment
+GOLDEN = 0x9E3779B97F4A7C15  # increment of splitmix64
 
 
 def mix(x: int) -> int:
-    """The finalizer of splitmix64 (Steele, Lea and Flood, 2014): 64 bits in, 64 well-mixed bits out."""
+    """Mix 64 bits: the finalizer of splitmix64 (Steele, Lea and Flood, 2014)."""
     x = (x ^ x >> 30) * 0xBF58476D1CE4E5B9 & MASK
     x = (x ^ x >> 27) * 0x94D049BB133111EB & MASK
     return x ^ x >> 31
 
 
 def hash_of(name: str) -> int:
+    """Return a 64-bit hash of a server's name that is the same in all processes."""
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest())
 
 
 def table_size(servers: int) -> int:
-    """Slots for so many servers: the first step that leaves enough of them empty."""
+    """Return the smallest table size in the growth sequence that leaves enough slots empty."""
     size = MIN_TABLE_SIZE
     while servers > MAX_LOAD_FACTOR * size:
         size = int(size * GROWTH_FACTOR) + 1
@@ -45,7 +44,7 @@
 
 
 class Placement:
-    """One server: which of its own proposals was taken."""
+    """A server and the number of its proposal that was accepted."""
 
     __slots__ = ("accepted", "hash", "listed")
 
@@ -54,21 +53,23 @@
         self.accepted = 0
 
     def proposal(self, number: int, size: int) -> int:
+        """Return the slot of the server's proposal ``number`` in a table of ``size`` slots."""
         return mix(self.hash + number * GOLDEN & MASK) % size
 
     def slot(self, size: int) -> int:
+        """Return the server's slot in a table of ``size`` slots."""
         return self.proposal(self.accepted, size)
 
     def rank(self, number: int, slot: int) -> tuple[int, int, str]:
-        """Where a slot ranks this proposal of it: the least is kept."""
+        """Return the rank of a proposal at a slot; the slot keeps the lowest."""
         return number, mix(self.hash ^ slot * GOLDEN & MASK), self.listed.endpoint
 
 
 class Layout:
-    """The servers that may be sent to, each in its slot. A change costs what it moves; see the module's text.
+    """The servers that may be sent to, each in its slot. The cost of a change is the number of servers that it moves.
 
-    ``size`` is that of the table. It depends on the number of servers where the layout is made at once; one that
-    has grown or shrunk may keep another size for a while, so that instances needn't agree on it.
+    ``size`` is the size of the table. After growing or shrinking it can differ from that of a new layout with the same
+    number of servers, so that instances with different histories may differ for a while.
     """
 
     def __init__(self, listed: Iterable[interface.Listed] = ()) -> None:
@@ -76,10 +77,11 @@
         self.rebuild()
 
     def rebuild(self) -> None:
+        """Place all servers anew in a table of the matching size."""
         self.size = table_size(len(self.seats))
         self.table: list[Placement | None] = [None] * self.size
         self.rejected: dict[int, list[tuple[int, Placement]]] = {}
-        """Who proposed to a slot and was not kept, and by which proposal."""
+        """By slot: the proposals that it did not keep, with their servers."""
         for placement in self.seats.values():
             self.assign(placement, 0)
 
@@ -87,7 +89,7 @@
         return len(self.seats)
 
     def assign(self, placement: Placement, number: int) -> None:
-        """Propose on until one is taken, for whoever is without a slot."""
+        """Make the proposals of a server from ``number`` on until every server that this displaces has a slot."""
         while True:
             slot = placement.proposal(number, self.size)
             occupant = self.table[slot]
@@ -100,7 +102,7 @@
             number += 1
 
     def put(self, listed: interface.Listed) -> None:
-        """A server, new or with other news of it."""
+        """Add a server, or update its entry."""
         known = self.seats.get(listed.endpoint)
         if known is not None:
             known.listed = listed
@@ -112,7 +114,7 @@
             self.assign(placement, 0)
 
     def drop(self, name: str) -> None:
-        """A server has gone: its slot is for the first of those that wanted it, and so on."""
+        """Remove a server. Its slot goes to the best rejected proposal, and so on for the slot that this vacates."""
         placement = self.seats.pop(name, None)
         if placement is None:
             return
@@ -124,6 +126,7 @@
         self.refill(slot)
 
     def refill(self, slot: int) -> None:
+        """Fill an empty slot from its rejected proposals, and then the slot that this vacates, until none is left."""
         while True:
             waiting = self.rejected.get(slot)
             if not waiting:
@@ -136,7 +139,7 @@
             slot = vacated
 
     def withdraw(self, placement: Placement, first: int, end: int) -> None:
-        """It wants the slots of these proposals no longer."""
+        """Remove a server's rejected proposals ``first`` to ``end`` (exclusive)."""
         for number in range(first, end):
             slot = placement.proposal(number, self.size)
             self.rejected[slot].remove((number, placement))
@@ -144,5 +147,5 @@
                 del self.rejected[slot]
 
     def slots_by_name(self) -> Mapping[str, int]:
-        """Each server's slot."""
+        """Return the slot of each server."""
         return {name: placement.slot(self.size) for name, placement in self.seats.items()}
--- a/zinclever/fleet/limits.py
+++ b/zinclever/fleet/limits.py
@@ -1,8 +1,8 @@
-"""One instance's part of what all instances together may use, so that totals stay under stated caps at any size.
+"""One instance's share of limits that hold for all instances together.
 
-Nobody counts the total: each instance knows how many there are and takes its part. Where that was told wrongly
-the servers' own refusals take the part back (additive increase, multiplicative decrease, as in RFC 5681), and a
-part that grows does so slowly, so that a change of the group is no burst.
+Nobody counts the totals: each instance knows the size of the group and takes its share. If that size is wrong, refusals
+by the servers reduce the share (additive increase, multiplicative decrease, as in RFC 5681). A share that grows does so
+slowly, so that a change of the group causes no burst.
 """
 
 from __future__ import annotations
@@ -12,39 +12,33 @@
 
 from ..interface import Shares
 
-RATIO_WINDOW = 10_000.0  # ms over which a ratio holds: as long as the usual window of retry budgets
-BURST_WINDOW = 500.0  # ms of a rate that may be saved up: all instances may spend theirs at the same instant
-STEADY_SHARE = (
-    2.0 / 3.0
-)  # of a cap by the second that is the steady rate: with what is saved no second has more than the cap
-EQUAL_SHARE = 0.5  # of the cap on connections is shared evenly
-BUSY_SHARE = 0.25  # of it is for the busy ones; the rest is room for unevenness
-UNEVEN_FACTOR = 1.5  # times its even part that an instance may hold to one server: EQUAL * UNEVEN + HOT = 1
-INCREASE_INTERVAL = 1_000.0  # ms between two steps up of who lacks connections
-INCREASE_STEP = 0.15  # that such a step adds to its part: a trouble of seconds makes nobody a busy one, a minute does
-DECREASE_AFTER = 30_000.0  # ms without lack after which what is above the equal part is given back, step by step
-BACKOFF_FACTOR = 0.7  # factor for each refusal
-BACKOFF_INTERVAL = 250.0  # ms between two of them: refusals of one burst are one piece of news
-MAX_SPREAD_SHARE = 0.8  # of the time within which the list has to be asked for: the rest is for a slow answer
+RATIO_WINDOW = 10_000.0  # ms over which a ratio holds, as is usual for retry budgets
+BURST_WINDOW = 500.0  # ms of a rate that may be saved up, as all instances may spend theirs at the same instant
+STEADY_SHARE = 2.0 / 3.0  # of a cap per second: with what is saved up, no second exceeds the cap
+EQUAL_SHARE = 0.5  # of the connection cap, shared evenly
+BUSY_SHARE = 0.25  # of the connection cap, for busy instances; the rest is headroom for uneven load
+UNEVEN_FACTOR = 1.5  # of its even share that may go to one server: EQUAL_SHARE * UNEVEN_FACTOR + BUSY_SHARE = 1
+INCREASE_INTERVAL = 1_000.0  # ms between two increases for an instance that lacks connections
+INCREASE_STEP = 0.15  # relative increase: a fault of seconds makes no instance busy, a minute of load does
+DECREASE_AFTER = 30_000.0  # ms without exhaustion after which what exceeds the equal share is given back, step by step
+BACKOFF_FACTOR = 0.7  # factor on the share for each refusal
+BACKOFF_INTERVAL = 250.0  # ms between two reductions, as refusals of one burst count once
+MAX_SPREAD_SHARE = 0.8  # of the interval within which the list must be fetched; the rest is left for a slow answer
 MIN_RETRY_DELAY = 300.0  # ms
-MAX_RETRY_SHARE = 1.0 / 3.0  # of that time, between two tries where discovery has room for them
-MAX_FAILED_FACTOR = 3.5  # times it, at the most: the rules allow four after a failed call
-MAX_WATCH_TIMEOUT = 120_000.0  # ms: a discovery that has fallen silent is noticed no sooner
-MAX_DEAD_SHARE = 0.3  # of the connections begun that may fail by servers which have died: a data centre's part is more
-DEAD_PRIOR = 10.0  # connections begun that it takes to outweigh that none fails
-ALIVE_WINDOW = (
-    2_000.0  # ms after its last answer for which a server that can't be reached is taken to be full, not dead
-)
-MIN_SHARE_FACTOR = (
-    1.0 / 64.0
-)  # of its equal part that an instance goes down to: below, it could not find out that all is well
+MAX_RETRY_SHARE = 1.0 / 3.0  # of that interval, between two retries if the cap on calls permits it
+MAX_FAILED_FACTOR = 3.5  # of that interval at most: the rules allow four intervals after a failed call
+MAX_WATCH_TIMEOUT = 120_000.0  # ms; a discovery that has become silent is noticed no sooner
+MAX_DEAD_SHARE = 0.3  # of recent connects that may fail because servers have died; losing a data centre exceeds it
+DEAD_PRIOR = 10.0  # successful connects that the prior counts for
+ALIVE_WINDOW = 2_000.0  # ms after its last answer for which an unreachable server counts as full rather than dead
+MIN_SHARE_FACTOR = 1.0 / 64.0  # of the equal share; with less an instance could not notice that capacity is back
 
 
 class TokenBucket:
-    """So many a second on the long run, and what is saved up of them; parts below one are taken by chance.
+    """A token bucket whose fractions of a token are drawn by chance.
 
-    Guards the quiet: where an instance's part is one in a hundred seconds, all of them together still have their
-    rate, at once after a pause as much as later.
+    An instance whose rate is one token in a hundred seconds can take one at any time with the matching probability, so
+    that all instances together have their full rate even after a pause.
     """
 
     __slots__ = ("capacity", "rate", "rng", "tokens", "updated_at")
@@ -55,19 +49,19 @@
         self.updated_at = -math.inf
 
     def configure(self, max_rate: float) -> None:
-        """No more than ``most`` a ms over any second from now on, what is saved up included."""
+        """Limit the tokens taken in any second to ``max_rate`` per ms, including what is saved up."""
         is_first = self.capacity == 0.0
         self.rate = STEADY_SHARE * max_rate
         self.capacity = self.rate * BURST_WINDOW
         self.tokens = self.capacity if is_first else min(self.tokens, self.capacity)
 
     def take(self, now: float) -> bool:
-        """Whether one may be spent now. On the average, and in the long run, no more than told."""
+        """Take a token if there is one. In the long run the rate is kept on average."""
         if now > self.updated_at:
             if self.updated_at > -math.inf:
                 self.tokens = min(self.capacity, self.tokens + self.rate * (now - self.updated_at))
             self.updated_at = now
-        if self.tokens < 1.0:  # a try uses up what there is, won or not: else who tries often enough wins always
+        if self.tokens < 1.0:  # each try uses up the fraction, or frequent tries would always succeed
             probability, self.tokens = self.tokens, 0.0
             return self.rng.random() < probability
         self.tokens -= 1.0
@@ -75,10 +69,9 @@
 
 
 class Budget:
-    """Retries or copies: a share of the requests over some seconds, and a floor for the quiet.
+    """A budget of retries or hedges: a share of the recent requests, and a floor for low traffic.
 
-    One may be saved up for as long as it takes: guards those who ask less than once in some seconds, and who could
-    else never retry at all.
+    One token is kept without decay, so that an instance with less than a request in some seconds can retry at all.
     """
 
     __slots__ = ("balance", "floor", "ratio", "updated_at")
@@ -88,22 +81,23 @@
         self.balance, self.updated_at = 0.0, -math.inf
 
     def configure(self, floor: float) -> None:
-        """``floor``: so many a ms are free."""
+        """Set the rate, per ms, that is allowed whatever the ratio."""
         self.floor.configure(floor)
 
     def on_request(self, now: float) -> None:
-        """A request has come."""
+        """Add the share of a new request."""
         self.decay(now)
         self.balance += self.ratio
 
     def decay(self, now: float) -> None:
+        """Decay what exceeds one token."""
         if now > self.updated_at:
             if self.balance > 1.0:
                 self.balance = 1.0 + (self.balance - 1.0) * math.exp((self.updated_at - now) / RATIO_WINDOW)
             self.updated_at = now
 
     def take(self, now: float) -> bool:
-        """Whether one more may go out."""
+        """Take a token if there is one."""
         self.decay(now)
         if self.balance >= 1.0:
             self.balance -= 1.0
@@ -112,7 +106,7 @@
 
 
 class ConnectStatistics:
-    """Of late: how many connections were begun, and how many of them didn't come up."""
+    """Recent numbers of connects and of failed connects."""
 
     __slots__ = ("attempted", "failed", "updated_at")
 
@@ -121,22 +115,23 @@
         self.updated_at = -math.inf
 
     def decay(self, now: float) -> None:
+        """Decay both numbers up to ``now``."""
         if now > self.updated_at:
             factor = math.exp((self.updated_at - now) / RATIO_WINDOW)
             self.attempted, self.failed, self.updated_at = self.attempted * factor, self.failed * factor, now
 
     def is_failing_widely(self) -> bool:
-        """Whether so many fail that servers which have died don't account for them."""
+        """Return whether more connects fail than dead servers explain."""
         return self.failed > MAX_DEAD_SHARE * (self.attempted + DEAD_PRIOR)
 
 
 class Connections:
-    """How many connections one instance may hold and open.
+    """Limits the connections that one instance holds and opens.
 
-    Each begins with its equal part of both caps. Who lacks connections or handshakes goes beyond it step by step, up
-    to a busy one's part; a server's refusal takes back at once, of busy ones and of all. A part of less than one
-    connection to a server counts as one, so that the cap that holds is at least the number of instances that share
-    a server.
+    An instance starts with its equal share of both caps. One that runs out of connections or handshakes increases its
+    share step by step, up to the share of a busy instance; a refusal by a server reduces it at once, for busy and other
+    instances alike. Less than one connection to a server counts as one, so the effective cap is at least the number of
+    instances that share a server.
     """
 
     __slots__ = (
@@ -158,16 +153,17 @@
     def __init__(self, rng: Random) -> None:
         self.shares, self.group_size, self.servers, self.subset_size = Shares(), 1, 0, 1
         self.share_factor = self.max_share_factor = 1.0
-        """Times its equal part that this instance may have now, and ever."""
+        """Factors on the equal share: the current one and the maximum."""
         self.connection_cap, self.busy_extra_per_server = 0.0, math.inf
         self.exhausted_at = self.refused_at = self.adjusted_at = -math.inf
         self.handshake_tokens = TokenBucket(rng)
         self.connects = ConnectStatistics()
 
     def configure(self, shares: Shares, group_size: int, servers: int, subset_size: int) -> None:
-        """Take the caps on each of ``servers``, in a group of so many, of which this one meets ``subset_size``.
+        """Take the caps on each of ``servers`` in a group of ``group_size``, where this instance uses ``subset_size``
+        servers.
 
-        A smaller part takes effect at once; a larger one is gone up to by steps, as news of the group may be wrong.
+        A smaller share takes effect at once; a larger one is reached in steps, as the reported group size may be wrong.
         """
         old_ratio, new_ratio = self.servers / self.group_size, servers / group_size
         busy = min(shares.busy, group_size)
@@ -181,14 +177,14 @@
         self.update_handshake_rate()
 
     def update_handshake_rate(self) -> None:
-        """Let the part hold for handshakes."""
+        """Apply the current share to the handshake rate."""
         if self.shares.handshakes_per_s and self.servers:
             equal_share = EQUAL_SHARE * self.shares.handshakes_per_s / 1000.0 * self.servers / self.group_size
             self.handshake_tokens.configure(equal_share * self.share_factor)
 
     @property
     def equal_share(self) -> float:
-        """Connections of an instance that is as busy as the rest."""
+        """Total connections of an instance that is as busy as the others."""
         return (
             max(1.0, EQUAL_SHARE * self.connection_cap * self.servers / self.group_size)
             if self.connection_cap
@@ -197,16 +193,16 @@
 
     @property
     def max_total(self) -> float:
-        """Connections at once to all servers."""
+        """Maximum number of open connections to all servers."""
         return max(1.0, self.equal_share * self.share_factor)
 
     def max_per_server(self) -> float:
-        """Connections at once to one server."""
+        """Return the maximum number of open connections to one server."""
         even = UNEVEN_FACTOR * self.equal_share / self.subset_size
         return max(1.0, min(even * self.share_factor, even + self.busy_extra_per_server))
 
     def may_open(self, now: float, to_server: int, total: int) -> bool:
-        """Whether one more may be opened to a server that has ``to_server``; takes its handshake."""
+        """Return whether a connection may be opened to a server that has ``to_server``, and take its handshake."""
         if self.connection_cap and (self.lacks(now, total) or to_server >= self.max_per_server()):
             return False
         if not self.shares.handshakes_per_s or self.handshake_tokens.take(now):
@@ -218,7 +214,7 @@
         return False
 
     def lacks(self, now: float, total: int) -> bool:
-        """Whether all that it may hold is open: an idle connection elsewhere is to make room then."""
+        """Return whether all permitted connections are open, so that an idle one has to be closed first."""
         if not self.connection_cap:
             return False
         self.approach_equal_share(now)
@@ -228,7 +224,7 @@
         return True
 
     def approach_equal_share(self, now: float) -> None:
-        """Go back towards the equal part, from below and, after a calm, from above."""
+        """Move the share towards the equal share: up at once, down after a time without exhaustion."""
         if self.adjusted_at == -math.inf:
             self.adjusted_at = now
         if now - self.adjusted_at < INCREASE_INTERVAL:
@@ -242,7 +238,7 @@
         self.update_handshake_rate()
 
     def on_exhausted(self, now: float) -> None:
-        """All that it may have is in use: a step up, for as long as that lasts."""
+        """Increase the share by a step if the limit has been reached for some time."""
         self.approach_equal_share(now)
         elapsed = now - self.exhausted_at
         if elapsed < INCREASE_INTERVAL:
@@ -253,10 +249,10 @@
             self.update_handshake_rate()
 
     def not_connected(self, now: float, answered_at: float) -> None:
-        """A connection didn't come up, to a server that last answered at ``answered_at``.
+        """Count a failed connect to a server that last answered at ``answered_at``.
 
-        Its table is full if it has answered a moment ago. Else it may have died, which tells nothing of the totals,
-        unless more fail than die at once.
+        A server that has answered recently is full. Otherwise it may have died, which says nothing about the totals
+        unless more servers fail than die at the same time.
         """
         self.connects.decay(now)
         self.connects.failed += 1.0
@@ -264,7 +260,7 @@
             self.refused(now)
 
     def refused(self, now: float) -> None:
-        """A server had no room: the totals are higher than this instance was told."""
+        """Reduce the share, as a server had no capacity: the totals are higher than this instance assumes."""
         if now - self.refused_at >= BACKOFF_INTERVAL:
             self.refused_at = self.adjusted_at = now
             self.share_factor = max(MIN_SHARE_FACTOR, BACKOFF_FACTOR * self.share_factor)
@@ -272,10 +268,10 @@
 
 
 class Calls:
-    """When one instance calls discovery: spread at the start, spaced after, backed off with jitter.
+    """Schedules one instance's calls of discovery: spread at the start, spaced afterwards, with jittered backoff.
 
-    The rules come first: without a subscription the list has to be asked for within ``ask_within`` (four times that
-    after a failed call), so that the cap on calls can be kept by spacing only as far as that allows.
+    The protocol's rules take precedence over the cap: without a subscription the list must be fetched every
+    ``ask_within`` (four times that after a failed call). Calls are spaced only as far as that permits.
     """
 
     __slots__ = ("ask_within", "rng", "span")
@@ -283,22 +279,22 @@
     def __init__(self, per_s: float, group_size: int, ask_within: float, rng: Random) -> None:
         self.ask_within, self.rng = ask_within, rng
         self.span = 1000.0 * group_size / per_s if per_s else 0.0
-        """ms between two calls of one instance, where all of them make use of the cap."""
+        """ms between two calls of an instance if all instances use the full cap; 0: no cap."""
 
     def start(self) -> float:
-        """ms until the first call of an instance that begins with a list it remembers; a watch follows it."""
+        """Return the ms until the first call of an instance that starts with a remembered list; a watch follows it."""
         return self.rng.random() * min(2.0 * self.span, MAX_SPREAD_SHARE * self.ask_within)
 
     def again(self, refusals: int) -> float:
-        """ms until the next call after so many refusals in a row: half of it jitter, under a bound that doubles."""
+        """Return the ms until the next call after consecutive refusals: a bound that doubles, half of it jitter."""
         upper = min(max(MAX_RETRY_SHARE * self.ask_within, 2.0 * self.span), MAX_FAILED_FACTOR * self.ask_within)
         bound = min(max(MIN_RETRY_DELAY, self.span) * 2.0 ** min(refusals, 16), upper)
         return bound * (0.5 + 0.5 * self.rng.random())
 
     def watch_for(self, minimum: float) -> float:
-        """ms that a watch may wait for changes, so that the watches of all stay under half of the cap."""
+        """Return the ms that a watch may wait for changes, so that all watches together use at most half of the cap."""
         return max(minimum, min(2.0 * self.span, MAX_WATCH_TIMEOUT)) * (0.9 + 0.2 * self.rng.random())
 
     def gap(self) -> float:
-        """ms between the news that a watch brought and the next one: all hear the same news at once."""
+        """Return the ms between two watches, which spreads the calls of instances that receive the same change."""
         return self.rng.random() * min(self.span, MAX_SPREAD_SHARE * self.ask_within)
--- a/zinclever/fleet/smooth.py
+++ b/zinclever/fleet/smooth.py
@@ -1,15 +1,15 @@
-"""A mean and a rate that forget by time."""
+"""Mean and rate with exponential decay over time."""
 
 from __future__ import annotations
 
 import math
 
-DECAY_TIME = 2500.0  # ms: how fast payoffs forget; troubles come and go in seconds
+DECAY_TIME = 2500.0  # ms: time constant of most statistics; faults come and go within seconds
 NEVER = math.inf
 
 
 class DecayingMean:
-    """A mean and a rate that forget by time, not by count."""
+    """A weighted mean and a rate that decay with a time constant (``tau``, ms), not with the number of samples."""
 
     __slots__ = ("tau", "total", "updated_at", "weight")
 
@@ -17,6 +17,7 @@
         self.tau, self.total, self.weight, self.updated_at = tau, 0.0, 0.0, -NEVER
 
     def add(self, now: float, value: float, weight: float = 1.0, count: float = 1.0) -> None:
+        """Add a sample. ``count`` scales the weight that is accumulated, but not the value."""
         if now > self.updated_at:
             decay = math.exp((self.updated_at - now) / self.tau)
             self.total, self.weight, self.updated_at = self.total * decay, self.weight * decay, now
@@ -24,12 +25,14 @@
         self.weight += weight * count
 
     def decay(self, now: float) -> float:
+        """Return the factor by which the sums have decayed since the last sample."""
         return math.exp((self.updated_at - now) / self.tau) if now > self.updated_at else 1.0
 
     def mean(self, now: float, prior: float, strength: float) -> float:
+        """Return the mean, with a prior that weighs as much as ``strength`` samples."""
         decay = self.decay(now)
         return (self.total * decay + prior * strength) / (self.weight * decay + strength)
 
     def rate(self, now: float) -> float:
-        """Weight a millisecond."""
+        """Return the total weight of samples per ms."""
         return self.weight * self.decay(now) / self.tau
--- a/zinclever/fleet/subset.py
+++ b/zinclever/fleet/subset.py
@@ -1,9 +1,9 @@
-"""The part of a large fleet that one instance sends to: deterministic, even over servers, stable, as wide as needed.
+"""The subset of a large fleet that one instance sends to: deterministic, evenly spread, stable, and sized by load.
 
-Instances number themselves 0 to n-1. Each walks the table of :mod:`.layout` in an order of its own, in rounds: in
-every round the starting points of all instances lie evenly over the table, so that each slot is met by as many
-instances as any other; between rounds they are shuffled, so that two that share one server share no more than
-chance has it. An empty slot is passed over.
+Instances are numbered 0 to n-1. Each walks the table of :mod:`.layout` in an order of its own, in rounds. In each
+round the starting points of all instances are spaced evenly over the table, so that each slot is visited by as many
+instances as any other. Between rounds the instances are shuffled, so that two that share one server share others only
+by chance. Empty slots are skipped.
 """
 
 from __future__ import annotations
@@ -17,25 +17,23 @@
 from .layout import GOLDEN, MASK, Layout, Placement, mix
 from .limits import EQUAL_SHARE
 
-EACH_SHARED = 10.0  # instances that each server is shared by at least, so that their uneven loads even out
-INFLIGHT_PER_SERVER = 2.0  # requests in flight to each server from which on the subset grows with the load
-WIDEN_FACTOR = 1.25  # by which it grows at once
-NARROW_AFTER = 30_000.0  # ms for which less has to do before some are left
-NARROW_FACTOR = 0.875  # what is kept of the surplus width then
-MIN_FAR_SERVERS = 4  # servers of the other zones: they are there for when home fails
-MIN_SERVERS = 3  # servers that an instance knows whatever the caps: one that fails leaves two to draw
-CELL_PEERS = 2  # servers of each cell met, where a class may be repeated within its cell only
-REPLACED_FOR = 5_000.0  # ms for which a server that can't be reached is made up for by another
-PROBES_PER_SERVER = (
-    8  # rounds of the walk for each server looked for: with a tenth of the table in use it finds half of them
-)
+EACH_SHARED = 10.0  # instances that share each server at least, so that their uneven loads average out
+INFLIGHT_PER_SERVER = 2.0  # requests in flight for each server above which the subset grows with the load
+WIDEN_FACTOR = 1.25  # least factor by which it grows
+NARROW_AFTER = 30_000.0  # ms of lower load before the subset shrinks
+NARROW_FACTOR = 0.875  # of the load's width that is kept at each step
+MIN_FAR_SERVERS = 4  # servers of the other zones, kept as fallback for the home zone
+MIN_SERVERS = 3  # servers in each subset whatever the caps: after a failure two are left to choose from
+CELL_PEERS = 2  # servers of each cell, if a class may be repeated within its cell only
+REPLACED_FOR = 5_000.0  # ms for which an unreachable server is replaced by another
+PROBES_PER_SERVER = 8  # visited slots for each server needed; finds half of them with a tenth of the table in use
 
 
 def visited_slots(instance: int, group_size: int, size: int) -> Iterator[int]:
-    """The slots of a table that instance ``instance`` of ``group_size`` meets, round after round, without end.
+    """Yield the slots of a table of ``size`` that an instance visits, round after round, without end.
 
-    In a round, instance number p (a shuffle of ``instance``) starts at p/group of the table. Rounds are offset by the
-    van der Corput sequence within that step, so that few instances cover a large table evenly as well.
+    In each round the instance with shuffled number p starts at p/``group_size`` of the table. Rounds are offset by the
+    van der Corput sequence within that step, so that few instances also cover a large table evenly.
     """
     round_number = 0
     while True:
@@ -47,7 +45,7 @@
 
 
 def coprime(candidate: int, group_size: int) -> int:
-    """A number without a common factor with ``group_size``: times it, the instances are shuffled."""
+    """Return a number coprime to ``group_size``; multiplying by it shuffles the instances."""
     step = candidate % group_size or 1
     while math.gcd(step, group_size) != 1:
         step += 1
@@ -55,7 +53,7 @@
 
 
 def van_der_corput(number: int) -> float:
-    """The number's binary digits mirrored at the point: 0, 1/2, 1/4, 3/4, ..."""
+    """Return the binary digits of a number mirrored at the point: 0, 1/2, 1/4, 3/4, ..."""
     result, unit = 0.0, 0.5
     while number:
         result, number, unit = result + unit * (number & 1), number >> 1, unit / 2
@@ -64,48 +62,49 @@
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """What a subset has to hold."""
+    """The requirements on a subset."""
 
     min_servers: int
-    """Servers of the home zone."""
+    """Minimum number of servers of the home zone."""
     instance: int = 0
     group_size: int = 1
     zone: int | None = None
-    """The home zone; None: zones make no difference."""
+    """The home zone; None: zones are ignored."""
     connections: float = 0.0
-    """Open at once to each server, of all instances: none is known that no connection is left for. 0: no bound."""
+    """Cap on open connections to each server, of all instances. It bounds the subset, so that a connection is left for
+    each of its servers. 0: no cap."""
     has_cell_classes: bool = False
-    """A class is bound to cells, so that each cell met has to be met twice."""
+    """A class may be repeated within its cell only, so that each cell needs a second server."""
 
 
 class Subset:
-    """Which servers one instance is to know.
+    """The subset of servers that one instance uses.
 
-    Feed it the list, its load and what can't be reached; ask it for :meth:`changes`, which are what the module has to
-    be told.
+    Pass it the list, the load and unreachable servers; :meth:`changes` returns the updates for the balancer.
     """
 
     def __init__(self, spec: Shape, home: Layout | None = None, away: Layout | None = None) -> None:
-        """``home``, ``away``: to be shared by instances in one process; each list is the same for all of them."""
+        """Layouts may be shared by instances in one process that have the same list."""
         self.spec = spec
         self.home = home if home is not None else Layout()
         self.away = away if away is not None else Layout()
         self.cells: dict[int, dict[str, Placement]] = {}
         self.members: dict[str, interface.Listed] = {}
         self.unreachable: dict[str, float] = {}
-        """Servers that couldn't be reached, and until when they are made up for."""
+        """Servers that couldn't be reached, with the instant until which they are replaced."""
         self.replacement_ends: list[tuple[float, str]] = []
         self.load_width = 0.0
-        """Width that the load asks for."""
+        """Number of servers that the load requires."""
         self.peak_in_flight, self.peak_at = 0, -math.inf
 
-    # --- what is told ---
+    # --- inputs ---
 
     def layout(self, zone: int) -> Layout:
+        """Return the layout of a zone's servers."""
         return self.home if self.spec.zone is None or zone == self.spec.zone else self.away
 
     def whole(self, listed: Sequence[interface.Listed]) -> None:
-        """A whole list; what it doesn't hold is gone."""
+        """Replace the full list; servers that are not in it are removed."""
         names = {x.endpoint for x in listed}
         for layout in (self.home, self.away):
             for name in [n for n in layout.seats if n not in names]:
@@ -113,7 +112,7 @@
         self.change(listed)
 
     def change(self, listed: Sequence[interface.Listed]) -> None:
-        """News of some servers."""
+        """Apply changed entries of the list."""
         for x in listed:
             known = self.find(x.endpoint)
             if x.phase != "ready":
@@ -128,9 +127,11 @@
                     self.cells.setdefault(x.cell, {})[x.endpoint] = layout.seats[x.endpoint]
 
     def find(self, name: str) -> Placement | None:
+        """Return the placement of a server, or None."""
         return self.home.seats.get(name) or self.away.seats.get(name)
 
     def remove(self, name: str) -> None:
+        """Remove a server."""
         placement = self.find(name)
         if placement is None:
             return
@@ -144,7 +145,7 @@
                 del self.cells[placement.listed.cell]
 
     def load(self, now: float, in_flight: int) -> bool:
-        """How many requests this instance has in flight; whether the subset is to change for it."""
+        """Record the number of requests in flight. Returns whether the subset has to change."""
         self.peak_in_flight = max(self.peak_in_flight, in_flight)
         if in_flight > INFLIGHT_PER_SERVER * max(self.load_width, self.base_width(self.home)):
             self.load_width = max(in_flight / INFLIGHT_PER_SERVER, WIDEN_FACTOR * self.load_width)
@@ -159,7 +160,7 @@
         return True
 
     def failed(self, now: float, name: str) -> bool:
-        """A server couldn't be reached; whether the subset is to change for it."""
+        """Record that a server couldn't be reached. Returns whether the subset has to change."""
         if name not in self.members or name in self.unreachable:
             return False
         self.unreachable[name] = now + REPLACED_FOR
@@ -167,14 +168,15 @@
         return True
 
     def served(self, name: str) -> None:
-        """A server has answered: it is no longer made up for, from the next change on."""
+        """Record that a server has answered: from the next change on it is no longer replaced."""
         self.unreachable.pop(name, None)
 
-    # --- what comes of it ---
+    # --- result ---
 
     def base_width(self, layout: Layout) -> int:
-        """Servers that are met without any load, so that each is shared by enough instances, but by no more than
-        there are connections for."""
+        """Return the number of servers needed without load: each is shared by enough instances, but by no more than its
+        connections permit.
+        """
         spec, servers = self.spec, len(layout)
         width = max(spec.min_servers, math.ceil(EACH_SHARED * servers / spec.group_size))
         if spec.connections:
@@ -182,9 +184,11 @@
         return width
 
     def changes(self, now: float) -> list[interface.Listed]:
-        """What the module is to be told: servers to take up or with other news, and those to leave as ``gone``.
+        """Update the subset and return the changes for the balancer: new or changed servers, and removed ones as
+        ``gone``.
 
-        What is out on one that is left ends by itself. Costs the width, not the fleet.
+        Requests in flight on a removed server end by themselves. The cost depends on the size of the subset, not of the
+        fleet.
         """
         while self.replacement_ends and self.replacement_ends[0][0] <= now:
             name = heapq.heappop(self.replacement_ends)[1]
@@ -197,6 +201,7 @@
         return news
 
     def select_members(self) -> dict[str, interface.Listed]:
+        """Return the servers of the subset by name."""
         near = self.walk(self.home, max(self.base_width(self.home), math.ceil(self.load_width)))
         away = self.walk(self.away, MIN_FAR_SERVERS if near else max(MIN_FAR_SERVERS, math.ceil(self.load_width)))
         selected = near | away
@@ -206,9 +211,9 @@
         return {name: placement.listed for name, placement in selected.items()}
 
     def walk(self, layout: Layout, width: int) -> dict[str, Placement]:
-        """The first that this instance meets; those that can't be reached are kept, and made up for.
+        """Return the first ``width`` reachable servers that this instance visits, and the unreachable ones on the way.
 
-        Where nearly all are met anyway all are taken: the last ones of a walk take long to find.
+        If most servers would be visited all are taken, as the last ones of a walk take long to find.
         """
         if 2 * width >= len(layout) or (2 * len(self.unreachable) >= len(layout)):
             return dict(layout.seats)
@@ -226,7 +231,7 @@
         return selected
 
     def cell_peers(self, placement: Placement) -> dict[str, Placement]:
-        """Others of a server's cell, chosen so that each of the cell is chosen about as often."""
+        """Return servers of a server's cell, chosen so that each is chosen about equally often."""
         cell = self.cells.get(placement.listed.cell, {})
         names = sorted(cell, key=lambda n: cell[n].hash ^ mix(self.spec.instance))
         return {n: cell[n] for n in names[:CELL_PEERS]}
--- a/zinclever/fleet/timed.py
+++ b/zinclever/fleet/timed.py
@@ -1,4 +1,4 @@
-"""Members of which something holds until an instant."""
+"""A set whose members become due at an instant each."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ExpiringSet(Generic[T]):
-    """It ends by time, not by a look at all."""
+    """A set with a heap of instants, so that finding the due members doesn't scan all of them."""
 
     __slots__ = ("deadlines", "members")
 
@@ -18,12 +18,12 @@
         self.deadlines: list[tuple[float, float, T]] = []
 
     def add(self, due_at: float, rank: float, member: T) -> None:
-        """``rank`` tells apart those of one instant."""
+        """Add a member that becomes due at ``due_at``. ``rank`` breaks ties."""
         self.members.add(member)
         heapq.heappush(self.deadlines, (due_at, rank, member))
 
     def pop_due(self, now: float) -> list[T]:
-        """Whose time has passed: each is to be looked at, as it may have been prolonged."""
+        """Return the members that became due. They stay in the set; the caller checks whether they were extended."""
         due_members: list[T] = []
         while self.deadlines and self.deadlines[0][0] <= now:
             due_members.append(heapq.heappop(self.deadlines)[2])
--- a/zinclever/fleet/window.py
+++ b/zinclever/fleet/window.py
@@ -1,4 +1,4 @@
-"""How much one side of a fleet is sent at once by one instance: a window that follows its best rate of service."""
+"""Concurrency limit of one instance towards one side of the fleet, which follows its best rate of service."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 from .smooth import NEVER, DecayingMean
 
-MIN_RATE_SPAN = 100.0  # ms: the shortest record that a rate is told from
-RATE_SPAN = 1000.0  # ms over which the rate of service is taken
-UNLOADED_RATIO = 1.15  # times the uncrowded time for an answer below which a full window may grow
-GROWTH = 0.02  # by which it then grows with each answer, to half as much again at most
-SHRINK = 0.95  # factor by which that is taken back with each answer when it takes longer
-PEAK_SPAN = 15000.0  # ms for which the best rate of service is remembered
-DEVIATIONS = 3.0  # deviations: room for chance above the fleet's mean number in flight
-START_INFLIGHT = 10.0  # requests in flight an endpoint, of all balancers, that are sent before rates are known
-START_PERIOD = 2000.0  # ms for which a start is taken to last
+MIN_RATE_SPAN = 100.0  # ms: shortest record from which a rate is computed
+RATE_SPAN = 1000.0  # ms over which the rate of service is averaged
+UNLOADED_RATIO = 1.15  # ratio of latency to unloaded latency below which a full window may grow
+GROWTH = 0.02  # increase with each answer, up to half of the service rate's need
+SHRINK = 0.95  # factor on that increase with each answer while latency is higher
+PEAK_SPAN = 15000.0  # ms: time constant with which the best rate of service decays
+DEVIATIONS = 3.0  # standard deviations of headroom above the fleet's mean number in flight
+START_INFLIGHT = 10.0  # requests in flight for each endpoint, of all balancers, until rates are known
+START_PERIOD = 2000.0  # ms for which the start is taken to last
 
 
 class InflightWindow:
-    """What its best rate of service needs in flight at the uncrowded latency, and room for chance.
+    """A window of in-flight requests: what the best rate of service needs at the unloaded latency, plus headroom.
 
-    What goes out beyond that only waits at the endpoints, where it does harm. Aimed at a latency instead, the window
-    would starve a fleet that is slow for other reasons than a queue.
+    More requests would only queue at the endpoints. A window that targets a latency instead would starve a fleet that
+    is slow for other reasons than queueing.
     """
 
     __slots__ = ("first_answer_at", "peak_rate", "probing_extra", "relative_latency", "served", "size", "updated_at")
@@ -29,15 +29,23 @@
     def __init__(self) -> None:
         self.served, self.relative_latency = DecayingMean(RATE_SPAN), DecayingMean(RATE_SPAN)
         self.peak_rate = self.probing_extra = self.updated_at = self.size = 0.0
-        self.first_answer_at = NEVER  # first answer
+        self.first_answer_at = NEVER  # instant of the first answer
 
     def start(self, endpoints: int, sharing: float) -> None:
-        """There is a list: before anything is answered it says how much may go out."""
+        """Set the initial size from the number of endpoints, until there is an answer."""
         if self.first_answer_at == NEVER:
             self.size = START_INFLIGHT * endpoints / sharing
 
     def update(self, now: float, requests_waiting: bool, endpoints: int, sharing: float, min_size: float) -> None:
-        """After an answer. ``requests_waiting``: requests wait; ``sharing``: balancers to each endpoint; ``min_size``: least room."""
+        """Update the size after an answer.
+
+        Args:
+            now: current instant, in ms.
+            requests_waiting: whether requests are held for lack of capacity.
+            endpoints: number of endpoints on this side.
+            sharing: number of balancers that share each endpoint.
+            min_size: capacity that is always added.
+        """
         self.first_answer_at = min(self.first_answer_at, now)
         age = max(now - self.first_answer_at, MIN_RATE_SPAN)
         needed = self.served.rate(now) / (1.0 - math.exp(-age / RATE_SPAN))
@@ -48,8 +56,8 @@
         elif requests_waiting:
             self.probing_extra = min(self.probing_extra + GROWTH, 0.5 * needed)
         self.updated_at = now
-        # The room for chance is one for all balancers together: each takes a part as if loads were even.
+        # The headroom is meant for all balancers together; each takes its part, as if loads were even.
         self.size = needed + self.probing_extra + DEVIATIONS * math.sqrt(needed / sharing) + min_size
         if age < START_PERIOD:
-            # A short record tells little; without any bound a fleet in overload is full within a second.
+            # A short record is unreliable, but without a limit an overloaded fleet would be full within a second.
             self.size = max(self.size, START_INFLIGHT * endpoints / sharing)
--- a/zinclever/policy/balancer.py
+++ b/zinclever/policy/balancer.py
@@ -270,7 +270,8 @@
 
     def send_held(self, now: float) -> None:
         """Refuse held requests that can no longer be answered in time, and send the most valuable ones while there is
-        capacity."""
+        capacity.
+        """
         for request in self.admission.expire_held(now):
             self.refuse_or_fail(now, request)
         if not self.admission.has_room():
--- a/zinclever/policy/selection.py
+++ b/zinclever/policy/selection.py
@@ -211,7 +211,8 @@
 
     def partitions(self, now: float, request: Request) -> list[ZonePartition]:
         """Return the partitions to try, in order: the home zone, and the other zones if home is full or they are better
-        by more than the price of crossing."""
+        by more than the price of crossing.
+        """
         only = self.reachability.reachable_side(self.settings.zone, self.rng)
         if only != "either" and self.endpoint_list.near.ready and self.endpoint_list.far.ready:
             return [self.endpoint_list.near if only == "home" else self.endpoint_list.far]
@@ -266,7 +267,7 @@
         return up if len(up) >= len(down) else up + down
 
     def score(self, now: float, endpoint: Endpoint) -> float:
-        """Return payoff over (1 + own in-flight requests); the payoff is share of good answers over relative latency."""
+        """Return payoff over (1 + own in-flight requests). Payoff: share of good answers over relative latency."""
         payoff = endpoint.success.mean(now, 1.0, PRIOR_ANSWERS) / endpoint.latency.mean(now, 1.0, PRIOR_ANSWERS)
         silence = endpoint.silence(now)
         if silence > 0.0:
