--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A fake clock and short names around one balancer."""
+"""A test harness: one balancer with a fake clock, and shorthands for settings and fleets."""
 
 from __future__ import annotations
 
@@ -27,19 +27,21 @@
 
 
 def settings(*classes: interface.RequestClass, **more: Any) -> Settings:
+    """Return settings with the defaults of these tests."""
     given: dict[str, Any] = {"classes": classes or (SAFE,), "limits": LIMITS, "rules": RULES, "tick": 1.0}
     return Settings(**(given | more))
 
 
 def fleet(n: int, **more: Any) -> list[interface.Listed]:
+    """Return ``n`` list entries named e0, e1, ..."""
     return [interface.Listed(f"e{x}", **more) for x in range(n)]
 
 
 class Sidecar:
-    """One balancer, its clock, and the actions of the latest event."""
+    """A balancer with a fake clock. It keeps all actions with their instants, and fires the timers."""
 
-    def __init__(self, told: Settings, listed: Iterable[interface.Listed] = (), seed: int = 1) -> None:
-        self.b = Balancer(told, seed)
+    def __init__(self, config: Settings, listed: Iterable[interface.Listed] = (), seed: int = 1) -> None:
+        self.b = Balancer(config, seed)
         self.now = 1_000_000.0
         self.all: list[tuple[float, interface.Action]] = []
         self.timers: list[tuple[float, str]] = []
@@ -48,19 +50,21 @@
         self.feed(interface.MembershipNews("remembered", list(listed)))
 
     def feed(self, event: interface.Event) -> list[interface.Action]:
-        out = self.b.handle(self.now, event)
-        self.all += [(self.now, a) for a in out]
-        self.timers += [(a.at, a.token) for a in out if isinstance(a, interface.SetTimer)]
-        return out
+        """Process an event at the current instant."""
+        actions = self.b.handle(self.now, event)
+        self.all += [(self.now, a) for a in actions]
+        self.timers += [(a.at, a.token) for a in actions if isinstance(a, interface.SetTimer)]
+        return actions
 
     def ask(self, klass: int = 0, deadline: float = 500.0, **more: Any) -> str:
+        """Send in a request and return its name."""
         self.serial += 1
         name = f"r{self.serial}"
         self.feed(interface.RequestArrived(name, klass, self.now + deadline, **more))
         return name
 
     def wait(self, span: float) -> None:
-        """Let time pass, with the timers due in it."""
+        """Advance the clock by ``span`` ms and fire the timers that are due on the way."""
         until = self.now + span
         while self.timers and min(self.timers)[0] <= until:
             self.timers.sort()
@@ -70,9 +74,11 @@
         self.now = until
 
     def sends(self, request: str | None = None) -> list[interface.Send]:
+        """Return the sends of a request, or all."""
         return [a for a in self.of(interface.Send) if request in (None, a.request)]
 
     def of(self, kind: type[A]) -> list[A]:
+        """Return all actions of a type."""
         return [a for _, a in self.all if isinstance(a, kind)]
 
     def end(
@@ -83,18 +89,20 @@
         complete: bool | None = None,
         elapsed: float | None = None,
     ) -> list[interface.Action]:
-        where = self.sends(request)[attempt].endpoint
+        """End an attempt of a request."""
+        endpoint = self.sends(request)[attempt].endpoint
         if complete is None:
             complete = outcome == "served"
-        sent = [t for t, a in self.all if isinstance(a, interface.Send) and a.request == request][attempt]
-        took = self.now - sent if elapsed is None else elapsed
-        return self.feed(interface.AttemptEnded(request, attempt, where, outcome, took, complete))
+        sent_at = [t for t, a in self.all if isinstance(a, interface.Send) and a.request == request][attempt]
+        duration = self.now - sent_at if elapsed is None else elapsed
+        return self.feed(interface.AttemptEnded(request, attempt, endpoint, outcome, duration, complete))
 
     def finals(self, request: str) -> list[interface.Action]:
+        """Return the final answers given to a request."""
         return [a for _, a in self.all if isinstance(a, interface.Refuse | interface.Fail) and a.request == request]
 
     def serve_many(self, rounds: int, at_once: int, took: float) -> None:
-        """Traffic that overlaps, so that requests in flight weigh in the draw."""
+        """Serve rounds of concurrent requests, so that requests in flight affect the selection."""
         for _ in range(rounds):
             names = [self.ask() for _ in range(at_once)]
             self.wait(took)
@@ -103,7 +111,7 @@
                     self.end(name)
 
     def serve(self, n: int, took: float = 40.0, gap: float = 10.0) -> None:
-        """Plain traffic, each request answered by its first attempt, in ``took`` or a little more."""
+        """Serve requests one after another, each by its first attempt in ``took`` ms or up to 30 % more."""
         for _ in range(n):
             name = self.ask()
             self.wait(took * self.jitter.uniform(1.0, 1.3))
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -1,4 +1,4 @@
-"""The adapter on hand-written batches."""
+"""The simulator's wire protocol, with batches written by hand."""
 
 from __future__ import annotations
 
@@ -25,11 +25,12 @@
 
 
 def entry(name: str, phase: str = "Ready") -> list[Any]:
+    """Return a list entry as the simulator sends it."""
     return [None, name, 0, 1, 0, 0, phase]
 
 
 def run(*batches: list[list[Any]]) -> list[list[Any]]:
-    """The actions of each batch."""
+    """Return the actions of each batch."""
     text = "".join("".join(json.dumps(e) + "\n" for e in [*b, ["your-turn"]]) for b in batches)
     sink = io.BytesIO()
     drill.serve(io.BytesIO(text.encode()), sink)
@@ -43,6 +44,7 @@
 
 
 def start(n: int = 3, *names: str) -> list[list[Any]]:
+    """Return the messages that start balancer ``n`` with a list of endpoints."""
     listed = [entry(x) for x in names or ("a:1", "b:1")]
     return [["catalog", 0, listed], ["launch", n, 7, PROFILE], ["view", n, "remembered", 1, 0]]
 
@@ -63,7 +65,7 @@
     assert not [a for a in second if a[0] in ("call-out", "lose", "not-now")]
 
 
-def test_catalog_number_is_used_again_within_a_batch() -> None:
+def test_catalog_number_can_be_reused_within_a_batch() -> None:
     first, second = run(
         [
             ["mark", 1000.0],
@@ -80,7 +82,7 @@
     assert [a[3] for a in second if a[0] == "call-out"] == ["z:9"]
 
 
-def test_kill_and_launch_in_one_batch() -> None:
+def test_balancer_can_be_replaced_within_a_batch() -> None:
     (_, second) = run(
         [["mark", 1000.0], *start()],
         [
@@ -93,19 +95,19 @@
     assert [a[3] for a in second if a[0] == "call-out"] == ["n:1"]
 
 
-def test_instances_act_alike_apart_and_together() -> None:
-    def story(n: int) -> list[list[list[Any]]]:
-        asks = [["arrival", n, f"r{n}-{x}", 0, 0, "", 1500.0, None, False, False] for x in range(20)]
-        begin = [["mark", 1000.0], *start(n, "a:1", "b:1", "c:1"), *asks]
-        return [begin, [["mark", 1060.0], ["ring", n, "due"]]]
+def test_balancers_of_one_host_do_not_affect_each_other() -> None:
+    def batches(n: int) -> list[list[list[Any]]]:
+        arrivals = [["arrival", n, f"r{n}-{x}", 0, 0, "", 1500.0, None, False, False] for x in range(20)]
+        first = [["mark", 1000.0], *start(n, "a:1", "b:1", "c:1"), *arrivals]
+        return [first, [["mark", 1060.0], ["ring", n, "due"]]]
 
-    apart = [run(*story(n)) for n in (3, 4)]
-    both = run(*[a + b[1:] for a, b in zip(story(3), story(4), strict=True)])
-    for n, alone in zip((3, 4), apart, strict=True):
-        assert [[a for a in batch if a[1] == n] for batch in both] == alone
+    separate = [run(*batches(n)) for n in (3, 4)]
+    together = run(*[a + b[1:] for a, b in zip(batches(3), batches(4), strict=True)])
+    for n, alone in zip((3, 4), separate, strict=True):
+        assert [[a for a in batch if a[1] == n] for batch in together] == alone
 
 
-def test_a_failing_module_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_of_a_balancer_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     def fail(*_: object) -> None:
         raise IndexError("out of range")
 
@@ -126,40 +128,40 @@
         '["mark","soon"]',
     ],
 )
-def test_bad_input_is_named_and_ends_it(line: str) -> None:
-    good = "\n".join(json.dumps(e) for e in [["mark", 1000.0], *start()])
-    done = subprocess.run(
+def test_malformed_input_is_reported_and_ends_the_process(line: str) -> None:
+    valid = "\n".join(json.dumps(e) for e in [["mark", 1000.0], *start()])
+    process = subprocess.run(
         [sys.executable, "-m", "zinclever.drill"],
-        input=f'{good}\n{line}\n["your-turn"]\n',
+        input=f'{valid}\n{line}\n["your-turn"]\n',
         text=True,
         capture_output=True,
         cwd=Path(__file__).parent.parent,
         timeout=60,
         check=False,
     )
-    assert done.returncode == 1 and done.stderr.startswith("zinclever: ") and done.stdout == ""
-    assert len(done.stderr.splitlines()) == 1 and line[:7] in done.stderr
+    assert process.returncode == 1 and process.stderr.startswith("zinclever: ") and process.stdout == ""
+    assert len(process.stderr.splitlines()) == 1 and line[:7] in process.stderr
 
 
-def test_load_reports_reach_the_module_and_odd_ones_are_harmless(monkeypatch: pytest.MonkeyPatch) -> None:
-    seen = []
-    old = Balancer.handle
+def test_load_reports_reach_the_balancer_and_malformed_ones_are_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
+    reports = []
+    original = Balancer.handle
 
-    def handle(b: Balancer, now: float, event: interface.Event) -> list[interface.Action]:
+    def handle(balancer: Balancer, now: float, event: interface.Event) -> list[interface.Action]:
         if isinstance(event, interface.AttemptEnded):
-            seen.append(dict(event.report))
-        return old(b, now, event)
+            reports.append(dict(event.report))
+        return original(balancer, now, event)
 
     monkeypatch.setattr(Balancer, "handle", handle)
     first = [["mark", 1000.0], *start(), ["arrival", 3, "r", 0, 0, None, 1500.0, None, False, False]]
-    told: tuple[Any, ...] = ({"backlog": 4, "odd": "x"}, {}, None)
+    sent: tuple[Any, ...] = ({"backlog": 4, "odd": "x"}, {}, None)
     answer = ["answer", 3, "r", 0, 30.0, True, "a:1", "done"]
-    run(first, *[[["mark", 1030.0], [*answer, t]] for t in told])
-    assert seen == [{"backlog": 4.0}, {}, {}]
+    run(first, *[[["mark", 1030.0], [*answer, t]] for t in sent])
+    assert reports == [{"backlog": 4.0}, {}, {}]
 
 
-def test_settings_that_decisions_rest_on_are_carried() -> None:
-    told = read_settings(
+def test_settings_are_read_from_the_wire() -> None:
+    result = read_settings(
         PROFILE
         | {
             "value-by": "work",
@@ -169,5 +171,5 @@
             "report": {"how": "pull", "fields": ["backlog"]},
         }
     )
-    assert (told.value_by, told.prices.cross_zone, told.warm_keys, told.zone) == ("work", 0.2, True, 1)
-    assert (told.reports, tuple(told.report_fields)) == ("pull", ("backlog",))
+    assert (result.value_by, result.prices.cross_zone, result.warm_keys, result.zone) == ("work", 0.2, True, 1)
+    assert (result.reports, tuple(result.report_fields)) == ("pull", ("backlog",))
--- a/tests/test_meaning.py
+++ b/tests/test_meaning.py
@@ -1,4 +1,4 @@
-"""What a checked configuration means: no tip and no late unlock is resent, whatever day it meets."""
+"""Configurations that pass the check never let a request run twice that may not, under simulated faults."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def generated(rng: Random) -> str:
-    """An operator file at random, good or not."""
+    """Return a random operator file, valid or not."""
     aim = rng.choice([50, 200, 1000])
     deadline = rng.choice([aim, 2 * aim, 5 * aim, aim - 10])
     window = rng.choice([300, 1000, 3000, 12000])
@@ -68,44 +68,45 @@
 
 
 def play(settings: interface.Settings, entries: tuple[interface.Listed, ...], seed: int) -> list[object]:
+    """Simulate a service under faults and return the breaches of the rules on repeated execution."""
     log = Simulation(settings, entries, SHARES, seed).run(80, 100.0)
     assert len(log.asked) == 80
     return [b for b in audit(log, Terms(slack=1.0)) if b.rule in (1, 2)]
 
 
-def test_no_checked_configuration_lets_a_tip_or_a_late_unlock_be_resent() -> None:
-    rng, passed = Random(11), 0
+def test_valid_configuration_never_repeats_what_may_not_run_twice() -> None:
+    rng, valid = Random(11), 0
     seed = 0
-    while passed < CONFIGURATIONS:
+    while valid < CONFIGURATIONS:
         seed += 1
         report = check_operator(generated(rng).encode())
         if report.errors:
             continue
-        passed += 1
+        valid += 1
         service = build(report.clean).services["x"]
-        breaches = play(service.settings, tuple(e for e, _ in service.endpoints), seed)
+        breaches = play(service.settings, tuple(endpoint for endpoint, _ in service.endpoints), seed)
         assert not breaches, (seed, breaches)
-    assert seed > passed, "some were refused"
+    assert seed > valid, "some configurations are invalid"
 
 
-@pytest.mark.parametrize("forgotten", ["at_most_once", "deduplicated"])
-def test_the_day_shows_what_would_run_twice(monkeypatch: pytest.MonkeyPatch, forgotten: str) -> None:
-    """The proof of the proof: a module that resends what it may not is caught."""
-    kept = Balancer.may_send
+@pytest.mark.parametrize("violated", ["at_most_once", "deduplicated"])
+def test_simulation_detects_a_balancer_that_repeats_requests(monkeypatch: pytest.MonkeyPatch, violated: str) -> None:
+    """A balancer that resends what may not run twice is detected."""
+    original = Balancer.may_send
 
-    def may_send(self: Balancer, now: float, r: object) -> bool:
-        assert isinstance(r, Request)
-        if r.klass.settings.repeat == forgotten and not r.is_closed and not r.open_attempts:
-            return len(r.attempts) < self.limits.max_attempts
-        return kept(self, now, r)
+    def may_send(self: Balancer, now: float, request: object) -> bool:
+        assert isinstance(request, Request)
+        if request.klass.settings.repeat == violated and not request.is_closed and not request.open_attempts:
+            return len(request.attempts) < self.limits.max_attempts
+        return original(self, now, request)
 
     monkeypatch.setattr(Balancer, "may_send", may_send)
-    monkeypatch.setattr(EndpointList, "is_same_group", lambda self, r, e: True)
+    monkeypatch.setattr(EndpointList, "is_same_group", lambda self, request, endpoint: True)
     rng = Random(5)
-    found: list[object] = []
+    breaches: list[object] = []
     for seed in range(40):
         report = check_operator(generated(rng).encode())
         if not report.errors:
             service = build(report.clean).services["x"]
-            found += play(service.settings, tuple(e for e, _ in service.endpoints), seed)
-    assert found
+            breaches += play(service.settings, tuple(endpoint for endpoint, _ in service.endpoints), seed)
+    assert breaches
--- a/tests/test_ordinary.py
+++ b/tests/test_ordinary.py
@@ -1,4 +1,4 @@
-"""The ordinary path: the draw, copies after the fixed delay, cancelled losers, what outcomes teach."""
+"""The usual path of a request: selection, hedges, cancellation, and learning from outcomes."""
 
 from dataclasses import replace
 
@@ -11,13 +11,13 @@
 
 
 def warmed(*classes: interface.RequestClass, n: int = 6, seed: int = 1, **more: object) -> Sidecar:
-    """A sidecar past its first second, with a record of service."""
+    """Return a harness past its first second, with a history of answers."""
     s = Sidecar(settings(*classes, **more), fleet(n), seed)
     s.serve(60, took=20.0, gap=30.0)
     return s
 
 
-def test_one_send_and_one_answer() -> None:
+def test_request_is_sent_once_and_answered() -> None:
     s = Sidecar(settings(), fleet(3))
     r = s.ask()
     assert len(s.sends(r)) == 1
@@ -26,7 +26,7 @@
     assert not s.finals(r) and not s.b.requests and s.b.endpoint_list.inflight() == 0
 
 
-def test_draw_prefers_the_better_payoff() -> None:
+def test_selection_prefers_the_better_payoff() -> None:
     s = Sidecar(settings(), fleet(2))
     for _ in range(40):
         r = s.ask()
@@ -39,28 +39,28 @@
     assert late == ["e1"]
 
 
-def test_draw_counts_own_in_flight() -> None:
+def test_selection_counts_own_requests_in_flight() -> None:
     s = Sidecar(settings(), fleet(2))
-    got = [s.sends(s.ask())[0].endpoint for _ in range(10)]
-    assert abs(got.count("e0") - got.count("e1")) <= 1
+    used = [s.sends(s.ask())[0].endpoint for _ in range(10)]
+    assert abs(used.count("e0") - used.count("e1")) <= 1
 
 
-def test_draw_is_of_two_not_of_all() -> None:
+def test_selection_is_the_better_of_two_not_of_all() -> None:
     s = Sidecar(settings(), fleet(8))
     for _ in range(4):
         s.ask()
     busy = {a.endpoint for a in s.sends()}
     assert len(busy) >= 3
-    # With the best of all, four more sends would all go to idle endpoints, whatever the seed.
+    # With the best of all, eight requests would always go to eight endpoints, whatever the seed.
     hits = 0
     for seed in range(40):
-        t = Sidecar(settings(), fleet(8), seed)
-        picks = [t.sends(t.ask())[0].endpoint for _ in range(8)]
+        other = Sidecar(settings(), fleet(8), seed)
+        picks = [other.sends(other.ask())[0].endpoint for _ in range(8)]
         hits += len(set(picks)) < 8
     assert hits > 20
 
 
-def test_same_seed_same_actions_other_seed_others() -> None:
+def test_equal_seeds_give_equal_actions_and_others_do_not() -> None:
     runs = []
     for seed in (5, 5, 6):
         s = Sidecar(settings(), fleet(6), seed)
@@ -69,11 +69,11 @@
     assert runs[0] == runs[1] != runs[2]
 
 
-def test_copy_after_each_fixed_delay_on_unused_endpoints() -> None:
+def test_hedge_after_each_delay_on_unused_endpoints() -> None:
     s = warmed()
-    r, t0 = s.ask(), s.now
+    r, started_at = s.ask(), s.now
     s.wait(150)
-    times = [t - t0 for t, a in s.all if isinstance(a, interface.Send) and a.request == r]
+    times = [t - started_at for t, a in s.all if isinstance(a, interface.Send) and a.request == r]
     assert times == [0.0, DELAY, 2 * DELAY]
     assert len({a.endpoint for a in s.sends(r)}) == 3
     for seed in range(10):
@@ -83,12 +83,12 @@
         assert len(small.sends(r)) == len({a.endpoint for a in small.sends(r)}) == 2
 
 
-def test_first_answer_wins_and_losers_are_cancelled() -> None:
+def test_first_answer_wins_and_other_attempts_are_cancelled() -> None:
     s = warmed()
     r = s.ask()
     s.wait(DELAY + 10)
-    out = s.end(r, 1)
-    assert [a for a in out if isinstance(a, interface.Cancel)] == [interface.Cancel(r, 0)]
+    actions = s.end(r, 1)
+    assert [a for a in actions if isinstance(a, interface.Cancel)] == [interface.Cancel(r, 0)]
     before = len(s.sends(r))
     s.wait(400)
     assert len(s.sends(r)) == before and not s.finals(r)
@@ -96,7 +96,7 @@
     assert s.b.endpoint_list.inflight() == 0 and not s.b.requests
 
 
-def test_no_cancel_where_it_is_not_allowed() -> None:
+def test_nothing_is_cancelled_if_the_limits_forbid_it() -> None:
     s = warmed(limits=replace(LIMITS, cancel=False))
     r = s.ask()
     s.wait(DELAY + 10)
@@ -104,7 +104,7 @@
     assert not s.of(interface.Cancel)
 
 
-def test_attempt_limit_holds_for_copies_and_retries() -> None:
+def test_attempt_limit_covers_hedges_and_retries() -> None:
     s = warmed(limits=replace(LIMITS, max_attempts=2))
     r = s.ask()
     s.wait(DELAY + 10)
@@ -113,24 +113,24 @@
     assert len(s.sends(r)) == 2
 
 
-def test_no_copies_for_other_repeat_kinds_or_where_forbidden() -> None:
-    for told, limits in ((UNSAFE, LIMITS), (KEYED, LIMITS), (SAFE, replace(LIMITS, second_copies=False))):
-        s = warmed(told, limits=limits)
+def test_no_hedges_unless_idempotent_and_permitted() -> None:
+    for klass, limits in ((UNSAFE, LIMITS), (KEYED, LIMITS), (SAFE, replace(LIMITS, second_copies=False))):
+        s = warmed(klass, limits=limits)
         r = s.ask()
         s.wait(190)
         assert len(s.sends(r)) == 1
 
 
-def test_a_copy_that_cannot_make_the_aim_is_not_sent() -> None:
+def test_hedge_that_cannot_meet_the_target_is_not_sent() -> None:
     s = warmed()
     r = s.ask()
     s.wait(499)
-    last = max(t for t, a in s.all if isinstance(a, interface.Send) and a.request == r)
-    assert last <= s.now - 499 + SAFE.aim
+    last_sent_at = max(t for t, a in s.all if isinstance(a, interface.Send) and a.request == r)
+    assert last_sent_at <= s.now - 499 + SAFE.aim
 
 
-def test_copies_keep_to_their_budget() -> None:
-    # Guards against copies that feed an overload: a fleet that answers nothing gets few of them.
+def test_hedges_stay_within_their_budget() -> None:
+    # Guards against hedges that add to an overload: a fleet that answers nothing gets few of them.
     s = warmed(n=40)
     s.b.endpoint_list.near.window.size = 1e9
     first = len(s.all)
@@ -143,7 +143,7 @@
     assert 40 < len(sends) <= 40 * 1.6
 
 
-def test_error_moves_a_safe_request_on_at_once() -> None:
+def test_idempotent_request_is_retried_elsewhere_at_once() -> None:
     for outcome in ("error", "full", "connect_failed", "reset"):
         s = Sidecar(settings(), fleet(4))
         r = s.ask()
@@ -153,10 +153,10 @@
         assert not s.finals(r)
 
 
-def test_errors_cost_standing() -> None:
+def test_errors_lower_the_score() -> None:
     # Guards against an endpoint that fails fast and so looks idle.
     s = Sidecar(settings(), fleet(3))
-    bad = 0
+    failures = 0
     for _ in range(60):
         r = s.ask()
         s.wait(2)
@@ -165,67 +165,67 @@
                 s.wait(30)
                 s.end(r, n)
                 break
-            bad += 1
+            failures += 1
             s.end(r, n, "error")
         s.wait(10)
-    assert bad <= 10
-    e = s.b.endpoint_list.endpoints["e1"]
-    before = s.b.selector.score(s.now, e)
+    assert failures <= 10
+    endpoint = s.b.endpoint_list.endpoints["e1"]
+    before = s.b.selector.score(s.now, endpoint)
     r = s.ask()
     while s.sends(r)[-1].endpoint != "e1":
         s.end(r, len(s.sends(r)) - 1, "full")
     s.end(r, len(s.sends(r)) - 1, "error")
-    assert s.b.selector.score(s.now, e) < before
+    assert s.b.selector.score(s.now, endpoint) < before
 
 
-def test_silent_endpoint_loses_standing_before_its_timeouts() -> None:
-    # Guards against an endpoint that swallows requests: without answers it must not look idle.
+def test_silence_lowers_the_score_before_timeouts() -> None:
+    # Guards against an endpoint that loses requests: without answers it must not look idle.
     s = warmed(n=4)
-    swallowed = []
+    lost = []
     for _ in range(20):
         r = s.ask()
         s.wait(30)
         for n, a in enumerate(s.sends(r)):
             if a.endpoint == "e0":
-                swallowed.append(r)
+                lost.append(r)
             elif r in s.b.requests and not s.b.requests[r].is_closed:
                 s.end(r, n)
-    assert len(swallowed) <= 3
-    t = warmed(n=1)
-    e = t.b.endpoint_list.endpoints["e0"]
-    t.ask()
-    before = t.b.selector.score(t.now, e)
-    t.wait(100)
-    assert t.b.selector.score(t.now, e) < before / 2
+    assert len(lost) <= 3
+    single = warmed(n=1)
+    endpoint = single.b.endpoint_list.endpoints["e0"]
+    single.ask()
+    before = single.b.selector.score(single.now, endpoint)
+    single.wait(100)
+    assert single.b.selector.score(single.now, endpoint) < before / 2
 
 
-def test_a_loser_cancelled_at_once_does_not_look_fast() -> None:
+def test_attempt_cancelled_right_after_its_send_does_not_look_fast() -> None:
     s = warmed(n=3)
-    e = s.b.endpoint_list.endpoints["e0"]
+    endpoint = s.b.endpoint_list.endpoints["e0"]
     r = s.ask()
     while s.sends(r)[-1].endpoint != "e0":
         s.wait(DELAY)
     n = len(s.sends(r)) - 1
     s.wait(1)
-    before = e.latency.weight
+    before = endpoint.latency.weight
     s.end(r, n, "cancelled", complete=False)
-    assert e.latency.weight < before + 0.1
+    assert endpoint.latency.weight < before + 0.1
 
 
-def test_late_outcome_after_the_final_answer_teaches() -> None:
+def test_outcome_after_the_final_answer_is_learned_from() -> None:
     s = warmed(n=3)
     r = s.ask()
-    where = s.b.endpoint_list.endpoints[s.sends(r)[0].endpoint]
+    endpoint = s.b.endpoint_list.endpoints[s.sends(r)[0].endpoint]
     s.wait(DELAY + 5)
     s.end(r, 1)
-    before = where.latency.weight
+    before = endpoint.latency.weight
     s.wait(100)
     s.end(r, 0, "cancelled", complete=True)
-    assert where.latency.weight > before * 0.9
-    assert where.inflight == 0
+    assert endpoint.latency.weight > before * 0.9
+    assert endpoint.inflight == 0
 
 
-def test_events_of_what_is_no_longer_held_are_passed_over() -> None:
+def test_events_of_unknown_requests_are_ignored() -> None:
     s = Sidecar(settings(), fleet(2))
     assert s.feed(interface.AttemptEnded("gone", 0, "e0", "served", 5.0, True)) == []
     assert s.feed(interface.RequestClosed("gone")) == []
@@ -237,7 +237,7 @@
     assert s.b.endpoint_list.inflight() == 0
 
 
-def test_balancers_agree_on_the_endpoint_that_is_warm_for_a_key() -> None:
+def test_balancers_agree_on_the_endpoint_of_a_key() -> None:
     agreed = []
     for warm in (True, False):
         first = []
@@ -248,8 +248,8 @@
     assert agreed[0] > 30 and agreed[1] < 15
 
 
-def test_a_hot_key_spreads() -> None:
-    # Guards against a key that draws much of the traffic and is sent to one endpoint by all.
+def test_hot_key_is_spread_over_endpoints() -> None:
+    # Guards against sending a key with much of the traffic to a single endpoint.
     s = Sidecar(settings(warm_keys=True), fleet(20))
     for _ in range(40):
         r = s.ask(key="hot")
@@ -258,46 +258,46 @@
     assert len({a.endpoint for a in s.sends()[20:]}) > 6
 
 
-def test_home_zone_first_where_crossing_is_dear_and_spill_when_it_is_worse() -> None:
+def test_home_zone_is_preferred_if_crossing_costs_until_it_is_slower() -> None:
     listed = [interface.Listed(f"e{x}", zone=x % 2) for x in range(20)]
-    for price, home_took, least, most in ((0.2, 40, 0.0, 0.0), (0.0, 40, 0.3, 0.7), (0.2, 180, 0.2, 0.98)):
+    for price, home_latency, lowest, highest in ((0.2, 40, 0.0, 0.0), (0.0, 40, 0.3, 0.7), (0.2, 180, 0.2, 0.98)):
         limits = replace(LIMITS, max_attempts=1)
         s = Sidecar(settings(prices=interface.Prices(cross_zone=price), limits=limits), listed)
         for _ in range(80):
             r = s.ask()
             away = [int(a.endpoint[1:]) % 2 for a in s.sends(r)]
-            s.wait(30 if away == [1] else home_took)
+            s.wait(30 if away == [1] else home_latency)
             if away and r in s.b.requests:
                 s.end(r)
             s.wait(200)
         sent = [int(a.endpoint[1:]) % 2 for a in s.sends()]
-        assert least <= sum(sent) / len(sent) <= most
+        assert lowest <= sum(sent) / len(sent) <= highest
 
 
-def test_many_balancers_draw_on_a_few_endpoints_each_and_make_up_for_the_lost() -> None:
-    # Guards against hundreds of sidecars that each connect to the whole fleet.
+def test_each_of_many_balancers_uses_few_endpoints_and_replaces_removed_ones() -> None:
+    # Guards against hundreds of balancers that each connect to the whole fleet.
     s = Sidecar(settings(group_size=300), fleet(60))
     s.serve(80)
-    few = {a.endpoint for a in s.sends()}
-    assert 2 < len(few) <= LIMITS.max_attempts + 3
-    gone = sorted(few)[:3]
+    used = {a.endpoint for a in s.sends()}
+    assert 2 < len(used) <= LIMITS.max_attempts + 3
+    gone = sorted(used)[:3]
     s.feed(interface.MembershipNews("changes", [interface.Listed(e, phase="gone") for e in gone]))
     n = len(s.sends())
     s.serve(80)
-    assert len({a.endpoint for a in s.sends()[n:]} - few) >= 2
+    assert len({a.endpoint for a in s.sends()[n:]} - used) >= 2
 
 
-def test_draw_follows_the_told_size() -> None:
-    # Guards against small endpoints drowning in an even share.
-    got = 0
+def test_selection_follows_the_listed_size() -> None:
+    # Guards against overloading small endpoints with an even share.
+    large = 0
     for seed in range(200):
         s = Sidecar(settings(), [interface.Listed(f"e{x}", size=1.0 + 2.0 * (x < 5)) for x in range(10)], seed)
-        got += int(s.sends(s.ask())[0].endpoint[1:]) < 5
-    assert 130 < got < 175
+        large += int(s.sends(s.ask())[0].endpoint[1:]) < 5
+    assert 130 < large < 175
 
 
-def test_what_crosses_zones_is_worth_the_crossing() -> None:
-    # Guards against paying as much for a light request to leave a home that is full as for a heavy one.
+def test_only_valuable_requests_cross_zones() -> None:
+    # Guards against paying the price of crossing for a light request that leaves a full home zone.
     listed = [interface.Listed(f"e{x}", zone=x % 2) for x in range(8)]
     s = Sidecar(settings(prices=interface.Prices(cross_zone=0.2), value_by="work"), listed)
     s.serve(60, took=20.0, gap=30.0)
@@ -307,12 +307,12 @@
             light = s.ask(work=1.0)
     heavy = s.ask(work=40.0)
     assert not s.sends(light)
-    (where,) = s.sends(heavy)
-    assert int(where.endpoint[1:]) % 2 == 1
+    (send,) = s.sends(heavy)
+    assert int(send.endpoint[1:]) % 2 == 1
 
 
-def test_a_home_that_falls_behind_keeps_what_is_worth_little() -> None:
-    # Guards against a home zone left by all, which is then not heard of for long.
+def test_slow_home_zone_keeps_requests_of_little_value() -> None:
+    # Guards against a home zone without any requests, whose recovery would go unnoticed.
     listed = [interface.Listed(f"e{x}", zone=x % 2) for x in range(8)]
     slow = replace(SAFE, aim=400.0)
     s = Sidecar(settings(slow, prices=interface.Prices(cross_zone=0.2), value_by="work"), listed)
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -1,4 +1,4 @@
-"""A zone that was out and is back: taken for cold before any list says so, and only with good reason."""
+"""Zones that return from an outage are presumed cold before a list says so, but only with good reason."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 def answer_from(s: Sidecar, zones: set[int], span: float, slow: float = 1.0) -> dict[str, list[float]]:
-    """Traffic for some ms: one zone or both are there, zone 1 so many times as slow. When each endpoint was asked."""
+    """Serve requests for ``span`` ms where only some zones can be reached and zone 1 is slower by a factor.
+
+    Returns the instants of the sends to each endpoint.
+    """
     sent: dict[str, list[float]] = {}
     until = s.now + span
     while s.now < until:
@@ -34,32 +37,36 @@
 
 
 def sends(sent: dict[str, list[float]], zone: int) -> int:
+    """Return the number of sends to a zone."""
     return sum(len(at) for name, at in sent.items() if int(name[1:]) % 2 == zone)
 
 
 def two_zones() -> Sidecar:
+    """Return a harness with two zones and a history of answers."""
     s = Sidecar(settings(), ZONES, seed=4)
     answer_from(s, {0, 1}, 6000.0)
     return s
 
 
-def test_a_zone_that_was_out_while_another_answered_is_cold_at_its_return() -> None:
-    """Its endpoints answer slowly, as cold ones do: it gets its ramp's share until it is warm."""
+def test_zone_that_was_out_while_another_answered_is_presumed_cold() -> None:
+    """Its endpoints answer slowly, as cold ones do, so it gets its slow-start share until it is warm."""
     s = two_zones()
     usual = sends(answer_from(s, {0, 1}, 4000.0), 1)
     answer_from(s, {0}, 5000.0)
-    s.wait(4000.0)  # no endpoint is held for down any more
-    back = s.now
+    s.wait(4000.0)  # no endpoint is marked as down any more
+    returned_at = s.now
     answer_from(s, {0, 1}, 500.0, slow=3.0)
-    assert all(s.b.slow_start.is_cold(s.now, e) for e in s.b.endpoint_list.ready if e.zone == 1 and e.served_at < back)
-    first = sends(answer_from(s, {0, 1}, 4000.0, slow=3.0), 1)
-    assert first < 0.6 * usual, (first, usual)
+    assert all(
+        s.b.slow_start.is_cold(s.now, e) for e in s.b.endpoint_list.ready if e.zone == 1 and e.served_at < returned_at
+    )
+    sent = sends(answer_from(s, {0, 1}, 4000.0, slow=3.0), 1)
+    assert sent < 0.6 * usual, (sent, usual)
     s.wait(RULES.cold_for)
     assert not any(s.b.slow_start.is_cold(s.now, e) for e in s.b.endpoint_list.ready)
 
 
-def test_a_zone_that_answers_as_quickly_as_before_has_not_started_anew() -> None:
-    """The path to it was cut, say."""
+def test_zone_that_answers_as_quickly_as_before_is_not_cold() -> None:
+    """A network path was cut, for instance."""
     s = two_zones()
     answer_from(s, {0}, 5000.0)
     s.wait(4000.0)
@@ -68,7 +75,7 @@
     assert len(s.b.endpoint_list.near.cold.members) + len(s.b.endpoint_list.far.cold.members) == 0
 
 
-def test_where_nothing_was_reached_the_fault_is_as_likely_here() -> None:
+def test_nothing_is_presumed_cold_if_no_zone_was_reached() -> None:
     s = two_zones()
     answer_from(s, set(), 5000.0)
     s.wait(4000.0)
@@ -77,7 +84,7 @@
 
 
 @pytest.mark.parametrize("failures, span", [(OUTAGE_FAILURES - 1, 10 * MIN_OUTAGE), (OUTAGE_FAILURES, MIN_OUTAGE / 2)])
-def test_a_bad_moment_is_no_outage(failures: int, span: float) -> None:
+def test_few_or_brief_failures_are_no_outage(failures: int, span: float) -> None:
     zones = ZoneReachability()
     for n in range(failures):
         zones.state_of(1).on_failure(n * span / failures)
@@ -85,8 +92,8 @@
     assert zones.on_answer(span, 1) is None
 
 
-def test_the_presumption_ends_by_what_answers_say() -> None:
-    for ratio, took in itertools.product(
+def test_quick_answers_end_the_presumption() -> None:
+    for ratio, count in itertools.product(
         (0.9 * MAX_WARM_RATIO, 1.1 * MAX_WARM_RATIO), (MIN_JUDGED_ANSWERS, 5 * MIN_JUDGED_ANSWERS)
     ):
         zones = ZoneReachability()
@@ -94,31 +101,31 @@
             zones.state_of(1).on_failure(float(n))
         zones.on_answer(10.0, 0)
         assert zones.on_answer(MIN_OUTAGE + 1.0, 1) == 0.0
-        said = [zones.state_of(1).confirms_warm(ratio) for _ in range(took)]
-        assert any(said) == (ratio < MAX_WARM_RATIO) and not any(said[: MIN_JUDGED_ANSWERS - 1])
+        results = [zones.state_of(1).confirms_warm(ratio) for _ in range(count)]
+        assert any(results) == (ratio < MAX_WARM_RATIO) and not any(results[: MIN_JUDGED_ANSWERS - 1])
 
 
 @pytest.mark.parametrize("lost", [0, 1])
-def test_a_zone_that_cannot_be_reached_gets_a_tenth_until_it_answers(lost: int) -> None:
-    """At home in zone 0. Guards against each request paying the time to connect to one lost endpoint after another."""
+def test_unreachable_zone_gets_a_tenth_of_the_draws_until_it_answers(lost: int) -> None:
+    """Guards against each request paying the connect timeout at one unreachable endpoint after another."""
     s = Sidecar(settings(prices=interface.Prices(cross_zone=0.2)), ZONES, seed=2)
     answer_from(s, {0, 1}, 4000.0)
-    answer_from(s, {1 - lost}, 1500.0)  # it is seen by then, if anything goes there at all
+    answer_from(s, {1 - lost}, 1500.0)  # time enough for the outage to be noticed
     sent = answer_from(s, {1 - lost}, 4000.0)
     assert sends(sent, 1 - lost) > 5 * sends(sent, lost)
     answer_from(s, {0, 1}, 8000.0)
-    back = answer_from(s, {0, 1}, 3000.0)
-    assert sends(back, 0) > sends(back, 1)  # home again
+    after = answer_from(s, {0, 1}, 3000.0)
+    assert sends(after, 0) > sends(after, 1)  # the home zone is preferred again
 
 
-def test_all_zones_lost_are_tried_as_before() -> None:
+def test_home_zone_is_still_tried_if_all_zones_are_unreachable() -> None:
     s = Sidecar(settings(prices=interface.Prices(cross_zone=0.2)), ZONES, seed=2)
     answer_from(s, {0, 1}, 2000.0)
     answer_from(s, set(), 2000.0)
     assert sends(answer_from(s, set(), 2000.0), 0) > 0
 
 
-def test_one_zone_alone_presumes_nothing() -> None:
+def test_single_zone_is_never_presumed_cold() -> None:
     s = Sidecar(settings(), fleet(6))
     answer_from(s, {0, 1}, 2000.0)
     answer_from(s, set(), 3000.0)
@@ -126,17 +133,20 @@
     assert not any(s.b.slow_start.is_cold(s.now, e) for e in s.b.endpoint_list.ready)
 
 
-def meet(s: Sidecar, endpoint: str, outcome: interface.Outcome, span: float = 0.0) -> bool:
-    """Traffic until an attempt goes to an endpoint and ends so; all others answer. Whether one went within a span."""
+def send_until_met(s: Sidecar, endpoint: str, outcome: interface.Outcome, span: float = 0.0) -> bool:
+    """Serve requests until an attempt goes to an endpoint, and end that one with ``outcome``; all others are served.
+
+    Returns whether an attempt went there within ``span`` ms.
+    """
     until = s.now + (span or 60_000.0)
     while s.now < until:
         name = s.ask()
         number, met = 0, False
         while number < len(s.sends(name)):
-            here = s.sends(name)[number].endpoint == endpoint
+            is_there = s.sends(name)[number].endpoint == endpoint
             s.wait(s.jitter.uniform(25.0, 55.0))
-            s.end(name, number, outcome if here else "served")
-            met, number = met or here, number + 1
+            s.end(name, number, outcome if is_there else "served")
+            met, number = met or is_there, number + 1
         s.feed(interface.RequestClosed(name))
         if met:
             return True
@@ -144,60 +154,60 @@
     return False
 
 
-def lost_one(s: Sidecar, failures: int) -> Endpoint:
-    """The endpoint that is drawn most can't be reached so often, while the others answer."""
+def fail_one(s: Sidecar, failures: int) -> Endpoint:
+    """Let connects to the most used endpoint fail a number of times while the others answer. Returns the endpoint."""
     answer_from(s, {0, 1}, 3000.0)
     lost = s.b.endpoint_list.ready[0]
     for _ in range(failures):
-        assert meet(s, lost.name, "connect_failed")
-        s.wait(8500.0)  # longer than it is taken to be down
+        assert send_until_met(s, lost.name, "connect_failed")
+        s.wait(8500.0)  # longer than it is marked as down
     return lost
 
 
-def test_an_endpoint_that_was_out_by_itself_is_met_again_as_a_cold_one() -> None:
-    """Found at 200 and 420 sidecars: each sent one that had vanished, and come back unseen, its first try at once."""
+def test_endpoint_that_was_unreachable_by_itself_is_treated_as_cold() -> None:
+    """Guards against hundreds of balancers that each send a first attempt to a returned endpoint at once."""
     s = two_zones()
-    usual = sum(meet(s, s.b.endpoint_list.ready[0].name, "served", 1500.0) for _ in range(20))
-    e = lost_one(s, 2)
+    usual = sum(send_until_met(s, s.b.endpoint_list.ready[0].name, "served", 1500.0) for _ in range(20))
+    e = fail_one(s, 2)
     assert s.b.slow_start.is_cold(s.now, e)
-    tries = sum(meet(s, e.name, "connect_failed", 1500.0) for _ in range(20))
+    tries = sum(send_until_met(s, e.name, "connect_failed", 1500.0) for _ in range(20))
     assert tries < 0.5 * usual, (tries, usual)
-    assert meet(s, e.name, "served")
+    assert send_until_met(s, e.name, "served")
     assert (
         s.b.slow_start.is_cold(s.now, e) and s.b.slow_start.capacity_share(s.now, e) < 0.3
-    )  # it has started by now, at the latest
+    )  # it has started by now at the latest
     s.wait(RULES.cold_for + 1.0)
     assert not s.b.slow_start.is_cold(s.now, e)
 
 
-def test_once_is_a_bad_moment_unless_discovery_is_silent() -> None:
-    """Before or after: all that counts is that nobody would tell of a start now."""
+def test_single_failure_counts_only_while_discovery_refuses() -> None:
+    """The order doesn't matter: what counts is that discovery would not report a start now."""
     s = two_zones()
-    e = lost_one(s, 1)
+    e = fail_one(s, 1)
     assert not s.b.slow_start.is_cold(s.now, e)
     s.feed(interface.MembershipNews("refused", []))
     assert s.b.slow_start.is_cold(s.now, e)
     s.feed(interface.MembershipNews("changes", []))
-    assert meet(s, e.name, "served") and not s.b.slow_start.is_cold(s.now, e)
+    assert send_until_met(s, e.name, "served") and not s.b.slow_start.is_cold(s.now, e)
 
 
-def test_the_list_is_believed_about_what_has_started() -> None:
+def test_listed_start_overrides_the_presumption() -> None:
     s = two_zones()
-    e = lost_one(s, 2)
+    e = fail_one(s, 2)
     s.feed(
         interface.MembershipNews("changes", [interface.Listed(e.name, zone=e.zone, started_at=s.now - RULES.cold_for)])
     )
     assert not s.b.slow_start.is_cold(s.now, e)
 
 
-def test_what_is_listed_as_cold_stays_so_whatever_failed() -> None:
+def test_endpoint_listed_as_cold_stays_cold_after_failures() -> None:
     s = two_zones()
-    e = lost_one(s, 1)
+    e = fail_one(s, 1)
     s.feed(interface.MembershipNews("changes", [interface.Listed(e.name, zone=e.zone, started_at=s.now)]))
-    assert meet(s, e.name, "connect_failed") and s.b.slow_start.is_cold(s.now, e)
+    assert send_until_met(s, e.name, "connect_failed") and s.b.slow_start.is_cold(s.now, e)
 
 
-def test_a_zone_that_is_out_says_nothing_of_its_endpoints() -> None:
+def test_failures_in_an_unreachable_zone_mark_no_endpoint() -> None:
     zones = ZoneReachability()
-    said = [zones.state_of(1).on_failure(float(n)) for n in range(OUTAGE_FAILURES + 2)]
-    assert said == [n < OUTAGE_FAILURES - 1 for n in range(OUTAGE_FAILURES + 2)]
+    results = [zones.state_of(1).on_failure(float(n)) for n in range(OUTAGE_FAILURES + 2)]
+    assert results == [n < OUTAGE_FAILURES - 1 for n in range(OUTAGE_FAILURES + 2)]
