--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, for every repeat kind."""
+"""The rules on final answers, repeated execution, drains and slow start, for every kind of repeat."""
 
 import itertools
 from dataclasses import replace
@@ -10,21 +10,21 @@
 from zinclever.policy import HEDGE_DELAY_SHARE
 from zinclever.policy.slow_start import CAPACITY_FACTOR
 
-# --- one final answer ---
+# --- exactly one final answer ---
 
 
-def test_nothing_usable_is_held_then_refused_once_before_the_deadline() -> None:
-    for told in (SAFE, UNSAFE, KEYED):
-        s = Sidecar(settings(told), [])
-        r, t0 = s.ask(), s.now
+def test_request_without_an_endpoint_is_held_then_refused_once() -> None:
+    for klass in (SAFE, UNSAFE, KEYED):
+        s = Sidecar(settings(klass), [])
+        r, started_at = s.ask(), s.now
         assert not s.finals(r)
         s.wait(500)
         assert len(s.finals(r)) == 1 and isinstance(s.finals(r)[0], interface.Refuse)
-        at = next(t for t, a in s.all if isinstance(a, interface.Refuse))
-        assert t0 < at < t0 + 500
+        refused_at = next(t for t, a in s.all if isinstance(a, interface.Refuse))
+        assert started_at < refused_at < started_at + 500
 
 
-def test_held_request_goes_out_when_the_list_names_an_endpoint() -> None:
+def test_held_request_is_sent_when_an_endpoint_is_listed() -> None:
     s = Sidecar(settings(), [])
     r = s.ask()
     s.wait(40)
@@ -32,13 +32,13 @@
     assert len(s.sends(r)) == 1
 
 
-def test_deadline_timeout_is_concluded() -> None:
-    for told, kind in (
+def test_timeout_at_the_deadline_ends_in_one_final_answer() -> None:
+    for klass, kind in (
         (SAFE, interface.Refuse),
         (UNSAFE, interface.Fail),
         (replace(KEYED, group="zone"), interface.Fail),
     ):
-        s = Sidecar(settings(told), fleet(1))
+        s = Sidecar(settings(klass), fleet(1))
         r = s.ask()
         s.wait(500)
         assert s.end(r, 0, "timeout", complete=False)
@@ -47,32 +47,32 @@
         assert len(s.finals(r)) == 1 and not s.b.requests
 
 
-def test_client_gone_ends_it() -> None:
+def test_closed_request_gets_no_attempt_and_no_answer() -> None:
     s = Sidecar(settings(), fleet(3))
     r = s.ask()
     assert s.feed(interface.RequestClosed(r)) == [interface.Cancel(r, 0)]
     s.wait(400)
     assert len(s.sends(r)) == 1 and not s.finals(r)
     held = Sidecar(settings(), [])
-    q = held.ask()
-    held.feed(interface.RequestClosed(q))
+    held_request = held.ask()
+    held.feed(interface.RequestClosed(held_request))
     held.wait(600)
-    assert not held.finals(q) and held.b.admission.held_count == 0
+    assert not held.finals(held_request) and held.b.admission.held_count == 0
 
 
-def test_impatient_client_behind_patient_ones_is_answered() -> None:
-    # Guards against looking at the oldest held request only: a later one may have less time.
+def test_request_with_a_short_deadline_is_answered_before_older_ones() -> None:
+    # Guards against checking the oldest held request only: a later one may have less time.
     s = Sidecar(settings(), [])
     s.ask(deadline=500)
-    r, t0 = s.ask(deadline=50), s.now
+    r, started_at = s.ask(deadline=50), s.now
     s.wait(49)
-    assert s.finals(r) and s.now - t0 < 50
+    assert s.finals(r) and s.now - started_at < 50
 
 
-# --- no double effect ---
+# --- no repeated execution ---
 
 
-def test_unsafe_moves_on_only_after_proof() -> None:
+def test_at_most_once_is_resent_only_if_it_never_ran() -> None:
     for outcome in ("full", "connect_failed", "not_sent"):
         s = Sidecar(settings(UNSAFE), fleet(3))
         r = s.ask()
@@ -86,7 +86,7 @@
         assert s.finals(r) == [interface.Fail(r)]
 
 
-def test_keyed_stays_in_its_group() -> None:
+def test_deduplicated_request_stays_in_its_group() -> None:
     listed = [interface.Listed(f"e{x}", zone=x % 2, cell=x // 2) for x in range(8)]
     for group in ("zone", "cell"):
         for seed in range(8):
@@ -94,15 +94,15 @@
             r = s.ask()
             s.end(r, 0, "full")
             s.end(r, 1, "error")
-            a, b = s.sends(r)[1:3]
-            x, y = int(a.endpoint[1]), int(b.endpoint[1])
+            first, second = s.sends(r)[1:3]
+            x, y = int(first.endpoint[1]), int(second.endpoint[1])
             assert (x % 2 == y % 2) if group == "zone" else (x // 2 == y // 2)
             s.end(r, 2, "error")
             s.wait(300)
             assert isinstance(s.finals(r)[0], interface.Fail) if s.finals(r) else len(s.sends(r)) == 4
 
 
-def test_keyed_is_not_resent_past_its_window() -> None:
+def test_deduplicated_request_is_not_resent_after_its_window() -> None:
     for window, sends in ((30.0, 1), (100.0, 2)):
         s = Sidecar(settings(replace(KEYED, window=window)), fleet(4))
         r = s.ask()
@@ -111,8 +111,8 @@
         assert len(s.sends(r)) == sends
 
 
-def test_keyed_held_past_its_window_is_not_resent() -> None:
-    # Guards against a window that closes while a retry waits for room.
+def test_deduplicated_request_held_past_its_window_is_not_resent() -> None:
+    # Guards against a window that ends while a retry is held.
     s = Sidecar(settings(replace(KEYED, group="zone", window=60.0)), fleet(2))
     r = s.ask()
     s.wait(10)
@@ -129,48 +129,50 @@
 ENDS = ("error", "reset", "timeout", "full", "connect_failed")
 
 
-@pytest.mark.parametrize("inside", [True, False])
+@pytest.mark.parametrize("in_window", [True, False])
 @pytest.mark.parametrize("group", ["all", "zone", "cell"])
 @pytest.mark.parametrize("outcome", ENDS)
 @pytest.mark.parametrize("repeat", REPEATS)
-def test_what_may_follow_an_attempt(repeat: str, outcome: str, group: str, inside: bool) -> None:
+def test_retry_or_final_answer_after_each_outcome(repeat: str, outcome: str, group: str, in_window: bool) -> None:
     listed = [interface.Listed(f"e{x}", zone=x % 2, cell=x // 2) for x in range(8)]
-    told = replace(SAFE, repeat=repeat, group=group, window=100.0)  # type: ignore[arg-type]
+    klass = replace(SAFE, repeat=repeat, group=group, window=100.0)  # type: ignore[arg-type]
     for seed in range(4):
-        s = Sidecar(settings(told), listed, seed)
+        s = Sidecar(settings(klass), listed, seed)
         r = s.ask()
-        s.wait(20 if inside else 110)
+        s.wait(20 if in_window else 110)
         s.end(r, 0, outcome)  # type: ignore[arg-type]
         ran = outcome not in interface.NEVER_RAN
-        keyed = repeat == "deduplicated"
-        free = repeat == "idempotent" or not ran
-        assert len(s.sends(r)) == (2 if free or (keyed and inside) else 1)
+        deduplicated = repeat == "deduplicated"
+        may_repeat = repeat == "idempotent" or not ran
+        assert len(s.sends(r)) == (2 if may_repeat or (deduplicated and in_window) else 1)
         if len(s.sends(r)) == 2:
-            a, b = (listed[int(x.endpoint[1:])] for x in s.sends(r))
-            assert free or group == "all" or getattr(a, group) == getattr(b, group)
+            first, second = (listed[int(x.endpoint[1:])] for x in s.sends(r))
+            assert may_repeat or group == "all" or getattr(first, group) == getattr(second, group)
             s.wait(500)
             s.end(r, 1, "timeout", complete=False)
-            free = repeat == "idempotent"
-        kind = interface.Refuse if free or (keyed and group == "all") else interface.Fail
+            may_repeat = repeat == "idempotent"
+        kind = interface.Refuse if may_repeat or (deduplicated and group == "all") else interface.Fail
         assert [type(x) for x in s.finals(r)] == [kind]
 
 
-def test_clock_may_begin_anywhere_and_the_fleet_be_large() -> None:
-    stories = []
+def test_actions_do_not_depend_on_the_start_of_the_clock() -> None:
+    runs = []
     for base in (-5e6, 0.0, 1e9):
-        b = Balancer(settings(discovery="on_request"), 3)
-        out = b.handle(base, interface.MembershipNews("remembered", fleet(400)))
+        balancer = Balancer(settings(discovery="on_request"), 3)
+        actions = balancer.handle(base, interface.MembershipNews("remembered", fleet(400)))
         for n in range(20):
             now = base + 50.0 * n
-            out += b.handle(now, interface.RequestArrived(f"r{n}", 0, now + 500))
-            sent = next(a for a in reversed(out) if isinstance(a, interface.Send))
-            out += b.handle(now + 30, interface.AttemptEnded(f"r{n}", 0, sent.endpoint, "served", 30.0, True))
-        stories.append([(type(a), getattr(a, "endpoint", "")) for a in out])
-    assert stories[0] == stories[1] == stories[2]
-    assert stories[0][0][0] is interface.WatchMembership
+            actions += balancer.handle(now, interface.RequestArrived(f"r{n}", 0, now + 500))
+            sent = next(a for a in reversed(actions) if isinstance(a, interface.Send))
+            actions += balancer.handle(
+                now + 30, interface.AttemptEnded(f"r{n}", 0, sent.endpoint, "served", 30.0, True)
+            )
+        runs.append([(type(a), getattr(a, "endpoint", "")) for a in actions])
+    assert runs[0] == runs[1] == runs[2]
+    assert runs[0][0][0] is interface.WatchMembership
 
 
-def test_every_endpoint_draining_cold_or_down_still_ends_in_one_answer() -> None:
+def test_one_final_answer_if_all_endpoints_are_draining_cold_or_down() -> None:
     for more in ({"phase": "draining"}, {"started_at": 1_000_000.0}, {"phase": "gone"}):
         s = Sidecar(settings(), fleet(3, **more))
         names = [s.ask() for _ in range(20)]
@@ -182,7 +184,7 @@
         assert all(len(s.finals(r)) == 1 for r in names)
 
 
-def test_keyed_refused_only_where_all_discard() -> None:
+def test_deduplicated_request_is_refused_only_if_all_endpoints_discard_repeats() -> None:
     for group, kind in (("all", interface.Refuse), ("cell", interface.Fail)):
         s = Sidecar(settings(replace(KEYED, group=group, window=1.0)), fleet(4))  # type: ignore[arg-type]
         r = s.ask()
@@ -191,7 +193,7 @@
         assert [type(a) for a in s.finals(r)] == [kind]
 
 
-def test_never_two_at_once_without_second_copies() -> None:
+def test_no_hedge_unless_permitted() -> None:
     s = Sidecar(settings(limits=replace(LIMITS, second_copies=False)), fleet(4))
     s.serve(60, took=20, gap=30)
     r = s.ask()
@@ -201,14 +203,14 @@
     assert len(s.sends(r)) == 2
 
 
-def test_started_stream_is_left_alone() -> None:
+def test_started_stream_is_neither_hedged_nor_answered() -> None:
     s = Sidecar(settings(replace(SAFE, streamed=True)), fleet(4))
     s.serve(60, took=20, gap=30)
     r = s.ask()
     s.wait(HEDGE_DELAY_SHARE * SAFE.aim + 5)
     assert len(s.sends(r)) == 2
-    out = s.feed(interface.StreamStarted(r, 1, s.sends(r)[1].endpoint, 10.0))
-    assert [a for a in out if isinstance(a, interface.Cancel)] == [interface.Cancel(r, 0)]
+    actions = s.feed(interface.StreamStarted(r, 1, s.sends(r)[1].endpoint, 10.0))
+    assert [a for a in actions if isinstance(a, interface.Cancel)] == [interface.Cancel(r, 0)]
     s.end(r, 0, "cancelled", complete=False)
     s.wait(5000)
     assert len(s.sends(r)) == 2 and not s.finals(r)
@@ -219,7 +221,7 @@
 # --- drains ---
 
 
-def test_drain_stops_at_once() -> None:
+def test_no_sends_to_draining_or_removed_endpoints() -> None:
     for phase in ("draining", "gone"):
         s = Sidecar(settings(), fleet(2))
         s.feed(interface.MembershipNews("changes", [interface.Listed("e0", phase=phase)]))
@@ -229,7 +231,7 @@
         assert {a.endpoint for a in s.sends()} == {"e1"}
 
 
-def test_absent_from_a_whole_list_is_gone() -> None:
+def test_endpoint_missing_from_a_full_list_is_removed() -> None:
     s = Sidecar(settings(), fleet(3))
     s.feed(interface.MembershipNews("whole", fleet(1)))
     for _ in range(5):
@@ -237,7 +239,7 @@
     assert {a.endpoint for a in s.sends()} == {"e0"}
 
 
-def test_discovery_on_request_is_asked_again_with_longer_jittered_pauses() -> None:
+def test_refused_discovery_calls_back_off_with_jitter() -> None:
     s = Sidecar(settings(discovery="on_request"), fleet(2))
     assert s.of(interface.WatchMembership) == [interface.WatchMembership(True)]
     times = [s.now]
@@ -256,13 +258,13 @@
     assert len(s.of(interface.WatchMembership)) == n
 
 
-def test_unanswered_subscription_is_asked_again_within_the_rule() -> None:
+def test_unanswered_subscription_is_repeated_within_the_rule() -> None:
     s = Sidecar(settings(discovery="on_request"), fleet(2))
     s.wait(RULES.ask_within)
     assert len(s.of(interface.WatchMembership)) >= 2
 
 
-def test_pushed_discovery_is_never_asked() -> None:
+def test_pushed_discovery_is_never_called() -> None:
     s = Sidecar(settings(), fleet(2))
     s.wait(30000)
     assert not s.of(interface.WatchMembership) and not s.of(interface.FetchMembership)
@@ -271,25 +273,25 @@
 # --- cold endpoints ---
 
 
-def test_cold_endpoint_gets_its_ramps_share() -> None:
+def test_cold_endpoint_gets_its_slow_start_share() -> None:
     s = Sidecar(settings(limits=replace(LIMITS, max_attempts=1)), fleet(4))
     s.serve_many(40, 8, 50)
     s.feed(interface.MembershipNews("changes", [interface.Listed("e3", started_at=s.now)]))
-    start, spans = s.now, []
+    start, shares = s.now, []
     for _ in range(5):
         n = len(s.sends())
         s.serve_many(40, 8, 50)
-        part = s.sends()[n:]
-        spans.append(sum(a.endpoint == "e3" for a in part) / (len(part) / 4))
+        sends = s.sends()[n:]
+        shares.append(sum(a.endpoint == "e3" for a in sends) / (len(sends) / 4))
         age = s.now - start
         ramp = RULES.cold_share + (1 - RULES.cold_share) * min(1.0, age / RULES.cold_for)
-        assert spans[-1] <= ramp * 1.4 + 0.05
-    assert spans[0] < 0.45 and spans[-1] > 0.5
+        assert shares[-1] <= ramp * 1.4 + 0.05
+    assert shares[0] < 0.45 and shares[-1] > 0.5
 
 
 @pytest.mark.parametrize("factor", [0.5, 1.0, 2.0, 4.0])
-def test_a_cold_endpoint_is_sent_half_of_what_pushes_it_over_at_most(factor: float) -> None:
-    """And, where that is far away, no more than LEAD times its ramp's share of what warm ones answer."""
+def test_cold_endpoint_gets_at_most_half_of_what_overloads_it(factor: float) -> None:
+    """If that is a lot, it gets at most CAPACITY_FACTOR times its slow-start share of what warm endpoints answer."""
     rules = replace(RULES, overload_factor=factor)
     s = Sidecar(settings(limits=replace(LIMITS, max_attempts=1), rules=rules), fleet(4))
     s.serve_many(40, 8, 50)
@@ -299,12 +301,12 @@
     span = s.now - start
     ramp = RULES.cold_share + (1 - RULES.cold_share) * span / RULES.cold_for / 2  # on average
     sent = sum(a.endpoint == "e1" for a in s.sends()[n:])
-    most = min(factor / 2, CAPACITY_FACTOR) * ramp * 8 / 50 / 4 * span
-    assert 0 < sent <= most, (sent, most)
+    limit = min(factor / 2, CAPACITY_FACTOR) * ramp * 8 / 50 / 4 * span
+    assert 0 < sent <= limit, (sent, limit)
 
 
-def test_no_burst_on_a_cold_endpoint_even_as_the_only_one() -> None:
-    # Guards against pushing over the one endpoint that a restarted sidecar knows, copies included.
+def test_no_burst_on_the_only_endpoint_if_it_is_cold() -> None:
+    # Guards against overloading the only endpoint that a restarted balancer knows, hedges included.
     s = Sidecar(settings(), fleet(4))
     s.serve(200, took=10, gap=10)
     s.feed(interface.MembershipNews("whole", [interface.Listed("e9", started_at=s.now)]))
@@ -316,8 +318,8 @@
     assert len(s.sends()) - n <= warm_rate * RULES.overload_factor
 
 
-def test_cold_budget_follows_answers_not_the_attempts_of_a_crowd() -> None:
-    # Guards against a crowd whose attempts, turned away as full, would raise what a cold endpoint is sent.
+def test_slow_start_follows_answers_not_attempts_in_overload() -> None:
+    # Guards against refused attempts in overload raising what a cold endpoint is sent.
     s = Sidecar(settings(limits=replace(LIMITS, max_attempts=8)), fleet(6))
     s.serve(60, took=20.0, gap=30.0)
     s.feed(interface.MembershipNews("changes", [interface.Listed("e3", started_at=s.now)]))
@@ -329,12 +331,12 @@
                 s.end(r, k, "full")
         s.wait(10)
     sent = sum(a.endpoint == "e3" for a in s.sends()[n:])
-    answered_each = 1000 / 30 / 6  # a second, before the crowd
-    assert sent <= RULES.overload_factor * 2 * answered_each * 0.36  # its ramp after 2 s
+    answered_each = 1000 / 30 / 6  # per second, before the overload
+    assert sent <= RULES.overload_factor * 2 * answered_each * 0.36  # its slow-start share after 2 s
 
 
-def test_cold_start_is_not_pushed_over_by_many_balancers_together() -> None:
-    # Guards against one send each from hundreds of balancers, of which none sees more than its own.
+def test_cold_endpoints_are_not_overloaded_by_many_balancers_together() -> None:
+    # Guards against one send each from hundreds of balancers, none of which sees more than its own.
     sent = 0
     for seed in range(150):
         s = Sidecar(settings(group_size=150), fleet(8), seed)
@@ -348,8 +350,8 @@
     assert 0 < sent < ramp * fair
 
 
-def test_cold_zone_is_budgeted_by_the_warm_one() -> None:
-    # Guards against taking the demand for what a zone can do that is all back from an outage (if08e7a).
+def test_slow_start_of_a_cold_zone_is_measured_by_the_warm_one() -> None:
+    # Guards against taking the demand for the capacity of a zone that has just returned from an outage (if08e7a).
     listed = [interface.Listed(f"e{x}", zone=x % 2) for x in range(12)]
     s = Sidecar(settings(prices=interface.Prices(cross_zone=0.2)), listed)
     s.serve(40, took=20.0, gap=250.0)
@@ -365,7 +367,7 @@
     assert sent <= 6 * RULES.overload_factor * 0.36 * 2 * 4 / 6 + 6  # 4 answers a second over 6 endpoints
 
 
-def test_restart_forgets_what_the_old_process_taught() -> None:
+def test_restart_discards_what_was_learned() -> None:
     s = Sidecar(settings(), fleet(2))
     s.serve_many(10, 2, 40.0)
     assert s.b.endpoint_list.endpoints["e0"].success.weight > 0
@@ -387,6 +389,6 @@
         ("group_size", lambda: Settings(classes=(SAFE,), group_size=0)),
     ],
 )
-def test_bad_settings_are_named(name: str, make: object) -> None:
+def test_invalid_settings_are_named(name: str, make: object) -> None:
     with pytest.raises(ValueError, match=name.replace("[", r"\[")):
         make()  # type: ignore[operator]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""Large fleets: draws that don't walk the list, and that are the draws they were."""
+"""Large fleets: selection does not scan the list, and draws with the same probabilities as a scan would."""
 
 from __future__ import annotations
 
@@ -19,31 +19,32 @@
 
 
 class Counted(list[Endpoint]):
-    """A list that tells how often it was walked or looked into."""
+    """A list that counts the items that are iterated over or accessed."""
 
-    touched = 0
+    accessed = 0
 
     def __iter__(self) -> Iterator[Endpoint]:
-        Counted.touched += len(self)
+        Counted.accessed += len(self)
         return super().__iter__()
 
     def __getitem__(self, index: Any) -> Any:
-        Counted.touched += 1
+        Counted.accessed += 1
         return super().__getitem__(index)
 
 
-def watched(s: Sidecar) -> None:
-    Counted.touched = 0
+def count_accesses(s: Sidecar) -> None:
+    """Replace the lists of a harness by counting ones."""
+    Counted.accessed = 0
     for side in (s.b.endpoint_list.near, s.b.endpoint_list.far):
         side.ready, side.up = Counted(side.ready), Counted(side.up)
     s.b.endpoint_list.ready = Counted(s.b.endpoint_list.ready)
 
 
 @pytest.mark.parametrize("size", [100, 1000, 10_000])
-def test_a_request_looks_at_a_few_endpoints_of_a_fleet_of_any_size(size: int) -> None:
+def test_a_request_accesses_few_endpoints_whatever_the_size_of_the_fleet(size: int) -> None:
     s = Sidecar(settings(), fleet(size))
-    s.ask()  # the first draw after a change makes the running sums
-    watched(s)
+    s.ask()  # the first draw after a change computes the sums
+    count_accesses(s)
     for n in range(50):
         r = s.ask()
         s.feed(
@@ -52,130 +53,134 @@
             )
         )
         s.wait(1.0)
-        assert Counted.touched <= 20 * (n + 1), "a walk over the fleet"
+        assert Counted.accessed <= 20 * (n + 1), "the fleet was scanned"
 
 
-def weights(sizes: list[float]) -> list[interface.Listed]:
+def sized(sizes: list[float]) -> list[interface.Listed]:
+    """Return list entries of these sizes."""
     return [interface.Listed(f"e{n}", size=size) for n, size in enumerate(sizes)]
 
 
-def test_the_draw_is_the_one_from_the_pool() -> None:
-    """Against the oracle that looks through the side: the same shares of first and second, by size, with
-    endpoints that are down, used or in no group left out."""
+def test_sampling_draws_with_the_same_probabilities_as_a_scan() -> None:
+    """Compares with the scan of the partition: the same shares of first and second endpoints by size, without endpoints
+    that are down, used or in another group."""
     rng = Random(7)
     sizes = [rng.choice([0.5, 1.0, 2.0, 8.0]) for _ in range(40)]
-    s = Sidecar(settings(SAFE), weights(sizes))
-    b, now = s.b, s.now
-    down = [b.endpoint_list.endpoints[f"e{n}"] for n in range(0, 40, 4)]
-    for e in down:
-        e.down_until = now + 1e6
-        b.endpoint_list.near.mark_down(now, e)
-    r = Request(interface.RequestArrived("x", 0, now + 500.0), b.classes[0], b.tenants[0], now)
-    drawn: dict[str, Counter[str]] = {"sampled": Counter(), "looked through": Counter()}
+    s = Sidecar(settings(SAFE), sized(sizes))
+    balancer, now = s.b, s.now
+    down = [balancer.endpoint_list.endpoints[f"e{n}"] for n in range(0, 40, 4)]
+    for endpoint in down:
+        endpoint.down_until = now + 1e6
+        balancer.endpoint_list.near.mark_down(now, endpoint)
+    request = Request(interface.RequestArrived("x", 0, now + 500.0), balancer.classes[0], balancer.tenants[0], now)
+    drawn: dict[str, Counter[str]] = {"sampled": Counter(), "full scan": Counter()}
     failed = 0
     for _ in range(20_000):
-        sampled = b.selector.sample_two(now, r, b.endpoint_list.near, 40)
-        if sampled is None:  # too few tries: the side is looked through then
+        sampled = balancer.selector.sample_two(now, request, balancer.endpoint_list.near, 40)
+        if sampled is None:  # too few draws: then the partition is scanned
             failed += 1
             continue
-        looked = b.selector.choose_two(now, r, b.selector.eligible(now, r, b.endpoint_list.near.ready))
-        assert looked is not None
-        for name, pair in (("sampled", sampled), ("looked through", looked)):
+        scanned = balancer.selector.choose_two(
+            now, request, balancer.selector.eligible(now, request, balancer.endpoint_list.near.ready)
+        )
+        assert scanned is not None
+        for name, pair in (("sampled", sampled), ("full scan", scanned)):
             assert pair[0] is not pair[1]
             drawn[name].update([f"1 {pair[0].name}", f"2 {pair[1].name}"])
     assert failed < 20
-    assert not any(f"{k} {e.name}" in drawn["sampled"] for e in down for k in (1, 2))
-    for key, count in drawn["looked through"].items():
-        # Seeded, so that it can't change: within five deviations of a share's count.
+    assert not any(f"{k} {endpoint.name}" in drawn["sampled"] for endpoint in down for k in (1, 2))
+    for key, count in drawn["full scan"].items():
+        # Seeded, so that the counts are fixed: within five standard deviations.
         assert abs(drawn["sampled"][key] - count) < 5.0 * (2.0 * count) ** 0.5 + 1.0, key
 
 
-def test_all_down_but_one_is_found() -> None:
+def test_the_only_endpoint_that_is_up_is_found() -> None:
     s = Sidecar(settings(), fleet(2000))
-    for n, e in enumerate(list(s.b.endpoint_list.endpoints.values())):
+    for n, endpoint in enumerate(list(s.b.endpoint_list.endpoints.values())):
         if n != 77:
-            e.down_until = s.now + 1e6
-            s.b.endpoint_list.near.mark_down(s.now, e)
+            endpoint.down_until = s.now + 1e6
+            s.b.endpoint_list.near.mark_down(s.now, endpoint)
     assert s.b.endpoint_list.near.is_mostly_down(s.now)
     s.b.endpoint_list.near.sample_by_size(s.b.rng, 2000)
-    watched(s)
-    # Where most looks down everything is tried; the one that doesn't is among the two of each draw.
+    count_accesses(s)
+    # With most endpoints down all are tried, and the one that is up is one of the two in each draw.
     for n in range(20):
         r = s.ask()
         assert s.sends(r)[0].endpoint == "e77" or n > 0
         s.end(r)
     assert sum(a.endpoint == "e77" for a in s.sends()) >= 10
-    assert Counted.touched <= 20 * 60, "a walk over the fleet"
+    assert Counted.accessed <= 20 * 60, "the fleet was scanned"
 
 
-def test_all_cold_and_full_is_no_walk() -> None:
-    """10,000 endpoints that have just started: requests are held and looked for again without a walk."""
+def test_requests_held_for_cold_endpoints_cause_no_scan() -> None:
+    """10,000 endpoints have just started: requests are held and tried again without scanning the fleet."""
     s = Sidecar(settings(group_size=1), fleet(10_000, started_at=1_000_000.0))
     s.b.slow_start.warm_rate = 1e-9
-    for e in s.b.endpoint_list.endpoints.values():
-        e.tokens = 0.0
+    for endpoint in s.b.endpoint_list.endpoints.values():
+        endpoint.tokens = 0.0
     s.b.endpoint_list.near.sample_by_size(s.b.rng, 10_000)
-    watched(s)
+    count_accesses(s)
     for _ in range(20):
         s.ask()
         s.wait(10.0)
-    assert not s.sends() and Counted.touched < 20 * 20 * 400
+    assert not s.sends() and Counted.accessed < 20 * 20 * 400
     s.wait(600.0)
     assert len(s.of(interface.Refuse)) == 20
 
 
-def test_one_of_ten_thousand_cold_ones_with_room_is_soon_found() -> None:
+def test_cold_endpoint_with_a_token_is_soon_found_among_ten_thousand() -> None:
     s = Sidecar(settings(group_size=1), fleet(10_000, started_at=1_000_000.0))
     s.b.slow_start.warm_rate = 1e-9
-    for n, e in enumerate(s.b.endpoint_list.near.ready):
-        e.tokens = 1.0 if n % 50 == 7 else 0.0
+    for n, endpoint in enumerate(s.b.endpoint_list.near.ready):
+        endpoint.tokens = 1.0 if n % 50 == 7 else 0.0
     r = s.ask()
     s.wait(100.0)
     assert s.sends(r)
 
 
 def cells(n: int, each: int) -> list[interface.Listed]:
+    """Return ``n`` list entries in cells of ``each``."""
     return [interface.Listed(f"e{x}", cell=x // each) for x in range(n)]
 
 
-BOUND = replace(KEYED, group="cell")
+CELL_BOUND = replace(KEYED, group="cell")
 
 
 @pytest.mark.parametrize("each", [2, 5, 63, 64, 65, 500, 10_000])
-def test_a_retry_stays_in_its_cell_of_a_large_fleet(each: int) -> None:
+def test_retry_stays_in_its_cell_of_a_large_fleet(each: int) -> None:
     listed = cells(10_000, each)
-    s = Sidecar(settings(BOUND), listed)
-    of = {x.endpoint: x.cell for x in listed}
+    s = Sidecar(settings(CELL_BOUND), listed)
+    cell_of = {x.endpoint: x.cell for x in listed}
     s.ask()
-    watched(s)
+    count_accesses(s)
     for _ in range(30):
-        for _ in range(6):  # answers between, or all is taken for a crowd
+        for _ in range(6):  # answers in between, so that the losses don't look like overload
             s.end(s.ask(key="x"))
         r = s.ask(key="k")
         s.end(r, 0, "reset", complete=False)
-        tried = [a.endpoint for a in s.sends(r)]
-        assert len(tried) == 2 and of[tried[0]] == of[tried[1]] and tried[0] != tried[1]
+        used = [a.endpoint for a in s.sends(r)]
+        assert len(used) == 2 and cell_of[used[0]] == cell_of[used[1]] and used[0] != used[1]
         s.end(r, 1)
         s.wait(40.0)
-    assert Counted.touched < 30 * 7 * 60
+    assert Counted.accessed < 30 * 7 * 60
 
 
-def test_a_group_without_another_member() -> None:
-    """Alone in its cell, or the rest of it has drained: there is nowhere to go but back."""
-    s = Sidecar(settings(BOUND), cells(300, 1))
+def test_retry_in_a_cell_without_another_endpoint() -> None:
+    """The endpoint is alone in its cell, or the rest of the cell has drained: a retry can only go back to it."""
+    s = Sidecar(settings(CELL_BOUND), cells(300, 1))
     r = s.ask(key="k")
-    home = s.sends(r)[0].endpoint
+    first = s.sends(r)[0].endpoint
     s.end(r, 0, "reset", complete=False)
-    assert {a.endpoint for a in s.sends(r)} == {home} or s.finals(r)
-    s = Sidecar(settings(BOUND), cells(300, 2))
+    assert {a.endpoint for a in s.sends(r)} == {first} or s.finals(r)
+    s = Sidecar(settings(CELL_BOUND), cells(300, 2))
     r = s.ask(key="k")
-    home = s.sends(r)[0].endpoint
+    first = s.sends(r)[0].endpoint
     s.feed(
         interface.MembershipNews(
             "changes",
             [
-                interface.Listed(home, "draining", cell=int(home[1:]) // 2),
-                interface.Listed(f"e{int(home[1:]) ^ 1}", "gone", cell=int(home[1:]) // 2),
+                interface.Listed(first, "draining", cell=int(first[1:]) // 2),
+                interface.Listed(f"e{int(first[1:]) ^ 1}", "gone", cell=int(first[1:]) // 2),
             ],
         )
     )
@@ -184,17 +189,17 @@
     assert len(s.sends(r)) == 1 and isinstance(s.finals(r)[0], interface.Refuse | interface.Fail)
 
 
-def test_two_thousand_drains_in_one_update_while_requests_are_out() -> None:
-    """Nothing new goes to any of them: not copies, not retries, not what was held."""
+def test_two_thousand_endpoints_drain_at_once_with_requests_in_flight() -> None:
+    """None of them gets anything new: no hedges, retries or held requests."""
     s = Sidecar(settings(SAFE, KEYED), fleet(4000))
-    out = [s.ask(n % 2) for n in range(500)]
-    out = [r for r in out if s.sends(r)]
-    assert len(out) > 300
+    requests = [s.ask(n % 2) for n in range(500)]
+    requests = [r for r in requests if s.sends(r)]
+    assert len(requests) > 300
     drained = {f"e{n}" for n in range(0, 4000, 2)}
     s.feed(interface.MembershipNews("changes", [interface.Listed(name, "draining") for name in sorted(drained)]))
     before = len(s.all)
     rng = Random(4)
-    for r in out:
+    for r in requests:
         s.wait(1.0)
         if not s.finals(r):
             outcome: interface.Outcome = rng.choice(["served", "reset", "full", "connect_failed"])
@@ -209,16 +214,15 @@
 
 
 @pytest.mark.parametrize("group", [1, 20_000])
-def test_alone_and_as_one_of_many(group: int) -> None:
-    """Alone it draws from all; as one of 20,000 from a few that it comes to know."""
+def test_a_single_balancer_uses_all_endpoints_and_one_of_many_uses_few(group: int) -> None:
     s = Sidecar(settings(group_size=group), fleet(2000))
     s.serve(300)
-    reached = {a.endpoint for a in s.sends()}
-    assert len(reached) > 200 if group == 1 else len(reached) < 40
+    used = {a.endpoint for a in s.sends()}
+    assert len(used) > 200 if group == 1 else len(used) < 40
 
 
-def test_a_hot_key_is_spread() -> None:
-    """A quarter of the traffic bears one key, at 2,000 endpoints: several keepers take turns."""
+def test_hot_key_is_spread_over_several_owners() -> None:
+    """A quarter of the requests to 2,000 endpoints have the same key: several owners take turns."""
     s, rng = Sidecar(settings(warm_keys=True), fleet(2000)), Random(6)
     hot: Counter[str] = Counter()
     for n in range(2000):
@@ -231,68 +235,69 @@
             s.end(r)
     total = sum(hot.values())
     assert total > 400
-    # Kept together where it can be, and yet no endpoint has more than a quarter of it: 6 % of the traffic.
+    # The key stays on few endpoints, but none of them has more than a quarter of it, 6 % of all requests.
     assert len(hot) >= 8 and hot.most_common(1)[0][1] < total / 4
     assert sum(count for _, count in hot.most_common(16)) > total / 2
 
 
-def keepers(side: ZonePartition, n: int) -> list[str]:
+def owners(side: ZonePartition, n: int) -> list[str]:
+    """Return the owners of ``n`` keys."""
     return [side.key_owner(zlib.crc32(f"key{k} 0".encode())).name for k in range(n)]
 
 
-def test_keepers_are_even_by_size_and_a_change_moves_few_keys() -> None:
+def test_owners_are_even_by_size_and_a_change_moves_few_keys() -> None:
     sizes = [2.0 if n % 4 == 0 else 1.0 for n in range(200)]
-    s = Sidecar(settings(), weights(sizes))
+    s = Sidecar(settings(), sized(sizes))
     side = s.b.endpoint_list.near
-    before = keepers(side, 40_000)
+    before = owners(side, 40_000)
     counts = Counter(before)
     large, small = ([counts[f"e{n}"] for n in range(200) if (n % 4 == 0) is big] for big in (True, False))
     assert 1.6 < (sum(large) / 50) / (sum(small) / 150) < 2.4
     assert max(small) < 1.6 * sum(small) / 150
     s.feed(interface.MembershipNews("changes", [interface.Listed("e7", "gone")]))
-    after = keepers(side, 40_000)
-    assert {a for a, b in zip(before, after, strict=True) if a != b} == {"e7"}
+    after = owners(side, 40_000)
+    assert {old for old, new in zip(before, after, strict=True) if old != new} == {"e7"}
     s.feed(interface.MembershipNews("changes", [interface.Listed("e7", size=sizes[7])]))
-    assert keepers(side, 40_000) == before
-    other = Sidecar(settings(), weights(sizes)[::-1], seed=9)  # another balancer, told in another order
-    assert keepers(other.b.endpoint_list.near, 40_000) == before
+    assert owners(side, 40_000) == before
+    other = Sidecar(settings(), sized(sizes)[::-1], seed=9)  # another balancer, with the list in another order
+    assert owners(other.b.endpoint_list.near, 40_000) == before
 
 
-def test_a_keeper_of_a_large_fleet_is_no_walk() -> None:
+def test_owner_of_a_key_is_found_without_a_scan() -> None:
     s = Sidecar(settings(warm_keys=True), fleet(10_000))
     s.ask(key="a")
-    watched(s)
+    count_accesses(s)
     ring = s.b.endpoint_list.near.ring
     assert ring is not None
     ring.owners = Counted(ring.owners)
     for n in range(50):
         s.end(s.ask(key=f"k{n}"))
         s.wait(1.0)
-    assert Counted.touched < 50 * 60
+    assert Counted.accessed < 50 * 60
 
 
-def test_down_marks_end_by_time_without_a_walk() -> None:
+def test_endpoints_marked_as_down_expire() -> None:
     s = Sidecar(settings(), fleet(100))
     side, now = s.b.endpoint_list.near, s.now
-    for n, e in enumerate(side.ready[:80]):
-        e.down_until = now + 10.0 * n
-        side.mark_down(now, e)
+    for n, endpoint in enumerate(side.ready[:80]):
+        endpoint.down_until = now + 10.0 * n
+        side.mark_down(now, endpoint)
     assert side.is_mostly_down(now) and len(side.down.members) == 79
     assert side.is_mostly_down(now + 200.0) and len(side.down.members) == 59
     assert not side.is_mostly_down(now + 400.0) and len(side.down.members) == 39
     assert not side.is_mostly_down(now + 1000.0) and not side.down.members and not side.down.deadlines
 
 
-def test_marks_don_t_pile_up() -> None:
+def test_marks_as_down_do_not_accumulate() -> None:
     """Guards against memory that grows with each failure."""
     side, now = ZonePartition(), 0.0
     s = Sidecar(settings(), fleet(3))
     side.replace_all(now, s.b.endpoint_list.near.ready, 0.0)
     for n in range(10_000):
         now = float(n)
-        e = side.ready[n % 3]
-        e.down_until = now + 5.0
-        side.mark_down(now, e)
+        endpoint = side.ready[n % 3]
+        endpoint.down_until = now + 5.0
+        side.mark_down(now, endpoint)
     assert len(side.down.deadlines) < 10
 
 
@@ -305,12 +310,12 @@
     sent = [a for _, a in s.all if isinstance(a, interface.Send)]
     assert bool(sent) == (size > 0)
     for request in {a.request for a in sent}:
-        tried = [a.endpoint for a in sent if a.request == request]
-        assert len(tried) == len(set(tried)) or size < 5
+        used = [a.endpoint for a in sent if a.request == request]
+        assert len(used) == len(set(used)) or size < 5
 
 
-def test_a_list_that_flaps() -> None:
-    """Two versions in turn, with requests out: what is drawn is always listed as ready."""
+def test_only_ready_endpoints_are_used_while_the_list_flaps() -> None:
+    """Two versions of the list alternate while requests are in flight."""
     one, two = fleet(2000), [x._replace(phase="draining") if n % 2 else x for n, x in enumerate(fleet(2000))]
     s = Sidecar(settings(), one)
     for n in range(60):
@@ -324,24 +329,24 @@
         s.wait(1.0)
 
 
-def test_a_fleet_replaced_at_once_while_requests_are_out() -> None:
+def test_fleet_is_replaced_at_once_with_requests_in_flight() -> None:
     s = Sidecar(settings(), fleet(10_000))
     sent = [s.ask() for _ in range(20)]
     s.feed(interface.MembershipNews("whole", [interface.Listed(f"new{n}") for n in range(10_000)]))
     before = len(s.all)
     for r in sent:
         s.feed(interface.AttemptEnded(r, 0, "", "connect_failed", 1.0, False))
-    again = [a for _, a in s.all[before:] if isinstance(a, interface.Send)]
-    assert again and all(a.endpoint.startswith("new") for a in again)
+    retries = [a for _, a in s.all[before:] if isinstance(a, interface.Send)]
+    assert retries and all(a.endpoint.startswith("new") for a in retries)
     assert len(s.b.endpoint_list.endpoints) <= 10_020
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_changes_one_by_one_come_to_what_a_whole_list_would(seed: int) -> None:
-    """Against the oracle that puts everything in order anew, with attempts out on what goes."""
+def test_incremental_changes_equal_a_rebuild(seed: int) -> None:
+    """Compares with the rebuild of all indexes, with attempts in flight on removed endpoints."""
     rng = Random(seed)
-    told = settings(SAFE, prices=interface.Prices(cross_zone=0.2))
-    s, oracle = Sidecar(told, fleet(60)), Sidecar(told, fleet(60))
+    config = settings(SAFE, prices=interface.Prices(cross_zone=0.2))
+    s, oracle = Sidecar(config, fleet(60)), Sidecar(config, fleet(60))
     phases: list[interface.Phase] = ["ready", "ready", "draining", "gone"]
     for _ in range(200):
         x = interface.Listed(
@@ -353,21 +358,23 @@
         )
         if rng.random() < 0.3:
             name = rng.choice(sorted(s.b.endpoint_list.endpoints))
-            out = rng.randrange(2)
-            for b in (s.b, oracle.b):
-                b.endpoint_list.endpoints[name].inflight = out
+            inflight = rng.randrange(2)
+            for balancer in (s.b, oracle.b):
+                balancer.endpoint_list.endpoints[name].inflight = inflight
         s.b.rng.seed(rng.random())
         oracle.b.rng.setstate(s.b.rng.getstate())
         s.b.on_membership(s.now, interface.MembershipNews("changes", [x]))
         oracle.b.endpoint_list.rebuild(oracle.now, interface.MembershipNews("changes", [x]))
-        for mine, theirs in (
+        for changed, rebuilt in (
             (s.b.endpoint_list.ready, oracle.b.endpoint_list.ready),
             (s.b.endpoint_list.near.ready, oracle.b.endpoint_list.near.ready),
             (s.b.endpoint_list.far.ready, oracle.b.endpoint_list.far.ready),
         ):
-            assert [(e.name, e.zone, e.size) for e in mine] == [(e.name, e.zone, e.size) for e in theirs]
-        mine_now, same = ({n: e.phase for n, e in x.b.endpoint_list.endpoints.items()} for x in (s, oracle))
-        assert mine_now == same
+            assert [(e.name, e.zone, e.size) for e in changed] == [(e.name, e.zone, e.size) for e in rebuilt]
+        phases_changed, phases_rebuilt = (
+            {n: e.phase for n, e in x.b.endpoint_list.endpoints.items()} for x in (s, oracle)
+        )
+        assert phases_changed == phases_rebuilt
         for side in (s.b.endpoint_list.near, s.b.endpoint_list.far):
             assert sorted(e.rank for e in side.up) == [e.rank for e in side.ready if e not in side.down.members]
             assert [e for e in side.ready if e.size] == [
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""What each instance takes of what all may use: connections, handshakes, retries, copies, calls of discovery."""
+"""Each instance's share of the group's limits: connections, handshakes, retries, hedges and discovery calls."""
 
 from __future__ import annotations
 
@@ -42,21 +42,21 @@
 # --- buckets and budgets ---
 
 
-@pytest.mark.parametrize(("rate", "each"), [(0.05, 50.0), (1.0, 3.0), (0.0002, 900.0)])
-def test_a_bucket_keeps_its_rate_in_the_long_run(rate: float, each: float) -> None:
-    """Also where its part is less than one in all that it may save up."""
+@pytest.mark.parametrize(("rate", "interval"), [(0.05, 50.0), (1.0, 3.0), (0.0002, 900.0)])
+def test_bucket_keeps_its_rate_in_the_long_run(rate: float, interval: float) -> None:
+    """Also if its capacity is less than one token."""
     bucket, taken, span = TokenBucket(Random(1)), 0, 4_000_000.0 if rate < 0.001 else 40_000.0
     bucket.configure(1.5 * rate)
     now = 0.0
     while now < span:
         taken += bucket.take(now)
-        now += each
+        now += interval
     assert taken <= rate * span + max(1.0, 1000.0 * rate)
-    assert taken >= 0.4 * min(rate * span, span / each)  # what is beyond its second of saving is lost
+    assert taken >= 0.4 * min(rate * span, span / interval)  # tokens beyond the capacity are lost
 
 
-def test_buckets_that_are_emptied_together_spend_no_more_than_all_may_save() -> None:
-    """20,000 of them at one instant, after a long quiet, and at their start: each holds a tenth of one."""
+def test_buckets_that_are_emptied_together_stay_within_the_total() -> None:
+    """20,000 buckets that hold a tenth of a token each, at the start and after a long idle time."""
     rng = Random(2)
     buckets = [TokenBucket(rng) for _ in range(GROUP)]
     for bucket in buckets:
@@ -64,11 +64,11 @@
     for now in (0.0, 1e7):
         burst = sum(b.take(now) for b in buckets)
         assert 0.08 * GROUP < burst < 0.12 * GROUP
-        second = burst + sum(b.take(now + t) for t in range(10, 1000, 30) for b in buckets)
-        assert second <= 0.3 * GROUP
+        first_second = burst + sum(b.take(now + t) for t in range(10, 1000, 30) for b in buckets)
+        assert first_second <= 0.3 * GROUP
 
 
-def test_a_bucket_that_is_told_less_gives_up_what_it_saved() -> None:
+def test_bucket_with_a_lower_rate_drops_saved_tokens() -> None:
     bucket = TokenBucket(Random(1))
     bucket.configure(1.0)
     assert bucket.take(0.0)
@@ -77,7 +77,7 @@
     assert bucket.tokens <= 0.5
 
 
-def test_a_budget_is_a_share_of_the_requests_and_a_floor() -> None:
+def test_budget_is_a_share_of_requests_and_a_floor() -> None:
     budget = Budget(0.2, Random(1))
     assert not any(budget.take(float(n)) for n in range(100))
     for n in range(100):
@@ -87,22 +87,22 @@
     assert sum(budget.take(200.0 + n) for n in range(10_000)) in range(60, 80)
 
 
-def test_a_budget_is_forgotten() -> None:
-    """What a busy hour saved is not there for the quiet one after it."""
+def test_budget_decays() -> None:
+    """What is saved under high load is not available later under low load."""
     budget = Budget(0.5, Random(1))
     for n in range(1000):
         budget.on_request(float(n))
     assert budget.take(200_000.0) and not budget.take(200_000.0)
 
 
-# --- the module's retries and copies ---
+# --- the balancer's retries and hedges ---
 
 
-NO_COPIES = replace(LIMITS, second_copies=False)
+NO_HEDGES = replace(LIMITS, second_copies=False)
 
 
-def failing(s: Sidecar, requests: int) -> int:
-    """Requests whose first attempt fails; how many retries went out."""
+def count_retries(s: Sidecar, requests: int) -> int:
+    """Let the first attempt of each request fail. Returns the number of retries."""
     retried = 0
     for _ in range(requests):
         r = s.ask()
@@ -121,50 +121,53 @@
 
 
 def test_retries_stay_within_their_ratio() -> None:
-    free = Sidecar(settings(limits=NO_COPIES), fleet(50))
-    bound = Sidecar(settings(limits=NO_COPIES, shares=interface.Shares(retry_ratio=0.2)), fleet(50))
-    assert failing(free, 200) > 150
-    assert 20 <= failing(bound, 200) <= 40
+    unlimited = Sidecar(settings(limits=NO_HEDGES), fleet(50))
+    limited = Sidecar(settings(limits=NO_HEDGES, shares=interface.Shares(retry_ratio=0.2)), fleet(50))
+    assert count_retries(unlimited, 200) > 150
+    assert 20 <= count_retries(limited, 200) <= 40
 
 
-def test_a_request_without_a_retry_left_is_answered_at_once() -> None:
+def test_request_is_answered_at_once_if_the_budget_is_empty() -> None:
     s = Sidecar(settings(SAFE, UNSAFE, shares=interface.Shares(retry_ratio=0.01)), fleet(50))
-    safe, unsafe = s.ask(0), s.ask(1)
-    s.end(safe, 0, "error", complete=False)
-    s.end(unsafe, 0, "error", complete=False)
-    assert isinstance(s.finals(safe)[0], interface.Refuse) and isinstance(s.finals(unsafe)[0], interface.Fail)
+    idempotent, at_most_once = s.ask(0), s.ask(1)
+    s.end(idempotent, 0, "error", complete=False)
+    s.end(at_most_once, 0, "error", complete=False)
+    assert isinstance(s.finals(idempotent)[0], interface.Refuse) and isinstance(
+        s.finals(at_most_once)[0], interface.Fail
+    )
 
 
-def test_the_floor_is_for_all_together() -> None:
-    """With 20,000 instances and 2 a second for each of 50 endpoints a retry is one in 200 s of each."""
+def test_retry_floor_is_shared_by_all_instances() -> None:
+    """With 20,000 instances and 2 retries/s for each of 50 endpoints, each instance has one retry in 200 s."""
     shares = interface.Shares(retry_ratio=0.001, floor_per_s=2.0)
     instances = [
-        Sidecar(settings(shares=shares, group_size=GROUP, limits=NO_COPIES), fleet(50), seed) for seed in range(200)
+        Sidecar(settings(shares=shares, group_size=GROUP, limits=NO_HEDGES), fleet(50), seed) for seed in range(200)
     ]
-    assert sum(failing(s, 1) for s in instances) <= 4
-    alone = Sidecar(settings(shares=shares, limits=NO_COPIES), fleet(50))
-    assert failing(alone, 200) > 150
+    assert sum(count_retries(s, 1) for s in instances) <= 4
+    single = Sidecar(settings(shares=shares, limits=NO_HEDGES), fleet(50))
+    assert count_retries(single, 200) > 150
 
 
-def copies(s: Sidecar, requests: int) -> int:
-    s.serve(150)  # until the window is known: before, no copy goes out at all
-    copied = 0
+def count_hedges(s: Sidecar, requests: int) -> int:
+    """Serve requests whose first attempt is slow. Returns the number of hedges."""
+    s.serve(150)  # no hedge is sent before the window is known
+    hedges = 0
     for _ in range(requests):
         r = s.ask()
         s.wait(100.0)
         for n in range(len(s.sends(r))):
             s.end(r, n, "served" if n == 0 else "cancelled", complete=True)
-            copied += n > 0
+            hedges += n > 0
         s.wait(50.0)
-    return copied
+    return hedges
 
 
-def test_copies_stay_within_their_ratio() -> None:
-    free, bound = (
-        copies(Sidecar(settings(), fleet(50)), 20),
-        copies(Sidecar(settings(shares=interface.Shares(copy_ratio=0.02)), fleet(50)), 20),
+def test_hedges_stay_within_their_ratio() -> None:
+    unlimited, limited = (
+        count_hedges(Sidecar(settings(), fleet(50)), 20),
+        count_hedges(Sidecar(settings(shares=interface.Shares(copy_ratio=0.02)), fleet(50)), 20),
     )
-    assert bound <= 4 < free
+    assert limited <= 4 < unlimited
 
 
 # --- connections ---
@@ -173,117 +176,118 @@
 def connections(
     shares: interface.Shares = CAPS, group: int = GROUP, servers: int = SERVERS, width: int = WIDTH, seed: int = 1
 ) -> Connections:
-    made = Connections(Random(seed))
-    made.configure(shares, group, servers, width)
-    return made
+    """Return a configured limiter."""
+    limiter = Connections(Random(seed))
+    limiter.configure(shares, group, servers, width)
+    return limiter
 
 
-def test_parts_add_up_to_less_than_the_cap() -> None:
-    """Every instance holding all that it may, toward each server: the even ones, and the busy ones on top."""
+def test_shares_of_all_instances_stay_within_the_cap() -> None:
+    """Each instance holds all connections that it may to each server, with some busy instances."""
     for group, servers in ((20_000, 2000), (500, 2000), (20_000, 50), (10, 4), (1, 1)):
         width = min(servers, max(20, 10 * servers // group))
-        one = connections(group=group, servers=servers, width=width)
+        limiter = connections(group=group, servers=servers, width=width)
         sharing = group * width / servers
-        assert sharing * one.max_per_server() <= max(400.0, sharing)
-        one.share_factor = one.max_share_factor
+        assert sharing * limiter.max_per_server() <= max(400.0, sharing)
+        limiter.share_factor = limiter.max_share_factor
         busy = min(4, group)
         assert (sharing - busy) * connections(
             group=group, servers=servers, width=width
-        ).max_per_server() + busy * one.max_per_server() <= (
-            400.0 if sharing <= 300.0 else sharing + busy * one.busy_extra_per_server
+        ).max_per_server() + busy * limiter.max_per_server() <= (
+            400.0 if sharing <= 300.0 else sharing + busy * limiter.busy_extra_per_server
         )
         assert group * connections(group=group, servers=servers, width=width).max_total <= max(200.0 * servers, group)
 
 
-def test_who_lacks_connections_gets_more_step_by_step_and_gives_them_back() -> None:
-    one = connections()
-    now, seen = 0.0, []
+def test_share_grows_stepwise_while_exhausted_and_shrinks_again() -> None:
+    limiter = connections()
+    now, factors = 0.0, []
     for _ in range(100):
         now += 1000.0
-        one.lacks(now, 10**6)
-        seen.append(one.share_factor)
-    assert seen[3] < 2.0 < seen[10] < seen[-1] == one.max_share_factor
-    assert one.max_per_server() <= 1.5 + 25.0  # to a single server a busy one's part of the cap
-    one.may_open(now + 0.9 * DECREASE_AFTER, 0, 0)
-    assert one.share_factor == one.max_share_factor
-    one.may_open(now + 2.0 * DECREASE_AFTER, 0, 0)
-    assert 1.0 < one.share_factor < one.max_share_factor
+        limiter.lacks(now, 10**6)
+        factors.append(limiter.share_factor)
+    assert factors[3] < 2.0 < factors[10] < factors[-1] == limiter.max_share_factor
+    assert limiter.max_per_server() <= 1.5 + 25.0  # to a single server: a busy instance's share of the cap
+    limiter.may_open(now + 0.9 * DECREASE_AFTER, 0, 0)
+    assert limiter.share_factor == limiter.max_share_factor
+    limiter.may_open(now + 2.0 * DECREASE_AFTER, 0, 0)
+    assert 1.0 < limiter.share_factor < limiter.max_share_factor
     for n in range(100):
-        one.may_open(now + (3.0 + n) * DECREASE_AFTER, 0, 0)
-    assert one.max_total == one.equal_share
+        limiter.may_open(now + (3.0 + n) * DECREASE_AFTER, 0, 0)
+    assert limiter.max_total == limiter.equal_share
 
 
-def test_a_busy_one_gets_handshakes_too() -> None:
-    one = connections(interface.Shares(handshakes_per_s=100.0, busy=4))
+def test_busy_instance_gets_more_handshakes() -> None:
+    limiter = connections(interface.Shares(handshakes_per_s=100.0, busy=4))
     taken, now = Counter[int](), 0.0
     while now < 40_000.0:
         now += 5.0
-        taken[int(now // 10_000)] += one.may_open(now, 0, 0)
-    # 5 a second are its equal part, of which two thirds are steady.
+        taken[int(now // 10_000)] += limiter.may_open(now, 0, 0)
+    # Its equal share is 5 per second, of which two thirds are the steady rate.
     assert 30 <= taken[0] <= 130 and taken[3] > 5 * taken[0]
 
 
-def test_refusals_take_back_at_once_and_it_comes_back_slowly() -> None:
-    one = connections(replace(CAPS, handshakes_per_s=0.0))
-    one.refused(0.0)
-    one.refused(1.0)  # of the same burst
-    assert one.max_total == pytest.approx(0.7 * one.equal_share)
+def test_refusals_reduce_the_share_at_once_and_it_recovers_slowly() -> None:
+    limiter = connections(replace(CAPS, handshakes_per_s=0.0))
+    limiter.refused(0.0)
+    limiter.refused(1.0)  # of the same burst
+    assert limiter.max_total == pytest.approx(0.7 * limiter.equal_share)
     now = 0.0
     for _ in range(60):
         now += BACKOFF_INTERVAL
-        one.refused(now)
-    assert one.max_total == 1.0 and one.may_open(now, 0, 0) and not one.may_open(now, 0, 1)
-    one.may_open(now + 2000.0, 0, 0)
-    assert one.max_total < 0.5 * one.equal_share
-    one.may_open(now + 20_000.0, 0, 0)
-    assert one.max_total == one.equal_share
-
-
-def test_a_group_that_shrinks_is_no_burst_and_one_that_grows_counts_at_once() -> None:
-    one = connections()
-    level = one.max_total
-    one.configure(CAPS, GROUP // 10, SERVERS, WIDTH)
-    assert one.max_total == pytest.approx(level) and level < one.equal_share
-    assert not one.may_open(0.0, 0, round(level))
-    one.may_open(2000.0, 0, 0)
-    assert level < one.max_total < one.equal_share
-    one.configure(CAPS, 100 * GROUP, SERVERS, WIDTH)
-    assert one.max_total == 1.0
-
-
-def test_a_group_told_ten_times_too_small_ends_within_the_cap() -> None:
-    """2,000 instances that were told they are 200, each with more to do than it may hold, toward 20 servers that
-    refuse what is beyond 100: refusals bring them down to about that, instead of ten times as much."""
+        limiter.refused(now)
+    assert limiter.max_total == 1.0 and limiter.may_open(now, 0, 0) and not limiter.may_open(now, 0, 1)
+    limiter.may_open(now + 2000.0, 0, 0)
+    assert limiter.max_total < 0.5 * limiter.equal_share
+    limiter.may_open(now + 20_000.0, 0, 0)
+    assert limiter.max_total == limiter.equal_share
+
+
+def test_share_grows_slowly_with_a_smaller_group_and_shrinks_at_once() -> None:
+    limiter = connections()
+    max_total = limiter.max_total
+    limiter.configure(CAPS, GROUP // 10, SERVERS, WIDTH)
+    assert limiter.max_total == pytest.approx(max_total) and max_total < limiter.equal_share
+    assert not limiter.may_open(0.0, 0, round(max_total))
+    limiter.may_open(2000.0, 0, 0)
+    assert max_total < limiter.max_total < limiter.equal_share
+    limiter.configure(CAPS, 100 * GROUP, SERVERS, WIDTH)
+    assert limiter.max_total == 1.0
+
+
+def test_refusals_correct_a_group_size_that_is_ten_times_too_small() -> None:
+    """2,000 instances assume a group of 200 and have more requests than connections, while 20 servers refuse more than
+    100 connections each. The refusals bring the shares down to about that, instead of ten times as much."""
     rng = Random(3)
     shares = interface.Shares(connections=100.0)
-    all_ = [connections(shares, 200, 20, 20, n) for n in range(2000)]
-    held = [0] * len(all_)
-    total, most, now = 0, 20 * 100, 0.0
+    limiters = [connections(shares, 200, 20, 20, n) for n in range(2000)]
+    held = [0] * len(limiters)
+    total, cap, now = 0, 20 * 100, 0.0
     rounds = []
     for _ in range(60):
         now += 500.0
-        for n in rng.sample(range(len(all_)), len(all_)):
-            while held[n] > all_[n].max_total:
+        for n in rng.sample(range(len(limiters)), len(limiters)):
+            while held[n] > limiters[n].max_total:
                 held[n] -= 1
                 total -= 1
-            if all_[n].may_open(now, 0, held[n]):
-                if total < most:
+            if limiters[n].may_open(now, 0, held[n]):
+                if total < cap:
                     held[n] += 1
                     total += 1
                 else:
-                    all_[n].refused(now)
-        rounds.append(fmean(c.max_total for c in all_))
+                    limiters[n].refused(now)
+        rounds.append(fmean(c.max_total for c in limiters))
     assert rounds[-1] < 0.5 * rounds[0]
 
 
-def test_without_caps_nothing_is_bounded() -> None:
-    one = connections(interface.Shares())
-    assert all(one.may_open(0.0, n, n) for n in range(1000))
+def test_connections_are_unlimited_without_caps() -> None:
+    limiter = connections(interface.Shares())
+    assert all(limiter.may_open(0.0, n, n) for n in range(1000))
 
 
-def test_a_wire_bars_what_is_beyond_the_part() -> None:
-    """On real sockets: two connections may be open; the third attempt ends as never run, and is told apart from
-    an endpoint that can't be reached."""
+def test_attempt_beyond_the_connection_share_is_barred() -> None:
+    """On real sockets, with two connections permitted: the third attempt ends as never run, with an outcome other than
+    that of an unreachable endpoint."""
 
     def react(event: interface.Event) -> list[interface.Action]:
         if isinstance(event, interface.RequestArrived):
@@ -312,7 +316,7 @@
 
 
 def test_connections_are_counted_to_their_end() -> None:
-    """Kept, closed by the endpoint, refused at the dial: what is counted comes back to none."""
+    """Connections that are kept, closed by the endpoint or refused: the count returns to zero."""
 
     def react(event: interface.Event) -> list[interface.Action]:
         if isinstance(event, interface.RequestArrived):
@@ -355,10 +359,10 @@
     small = [Calls(400.0, 1000, 10_000.0, rng).start() for _ in range(1000)]
     assert max(small) <= 5000.0 and 2300.0 < fmean(small) < 2700.0
     large = [Calls(400.0, GROUP, 10_000.0, rng).start() for _ in range(1000)]
-    assert 7500.0 < max(large) <= 8000.0  # the list has to be asked for within ten
+    assert 7500.0 < max(large) <= 8000.0  # the list must be fetched every 10 s
 
 
-def test_refused_calls_back_off_with_jitter_up_to_what_the_rule_allows() -> None:
+def test_refused_calls_back_off_with_jitter_within_the_rule() -> None:
     calls = Calls(400.0, GROUP, 10_000.0, Random(4))
     for refusals in (1, 5, 60):
         pauses = [calls.again(refusals) for _ in range(500)]
@@ -367,40 +371,40 @@
     assert [max(few.again(n) for _ in range(200)) // 100 for n in (1, 2, 9)] == [5, 11, 33]
 
 
-def test_watches_last_as_long_as_the_cap_asks() -> None:
+def test_watch_timeout_follows_the_cap_on_calls() -> None:
     rng = Random(4)
     assert 2700.0 < Calls(400.0, 10, 10_000.0, rng).watch_for(3000.0) < 3300.0
     assert 90_000.0 <= Calls(400.0, GROUP, 10_000.0, rng).watch_for(20_000.0) <= 110_000.0
     assert Calls(1.0, GROUP, 10_000.0, rng).watch_for(20_000.0) <= 1.1 * MAX_WATCH_TIMEOUT
 
 
-def test_the_module_asks_after_a_spread_where_it_has_a_list_and_at_once_where_it_has_none() -> None:
+def test_first_discovery_call_is_spread_with_a_list_and_immediate_without() -> None:
     shares = interface.Shares(list_calls_per_s=400.0)
-    told = settings(shares=shares, group_size=GROUP, discovery="on_request")
-    empty = Sidecar(told)
+    config = settings(shares=shares, group_size=GROUP, discovery="on_request")
+    empty = Sidecar(config)
     assert empty.of(interface.WatchMembership)
-    asked = []
+    called_at = []
     for seed in range(50):
-        s = Sidecar(told, fleet(5), seed)
+        s = Sidecar(config, fleet(5), seed)
         assert not s.of(interface.WatchMembership)
         s.wait(8000.0)
-        asked.append(next(at for at, a in s.all if isinstance(a, interface.WatchMembership)) - 1_000_000.0)
-    assert max(asked) <= 8000.0 and max(asked) - min(asked) > 6500.0
+        called_at.append(next(at for at, a in s.all if isinstance(a, interface.WatchMembership)) - 1_000_000.0)
+    assert max(called_at) <= 8000.0 and max(called_at) - min(called_at) > 6500.0
 
 
 # --- a subset in service ---
 
 
-def test_a_subset_that_moves_is_no_answer_of_discovery() -> None:
-    """Discovery has refused; then an endpoint can't be reached, and the subset moves for it: the module is told, and
-    goes on asking."""
-    told: list[interface.MembershipNews] = []
+def test_change_of_the_subset_is_no_answer_of_discovery() -> None:
+    """Discovery has refused, then the subset changes because an endpoint is unreachable: the balancer gets the change
+    and goes on calling discovery."""
+    updates: list[interface.MembershipNews] = []
 
     def react(event: interface.Event) -> list[interface.Action]:
         if isinstance(event, interface.MembershipNews):
-            told.append(event)
+            updates.append(event)
         if isinstance(event, interface.RequestArrived):
-            return [interface.Send(event.request, told[-1].entries[0].endpoint, 0.0)]
+            return [interface.Send(event.request, updates[-1].entries[0].endpoint, 0.0)]
         return [interface.Refuse(event.request)] if isinstance(event, interface.AttemptEnded) else []
 
     async def test() -> None:
@@ -414,8 +418,8 @@
             real = Sidecar(settings(discovery="on_request", shares=interface.Shares(subset=6), group_size=400))
             real.feed(interface.MembershipNews("refused"))
             assert (await (await s.client()).ask()).status == 503
-            assert len(told) == 2 and len(told[1].entries) == 7 and told[1].of == 60
-            real.feed(told[1])
+            assert len(updates) == 2 and len(updates[1].entries) == 7 and updates[1].of == 60
+            real.feed(updates[1])
             before = len(real.of(interface.WatchMembership))
             real.wait(10_000.0)
             assert len(real.of(interface.WatchMembership)) > before
@@ -423,10 +427,10 @@
     run_real(test)
 
 
-def test_subset_in_service(tmp_path: Path) -> None:
-    """The program with an operator file: 24 endpoints, two instances that know three of the home zone and four of
-    the other one, a day of faults in which a member drains, goes, and the configuration is read again. No rule
-    breaks, and what is not to be known isn't reached."""
+def test_program_with_a_subset_keeps_the_rules(tmp_path: Path) -> None:
+    """Runs the program with an operator file on 24 endpoints: two instances that know three endpoints of the home zone
+    and four of the other zone, with faults, a draining and removed member, and a reload of the configuration. No rule
+    is broken, and no endpoint outside the subsets is reached."""
 
     async def test() -> None:
         async with AsyncExitStack() as stack:
@@ -436,17 +440,17 @@
                 "version = 1\n[shares]\nsubset = 3\nconnections = 4000\nhandshakes_per_s = 100000\n"
                 "list_calls_per_s = 100000\nretry_ratio = 0.5\ncopy_ratio = 0.2\nfloor_per_s = 100\n"
             )
-            clients, over, programs = [], asyncio.Event(), []
+            clients, finished, programs = [], asyncio.Event(), []
             for n in range(2):
                 folder = tmp_path / str(n)
                 folder.mkdir()
-                told = SETTINGS | {"group-size": 400, "me": 200 * n, "prices": {"cross-zone": 0.1}}
-                env = config(folder, settings=told, discovery=side.discovery.address)
+                platform_settings = SETTINGS | {"group-size": 400, "me": 200 * n, "prices": {"cross-zone": 0.1}}
+                env = config(folder, settings=platform_settings, discovery=side.discovery.address)
                 env["ZINCLEVER_OPERATOR"] = str(operator)
                 programs.append(await stack.enter_async_context(started_program(env)))
                 clients += [HttpClient(side.log, env["LB_LISTEN"]) for _ in range(3)]
             await side.known()
-            asking = [asyncio.ensure_future(ask_http(c, CLASSES, Random(n), over)) for n, c in enumerate(clients)]
+            tasks = [asyncio.ensure_future(ask_http(c, CLASSES, Random(n), finished)) for n, c in enumerate(clients)]
             await asyncio.sleep(1.0)
             member = max(side.endpoints, key=lambda e: len(e.requests()))
             await side.discovery.set(member, "draining")
@@ -455,42 +459,42 @@
                 program.send_signal(signal.SIGHUP)
             await side.discovery.set(member, "gone")
             await asyncio.sleep(1.0)
-            over.set()
-            await asyncio.wait(asking, timeout=5.0)
+            finished.set()
+            await asyncio.wait(tasks, timeout=5.0)
             assert not audit(side.log, TERMS)
             reached = {r.endpoint for r in side.log.received}
-            assert 4 <= len(reached) <= 2 * (3 + 4) + 2, "a subset, and who came in the drained one's place"
+            assert 4 <= len(reached) <= 2 * (3 + 4) + 2, "the subsets and the replacement of the drained endpoint"
             answered = [a.kind for a in side.log.answered]
             assert answered.count("served") > 0.8 * len(answered) > 100
 
     run_real(test)
 
 
-# --- what a failed dial tells ---
+# --- failed connects ---
 
 
-def test_more_failed_dials_than_servers_die_are_refusals() -> None:
-    one = connections(replace(CAPS, handshakes_per_s=0.0))
+def test_many_failed_connects_count_as_refusals() -> None:
+    limiter = connections(replace(CAPS, handshakes_per_s=0.0))
     for n in range(20):
-        one.may_open(100.0 * n, 0, 0)
-        one.not_connected(100.0 * n, -math.inf)
-    assert one.max_total < 0.5 * one.equal_share
+        limiter.may_open(100.0 * n, 0, 0)
+        limiter.not_connected(100.0 * n, -math.inf)
+    assert limiter.max_total < 0.5 * limiter.equal_share
 
 
-def test_a_dead_server_is_no_refusal_and_a_full_one_is() -> None:
-    one = connections(replace(CAPS, handshakes_per_s=0.0))
+def test_connect_to_a_dead_server_is_no_refusal_and_to_a_full_one_is() -> None:
+    limiter = connections(replace(CAPS, handshakes_per_s=0.0))
     for n in range(50):
         for _ in range(5):
-            assert one.may_open(1000.0 * n, 0, 0)
-        one.not_connected(1000.0 * n, 1000.0 * n - ALIVE_WINDOW - 1.0 if n % 2 else -math.inf)
-    assert one.max_total == one.equal_share
-    one.not_connected(60_000.0, 60_000.0 - ALIVE_WINDOW)
-    assert one.max_total == pytest.approx(0.7 * one.equal_share)
+            assert limiter.may_open(1000.0 * n, 0, 0)
+        limiter.not_connected(1000.0 * n, 1000.0 * n - ALIVE_WINDOW - 1.0 if n % 2 else -math.inf)
+    assert limiter.max_total == limiter.equal_share
+    limiter.not_connected(60_000.0, 60_000.0 - ALIVE_WINDOW)
+    assert limiter.max_total == pytest.approx(0.7 * limiter.equal_share)
 
 
-def test_an_endpoint_that_has_answered_and_takes_no_more_counts_as_full() -> None:
-    """On real sockets: one that was never there leaves the part as it is; one that answered a moment ago, and can't be
-    reached now, lowers it."""
+def test_endpoint_that_answered_and_refuses_connections_counts_as_full() -> None:
+    """On real sockets: an endpoint that never answered leaves the share unchanged; one that answered recently and can't
+    be reached any more reduces it."""
 
     def react(event: interface.Event) -> list[interface.Action]:
         if isinstance(event, interface.RequestArrived):
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -1,4 +1,4 @@
-"""Subsets of a large fleet: deterministic, even over servers, stable under churn, as wide as needed."""
+"""Subsets of a large fleet: deterministic, evenly spread, stable under changes, and sized by load."""
 
 from __future__ import annotations
 
@@ -19,19 +19,20 @@
 
 
 def servers(n: int) -> list[interface.Listed]:
+    """Return ``n`` list entries."""
     return [interface.Listed(f"10.0.{x >> 8}.{x & 255}:80") for x in range(n)]
 
 
-def well_formed(layout: Layout) -> None:
-    """Every server sits in the slot it says, and no server and slot would both rather have each other."""
+def check_layout(layout: Layout) -> None:
+    """Check that each server has the slot it reports, and that no server and slot prefer each other (stability)."""
     slots_by_name = layout.slots_by_name()
     assert sorted(slots_by_name.values()) == [n for n, placement in enumerate(layout.table) if placement is not None]
     for name, placement in layout.seats.items():
         assert layout.table[slots_by_name[name]] is placement
         for number in range(placement.accepted):
             slot = placement.proposal(number, layout.size)
-            holder = layout.table[slot]
-            assert holder is not None and holder.rank(holder.accepted, slot) < placement.rank(number, slot)
+            occupant = layout.table[slot]
+            assert occupant is not None and occupant.rank(occupant.accepted, slot) < placement.rank(number, slot)
 
 
 NAMES = st.integers(0, 40).map(lambda n: f"s{n}")
@@ -39,26 +40,26 @@
 
 @settings(max_examples=150, derandomize=True, deadline=None)
 @given(st.lists(st.tuples(st.booleans(), NAMES), max_size=80))
-def test_a_layout_depends_on_the_names_alone(steps: list[tuple[bool, str]]) -> None:
-    """However it came about: against the oracle that is laid out at once, where both are of the same size."""
+def test_layout_depends_on_the_names_alone(steps: list[tuple[bool, str]]) -> None:
+    """Compares with a layout that is built at once, if both have the same size."""
     layout = Layout()
-    for there, name in steps:
-        if there:
+    for is_added, name in steps:
+        if is_added:
             layout.put(interface.Listed(name))
         else:
             layout.drop(name)
-        well_formed(layout)
+        check_layout(layout)
         if layout.size > MIN_TABLE_SIZE:
             assert MIN_LOAD_FACTOR <= len(layout) / layout.size <= MAX_LOAD_FACTOR
     names = list(layout.seats)
     Random(3).shuffle(names)
-    anew = Layout(map(interface.Listed, names))
-    if anew.size == layout.size:
-        assert anew.slots_by_name() == layout.slots_by_name()
+    rebuilt = Layout(map(interface.Listed, names))
+    if rebuilt.size == layout.size:
+        assert rebuilt.slots_by_name() == layout.slots_by_name()
     assert sum(map(len, layout.rejected.values())) == sum(s.accepted for s in layout.seats.values())
 
 
-def test_a_layout_that_flaps_over_a_step_of_its_size_stays() -> None:
+def test_layout_is_stable_while_the_list_flaps_around_a_size_step() -> None:
     listed = servers(200)
     edge = next(n for n in range(100, 200) if table_size(n + 1) > table_size(n))
     layout = Layout(listed[: edge + 1])
@@ -69,78 +70,81 @@
     assert (layout.size, layout.slots_by_name()) == (size, slots_by_name)
 
 
-def subsets(layout: Layout, least: int, group: int = GROUP) -> list[set[str]]:
-    return [set(Subset(Shape(least, me, group), layout).select_members()) for me in range(group)]
+def subsets(layout: Layout, min_servers: int, group: int = GROUP) -> list[set[str]]:
+    """Return the subsets of all instances of a group."""
+    return [set(Subset(Shape(min_servers, me, group), layout).select_members()) for me in range(group)]
 
 
 def variation(counts: Counter[str], names: list[str]) -> float:
+    """Return the coefficient of variation of the counts."""
     loads = [counts[n] for n in names]
     return pstdev(loads) / fmean(loads)
 
 
-def test_all_instances_together_meet_each_server_about_as_often() -> None:
+def test_all_instances_together_use_each_server_about_equally() -> None:
     layout = Layout(servers(200))
     names = list(layout.seats)
     chosen = subsets(layout, 12)
     assert {len(s) for s in chosen} == {12}
     counts = Counter(n for s in chosen for n in s)
     rng = Random(5)
-    by_chance = Counter(n for _ in chosen for n in rng.sample(names, 12))
+    random_counts = Counter(n for _ in chosen for n in rng.sample(names, 12))
     assert len(counts) == 200
-    assert variation(counts, names) < 0.5 * variation(by_chance, names)
+    assert variation(counts, names) < 0.5 * variation(random_counts, names)
 
 
-def test_a_change_moves_few() -> None:
-    """One server less moves those that met it and a few more; instances that shared it go different ways."""
+def test_removing_a_server_changes_few_subsets() -> None:
+    """Changes the subsets that contain it and a few more; instances that shared it get different replacements."""
     layout = Layout(servers(200))
     before = subsets(layout, 12)
-    lost = next(iter(layout.seats))
-    met = [me for me, s in enumerate(before) if lost in s]
-    layout.drop(lost)
+    removed = next(iter(layout.seats))
+    affected = [me for me, s in enumerate(before) if removed in s]
+    layout.drop(removed)
     after = subsets(layout, 12)
-    moves = sum(len(b - a) for a, b in zip(before, after, strict=True))
-    assert len(met) <= moves <= 5 * len(met)
-    # A layout in which each server has a place by its number would move every second instance.
-    assert moves < GROUP / 3
-    assert len({n for me in met for n in after[me] - before[me]}) > 30
+    changed = sum(len(b - a) for a, b in zip(before, after, strict=True))
+    assert len(affected) <= changed <= 5 * len(affected)
+    # A layout that places each server by its number would change the subset of every second instance.
+    assert changed < GROUP / 3
+    assert len({n for me in affected for n in after[me] - before[me]}) > 30
 
 
-def test_instances_that_share_a_server_share_little_else() -> None:
+def test_instances_that_share_a_server_share_few_others() -> None:
     chosen = subsets(Layout(servers(200)), 12)
-    together = [len(a & b) for a, b in pairwise(chosen)]
-    assert fmean(together) < 3 * 12 * 12 / 200  # three times what chance has two of them share
+    shared = [len(a & b) for a, b in pairwise(chosen)]
+    assert fmean(shared) < 3 * 12 * 12 / 200  # three times the number that two random subsets share
 
 
-def told(least: int = 12, group: int = GROUP, n: int = 200, **more: object) -> Subset:
-    subset = Subset(Shape(least, 7, group, **more))  # type: ignore[arg-type]
+def subset_of(min_servers: int = 12, group: int = GROUP, n: int = 200, **more: object) -> Subset:
+    """Return the subset of one instance, with its list applied."""
+    subset = Subset(Shape(min_servers, 7, group, **more))  # type: ignore[arg-type]
     subset.whole(servers(n))
     subset.changes(0.0)
     return subset
 
 
 @pytest.mark.parametrize("n", [0, 1, 2, 11, 12, 24, 25, 2000, 10_000])
-def test_any_size_of_the_fleet(n: int) -> None:
-    subset = told(n=n)
+def test_subset_of_fleets_of_any_size(n: int) -> None:
+    subset = subset_of(n=n)
     width = max(12, -(-10 * n // GROUP))
     assert len(subset.members) == (n if 2 * width >= n else width)
     subset.whole([])
     assert all(x.phase == "gone" for x in subset.changes(1.0)) and not subset.members
 
 
-def test_an_instance_alone_knows_all_and_one_of_many_a_part() -> None:
-    assert len(told(group=1, n=2000).members) == 2000
-    assert len(told(group=20_000, n=2000).members) == 12
-    assert len(told(group=400, n=2000).members) == 50  # ten instances for each server
+def test_single_instance_knows_all_servers_and_one_of_many_a_subset() -> None:
+    assert len(subset_of(group=1, n=2000).members) == 2000
+    assert len(subset_of(group=20_000, n=2000).members) == 12
+    assert len(subset_of(group=400, n=2000).members) == 50  # ten instances for each server
 
 
-def test_no_more_is_known_than_connections_are_left_for() -> None:
-    assert len(told(least=20, group=20_000, n=2000, connections=100.0).members) == 5
-    assert len(told(least=20, group=20_000, n=2000, connections=10.0).members) == 3
-    assert len(told(least=20, group=20_000, n=2000, connections=1000.0).members) == 20
+def test_subset_is_bounded_by_the_connection_cap() -> None:
+    assert len(subset_of(min_servers=20, group=20_000, n=2000, connections=100.0).members) == 5
+    assert len(subset_of(min_servers=20, group=20_000, n=2000, connections=10.0).members) == 3
+    assert len(subset_of(min_servers=20, group=20_000, n=2000, connections=1000.0).members) == 20
 
 
-def test_the_same_list_gives_the_same_subset() -> None:
-    one, other = told(), Subset(Shape(12, 7, GROUP))
+def test_subset_does_not_depend_on_the_order_of_changes() -> None:
+    one, other = subset_of(), Subset(Shape(12, 7, GROUP))
     for x in reversed(servers(200)):
         other.change([x])
     other.changes(0.0)
@@ -148,8 +152,8 @@
     assert one.members.keys() == other.members.keys()
 
 
-def test_it_grows_with_the_load_at_once_and_shrinks_step_by_step() -> None:
-    subset = told()
+def test_subset_grows_with_load_at_once_and_shrinks_stepwise() -> None:
+    subset = subset_of()
     assert not subset.load(0.0, int(12 * INFLIGHT_PER_SERVER))
     assert subset.load(1.0, 60)
     known = set(subset.members)
@@ -164,8 +168,8 @@
     assert widths == sorted(widths, reverse=True) and widths[0] >= 26 and set(subset.members) == known
 
 
-def test_what_cannot_be_reached_is_made_up_for_until_it_can() -> None:
-    subset = told()
+def test_unreachable_server_is_replaced_until_it_answers() -> None:
+    subset = subset_of()
     first, *_ = before = list(subset.members)
     assert subset.failed(0.0, first) and not subset.failed(1.0, first)
     subset.changes(0.0)
@@ -179,37 +183,37 @@
     assert list(subset.members) == before
 
 
-def test_with_all_but_one_unreachable_the_one_is_found() -> None:
-    subset = told(n=500)
-    one, tries = servers(500)[123].endpoint, 0
-    while one not in subset.members:
+def test_the_only_reachable_server_is_found() -> None:
+    subset = subset_of(n=500)
+    reachable, tries = servers(500)[123].endpoint, 0
+    while reachable not in subset.members:
         tries += 1
         subset.failed(0.0, next(n for n in subset.members if n not in subset.unreachable))
         subset.changes(0.0)
-    assert tries <= 250  # from half of the fleet on all is tried
+    assert tries <= 250  # with half of the fleet unreachable all servers are used
 
 
-def test_a_server_that_drains_or_goes_is_left_and_one_that_comes_back_is_as_before() -> None:
-    subset = told()
+def test_draining_server_leaves_the_subset_and_returns_to_it() -> None:
+    subset = subset_of()
     before = set(subset.members)
-    one = next(iter(subset.members.values()))
-    subset.change([one._replace(phase="draining")])
-    left = subset.changes(1.0)
-    assert (one._replace(phase="gone") in left) and one.endpoint not in subset.members
-    subset.change([one._replace(started_at=5.0)])
+    member = next(iter(subset.members.values()))
+    subset.change([member._replace(phase="draining")])
+    changes = subset.changes(1.0)
+    assert (member._replace(phase="gone") in changes) and member.endpoint not in subset.members
+    subset.change([member._replace(started_at=5.0)])
     subset.changes(2.0)
-    assert set(subset.members) == before and subset.members[one.endpoint].started_at == 5.0
+    assert set(subset.members) == before and subset.members[member.endpoint].started_at == 5.0
 
 
-def test_news_of_a_member_is_told_and_of_others_not() -> None:
-    subset = told()
-    one = next(iter(subset.members.values()))
+def test_only_changes_of_members_are_reported() -> None:
+    subset = subset_of()
+    member = next(iter(subset.members.values()))
     other = next(x for x in servers(200) if x.endpoint not in subset.members)
-    subset.change([one._replace(size=2.0), other._replace(size=2.0)])
-    assert subset.changes(1.0) == [one._replace(size=2.0)]
+    subset.change([member._replace(size=2.0), other._replace(size=2.0)])
+    assert subset.changes(1.0) == [member._replace(size=2.0)]
 
 
-def test_the_home_zone_comes_first_and_others_are_there() -> None:
+def test_subset_prefers_the_home_zone_with_a_few_servers_of_others() -> None:
     subset = Subset(Shape(12, 7, GROUP, 1))
     listed = [x._replace(zone=n % 3) for n, x in enumerate(servers(300))]
     subset.whole(listed)
@@ -222,7 +226,7 @@
     assert len(subset.members) == 50 and all(x.zone != 1 for x in subset.members.values())
 
 
-def test_a_cell_that_is_met_is_met_twice() -> None:
+def test_each_cell_of_the_subset_has_two_servers() -> None:
     subset = Subset(Shape(12, 7, GROUP, has_cell_classes=True))
     listed = [x._replace(cell=n // 3) for n, x in enumerate(servers(300))]
     subset.whole(listed)
@@ -230,12 +234,12 @@
     cells = Counter(x.cell for x in subset.members.values())
     assert len(cells) >= 10 and min(cells.values()) >= 2 and len(subset.members) <= 36
     moved = next(iter(subset.members.values()))
-    subset.change([moved._replace(cell=999)])  # a cell of its own: there is no mate to be had
+    subset.change([moved._replace(cell=999)])  # a cell of its own: there is no other server in it
     subset.changes(1.0)
     assert subset.cells[999].keys() == {moved.endpoint}
 
 
-def test_ten_thousand_replaced_one_by_one_and_all_at_once() -> None:
+def test_large_fleet_is_replaced_one_by_one_and_all_at_once() -> None:
     subset = Subset(Shape(12, 7, 20_000))
     old = servers(10_000)
     subset.whole(old)
@@ -243,8 +247,8 @@
     for x in old[:500]:
         subset.change([x._replace(phase="gone"), x._replace(endpoint="new." + x.endpoint)])
         subset.changes(1.0)
-    well_formed(subset.home)
+    check_layout(subset.home)
     assert len(subset.home) == 10_000 and len(subset.members) == 12
     subset.whole([x._replace(endpoint="next." + x.endpoint) for x in old])
-    news = subset.changes(2.0)
-    assert len(news) == 24 and all(n.startswith("next.") for n in subset.members)
+    changes = subset.changes(2.0)
+    assert len(changes) == 24 and all(n.startswith("next.") for n in subset.members)
