--- a/zinclever/policy/requests.py
+++ b/zinclever/policy/requests.py
@@ -9,10 +9,8 @@
 from .endpoints import Endpoint
 from .partition import ZonePartition
 
-HEDGE_DELAY_SHARE = (
-    0.36  # share of a class's target: most requests are answered by then, and a hedge can still answer in time
-)
-UNLOADED_LATENCY_SHARE = 0.4  # share of the target: prior for the latency of a fleet without queueing
+HEDGE_DELAY_SHARE = 0.36  # of the class's target: most requests are answered by then, and a hedge can still be in time
+UNLOADED_LATENCY_SHARE = 0.4  # of the target: an unloaded fleet answers within it, or the target would be out of reach
 
 
 class Attempt:
--- a/zinclever/policy/selection.py
+++ b/zinclever/policy/selection.py
@@ -22,7 +22,7 @@
 FULL_ZONE_GAIN = 0.6  # probability of an answer in time that a request gains by leaving a full home zone
 SMALL_PARTITION = 4  # endpoints up to which a partition is scanned: random draws would mostly hit used ones
 MAX_DRAWS = 8  # draws of ineligible endpoints before a partition is scanned
-MAX_SCANNED = 64  # largest number of endpoints that are scanned; of a larger partition a part is, or it is sampled
+MAX_SCANNED = 64  # most endpoints that are scanned; larger partitions are sampled, or scanned in part
 RECENT_KEYS = 32  # latest requests by which hot keys are detected
 WARM_KEY_GAIN = 1.4  # factor on the score of an endpoint that probably has the key cached
 
@@ -48,7 +48,7 @@
         """Return the better of two random ready endpoints that the request has not used, drawn by size.
 
         Drawing by size protects small endpoints from an even share of the load: a balancer with little traffic gets too
-        few answers from each endpoint to tell by the payoff. Returns None if no endpoint is eligible.
+        few answers from each endpoint to detect them by their payoff. Returns None if no endpoint is eligible.
         """
         drawn: tuple[Endpoint, Endpoint, float] | None = None
         for partition in self.partitions(now, request):
--- a/zinclever/policy/stalled_attempts.py
+++ b/zinclever/policy/stalled_attempts.py
@@ -49,7 +49,7 @@
     def is_stalling(self, now: float, klass: ClassState) -> bool:
         """Return whether more attempts are overdue than slow answers explain, while the answers that come are quick.
 
-        In overload answers are slow, so that stalled attempts never add load to an overloaded fleet.
+        In overload the answers are slow, so that no load is added to an overloaded fleet.
         """
         return (
             klass.mean_latency < UNLOADED_SHARE * klass.settings.aim
--- a/zinclever/policy/zone_crossing.py
+++ b/zinclever/policy/zone_crossing.py
@@ -8,13 +8,9 @@
 from ..fleet.smooth import DECAY_TIME, DecayingMean
 from .requests import UNLOADED_LATENCY_SHARE, Request
 
-CROSSING_STEP = (
-    0.25  # of the price: the least gain, in targets, at which some requests leave the home zone, which also relieves it
-)
+CROSSING_STEP = 0.25  # of the price: gain, in targets, from which some requests leave home, which also relieves it
 HOME_PRIOR = 0.3  # answers that it takes to outweigh the prior that home is as good as the other zones
-TARGET_SLACK = (
-    0.5  # share of the target left by answers on average, below which requests are shed; at half of it all are
-)
+TARGET_SLACK = 0.5  # mean share of the target left by answers below which requests are shed; at half of it all are
 SHED_PRIOR = 3.0  # attempts before anything is shed, and weight of the prior
 MAX_SHED_SHARE = 0.95  # largest share of the demand that is shed; the rest shows when the overload is over
 
@@ -47,7 +43,7 @@
     def crosses(self, now: float, request: Request) -> bool:
         """Return whether an attempt leaves the home zone, at random between one and two thresholds.
 
-        It is the more likely the further home falls behind and the more valuable the request is, as the price of
+        It is more likely the further home falls behind and the more valuable the request is, as the price of
         crossing is the same for all. This relieves a home zone with more traffic than its endpoints can carry. Requests
         of little value stay, so that a home zone does not become idle and unobserved.
         """
