--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -32,22 +32,22 @@
     return Settings(**(given | more))
 
 
-def fleet(n: int, **more: Any) -> list[interface.Listed]:
+def fleet(n: int, **more: Any) -> list[interface.ListedEndpoint]:
     """Return ``n`` list entries named e0, e1, ..."""
-    return [interface.Listed(f"e{x}", **more) for x in range(n)]
+    return [interface.ListedEndpoint(f"e{x}", **more) for x in range(n)]
 
 
-class Sidecar:
+class BalancerHarness:
     """A balancer with a fake clock. It keeps all actions with their instants, and fires the timers."""
 
-    def __init__(self, config: Settings, listed: Iterable[interface.Listed] = (), seed: int = 1) -> None:
+    def __init__(self, config: Settings, listed: Iterable[interface.ListedEndpoint] = (), seed: int = 1) -> None:
         self.b = Balancer(config, seed)
         self.now = 1_000_000.0
         self.all: list[tuple[float, interface.Action]] = []
         self.timers: list[tuple[float, str]] = []
         self.serial = 0
         self.jitter = Random(3)
-        self.feed(interface.MembershipNews("remembered", list(listed)))
+        self.feed(interface.MembershipUpdate("remembered", list(listed)))
 
     def feed(self, event: interface.Event) -> list[interface.Action]:
         """Process an event at the current instant."""
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import LIMITS, SAFE, Sidecar, fleet, settings
+from helpers import LIMITS, SAFE, BalancerHarness, fleet, settings
 
 from zinclever import interface
 from zinclever.policy import stalled_attempts
@@ -11,9 +11,9 @@
 BUSY = replace(LIMITS, retry_after=True, max_retry_after=700.0)
 
 
-def full(told: interface.RequestClass = SAFE, **more: object) -> Sidecar:
+def full(told: interface.RequestClass = SAFE, **more: object) -> BalancerHarness:
     """Return a harness whose in-flight window is full of requests that no endpoint answers."""
-    s = Sidecar(settings(told, **more), fleet(4))
+    s = BalancerHarness(settings(told, **more), fleet(4))
     s.serve(60, took=20.0, gap=30.0)
     while not s.b.admission.held_count:
         s.ask()
@@ -24,7 +24,7 @@
     # Guards against an overloaded fleet that is full before any rate is known.
     sent = []
     for group in (1, 5):
-        s = Sidecar(settings(group_size=group), fleet(4))
+        s = BalancerHarness(settings(group_size=group), fleet(4))
         for _ in range(200):
             s.ask()
         sent.append(len(s.sends()))
@@ -33,7 +33,7 @@
 
 def test_no_hedges_in_the_first_second() -> None:
     # Guards against hedges that overload a fleet which just carries its load (i50b99e).
-    s = Sidecar(settings(), fleet(4))
+    s = BalancerHarness(settings(), fleet(4))
     s.serve(3)
     r = s.ask()
     s.wait(190)
@@ -48,7 +48,7 @@
 
 def test_window_follows_the_service_rate_not_the_latency() -> None:
     # Guards against starving a fleet that has become slow (ic4351a).
-    s = Sidecar(settings(), fleet(4))
+    s = BalancerHarness(settings(), fleet(4))
     s.serve_many(60, 4, 50)
     before = s.b.endpoint_list.near.window.size
     s.serve_many(20, 4, 150)
@@ -83,7 +83,7 @@
 
 def test_client_retry_is_refused_at_once_in_overload_only() -> None:
     # Guards against late retries that displace fresh requests (h1b74b3).
-    idle = Sidecar(settings(), fleet(4))
+    idle = BalancerHarness(settings(), fleet(4))
     assert idle.sends(idle.ask(client_retry=True))
     s = full()
     r = s.ask(client_retry=True)
@@ -95,7 +95,7 @@
 def test_tenant_over_its_share_waits_in_overload() -> None:
     tenants = (interface.Tenant(quota_per_s=10.0), interface.Tenant(quota_per_s=10.0))
     valuable = replace(SAFE, value=5.0)
-    s = Sidecar(settings(valuable, SAFE, tenants=tenants, over_share_worth=0.05), fleet(4))
+    s = BalancerHarness(settings(valuable, SAFE, tenants=tenants, over_share_worth=0.05), fleet(4))
     s.serve(60, took=20.0, gap=30.0)
     while not s.b.admission.held_count:
         s.ask(tenant=0)
@@ -106,13 +106,13 @@
 
 def test_down_endpoint_is_avoided_but_one_with_full_connections_is_not() -> None:
     # Guards against treating an endpoint whose connections are used up as dead.
-    s = Sidecar(settings(), fleet(3))
+    s = BalancerHarness(settings(), fleet(3))
     r = s.ask()
     endpoint = s.b.endpoint_list.endpoints[s.sends(r)[0].endpoint]
     s.end(r, 0, "connect_failed")
     assert endpoint.down_until > s.now
     assert endpoint.name not in {s.sends(s.ask())[0].endpoint for _ in range(9)}
-    single = Sidecar(settings(), fleet(1))
+    single = BalancerHarness(settings(), fleet(1))
     first, second = single.ask(), single.ask()
     single.wait(10)
     single.end(first)
@@ -123,7 +123,7 @@
 
 def test_no_endpoint_is_ejected_if_most_are_down() -> None:
     # Guards against ejecting a whole fleet for a fault on this balancer's side.
-    s = Sidecar(settings(), fleet(4))
+    s = BalancerHarness(settings(), fleet(4))
     for e in list(s.b.endpoint_list.endpoints.values())[:3]:
         e.down_until = s.now + 10000
     used = {s.sends(s.ask())[0].endpoint for _ in range(10)}
@@ -132,7 +132,7 @@
 
 def test_small_fleets_retry_on_used_endpoints() -> None:
     for n in (1, 2):
-        s = Sidecar(settings(), fleet(n))
+        s = BalancerHarness(settings(), fleet(n))
         r = s.ask()
         for k in range(3):
             s.wait(5)
@@ -140,10 +140,10 @@
         assert len(s.sends(r)) == 4
 
 
-def overloaded(latency_share: float, **more: object) -> Sidecar:
+def overloaded(latency_share: float, **more: object) -> BalancerHarness:
     """Return a harness of a group of 300 with little traffic, whose answers take ``latency_share`` of the target."""
     config = settings(replace(SAFE, value=9.0), replace(SAFE, value=1.0), group_size=300, **more)
-    s = Sidecar(config, fleet(30))
+    s = BalancerHarness(config, fleet(30))
     for n in range(60):
         r = s.ask(n % 2)
         s.wait(latency_share * SAFE.aim)
@@ -155,7 +155,7 @@
     return s
 
 
-def close(s: Sidecar, r: str) -> None:
+def close(s: BalancerHarness, r: str) -> None:
     """Close a request, and end its attempts as not sent."""
     s.feed(interface.RequestClosed(r))
     for n in range(len(s.sends(r))):
@@ -184,8 +184,8 @@
 def test_full_home_zone_spills_over_to_the_others() -> None:
     """Guards against requests that wait or are refused while the other zone is idle."""
     prices = interface.Prices(cross_zone=0.2)
-    listed = [interface.Listed(f"e{x}", zone=x % 2) for x in range(8)]
-    s = Sidecar(settings(prices=prices, group_size=2), listed)
+    listed = [interface.ListedEndpoint(f"e{x}", zone=x % 2) for x in range(8)]
+    s = BalancerHarness(settings(prices=prices, group_size=2), listed)
     zone = {x.endpoint: x.zone for x in listed}
     names = [s.ask() for _ in range(30)]
     zones = [zone[s.sends(n)[0].endpoint] for n in names]
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -38,7 +38,7 @@
         took: float = 50.0,
     ) -> None:
         self.world = World(
-            [interface.Listed(n) for n in NAMES], SEED, took=took, backlog=backlog, lines_per_s=lines_per_s
+            [interface.ListedEndpoint(n) for n in NAMES], SEED, took=took, backlog=backlog, lines_per_s=lines_per_s
         )
         self.settings = interface.Settings(
             classes=(READ,),
--- a/tests/test_meaning.py
+++ b/tests/test_meaning.py
@@ -67,7 +67,7 @@
 """
 
 
-def play(settings: interface.Settings, entries: tuple[interface.Listed, ...], seed: int) -> list[object]:
+def play(settings: interface.Settings, entries: tuple[interface.ListedEndpoint, ...], seed: int) -> list[object]:
     """Simulate a service under faults and return the breaches of the rules on repeated execution."""
     log = Simulation(settings, entries, SHARES, seed).run(80, 100.0)
     assert len(log.asked) == 80
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -5,16 +5,16 @@
 import itertools
 
 import pytest
-from helpers import RULES, Sidecar, fleet, settings
+from helpers import RULES, BalancerHarness, fleet, settings
 
 from zinclever import interface
 from zinclever.fleet.returns import MAX_WARM_RATIO, MIN_JUDGED_ANSWERS, MIN_OUTAGE, OUTAGE_FAILURES, ZoneReachability
 from zinclever.policy.endpoints import Endpoint
 
-ZONES = [interface.Listed(f"e{n}", zone=n % 2, started_at=1.0) for n in range(12)]
+ZONES = [interface.ListedEndpoint(f"e{n}", zone=n % 2, started_at=1.0) for n in range(12)]
 
 
-def answer_from(s: Sidecar, zones: set[int], span: float, slow: float = 1.0) -> dict[str, list[float]]:
+def answer_from(s: BalancerHarness, zones: set[int], span: float, slow: float = 1.0) -> dict[str, list[float]]:
     """Serve requests for ``span`` ms where only some zones can be reached and zone 1 is slower by a factor.
 
     Returns the instants of the sends to each endpoint.
@@ -41,9 +41,9 @@
     return sum(len(at) for name, at in sent.items() if int(name[1:]) % 2 == zone)
 
 
-def two_zones() -> Sidecar:
+def two_zones() -> BalancerHarness:
     """Return a harness with two zones and a history of answers."""
-    s = Sidecar(settings(), ZONES, seed=4)
+    s = BalancerHarness(settings(), ZONES, seed=4)
     answer_from(s, {0, 1}, 6000.0)
     return s
 
@@ -108,7 +108,7 @@
 @pytest.mark.parametrize("lost", [0, 1])
 def test_unreachable_zone_gets_a_tenth_of_the_draws_until_it_answers(lost: int) -> None:
     """Guards against each request paying the connect timeout at one unreachable endpoint after another."""
-    s = Sidecar(settings(prices=interface.Prices(cross_zone=0.2)), ZONES, seed=2)
+    s = BalancerHarness(settings(prices=interface.Prices(cross_zone=0.2)), ZONES, seed=2)
     answer_from(s, {0, 1}, 4000.0)
     answer_from(s, {1 - lost}, 1500.0)  # time enough for the outage to be noticed
     sent = answer_from(s, {1 - lost}, 4000.0)
@@ -119,21 +119,21 @@
 
 
 def test_home_zone_is_still_tried_if_all_zones_are_unreachable() -> None:
-    s = Sidecar(settings(prices=interface.Prices(cross_zone=0.2)), ZONES, seed=2)
+    s = BalancerHarness(settings(prices=interface.Prices(cross_zone=0.2)), ZONES, seed=2)
     answer_from(s, {0, 1}, 2000.0)
     answer_from(s, set(), 2000.0)
     assert sends(answer_from(s, set(), 2000.0), 0) > 0
 
 
 def test_single_zone_is_never_presumed_cold() -> None:
-    s = Sidecar(settings(), fleet(6))
+    s = BalancerHarness(settings(), fleet(6))
     answer_from(s, {0, 1}, 2000.0)
     answer_from(s, set(), 3000.0)
     answer_from(s, {0, 1}, 500.0)
     assert not any(s.b.slow_start.is_cold(s.now, e) for e in s.b.endpoint_list.ready)
 
 
-def send_until_met(s: Sidecar, endpoint: str, outcome: interface.Outcome, span: float = 0.0) -> bool:
+def send_until_met(s: BalancerHarness, endpoint: str, outcome: interface.Outcome, span: float = 0.0) -> bool:
     """Serve requests until an attempt goes to an endpoint, and end that one with ``outcome``; all others are served.
 
     Returns whether an attempt went there within ``span`` ms.
@@ -154,7 +154,7 @@
     return False
 
 
-def fail_one(s: Sidecar, failures: int) -> Endpoint:
+def fail_one(s: BalancerHarness, failures: int) -> Endpoint:
     """Let connects to the most used endpoint fail a number of times while the others answer. Returns the endpoint."""
     answer_from(s, {0, 1}, 3000.0)
     lost = s.b.endpoint_list.ready[0]
@@ -185,9 +185,9 @@
     s = two_zones()
     e = fail_one(s, 1)
     assert not s.b.slow_start.is_cold(s.now, e)
-    s.feed(interface.MembershipNews("refused", []))
+    s.feed(interface.MembershipUpdate("refused", []))
     assert s.b.slow_start.is_cold(s.now, e)
-    s.feed(interface.MembershipNews("changes", []))
+    s.feed(interface.MembershipUpdate("changes", []))
     assert send_until_met(s, e.name, "served") and not s.b.slow_start.is_cold(s.now, e)
 
 
@@ -195,7 +195,9 @@
     s = two_zones()
     e = fail_one(s, 2)
     s.feed(
-        interface.MembershipNews("changes", [interface.Listed(e.name, zone=e.zone, started_at=s.now - RULES.cold_for)])
+        interface.MembershipUpdate(
+            "changes", [interface.ListedEndpoint(e.name, zone=e.zone, started_at=s.now - RULES.cold_for)]
+        )
     )
     assert not s.b.slow_start.is_cold(s.now, e)
 
@@ -203,7 +205,7 @@
 def test_endpoint_listed_as_cold_stays_cold_after_failures() -> None:
     s = two_zones()
     e = fail_one(s, 1)
-    s.feed(interface.MembershipNews("changes", [interface.Listed(e.name, zone=e.zone, started_at=s.now)]))
+    s.feed(interface.MembershipUpdate("changes", [interface.ListedEndpoint(e.name, zone=e.zone, started_at=s.now)]))
     assert send_until_met(s, e.name, "connect_failed") and s.b.slow_start.is_cold(s.now, e)
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import KEYED, LIMITS, RULES, SAFE, UNSAFE, Sidecar, fleet, settings
+from helpers import KEYED, LIMITS, RULES, SAFE, UNSAFE, BalancerHarness, fleet, settings
 
 from zinclever import Balancer, Settings, interface
 from zinclever.policy import HEDGE_DELAY_SHARE
@@ -15,7 +15,7 @@
 
 def test_request_without_an_endpoint_is_held_then_refused_once() -> None:
     for klass in (SAFE, UNSAFE, KEYED):
-        s = Sidecar(settings(klass), [])
+        s = BalancerHarness(settings(klass), [])
         r, started_at = s.ask(), s.now
         assert not s.finals(r)
         s.wait(500)
@@ -25,10 +25,10 @@
 
 
 def test_held_request_is_sent_when_an_endpoint_is_listed() -> None:
-    s = Sidecar(settings(), [])
+    s = BalancerHarness(settings(), [])
     r = s.ask()
     s.wait(40)
-    s.feed(interface.MembershipNews("whole", fleet(1)))
+    s.feed(interface.MembershipUpdate("whole", fleet(1)))
     assert len(s.sends(r)) == 1
 
 
@@ -38,7 +38,7 @@
         (UNSAFE, interface.Fail),
         (replace(KEYED, group="zone"), interface.Fail),
     ):
-        s = Sidecar(settings(klass), fleet(1))
+        s = BalancerHarness(settings(klass), fleet(1))
         r = s.ask()
         s.wait(500)
         assert s.end(r, 0, "timeout", complete=False)
@@ -48,12 +48,12 @@
 
 
 def test_closed_request_gets_no_attempt_and_no_answer() -> None:
-    s = Sidecar(settings(), fleet(3))
+    s = BalancerHarness(settings(), fleet(3))
     r = s.ask()
     assert s.feed(interface.RequestClosed(r)) == [interface.Cancel(r, 0)]
     s.wait(400)
     assert len(s.sends(r)) == 1 and not s.finals(r)
-    held = Sidecar(settings(), [])
+    held = BalancerHarness(settings(), [])
     held_request = held.ask()
     held.feed(interface.RequestClosed(held_request))
     held.wait(600)
@@ -62,7 +62,7 @@
 
 def test_request_with_a_short_deadline_is_answered_before_older_ones() -> None:
     # Guards against checking the oldest held request only: a later one may have less time.
-    s = Sidecar(settings(), [])
+    s = BalancerHarness(settings(), [])
     s.ask(deadline=500)
     r, started_at = s.ask(deadline=50), s.now
     s.wait(49)
@@ -74,12 +74,12 @@
 
 def test_at_most_once_is_resent_only_if_it_never_ran() -> None:
     for outcome in ("full", "connect_failed", "not_sent"):
-        s = Sidecar(settings(UNSAFE), fleet(3))
+        s = BalancerHarness(settings(UNSAFE), fleet(3))
         r = s.ask()
         s.end(r, 0, outcome)
         assert len(s.sends(r)) == (1 if outcome == "not_sent" else 2)
     for outcome in ("error", "reset", "timeout", "cancelled"):
-        s = Sidecar(settings(UNSAFE), fleet(3))
+        s = BalancerHarness(settings(UNSAFE), fleet(3))
         r = s.ask()
         s.end(r, 0, outcome)  # type: ignore[arg-type]
         assert len(s.sends(r)) == 1
@@ -87,10 +87,10 @@
 
 
 def test_deduplicated_request_stays_in_its_group() -> None:
-    listed = [interface.Listed(f"e{x}", zone=x % 2, cell=x // 2) for x in range(8)]
+    listed = [interface.ListedEndpoint(f"e{x}", zone=x % 2, cell=x // 2) for x in range(8)]
     for group in ("zone", "cell"):
         for seed in range(8):
-            s = Sidecar(settings(replace(KEYED, group=group)), listed, seed)
+            s = BalancerHarness(settings(replace(KEYED, group=group)), listed, seed)
             r = s.ask()
             s.end(r, 0, "full")
             s.end(r, 1, "error")
@@ -104,7 +104,7 @@
 
 def test_deduplicated_request_is_not_resent_after_its_window() -> None:
     for window, sends in ((30.0, 1), (100.0, 2)):
-        s = Sidecar(settings(replace(KEYED, window=window)), fleet(4))
+        s = BalancerHarness(settings(replace(KEYED, window=window)), fleet(4))
         r = s.ask()
         s.wait(50)
         s.end(r, 0, "error")
@@ -113,7 +113,7 @@
 
 def test_deduplicated_request_held_past_its_window_is_not_resent() -> None:
     # Guards against a window that ends while a retry is held.
-    s = Sidecar(settings(replace(KEYED, group="zone", window=60.0)), fleet(2))
+    s = BalancerHarness(settings(replace(KEYED, group="zone", window=60.0)), fleet(2))
     r = s.ask()
     s.wait(10)
     s.b.endpoint_list.near.window.size = 0.0
@@ -134,10 +134,10 @@
 @pytest.mark.parametrize("outcome", ENDS)
 @pytest.mark.parametrize("repeat", REPEATS)
 def test_retry_or_final_answer_after_each_outcome(repeat: str, outcome: str, group: str, in_window: bool) -> None:
-    listed = [interface.Listed(f"e{x}", zone=x % 2, cell=x // 2) for x in range(8)]
+    listed = [interface.ListedEndpoint(f"e{x}", zone=x % 2, cell=x // 2) for x in range(8)]
     klass = replace(SAFE, repeat=repeat, group=group, window=100.0)  # type: ignore[arg-type]
     for seed in range(4):
-        s = Sidecar(settings(klass), listed, seed)
+        s = BalancerHarness(settings(klass), listed, seed)
         r = s.ask()
         s.wait(20 if in_window else 110)
         s.end(r, 0, outcome)  # type: ignore[arg-type]
@@ -159,7 +159,7 @@
     runs = []
     for base in (-5e6, 0.0, 1e9):
         balancer = Balancer(settings(discovery="on_request"), 3)
-        actions = balancer.handle(base, interface.MembershipNews("remembered", fleet(400)))
+        actions = balancer.handle(base, interface.MembershipUpdate("remembered", fleet(400)))
         for n in range(20):
             now = base + 50.0 * n
             actions += balancer.handle(now, interface.RequestArrived(f"r{n}", 0, now + 500))
@@ -174,7 +174,7 @@
 
 def test_one_final_answer_if_all_endpoints_are_draining_cold_or_down() -> None:
     for more in ({"phase": "draining"}, {"started_at": 1_000_000.0}, {"phase": "gone"}):
-        s = Sidecar(settings(), fleet(3, **more))
+        s = BalancerHarness(settings(), fleet(3, **more))
         names = [s.ask() for _ in range(20)]
         s.wait(600)
         for r in names:
@@ -186,7 +186,7 @@
 
 def test_deduplicated_request_is_refused_only_if_all_endpoints_discard_repeats() -> None:
     for group, kind in (("all", interface.Refuse), ("cell", interface.Fail)):
-        s = Sidecar(settings(replace(KEYED, group=group, window=1.0)), fleet(4))  # type: ignore[arg-type]
+        s = BalancerHarness(settings(replace(KEYED, group=group, window=1.0)), fleet(4))  # type: ignore[arg-type]
         r = s.ask()
         s.wait(50)
         s.end(r, 0, "error")
@@ -194,7 +194,7 @@
 
 
 def test_no_hedge_unless_permitted() -> None:
-    s = Sidecar(settings(limits=replace(LIMITS, second_copies=False)), fleet(4))
+    s = BalancerHarness(settings(limits=replace(LIMITS, second_copies=False)), fleet(4))
     s.serve(60, took=20, gap=30)
     r = s.ask()
     s.wait(100)
@@ -204,7 +204,7 @@
 
 
 def test_started_stream_is_neither_hedged_nor_answered() -> None:
-    s = Sidecar(settings(replace(SAFE, streamed=True)), fleet(4))
+    s = BalancerHarness(settings(replace(SAFE, streamed=True)), fleet(4))
     s.serve(60, took=20, gap=30)
     r = s.ask()
     s.wait(HEDGE_DELAY_SHARE * SAFE.aim + 5)
@@ -223,8 +223,8 @@
 
 def test_no_sends_to_draining_or_removed_endpoints() -> None:
     for phase in ("draining", "gone"):
-        s = Sidecar(settings(), fleet(2))
-        s.feed(interface.MembershipNews("changes", [interface.Listed("e0", phase=phase)]))
+        s = BalancerHarness(settings(), fleet(2))
+        s.feed(interface.MembershipUpdate("changes", [interface.ListedEndpoint("e0", phase=phase)]))
         for _ in range(10):
             s.ask()
             s.wait(20)
@@ -232,19 +232,19 @@
 
 
 def test_endpoint_missing_from_a_full_list_is_removed() -> None:
-    s = Sidecar(settings(), fleet(3))
-    s.feed(interface.MembershipNews("whole", fleet(1)))
+    s = BalancerHarness(settings(), fleet(3))
+    s.feed(interface.MembershipUpdate("whole", fleet(1)))
     for _ in range(5):
         s.ask()
     assert {a.endpoint for a in s.sends()} == {"e0"}
 
 
 def test_refused_discovery_calls_back_off_with_jitter() -> None:
-    s = Sidecar(settings(discovery="on_request"), fleet(2))
+    s = BalancerHarness(settings(discovery="on_request"), fleet(2))
     assert s.of(interface.WatchMembership) == [interface.WatchMembership(True)]
     times = [s.now]
     for _ in range(6):
-        s.feed(interface.MembershipNews("refused"))
+        s.feed(interface.MembershipUpdate("refused"))
         n = len(s.of(interface.WatchMembership))
         while len(s.of(interface.WatchMembership)) == n:
             s.wait(10)
@@ -252,20 +252,20 @@
     gaps = [b - a for a, b in itertools.pairwise(times)]
     assert gaps[0] < 700 and max(gaps) > 1000
     assert max(gaps) < RULES.ask_within
-    s.feed(interface.MembershipNews("changes", []))
+    s.feed(interface.MembershipUpdate("changes", []))
     n = len(s.of(interface.WatchMembership))
     s.wait(60000)
     assert len(s.of(interface.WatchMembership)) == n
 
 
 def test_unanswered_subscription_is_repeated_within_the_rule() -> None:
-    s = Sidecar(settings(discovery="on_request"), fleet(2))
+    s = BalancerHarness(settings(discovery="on_request"), fleet(2))
     s.wait(RULES.ask_within)
     assert len(s.of(interface.WatchMembership)) >= 2
 
 
 def test_pushed_discovery_is_never_called() -> None:
-    s = Sidecar(settings(), fleet(2))
+    s = BalancerHarness(settings(), fleet(2))
     s.wait(30000)
     assert not s.of(interface.WatchMembership) and not s.of(interface.FetchMembership)
 
@@ -274,9 +274,9 @@
 
 
 def test_cold_endpoint_gets_its_slow_start_share() -> None:
-    s = Sidecar(settings(limits=replace(LIMITS, max_attempts=1)), fleet(4))
+    s = BalancerHarness(settings(limits=replace(LIMITS, max_attempts=1)), fleet(4))
     s.serve_many(40, 8, 50)
-    s.feed(interface.MembershipNews("changes", [interface.Listed("e3", started_at=s.now)]))
+    s.feed(interface.MembershipUpdate("changes", [interface.ListedEndpoint("e3", started_at=s.now)]))
     start, shares = s.now, []
     for _ in range(5):
         n = len(s.sends())
@@ -293,9 +293,13 @@
 def test_cold_endpoint_gets_at_most_half_of_what_overloads_it(factor: float) -> None:
     """If that is a lot, it gets at most CAPACITY_FACTOR times its slow-start share of what warm endpoints answer."""
     rules = replace(RULES, overload_factor=factor)
-    s = Sidecar(settings(limits=replace(LIMITS, max_attempts=1), rules=rules), fleet(4))
+    s = BalancerHarness(settings(limits=replace(LIMITS, max_attempts=1), rules=rules), fleet(4))
     s.serve_many(40, 8, 50)
-    s.feed(interface.MembershipNews("changes", [interface.Listed(f"e{n}", started_at=s.now) for n in range(1, 4)]))
+    s.feed(
+        interface.MembershipUpdate(
+            "changes", [interface.ListedEndpoint(f"e{n}", started_at=s.now) for n in range(1, 4)]
+        )
+    )
     n, start = len(s.sends()), s.now
     s.serve_many(40, 8, 50)
     span = s.now - start
@@ -307,9 +311,9 @@
 
 def test_no_burst_on_the_only_endpoint_if_it_is_cold() -> None:
     # Guards against overloading the only endpoint that a restarted balancer knows, hedges included.
-    s = Sidecar(settings(), fleet(4))
+    s = BalancerHarness(settings(), fleet(4))
     s.serve(200, took=10, gap=10)
-    s.feed(interface.MembershipNews("whole", [interface.Listed("e9", started_at=s.now)]))
+    s.feed(interface.MembershipUpdate("whole", [interface.ListedEndpoint("e9", started_at=s.now)]))
     n = len(s.sends())
     for _ in range(100):
         s.ask()
@@ -320,9 +324,9 @@
 
 def test_slow_start_follows_answers_not_attempts_in_overload() -> None:
     # Guards against refused attempts in overload raising what a cold endpoint is sent.
-    s = Sidecar(settings(limits=replace(LIMITS, max_attempts=8)), fleet(6))
+    s = BalancerHarness(settings(limits=replace(LIMITS, max_attempts=8)), fleet(6))
     s.serve(60, took=20.0, gap=30.0)
-    s.feed(interface.MembershipNews("changes", [interface.Listed("e3", started_at=s.now)]))
+    s.feed(interface.MembershipUpdate("changes", [interface.ListedEndpoint("e3", started_at=s.now)]))
     n, start = len(s.sends()), s.now
     while s.now < start + 2000:
         r = s.ask()
@@ -339,9 +343,11 @@
     # Guards against one send each from hundreds of balancers, none of which sees more than its own.
     sent = 0
     for seed in range(150):
-        s = Sidecar(settings(group_size=150), fleet(8), seed)
+        s = BalancerHarness(settings(group_size=150), fleet(8), seed)
         s.serve(40, took=20.0, gap=250.0)
-        s.feed(interface.MembershipNews("changes", [interface.Listed(e, started_at=s.now) for e in ("e0", "e1")]))
+        s.feed(
+            interface.MembershipUpdate("changes", [interface.ListedEndpoint(e, started_at=s.now) for e in ("e0", "e1")])
+        )
         n = len(s.sends())
         s.serve(8, took=20.0, gap=250.0)
         sent += sum(a.endpoint in ("e0", "e1") for a in s.sends()[n:])
@@ -352,10 +358,10 @@
 
 def test_slow_start_of_a_cold_zone_is_measured_by_the_warm_one() -> None:
     # Guards against taking the demand for the capacity of a zone that has just returned from an outage (if08e7a).
-    listed = [interface.Listed(f"e{x}", zone=x % 2) for x in range(12)]
-    s = Sidecar(settings(prices=interface.Prices(cross_zone=0.2)), listed)
+    listed = [interface.ListedEndpoint(f"e{x}", zone=x % 2) for x in range(12)]
+    s = BalancerHarness(settings(prices=interface.Prices(cross_zone=0.2)), listed)
     s.serve(40, took=20.0, gap=250.0)
-    s.feed(interface.MembershipNews("changes", [x._replace(started_at=s.now) for x in listed if x.zone == 1]))
+    s.feed(interface.MembershipUpdate("changes", [x._replace(started_at=s.now) for x in listed if x.zone == 1]))
     n, start = len(s.sends()), s.now
     while s.now < start + 2000:
         r = s.ask()
@@ -368,10 +374,10 @@
 
 
 def test_restart_discards_what_was_learned() -> None:
-    s = Sidecar(settings(), fleet(2))
+    s = BalancerHarness(settings(), fleet(2))
     s.serve_many(10, 2, 40.0)
     assert s.b.endpoint_list.endpoints["e0"].success.weight > 0
-    s.feed(interface.MembershipNews("changes", [interface.Listed("e0", started_at=s.now)]))
+    s.feed(interface.MembershipUpdate("changes", [interface.ListedEndpoint("e0", started_at=s.now)]))
     assert s.b.endpoint_list.endpoints["e0"].success.weight == 0
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from helpers import KEYED, SAFE, Sidecar, fleet, settings
+from helpers import KEYED, SAFE, BalancerHarness, fleet, settings
 
 from zinclever import interface
 from zinclever.policy.endpoints import Endpoint
@@ -32,7 +32,7 @@
         return super().__getitem__(index)
 
 
-def count_accesses(s: Sidecar) -> None:
+def count_accesses(s: BalancerHarness) -> None:
     """Replace the lists of a harness by counting ones."""
     Counted.accessed = 0
     for side in (s.b.endpoint_list.near, s.b.endpoint_list.far):
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("size", [100, 1000, 10_000])
 def test_a_request_accesses_few_endpoints_whatever_the_size_of_the_fleet(size: int) -> None:
-    s = Sidecar(settings(), fleet(size))
+    s = BalancerHarness(settings(), fleet(size))
     s.ask()  # the first draw after a change computes the sums
     count_accesses(s)
     for n in range(50):
@@ -56,9 +56,9 @@
         assert Counted.accessed <= 20 * (n + 1), "the fleet was scanned"
 
 
-def sized(sizes: list[float]) -> list[interface.Listed]:
+def sized(sizes: list[float]) -> list[interface.ListedEndpoint]:
     """Return list entries of these sizes."""
-    return [interface.Listed(f"e{n}", size=size) for n, size in enumerate(sizes)]
+    return [interface.ListedEndpoint(f"e{n}", size=size) for n, size in enumerate(sizes)]
 
 
 def test_sampling_draws_with_the_same_probabilities_as_a_scan() -> None:
@@ -66,7 +66,7 @@
     that are down, used or in another group."""
     rng = Random(7)
     sizes = [rng.choice([0.5, 1.0, 2.0, 8.0]) for _ in range(40)]
-    s = Sidecar(settings(SAFE), sized(sizes))
+    s = BalancerHarness(settings(SAFE), sized(sizes))
     balancer, now = s.b, s.now
     down = [balancer.endpoint_list.endpoints[f"e{n}"] for n in range(0, 40, 4)]
     for endpoint in down:
@@ -95,7 +95,7 @@
 
 
 def test_the_only_endpoint_that_is_up_is_found() -> None:
-    s = Sidecar(settings(), fleet(2000))
+    s = BalancerHarness(settings(), fleet(2000))
     for n, endpoint in enumerate(list(s.b.endpoint_list.endpoints.values())):
         if n != 77:
             endpoint.down_until = s.now + 1e6
@@ -114,7 +114,7 @@
 
 def test_requests_held_for_cold_endpoints_cause_no_scan() -> None:
     """10,000 endpoints have just started: requests are held and tried again without scanning the fleet."""
-    s = Sidecar(settings(group_size=1), fleet(10_000, started_at=1_000_000.0))
+    s = BalancerHarness(settings(group_size=1), fleet(10_000, started_at=1_000_000.0))
     s.b.slow_start.warm_rate = 1e-9
     for endpoint in s.b.endpoint_list.endpoints.values():
         endpoint.tokens = 0.0
@@ -129,7 +129,7 @@
 
 
 def test_cold_endpoint_with_a_token_is_soon_found_among_ten_thousand() -> None:
-    s = Sidecar(settings(group_size=1), fleet(10_000, started_at=1_000_000.0))
+    s = BalancerHarness(settings(group_size=1), fleet(10_000, started_at=1_000_000.0))
     s.b.slow_start.warm_rate = 1e-9
     for n, endpoint in enumerate(s.b.endpoint_list.near.ready):
         endpoint.tokens = 1.0 if n % 50 == 7 else 0.0
@@ -138,9 +138,9 @@
     assert s.sends(r)
 
 
-def cells(n: int, each: int) -> list[interface.Listed]:
+def cells(n: int, each: int) -> list[interface.ListedEndpoint]:
     """Return ``n`` list entries in cells of ``each``."""
-    return [interface.Listed(f"e{x}", cell=x // each) for x in range(n)]
+    return [interface.ListedEndpoint(f"e{x}", cell=x // each) for x in range(n)]
 
 
 CELL_BOUND = replace(KEYED, group="cell")
@@ -149,7 +149,7 @@
 @pytest.mark.parametrize("each", [2, 5, 63, 64, 65, 500, 10_000])
 def test_retry_stays_in_its_cell_of_a_large_fleet(each: int) -> None:
     listed = cells(10_000, each)
-    s = Sidecar(settings(CELL_BOUND), listed)
+    s = BalancerHarness(settings(CELL_BOUND), listed)
     cell_of = {x.endpoint: x.cell for x in listed}
     s.ask()
     count_accesses(s)
@@ -167,20 +167,20 @@
 
 def test_retry_in_a_cell_without_another_endpoint() -> None:
     """The endpoint is alone in its cell, or the rest of the cell has drained: a retry can only go back to it."""
-    s = Sidecar(settings(CELL_BOUND), cells(300, 1))
+    s = BalancerHarness(settings(CELL_BOUND), cells(300, 1))
     r = s.ask(key="k")
     first = s.sends(r)[0].endpoint
     s.end(r, 0, "reset", complete=False)
     assert {a.endpoint for a in s.sends(r)} == {first} or s.finals(r)
-    s = Sidecar(settings(CELL_BOUND), cells(300, 2))
+    s = BalancerHarness(settings(CELL_BOUND), cells(300, 2))
     r = s.ask(key="k")
     first = s.sends(r)[0].endpoint
     s.feed(
-        interface.MembershipNews(
+        interface.MembershipUpdate(
             "changes",
             [
-                interface.Listed(first, "draining", cell=int(first[1:]) // 2),
-                interface.Listed(f"e{int(first[1:]) ^ 1}", "gone", cell=int(first[1:]) // 2),
+                interface.ListedEndpoint(first, "draining", cell=int(first[1:]) // 2),
+                interface.ListedEndpoint(f"e{int(first[1:]) ^ 1}", "gone", cell=int(first[1:]) // 2),
             ],
         )
     )
@@ -191,12 +191,14 @@
 
 def test_two_thousand_endpoints_drain_at_once_with_requests_in_flight() -> None:
     """None of them gets anything new: no hedges, retries or held requests."""
-    s = Sidecar(settings(SAFE, KEYED), fleet(4000))
+    s = BalancerHarness(settings(SAFE, KEYED), fleet(4000))
     requests = [s.ask(n % 2) for n in range(500)]
     requests = [r for r in requests if s.sends(r)]
     assert len(requests) > 300
     drained = {f"e{n}" for n in range(0, 4000, 2)}
-    s.feed(interface.MembershipNews("changes", [interface.Listed(name, "draining") for name in sorted(drained)]))
+    s.feed(
+        interface.MembershipUpdate("changes", [interface.ListedEndpoint(name, "draining") for name in sorted(drained)])
+    )
     before = len(s.all)
     rng = Random(4)
     for r in requests:
@@ -215,7 +217,7 @@
 
 @pytest.mark.parametrize("group", [1, 20_000])
 def test_a_single_balancer_uses_all_endpoints_and_one_of_many_uses_few(group: int) -> None:
-    s = Sidecar(settings(group_size=group), fleet(2000))
+    s = BalancerHarness(settings(group_size=group), fleet(2000))
     s.serve(300)
     used = {a.endpoint for a in s.sends()}
     assert len(used) > 200 if group == 1 else len(used) < 40
@@ -223,7 +225,7 @@
 
 def test_hot_key_is_spread_over_several_owners() -> None:
     """A quarter of the requests to 2,000 endpoints have the same key: several owners take turns."""
-    s, rng = Sidecar(settings(warm_keys=True), fleet(2000)), Random(6)
+    s, rng = BalancerHarness(settings(warm_keys=True), fleet(2000)), Random(6)
     hot: Counter[str] = Counter()
     for n in range(2000):
         is_hot = rng.random() < 0.25
@@ -247,24 +249,24 @@
 
 def test_owners_are_even_by_size_and_a_change_moves_few_keys() -> None:
     sizes = [2.0 if n % 4 == 0 else 1.0 for n in range(200)]
-    s = Sidecar(settings(), sized(sizes))
+    s = BalancerHarness(settings(), sized(sizes))
     side = s.b.endpoint_list.near
     before = owners(side, 40_000)
     counts = Counter(before)
     large, small = ([counts[f"e{n}"] for n in range(200) if (n % 4 == 0) is big] for big in (True, False))
     assert 1.6 < (sum(large) / 50) / (sum(small) / 150) < 2.4
     assert max(small) < 1.6 * sum(small) / 150
-    s.feed(interface.MembershipNews("changes", [interface.Listed("e7", "gone")]))
+    s.feed(interface.MembershipUpdate("changes", [interface.ListedEndpoint("e7", "gone")]))
     after = owners(side, 40_000)
     assert {old for old, new in zip(before, after, strict=True) if old != new} == {"e7"}
-    s.feed(interface.MembershipNews("changes", [interface.Listed("e7", size=sizes[7])]))
+    s.feed(interface.MembershipUpdate("changes", [interface.ListedEndpoint("e7", size=sizes[7])]))
     assert owners(side, 40_000) == before
-    other = Sidecar(settings(), sized(sizes)[::-1], seed=9)  # another balancer, with the list in another order
+    other = BalancerHarness(settings(), sized(sizes)[::-1], seed=9)  # another balancer, with the list in another order
     assert owners(other.b.endpoint_list.near, 40_000) == before
 
 
 def test_owner_of_a_key_is_found_without_a_scan() -> None:
-    s = Sidecar(settings(warm_keys=True), fleet(10_000))
+    s = BalancerHarness(settings(warm_keys=True), fleet(10_000))
     s.ask(key="a")
     count_accesses(s)
     ring = s.b.endpoint_list.near.ring
@@ -277,7 +279,7 @@
 
 
 def test_endpoints_marked_as_down_expire() -> None:
-    s = Sidecar(settings(), fleet(100))
+    s = BalancerHarness(settings(), fleet(100))
     side, now = s.b.endpoint_list.near, s.now
     for n, endpoint in enumerate(side.ready[:80]):
         endpoint.down_until = now + 10.0 * n
@@ -291,7 +293,7 @@
 def test_marks_as_down_do_not_accumulate() -> None:
     """Guards against memory that grows with each failure."""
     side, now = ZonePartition(), 0.0
-    s = Sidecar(settings(), fleet(3))
+    s = BalancerHarness(settings(), fleet(3))
     side.replace_all(now, s.b.endpoint_list.near.ready, 0.0)
     for n in range(10_000):
         now = float(n)
@@ -303,7 +305,7 @@
 
 @pytest.mark.parametrize("size", [0, 1, 2, 3, 5, 33, 2000])
 def test_fleets_of_every_size(size: int) -> None:
-    s = Sidecar(settings(SAFE, KEYED), fleet(size))
+    s = BalancerHarness(settings(SAFE, KEYED), fleet(size))
     for n in range(30):
         s.ask(n % 2)
         s.wait(5.0)
@@ -317,10 +319,10 @@
 def test_only_ready_endpoints_are_used_while_the_list_flaps() -> None:
     """Two versions of the list alternate while requests are in flight."""
     one, two = fleet(2000), [x._replace(phase="draining") if n % 2 else x for n, x in enumerate(fleet(2000))]
-    s = Sidecar(settings(), one)
+    s = BalancerHarness(settings(), one)
     for n in range(60):
         listed = two if n % 2 else one
-        s.feed(interface.MembershipNews("whole", listed))
+        s.feed(interface.MembershipUpdate("whole", listed))
         ready = {x.endpoint for x in listed if x.phase == "ready"}
         for _ in range(5):
             before = len(s.all)
@@ -330,9 +332,9 @@
 
 
 def test_fleet_is_replaced_at_once_with_requests_in_flight() -> None:
-    s = Sidecar(settings(), fleet(10_000))
+    s = BalancerHarness(settings(), fleet(10_000))
     sent = [s.ask() for _ in range(20)]
-    s.feed(interface.MembershipNews("whole", [interface.Listed(f"new{n}") for n in range(10_000)]))
+    s.feed(interface.MembershipUpdate("whole", [interface.ListedEndpoint(f"new{n}") for n in range(10_000)]))
     before = len(s.all)
     for r in sent:
         s.feed(interface.AttemptEnded(r, 0, "", "connect_failed", 1.0, False))
@@ -346,10 +348,10 @@
     """Compares with the rebuild of all indexes, with attempts in flight on removed endpoints."""
     rng = Random(seed)
     config = settings(SAFE, prices=interface.Prices(cross_zone=0.2))
-    s, oracle = Sidecar(config, fleet(60)), Sidecar(config, fleet(60))
+    s, oracle = BalancerHarness(config, fleet(60)), BalancerHarness(config, fleet(60))
     phases: list[interface.Phase] = ["ready", "ready", "draining", "gone"]
     for _ in range(200):
-        x = interface.Listed(
+        x = interface.ListedEndpoint(
             f"e{rng.randrange(80)}",
             rng.choice(phases),
             size=rng.choice([1.0, 2.0]),
@@ -363,8 +365,8 @@
                 balancer.endpoint_list.endpoints[name].inflight = inflight
         s.b.rng.seed(rng.random())
         oracle.b.rng.setstate(s.b.rng.getstate())
-        s.b.on_membership(s.now, interface.MembershipNews("changes", [x]))
-        oracle.b.endpoint_list.rebuild(oracle.now, interface.MembershipNews("changes", [x]))
+        s.b.on_membership(s.now, interface.MembershipUpdate("changes", [x]))
+        oracle.b.endpoint_list.rebuild(oracle.now, interface.MembershipUpdate("changes", [x]))
         for changed, rebuilt in (
             (s.b.endpoint_list.ready, oracle.b.endpoint_list.ready),
             (s.b.endpoint_list.near.ready, oracle.b.endpoint_list.near.ready),
@@ -386,9 +388,13 @@
 
 
 def test_endpoints_replaced_one_by_one() -> None:
-    s = Sidecar(settings(), fleet(2000))
+    s = BalancerHarness(settings(), fleet(2000))
     for n in range(2000):
-        s.feed(interface.MembershipNews("changes", [interface.Listed(f"e{n}", "gone"), interface.Listed(f"new{n}")]))
+        s.feed(
+            interface.MembershipUpdate(
+                "changes", [interface.ListedEndpoint(f"e{n}", "gone"), interface.ListedEndpoint(f"new{n}")]
+            )
+        )
         if n % 50 == 0:
             s.ask()
             s.wait(1.0)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -13,7 +13,7 @@
 from statistics import fmean
 
 import pytest
-from helpers import LIMITS, SAFE, UNSAFE, Sidecar, fleet, settings
+from helpers import LIMITS, SAFE, UNSAFE, BalancerHarness, fleet, settings
 from loopback import always, host, response, run_real, serving, sidecar, silence
 from test_fault_day import CLASSES, SETTINGS, TERMS, Side
 from test_program import config
@@ -26,8 +26,8 @@
     DECREASE_AFTER,
     MAX_WATCH_TIMEOUT,
     Budget,
-    Calls,
-    Connections,
+    ConnectionLimiter,
+    DiscoveryCallPacer,
     TokenBucket,
 )
 from zinclever.standins import audit
@@ -101,7 +101,7 @@
 NO_HEDGES = replace(LIMITS, second_copies=False)
 
 
-def count_retries(s: Sidecar, requests: int) -> int:
+def count_retries(s: BalancerHarness, requests: int) -> int:
     """Let the first attempt of each request fail. Returns the number of retries."""
     retried = 0
     for _ in range(requests):
@@ -121,14 +121,14 @@
 
 
 def test_retries_stay_within_their_ratio() -> None:
-    unlimited = Sidecar(settings(limits=NO_HEDGES), fleet(50))
-    limited = Sidecar(settings(limits=NO_HEDGES, shares=interface.Shares(retry_ratio=0.2)), fleet(50))
+    unlimited = BalancerHarness(settings(limits=NO_HEDGES), fleet(50))
+    limited = BalancerHarness(settings(limits=NO_HEDGES, shares=interface.Shares(retry_ratio=0.2)), fleet(50))
     assert count_retries(unlimited, 200) > 150
     assert 20 <= count_retries(limited, 200) <= 40
 
 
 def test_request_is_answered_at_once_if_the_budget_is_empty() -> None:
-    s = Sidecar(settings(SAFE, UNSAFE, shares=interface.Shares(retry_ratio=0.01)), fleet(50))
+    s = BalancerHarness(settings(SAFE, UNSAFE, shares=interface.Shares(retry_ratio=0.01)), fleet(50))
     idempotent, at_most_once = s.ask(0), s.ask(1)
     s.end(idempotent, 0, "error", complete=False)
     s.end(at_most_once, 0, "error", complete=False)
@@ -141,14 +141,15 @@
     """With 20,000 instances and 2 retries/s for each of 50 endpoints, each instance has one retry in 200 s."""
     shares = interface.Shares(retry_ratio=0.001, floor_per_s=2.0)
     instances = [
-        Sidecar(settings(shares=shares, group_size=GROUP, limits=NO_HEDGES), fleet(50), seed) for seed in range(200)
+        BalancerHarness(settings(shares=shares, group_size=GROUP, limits=NO_HEDGES), fleet(50), seed)
+        for seed in range(200)
     ]
     assert sum(count_retries(s, 1) for s in instances) <= 4
-    single = Sidecar(settings(shares=shares, limits=NO_HEDGES), fleet(50))
+    single = BalancerHarness(settings(shares=shares, limits=NO_HEDGES), fleet(50))
     assert count_retries(single, 200) > 150
 
 
-def count_hedges(s: Sidecar, requests: int) -> int:
+def count_hedges(s: BalancerHarness, requests: int) -> int:
     """Serve requests whose first attempt is slow. Returns the number of hedges."""
     s.serve(150)  # no hedge is sent before the window is known
     hedges = 0
@@ -164,8 +165,8 @@
 
 def test_hedges_stay_within_their_ratio() -> None:
     unlimited, limited = (
-        count_hedges(Sidecar(settings(), fleet(50)), 20),
-        count_hedges(Sidecar(settings(shares=interface.Shares(copy_ratio=0.02)), fleet(50)), 20),
+        count_hedges(BalancerHarness(settings(), fleet(50)), 20),
+        count_hedges(BalancerHarness(settings(shares=interface.Shares(copy_ratio=0.02)), fleet(50)), 20),
     )
     assert limited <= 4 < unlimited
 
@@ -175,9 +176,9 @@
 
 def connections(
     shares: interface.Shares = CAPS, group: int = GROUP, servers: int = SERVERS, width: int = WIDTH, seed: int = 1
-) -> Connections:
+) -> ConnectionLimiter:
     """Return a configured limiter."""
-    limiter = Connections(Random(seed))
+    limiter = ConnectionLimiter(Random(seed))
     limiter.configure(shares, group, servers, width)
     return limiter
 
@@ -187,14 +188,14 @@
     for group, servers in ((20_000, 2000), (500, 2000), (20_000, 50), (10, 4), (1, 1)):
         width = min(servers, max(20, 10 * servers // group))
         limiter = connections(group=group, servers=servers, width=width)
-        sharing = group * width / servers
-        assert sharing * limiter.max_per_server() <= max(400.0, sharing)
+        balancers_per_endpoint = group * width / servers
+        assert balancers_per_endpoint * limiter.max_per_server() <= max(400.0, balancers_per_endpoint)
         limiter.share_factor = limiter.max_share_factor
         busy = min(4, group)
-        assert (sharing - busy) * connections(
+        assert (balancers_per_endpoint - busy) * connections(
             group=group, servers=servers, width=width
         ).max_per_server() + busy * limiter.max_per_server() <= (
-            400.0 if sharing <= 300.0 else sharing + busy * limiter.busy_extra_per_server
+            400.0 if balancers_per_endpoint <= 300.0 else balancers_per_endpoint + busy * limiter.busy_extra_per_server
         )
         assert group * connections(group=group, servers=servers, width=width).max_total <= max(200.0 * servers, group)
 
@@ -204,7 +205,7 @@
     now, factors = 0.0, []
     for _ in range(100):
         now += 1000.0
-        limiter.lacks(now, 10**6)
+        limiter.is_exhausted(now, 10**6)
         factors.append(limiter.share_factor)
     assert factors[3] < 2.0 < factors[10] < factors[-1] == limiter.max_share_factor
     assert limiter.max_per_server() <= 1.5 + 25.0  # to a single server: a busy instance's share of the cap
@@ -229,13 +230,13 @@
 
 def test_refusals_reduce_the_share_at_once_and_it_recovers_slowly() -> None:
     limiter = connections(replace(CAPS, handshakes_per_s=0.0))
-    limiter.refused(0.0)
-    limiter.refused(1.0)  # of the same burst
+    limiter.on_server_refused(0.0)
+    limiter.on_server_refused(1.0)  # of the same burst
     assert limiter.max_total == pytest.approx(0.7 * limiter.equal_share)
     now = 0.0
     for _ in range(60):
         now += BACKOFF_INTERVAL
-        limiter.refused(now)
+        limiter.on_server_refused(now)
     assert limiter.max_total == 1.0 and limiter.may_open(now, 0, 0) and not limiter.may_open(now, 0, 1)
     limiter.may_open(now + 2000.0, 0, 0)
     assert limiter.max_total < 0.5 * limiter.equal_share
@@ -275,7 +276,7 @@
                     held[n] += 1
                     total += 1
                 else:
-                    limiters[n].refused(now)
+                    limiters[n].on_server_refused(now)
         rounds.append(fmean(c.max_total for c in limiters))
     assert rounds[-1] < 0.5 * rounds[0]
 
@@ -356,36 +357,36 @@
 
 def test_starts_are_spread_and_stay_within_the_rule() -> None:
     rng = Random(4)
-    small = [Calls(400.0, 1000, 10_000.0, rng).start() for _ in range(1000)]
+    small = [DiscoveryCallPacer(400.0, 1000, 10_000.0, rng).start() for _ in range(1000)]
     assert max(small) <= 5000.0 and 2300.0 < fmean(small) < 2700.0
-    large = [Calls(400.0, GROUP, 10_000.0, rng).start() for _ in range(1000)]
+    large = [DiscoveryCallPacer(400.0, GROUP, 10_000.0, rng).start() for _ in range(1000)]
     assert 7500.0 < max(large) <= 8000.0  # the list must be fetched every 10 s
 
 
 def test_refused_calls_back_off_with_jitter_within_the_rule() -> None:
-    calls = Calls(400.0, GROUP, 10_000.0, Random(4))
+    calls = DiscoveryCallPacer(400.0, GROUP, 10_000.0, Random(4))
     for refusals in (1, 5, 60):
-        pauses = [calls.again(refusals) for _ in range(500)]
+        pauses = [calls.retry_delay(refusals) for _ in range(500)]
         assert 17_500.0 <= min(pauses) < 18_000.0 and 34_000.0 < max(pauses) <= 35_000.0
-    few = Calls(400.0, 10, 10_000.0, Random(4))
-    assert [max(few.again(n) for _ in range(200)) // 100 for n in (1, 2, 9)] == [5, 11, 33]
+    few = DiscoveryCallPacer(400.0, 10, 10_000.0, Random(4))
+    assert [max(few.retry_delay(n) for _ in range(200)) // 100 for n in (1, 2, 9)] == [5, 11, 33]
 
 
 def test_watch_timeout_follows_the_cap_on_calls() -> None:
     rng = Random(4)
-    assert 2700.0 < Calls(400.0, 10, 10_000.0, rng).watch_for(3000.0) < 3300.0
-    assert 90_000.0 <= Calls(400.0, GROUP, 10_000.0, rng).watch_for(20_000.0) <= 110_000.0
-    assert Calls(1.0, GROUP, 10_000.0, rng).watch_for(20_000.0) <= 1.1 * MAX_WATCH_TIMEOUT
+    assert 2700.0 < DiscoveryCallPacer(400.0, 10, 10_000.0, rng).watch_timeout(3000.0) < 3300.0
+    assert 90_000.0 <= DiscoveryCallPacer(400.0, GROUP, 10_000.0, rng).watch_timeout(20_000.0) <= 110_000.0
+    assert DiscoveryCallPacer(1.0, GROUP, 10_000.0, rng).watch_timeout(20_000.0) <= 1.1 * MAX_WATCH_TIMEOUT
 
 
 def test_first_discovery_call_is_spread_with_a_list_and_immediate_without() -> None:
     shares = interface.Shares(list_calls_per_s=400.0)
     config = settings(shares=shares, group_size=GROUP, discovery="on_request")
-    empty = Sidecar(config)
+    empty = BalancerHarness(config)
     assert empty.of(interface.WatchMembership)
     called_at = []
     for seed in range(50):
-        s = Sidecar(config, fleet(5), seed)
+        s = BalancerHarness(config, fleet(5), seed)
         assert not s.of(interface.WatchMembership)
         s.wait(8000.0)
         called_at.append(next(at for at, a in s.all if isinstance(a, interface.WatchMembership)) - 1_000_000.0)
@@ -398,10 +399,10 @@
 def test_change_of_the_subset_is_no_answer_of_discovery() -> None:
     """Discovery has refused, then the subset changes because an endpoint is unreachable: the balancer gets the change
     and goes on calling discovery."""
-    updates: list[interface.MembershipNews] = []
+    updates: list[interface.MembershipUpdate] = []
 
     def react(event: interface.Event) -> list[interface.Action]:
-        if isinstance(event, interface.MembershipNews):
+        if isinstance(event, interface.MembershipUpdate):
             updates.append(event)
         if isinstance(event, interface.RequestArrived):
             return [interface.Send(event.request, updates[-1].entries[0].endpoint, 0.0)]
@@ -415,8 +416,8 @@
             shares=interface.Shares(subset=6),
             group_size=400,
         ) as s:
-            real = Sidecar(settings(discovery="on_request", shares=interface.Shares(subset=6), group_size=400))
-            real.feed(interface.MembershipNews("refused"))
+            real = BalancerHarness(settings(discovery="on_request", shares=interface.Shares(subset=6), group_size=400))
+            real.feed(interface.MembershipUpdate("refused"))
             assert (await (await s.client()).ask()).status == 503
             assert len(updates) == 2 and len(updates[1].entries) == 7 and updates[1].of == 60
             real.feed(updates[1])
@@ -477,7 +478,7 @@
     limiter = connections(replace(CAPS, handshakes_per_s=0.0))
     for n in range(20):
         limiter.may_open(100.0 * n, 0, 0)
-        limiter.not_connected(100.0 * n, -math.inf)
+        limiter.on_connect_failed(100.0 * n, -math.inf)
     assert limiter.max_total < 0.5 * limiter.equal_share
 
 
@@ -486,9 +487,9 @@
     for n in range(50):
         for _ in range(5):
             assert limiter.may_open(1000.0 * n, 0, 0)
-        limiter.not_connected(1000.0 * n, 1000.0 * n - ALIVE_WINDOW - 1.0 if n % 2 else -math.inf)
+        limiter.on_connect_failed(1000.0 * n, 1000.0 * n - ALIVE_WINDOW - 1.0 if n % 2 else -math.inf)
     assert limiter.max_total == limiter.equal_share
-    limiter.not_connected(60_000.0, 60_000.0 - ALIVE_WINDOW)
+    limiter.on_connect_failed(60_000.0, 60_000.0 - ALIVE_WINDOW)
     assert limiter.max_total == pytest.approx(0.7 * limiter.equal_share)
 
 
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -13,21 +13,21 @@
 
 from zinclever import interface
 from zinclever.fleet.layout import MAX_LOAD_FACTOR, MIN_LOAD_FACTOR, MIN_TABLE_SIZE, Layout, table_size
-from zinclever.fleet.subset import INFLIGHT_PER_SERVER, MIN_FAR_SERVERS, NARROW_AFTER, REPLACED_FOR, Shape, Subset
+from zinclever.fleet.subset import INFLIGHT_PER_SERVER, MIN_FAR_SERVERS, NARROW_AFTER, REPLACED_FOR, Subset, SubsetSpec
 
 GROUP = 2000
 
 
-def servers(n: int) -> list[interface.Listed]:
+def servers(n: int) -> list[interface.ListedEndpoint]:
     """Return ``n`` list entries."""
-    return [interface.Listed(f"10.0.{x >> 8}.{x & 255}:80") for x in range(n)]
+    return [interface.ListedEndpoint(f"10.0.{x >> 8}.{x & 255}:80") for x in range(n)]
 
 
 def check_layout(layout: Layout) -> None:
     """Check that each server has the slot it reports, and that no server and slot prefer each other (stability)."""
     slots_by_name = layout.slots_by_name()
     assert sorted(slots_by_name.values()) == [n for n, placement in enumerate(layout.table) if placement is not None]
-    for name, placement in layout.seats.items():
+    for name, placement in layout.placements.items():
         assert layout.table[slots_by_name[name]] is placement
         for number in range(placement.accepted):
             slot = placement.proposal(number, layout.size)
@@ -45,18 +45,18 @@
     layout = Layout()
     for is_added, name in steps:
         if is_added:
-            layout.put(interface.Listed(name))
+            layout.put(interface.ListedEndpoint(name))
         else:
             layout.drop(name)
         check_layout(layout)
         if layout.size > MIN_TABLE_SIZE:
             assert MIN_LOAD_FACTOR <= len(layout) / layout.size <= MAX_LOAD_FACTOR
-    names = list(layout.seats)
+    names = list(layout.placements)
     Random(3).shuffle(names)
-    rebuilt = Layout(map(interface.Listed, names))
+    rebuilt = Layout(map(interface.ListedEndpoint, names))
     if rebuilt.size == layout.size:
         assert rebuilt.slots_by_name() == layout.slots_by_name()
-    assert sum(map(len, layout.rejected.values())) == sum(s.accepted for s in layout.seats.values())
+    assert sum(map(len, layout.rejected.values())) == sum(s.accepted for s in layout.placements.values())
 
 
 def test_layout_is_stable_while_the_list_flaps_around_a_size_step() -> None:
@@ -72,7 +72,7 @@
 
 def subsets(layout: Layout, min_servers: int, group: int = GROUP) -> list[set[str]]:
     """Return the subsets of all instances of a group."""
-    return [set(Subset(Shape(min_servers, me, group), layout).select_members()) for me in range(group)]
+    return [set(Subset(SubsetSpec(min_servers, me, group), layout).select_members()) for me in range(group)]
 
 
 def variation(counts: Counter[str], names: list[str]) -> float:
@@ -83,7 +83,7 @@
 
 def test_all_instances_together_use_each_server_about_equally() -> None:
     layout = Layout(servers(200))
-    names = list(layout.seats)
+    names = list(layout.placements)
     chosen = subsets(layout, 12)
     assert {len(s) for s in chosen} == {12}
     counts = Counter(n for s in chosen for n in s)
@@ -97,7 +97,7 @@
     """Changes the subsets that contain it and a few more; instances that shared it get different replacements."""
     layout = Layout(servers(200))
     before = subsets(layout, 12)
-    removed = next(iter(layout.seats))
+    removed = next(iter(layout.placements))
     affected = [me for me, s in enumerate(before) if removed in s]
     layout.drop(removed)
     after = subsets(layout, 12)
@@ -116,8 +116,8 @@
 
 def subset_of(min_servers: int = 12, group: int = GROUP, n: int = 200, **more: object) -> Subset:
     """Return the subset of one instance, with its list applied."""
-    subset = Subset(Shape(min_servers, 7, group, **more))  # type: ignore[arg-type]
-    subset.whole(servers(n))
+    subset = Subset(SubsetSpec(min_servers, 7, group, **more))  # type: ignore[arg-type]
+    subset.replace_list(servers(n))
     subset.changes(0.0)
     return subset
 
@@ -127,7 +127,7 @@
     subset = subset_of(n=n)
     width = max(12, -(-10 * n // GROUP))
     assert len(subset.members) == (n if 2 * width >= n else width)
-    subset.whole([])
+    subset.replace_list([])
     assert all(x.phase == "gone" for x in subset.changes(1.0)) and not subset.members
 
 
@@ -144,9 +144,9 @@
 
 
 def test_subset_does_not_depend_on_the_order_of_changes() -> None:
-    one, other = subset_of(), Subset(Shape(12, 7, GROUP))
+    one, other = subset_of(), Subset(SubsetSpec(12, 7, GROUP))
     for x in reversed(servers(200)):
-        other.change([x])
+        other.apply_changes([x])
     other.changes(0.0)
     assert one.home.size == other.home.size
     assert one.members.keys() == other.members.keys()
@@ -197,10 +197,10 @@
     subset = subset_of()
     before = set(subset.members)
     member = next(iter(subset.members.values()))
-    subset.change([member._replace(phase="draining")])
+    subset.apply_changes([member._replace(phase="draining")])
     changes = subset.changes(1.0)
     assert (member._replace(phase="gone") in changes) and member.endpoint not in subset.members
-    subset.change([member._replace(started_at=5.0)])
+    subset.apply_changes([member._replace(started_at=5.0)])
     subset.changes(2.0)
     assert set(subset.members) == before and subset.members[member.endpoint].started_at == 5.0
 
@@ -209,46 +209,46 @@
     subset = subset_of()
     member = next(iter(subset.members.values()))
     other = next(x for x in servers(200) if x.endpoint not in subset.members)
-    subset.change([member._replace(size=2.0), other._replace(size=2.0)])
+    subset.apply_changes([member._replace(size=2.0), other._replace(size=2.0)])
     assert subset.changes(1.0) == [member._replace(size=2.0)]
 
 
 def test_subset_prefers_the_home_zone_with_a_few_servers_of_others() -> None:
-    subset = Subset(Shape(12, 7, GROUP, 1))
+    subset = Subset(SubsetSpec(12, 7, GROUP, 1))
     listed = [x._replace(zone=n % 3) for n, x in enumerate(servers(300))]
-    subset.whole(listed)
+    subset.replace_list(listed)
     subset.changes(0.0)
     zones = Counter(x.zone == 1 for x in subset.members.values())
     assert zones == {True: 12, False: MIN_FAR_SERVERS}
-    subset.change([x._replace(phase="gone") for x in listed if x.zone == 1])
+    subset.apply_changes([x._replace(phase="gone") for x in listed if x.zone == 1])
     subset.load(0.0, 100)
     subset.changes(1.0)
     assert len(subset.members) == 50 and all(x.zone != 1 for x in subset.members.values())
 
 
 def test_each_cell_of_the_subset_has_two_servers() -> None:
-    subset = Subset(Shape(12, 7, GROUP, has_cell_classes=True))
+    subset = Subset(SubsetSpec(12, 7, GROUP, has_cell_classes=True))
     listed = [x._replace(cell=n // 3) for n, x in enumerate(servers(300))]
-    subset.whole(listed)
+    subset.replace_list(listed)
     subset.changes(0.0)
     cells = Counter(x.cell for x in subset.members.values())
     assert len(cells) >= 10 and min(cells.values()) >= 2 and len(subset.members) <= 36
     moved = next(iter(subset.members.values()))
-    subset.change([moved._replace(cell=999)])  # a cell of its own: there is no other server in it
+    subset.apply_changes([moved._replace(cell=999)])  # a cell of its own: there is no other server in it
     subset.changes(1.0)
     assert subset.cells[999].keys() == {moved.endpoint}
 
 
 def test_large_fleet_is_replaced_one_by_one_and_all_at_once() -> None:
-    subset = Subset(Shape(12, 7, 20_000))
+    subset = Subset(SubsetSpec(12, 7, 20_000))
     old = servers(10_000)
-    subset.whole(old)
+    subset.replace_list(old)
     subset.changes(0.0)
     for x in old[:500]:
-        subset.change([x._replace(phase="gone"), x._replace(endpoint="new." + x.endpoint)])
+        subset.apply_changes([x._replace(phase="gone"), x._replace(endpoint="new." + x.endpoint)])
         subset.changes(1.0)
     check_layout(subset.home)
     assert len(subset.home) == 10_000 and len(subset.members) == 12
-    subset.whole([x._replace(endpoint="next." + x.endpoint) for x in old])
+    subset.replace_list([x._replace(endpoint="next." + x.endpoint) for x in old])
     changes = subset.changes(2.0)
     assert len(changes) == 24 and all(n.startswith("next.") for n in subset.members)
--- a/zinclever/drill.py
+++ b/zinclever/drill.py
@@ -46,9 +46,9 @@
     return "bad event " + orjson.dumps(message)[:MAX_SHOWN].decode(errors="replace")
 
 
-def _entry(fields: list[Any]) -> interface.Listed:
+def _entry(fields: list[Any]) -> interface.ListedEndpoint:
     started_at, endpoint, zone, size, cell, _kind, phase = fields[:7]
-    return interface.Listed(endpoint, PHASES[phase], size or 1.0, zone or 0, cell or 0, started_at or 0.0)
+    return interface.ListedEndpoint(endpoint, PHASES[phase], size or 1.0, zone or 0, cell or 0, started_at or 0.0)
 
 
 def _arrival(message: list[Any]) -> interface.Event:
@@ -97,7 +97,7 @@
         base64.b64encode(action.payload).decode(),
     ],
     interface.CloseIdle: lambda number, action: ["release", number, action.endpoint],
-    interface.Note: lambda number, action: ["say-log", number, action.text],
+    interface.LogMessage: lambda number, action: ["say-log", number, action.text],
 }
 
 
@@ -107,7 +107,7 @@
     def __init__(self) -> None:
         self.now = 0.0
         self.balancers: dict[int, Balancer] = {}
-        self.lists: dict[int, tuple[interface.Listed, ...]] = {}
+        self.lists: dict[int, tuple[interface.ListedEndpoint, ...]] = {}
 
     def process_message(self, message: list[Any], replies: list[bytes]) -> None:
         """Process one message of a batch and append the resulting actions to ``replies``, one line each.
@@ -134,7 +134,7 @@
                 raise WireError(f"{_describe(message)}: no instance {number}")
             if name == "view":
                 scope = SCOPES[message[2]]
-                event: interface.Event = interface.MembershipNews(
+                event: interface.Event = interface.MembershipUpdate(
                     scope, () if scope == "refused" else self.lists[message[4]]
                 )
             else:
--- a/zinclever/fleet/layout.py
+++ b/zinclever/fleet/layout.py
@@ -48,7 +48,7 @@
 
     __slots__ = ("accepted", "hash", "listed")
 
-    def __init__(self, listed: interface.Listed) -> None:
+    def __init__(self, listed: interface.ListedEndpoint) -> None:
         self.listed, self.hash = listed, hash_of(listed.endpoint)
         self.accepted = 0
 
@@ -72,21 +72,21 @@
     number of servers, so that instances with different histories may differ for a while.
     """
 
-    def __init__(self, listed: Iterable[interface.Listed] = ()) -> None:
-        self.seats: dict[str, Placement] = {x.endpoint: Placement(x) for x in listed}
+    def __init__(self, listed: Iterable[interface.ListedEndpoint] = ()) -> None:
+        self.placements: dict[str, Placement] = {x.endpoint: Placement(x) for x in listed}
         self.rebuild()
 
     def rebuild(self) -> None:
         """Place all servers anew in a table of the matching size."""
-        self.size = table_size(len(self.seats))
+        self.size = table_size(len(self.placements))
         self.table: list[Placement | None] = [None] * self.size
         self.rejected: dict[int, list[tuple[int, Placement]]] = {}
         """By slot: the proposals that it did not keep, with their servers."""
-        for placement in self.seats.values():
+        for placement in self.placements.values():
             self.assign(placement, 0)
 
     def __len__(self) -> int:
-        return len(self.seats)
+        return len(self.placements)
 
     def assign(self, placement: Placement, number: int) -> None:
         """Make the proposals of a server from ``number`` on until every server that this displaces has a slot."""
@@ -101,24 +101,24 @@
             self.rejected.setdefault(slot, []).append((number, placement))
             number += 1
 
-    def put(self, listed: interface.Listed) -> None:
+    def put(self, listed: interface.ListedEndpoint) -> None:
         """Add a server, or update its entry."""
-        known = self.seats.get(listed.endpoint)
+        known = self.placements.get(listed.endpoint)
         if known is not None:
             known.listed = listed
             return
-        placement = self.seats[listed.endpoint] = Placement(listed)
-        if len(self.seats) > MAX_LOAD_FACTOR * self.size:
+        placement = self.placements[listed.endpoint] = Placement(listed)
+        if len(self.placements) > MAX_LOAD_FACTOR * self.size:
             self.rebuild()
         else:
             self.assign(placement, 0)
 
     def drop(self, name: str) -> None:
         """Remove a server. Its slot goes to the best rejected proposal, and so on for the slot that this vacates."""
-        placement = self.seats.pop(name, None)
+        placement = self.placements.pop(name, None)
         if placement is None:
             return
-        if self.size > MIN_TABLE_SIZE and len(self.seats) < MIN_LOAD_FACTOR * self.size:
+        if self.size > MIN_TABLE_SIZE and len(self.placements) < MIN_LOAD_FACTOR * self.size:
             self.rebuild()
             return
         slot = placement.slot(self.size)
@@ -148,4 +148,4 @@
 
     def slots_by_name(self) -> Mapping[str, int]:
         """Return the slot of each server."""
-        return {name: placement.slot(self.size) for name, placement in self.seats.items()}
+        return {name: placement.slot(self.size) for name, placement in self.placements.items()}
--- a/zinclever/fleet/limits.py
+++ b/zinclever/fleet/limits.py
@@ -125,7 +125,7 @@
         return self.failed > MAX_DEAD_SHARE * (self.attempted + DEAD_PRIOR)
 
 
-class Connections:
+class ConnectionLimiter:
     """Limits the connections that one instance holds and opens.
 
     An instance starts with its equal share of both caps. One that runs out of connections or handshakes increases its
@@ -203,7 +203,7 @@
 
     def may_open(self, now: float, to_server: int, total: int) -> bool:
         """Return whether a connection may be opened to a server that has ``to_server``, and take its handshake."""
-        if self.connection_cap and (self.lacks(now, total) or to_server >= self.max_per_server()):
+        if self.connection_cap and (self.is_exhausted(now, total) or to_server >= self.max_per_server()):
             return False
         if not self.shares.handshakes_per_s or self.handshake_tokens.take(now):
             if self.connection_cap or self.shares.handshakes_per_s:
@@ -213,7 +213,7 @@
         self.on_exhausted(now)
         return False
 
-    def lacks(self, now: float, total: int) -> bool:
+    def is_exhausted(self, now: float, total: int) -> bool:
         """Return whether all permitted connections are open, so that an idle one has to be closed first."""
         if not self.connection_cap:
             return False
@@ -248,7 +248,7 @@
             self.share_factor = min(self.max_share_factor, (1.0 + INCREASE_STEP) * self.share_factor)
             self.update_handshake_rate()
 
-    def not_connected(self, now: float, answered_at: float) -> None:
+    def on_connect_failed(self, now: float, answered_at: float) -> None:
         """Count a failed connect to a server that last answered at ``answered_at``.
 
         A server that has answered recently is full. Otherwise it may have died, which says nothing about the totals
@@ -257,9 +257,9 @@
         self.connects.decay(now)
         self.connects.failed += 1.0
         if now - answered_at <= ALIVE_WINDOW or self.connects.is_failing_widely():
-            self.refused(now)
+            self.on_server_refused(now)
 
-    def refused(self, now: float) -> None:
+    def on_server_refused(self, now: float) -> None:
         """Reduce the share, as a server had no capacity: the totals are higher than this instance assumes."""
         if now - self.refused_at >= BACKOFF_INTERVAL:
             self.refused_at = self.adjusted_at = now
@@ -267,7 +267,7 @@
             self.update_handshake_rate()
 
 
-class Calls:
+class DiscoveryCallPacer:
     """Schedules one instance's calls of discovery: spread at the start, spaced afterwards, with jittered backoff.
 
     The protocol's rules take precedence over the cap: without a subscription the list must be fetched every
@@ -285,16 +285,16 @@
         """Return the ms until the first call of an instance that starts with a remembered list; a watch follows it."""
         return self.rng.random() * min(2.0 * self.span, MAX_SPREAD_SHARE * self.ask_within)
 
-    def again(self, refusals: int) -> float:
+    def retry_delay(self, refusals: int) -> float:
         """Return the ms until the next call after consecutive refusals: a bound that doubles, half of it jitter."""
         upper = min(max(MAX_RETRY_SHARE * self.ask_within, 2.0 * self.span), MAX_FAILED_FACTOR * self.ask_within)
         bound = min(max(MIN_RETRY_DELAY, self.span) * 2.0 ** min(refusals, 16), upper)
         return bound * (0.5 + 0.5 * self.rng.random())
 
-    def watch_for(self, minimum: float) -> float:
+    def watch_timeout(self, minimum: float) -> float:
         """Return the ms that a watch may wait for changes, so that all watches together use at most half of the cap."""
         return max(minimum, min(2.0 * self.span, MAX_WATCH_TIMEOUT)) * (0.9 + 0.2 * self.rng.random())
 
-    def gap(self) -> float:
+    def watch_pause(self) -> float:
         """Return the ms between two watches, which spreads the calls of instances that receive the same change."""
         return self.rng.random() * min(self.span, MAX_SPREAD_SHARE * self.ask_within)
--- a/zinclever/fleet/subset.py
+++ b/zinclever/fleet/subset.py
@@ -17,7 +17,7 @@
 from .layout import GOLDEN, MASK, Layout, Placement, mix
 from .limits import EQUAL_SHARE
 
-EACH_SHARED = 10.0  # instances that share each server at least, so that their uneven loads average out
+MIN_INSTANCES_PER_SERVER = 10.0  # instances that share each server at least, so that their uneven loads average out
 INFLIGHT_PER_SERVER = 2.0  # requests in flight for each server above which the subset grows with the load
 WIDEN_FACTOR = 1.25  # least factor by which it grows
 NARROW_AFTER = 30_000.0  # ms of lower load before the subset shrinks
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
+class SubsetSpec:
     """The requirements on a subset."""
 
     min_servers: int
@@ -83,13 +83,13 @@
     Pass it the list, the load and unreachable servers; :meth:`changes` returns the updates for the balancer.
     """
 
-    def __init__(self, spec: Shape, home: Layout | None = None, away: Layout | None = None) -> None:
+    def __init__(self, spec: SubsetSpec, home: Layout | None = None, away: Layout | None = None) -> None:
         """Layouts may be shared by instances in one process that have the same list."""
         self.spec = spec
         self.home = home if home is not None else Layout()
         self.away = away if away is not None else Layout()
         self.cells: dict[int, dict[str, Placement]] = {}
-        self.members: dict[str, interface.Listed] = {}
+        self.members: dict[str, interface.ListedEndpoint] = {}
         self.unreachable: dict[str, float] = {}
         """Servers that couldn't be reached, with the instant until which they are replaced."""
         self.replacement_ends: list[tuple[float, str]] = []
@@ -103,15 +103,15 @@
         """Return the layout of a zone's servers."""
         return self.home if self.spec.zone is None or zone == self.spec.zone else self.away
 
-    def whole(self, listed: Sequence[interface.Listed]) -> None:
+    def replace_list(self, listed: Sequence[interface.ListedEndpoint]) -> None:
         """Replace the full list; servers that are not in it are removed."""
         names = {x.endpoint for x in listed}
         for layout in (self.home, self.away):
-            for name in [n for n in layout.seats if n not in names]:
+            for name in [n for n in layout.placements if n not in names]:
                 self.remove(name)
-        self.change(listed)
+        self.apply_changes(listed)
 
-    def change(self, listed: Sequence[interface.Listed]) -> None:
+    def apply_changes(self, listed: Sequence[interface.ListedEndpoint]) -> None:
         """Apply changed entries of the list."""
         for x in listed:
             known = self.find(x.endpoint)
@@ -124,11 +124,11 @@
                 layout = self.layout(x.zone)
                 layout.put(x)
                 if self.spec.has_cell_classes:
-                    self.cells.setdefault(x.cell, {})[x.endpoint] = layout.seats[x.endpoint]
+                    self.cells.setdefault(x.cell, {})[x.endpoint] = layout.placements[x.endpoint]
 
     def find(self, name: str) -> Placement | None:
         """Return the placement of a server, or None."""
-        return self.home.seats.get(name) or self.away.seats.get(name)
+        return self.home.placements.get(name) or self.away.placements.get(name)
 
     def remove(self, name: str) -> None:
         """Remove a server."""
@@ -178,12 +178,12 @@
         connections permit.
         """
         spec, servers = self.spec, len(layout)
-        width = max(spec.min_servers, math.ceil(EACH_SHARED * servers / spec.group_size))
+        width = max(spec.min_servers, math.ceil(MIN_INSTANCES_PER_SERVER * servers / spec.group_size))
         if spec.connections:
             width = min(width, max(MIN_SERVERS, int(EQUAL_SHARE * spec.connections * servers / spec.group_size)))
         return width
 
-    def changes(self, now: float) -> list[interface.Listed]:
+    def changes(self, now: float) -> list[interface.ListedEndpoint]:
         """Update the subset and return the changes for the balancer: new or changed servers, and removed ones as
         ``gone``.
 
@@ -200,7 +200,7 @@
         self.members = selected
         return news
 
-    def select_members(self) -> dict[str, interface.Listed]:
+    def select_members(self) -> dict[str, interface.ListedEndpoint]:
         """Return the servers of the subset by name."""
         near = self.walk(self.home, max(self.base_width(self.home), math.ceil(self.load_width)))
         away = self.walk(self.away, MIN_FAR_SERVERS if near else max(MIN_FAR_SERVERS, math.ceil(self.load_width)))
@@ -216,7 +216,7 @@
         If most servers would be visited all are taken, as the last ones of a walk take long to find.
         """
         if 2 * width >= len(layout) or (2 * len(self.unreachable) >= len(layout)):
-            return dict(layout.seats)
+            return dict(layout.placements)
         selected: dict[str, Placement] = {}
         reachable = 0
         slots = visited_slots(self.spec.instance % self.spec.group_size, self.spec.group_size, layout.size)
--- a/zinclever/fleet/window.py
+++ b/zinclever/fleet/window.py
@@ -31,12 +31,14 @@
         self.peak_rate = self.probing_extra = self.updated_at = self.size = 0.0
         self.first_answer_at = NEVER  # instant of the first answer
 
-    def start(self, endpoints: int, sharing: float) -> None:
+    def start(self, endpoints: int, balancers_per_endpoint: float) -> None:
         """Set the initial size from the number of endpoints, until there is an answer."""
         if self.first_answer_at == NEVER:
-            self.size = START_INFLIGHT * endpoints / sharing
+            self.size = START_INFLIGHT * endpoints / balancers_per_endpoint
 
-    def update(self, now: float, requests_waiting: bool, endpoints: int, sharing: float, min_size: float) -> None:
+    def update(
+        self, now: float, requests_waiting: bool, endpoints: int, balancers_per_endpoint: float, min_size: float
+    ) -> None:
         """Update the size after an answer.
 
         Args:
@@ -57,7 +59,7 @@
             self.probing_extra = min(self.probing_extra + GROWTH, 0.5 * needed)
         self.updated_at = now
         # The headroom is meant for all balancers together; each takes its part, as if loads were even.
-        self.size = needed + self.probing_extra + DEVIATIONS * math.sqrt(needed / sharing) + min_size
+        self.size = needed + self.probing_extra + DEVIATIONS * math.sqrt(needed / balancers_per_endpoint) + min_size
         if age < START_PERIOD:
             # A short record is unreliable, but without a limit an overloaded fleet would be full within a second.
-            self.size = max(self.size, START_INFLIGHT * endpoints / sharing)
+            self.size = max(self.size, START_INFLIGHT * endpoints / balancers_per_endpoint)
--- a/zinclever/interface.py
+++ b/zinclever/interface.py
@@ -208,7 +208,7 @@
 # --- events -----------------------------------------------------------------------------------------------
 
 
-class Listed(NamedTuple):
+class ListedEndpoint(NamedTuple):
     """An endpoint as discovery lists it."""
 
     endpoint: str
@@ -222,7 +222,7 @@
     """Instant of its latest start; 0: long ago."""
 
 
-class MembershipNews(NamedTuple):
+class MembershipUpdate(NamedTuple):
     """An update of the endpoint list.
 
     ``kind`` is ``whole`` (the full list), ``changes`` (changed entries only), ``remembered`` (the list that a previous
@@ -230,7 +230,7 @@
     """
 
     kind: ListKind
-    entries: Sequence[Listed] = ()
+    entries: Sequence[ListedEndpoint] = ()
     of: int = 0
     """Total number of endpoints if the balancer is given only a subset; 0: it is given all of them."""
 
@@ -311,7 +311,7 @@
 
 
 Event = (
-    MembershipNews
+    MembershipUpdate
     | RequestArrived
     | UploadEnded
     | RequestClosed
@@ -369,7 +369,7 @@
 class WatchMembership(NamedTuple):
     """Subscribe to changes of the endpoint list, or end the subscription."""
 
-    on: bool
+    subscribe: bool
 
 
 class Probe(NamedTuple):
@@ -391,7 +391,7 @@
     endpoint: str
 
 
-class Note(NamedTuple):
+class LogMessage(NamedTuple):
     """Write a line to the operators' log."""
 
     text: str
@@ -408,5 +408,5 @@
     | Probe
     | SendToPeers
     | CloseIdle
-    | Note
+    | LogMessage
 )
--- a/zinclever/policy/admission.py
+++ b/zinclever/policy/admission.py
@@ -42,17 +42,17 @@
         self.hold_deadlines: list[tuple[float, int, Request]] = []  # heap by the instant after which waiting is useless
         self.sequence = 0
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Return whether a window has capacity for one more request."""
-        return self.endpoint_list.near.has_room() or self.endpoint_list.far.has_room()
+        return self.endpoint_list.near.has_capacity() or self.endpoint_list.far.has_capacity()
 
-    def is_crowded(self) -> bool:
+    def is_saturated(self) -> bool:
         """Return whether requests are held or no window has capacity."""
-        return self.held_count > 0 or not self.has_room()
+        return self.held_count > 0 or not self.has_capacity()
 
     def admits(self, now: float, request: Request) -> bool:
         """Return whether a request may be sent: there is capacity, and its value ranks above the share that is shed."""
-        return self.has_room() and request.value_rank >= self.zone_crossing.shed_share(now)
+        return self.has_capacity() and request.value_rank >= self.zone_crossing.shed_share(now)
 
     def value_rate(self, klass: ClassState) -> float:
         """Return the value of a class's requests by their time in flight, or by their work if that is what counts."""
@@ -80,12 +80,14 @@
     def adapt_window(self, now: float, partition: ZonePartition) -> None:
         """Adapt a partition's in-flight window to recent answers."""
         min_size = 2.0 if partition is self.endpoint_list.near else MIN_FAR_WINDOW
-        partition.window.update(now, self.held_count > 0, len(partition.ready), self.endpoint_list.sharing, min_size)
+        partition.window.update(
+            now, self.held_count > 0, len(partition.ready), self.endpoint_list.balancers_per_endpoint, min_size
+        )
 
     def start(self) -> None:
         """Set the initial windows once there is an endpoint list."""
         for partition in (self.endpoint_list.near, self.endpoint_list.far):
-            partition.window.start(len(partition.ready), self.endpoint_list.sharing)
+            partition.window.start(len(partition.ready), self.endpoint_list.balancers_per_endpoint)
 
     def hold(self, request: Request) -> None:
         """Hold a request until there is capacity, or until it could no longer be answered in time."""
--- a/zinclever/policy/balancer.py
+++ b/zinclever/policy/balancer.py
@@ -73,7 +73,7 @@
             if now >= self.timer_at:  # otherwise a later timer, replaced by an earlier one
                 self.timer_at = NEVER
             self.send_due_hedges(now)
-        elif isinstance(event, interface.MembershipNews):
+        elif isinstance(event, interface.MembershipUpdate):
             self.on_membership(now, event)
         elif isinstance(event, interface.RequestClosed):
             if event.request in self.requests:
@@ -107,7 +107,7 @@
                 budget.on_request(now)
         if request.is_uploading:
             self.send_early(now, request)
-        elif event.client_retry and klass.settings.late_worth == 0 and self.admission.is_crowded():
+        elif event.client_retry and klass.settings.late_worth == 0 and self.admission.is_saturated():
             # The client's first try has used up most of the target: others can still be answered in time.
             self.refuse_or_fail(now, request)
         elif not self.admission.admits(now, request) or not self.send(now, request):
@@ -188,7 +188,7 @@
         winner.endpoint.silent_since = NEVER
         self.cancel_others(request, winner)
 
-    def on_membership(self, now: float, update: interface.MembershipNews) -> None:
+    def on_membership(self, now: float, update: interface.MembershipUpdate) -> None:
         """Apply an update of the endpoint list to windows and budgets."""
         if not self.endpoint_list.apply(now, update):
             return
@@ -274,10 +274,10 @@
         """
         for request in self.admission.expire_held(now):
             self.refuse_or_fail(now, request)
-        if not self.admission.has_room():
+        if not self.admission.has_capacity():
             return
         for queue in self.admission.held_queues(now):
-            while queue and self.admission.has_room():
+            while queue and self.admission.has_capacity():
                 request = queue[-1]  # the newest first: in lasting overload the oldest would all be answered too late
                 if request.is_held and not self.may_send(now, request):
                     # The deduplication window may have ended while the request was held.
@@ -311,7 +311,7 @@
         # In overload, work that misses its target is stopped. Otherwise it may go on: a late answer saves a retry.
         self.actions.append(
             interface.Send(
-                request.id, endpoint.name, request.target_at if self.admission.is_crowded() else request.deadline
+                request.id, endpoint.name, request.target_at if self.admission.is_saturated() else request.deadline
             )
         )
         if not request.is_uploading:
@@ -339,7 +339,7 @@
         No hedge is sent in overload or before the in-flight window is known: hedges could overload a fleet that just
         carries its load.
         """
-        is_blocked = self.admission.is_crowded() or now < self.learner.first_answer_at + RATE_SPAN
+        is_blocked = self.admission.is_saturated() or now < self.learner.first_answer_at + RATE_SPAN
         for klass in self.classes:
             while klass.pending_hedges and klass.pending_hedges[0][0] <= now:
                 request = klass.pending_hedges.popleft()[1]
--- a/zinclever/policy/endpoint_list.py
+++ b/zinclever/policy/endpoint_list.py
@@ -6,7 +6,7 @@
 import random
 
 from .. import interface
-from ..fleet.limits import Calls
+from ..fleet.limits import DiscoveryCallPacer
 from ..fleet.ranked import rank_of, remove_ranked
 from ..fleet.smooth import NEVER
 from .endpoints import Endpoint
@@ -33,16 +33,18 @@
         self.near, self.far = ZonePartition(), ZonePartition()  # far: zones that cost something to cross to
         self.fetch_at = -NEVER if settings.discovery == "on_request" else NEVER
         self.refusals = 0
-        self.sharing = float(settings.group_size)  # fewer than all with a subset
-        self.calls = Calls(settings.shares.list_calls_per_s, settings.group_size, self.rules.ask_within, limits_rng)
+        self.balancers_per_endpoint = float(settings.group_size)  # fewer than all with a subset
+        self.calls = DiscoveryCallPacer(
+            settings.shares.list_calls_per_s, settings.group_size, self.rules.ask_within, limits_rng
+        )
 
-    def apply(self, now: float, update: interface.MembershipNews) -> bool:
+    def apply(self, now: float, update: interface.MembershipUpdate) -> bool:
         """Apply an update of the list. Returns False if discovery refused and there is nothing to apply."""
         if update.kind == "refused":
             self.refusals += 1
             pause = min(INITIAL_RETRY_DELAY * 2.0**self.refusals, self.rules.ask_within / 3)
             pause *= 0.5 + 0.5 * self.rng.random()
-            self.fetch_at = now + (self.calls.again(self.refusals) if self.calls.span else pause)
+            self.fetch_at = now + (self.calls.retry_delay(self.refusals) if self.calls.span else pause)
             return False
         if update.kind != "remembered":
             self.refusals, self.fetch_at = 0, NEVER
@@ -58,10 +60,10 @@
             endpoint for endpoint in self.gone_in_flight if endpoint.phase == "gone" and endpoint.inflight
         }
         known_share = min(1.0, len(self.ready) / update.of) if update.of else 1.0
-        self.sharing = max(1.0, known_share * self.settings.group_size)
+        self.balancers_per_endpoint = max(1.0, known_share * self.settings.group_size)
         return True
 
-    def rebuild(self, now: float, update: interface.MembershipNews) -> None:
+    def rebuild(self, now: float, update: interface.MembershipUpdate) -> None:
         """Rebuild all indexes from a full list, or after changes to a large part of it."""
         if update.kind != "changes":
             present = {entry.endpoint for entry in update.entries}
@@ -85,7 +87,7 @@
             for endpoint in self.ready:
                 self.cells.setdefault(endpoint.cell, []).append(endpoint)
 
-    def apply_change(self, now: float, entry: interface.Listed) -> None:
+    def apply_change(self, now: float, entry: interface.ListedEndpoint) -> None:
         """Apply the change of one endpoint. Apart from shifting list items, the cost does not grow with the list."""
         known = self.endpoints.get(entry.endpoint)
         if known is not None and known.phase == "ready":
@@ -108,7 +110,7 @@
             self.gone_in_flight.discard(finished)
             self.endpoints.pop(finished.name, None)
 
-    def update_endpoint(self, now: float, entry: interface.Listed) -> Endpoint:
+    def update_endpoint(self, now: float, entry: interface.ListedEndpoint) -> Endpoint:
         """Create or update the endpoint of an entry. A new start of the process discards what was learned about it."""
         known = self.endpoints.get(entry.endpoint)
         if known is None:
@@ -137,7 +139,7 @@
 
     def pool_size(self) -> float:
         """Return how many unused endpoints to draw from: few, as others share them, and more with more in flight."""
-        shared = MIN_SHARING * len(self.ready) / self.sharing
+        shared = MIN_SHARING * len(self.ready) / self.balancers_per_endpoint
         return max(MIN_POOL, shared) + self.inflight()
 
     def is_same_group(self, request: Request, endpoint: Endpoint) -> bool:
--- a/zinclever/policy/endpoints.py
+++ b/zinclever/policy/endpoints.py
@@ -42,7 +42,7 @@
         "zone",
     )
 
-    def __init__(self, listed: interface.Listed, now: float, rng: random.Random) -> None:
+    def __init__(self, listed: interface.ListedEndpoint, now: float, rng: random.Random) -> None:
         self.name, self.rank, self.is_near = listed.endpoint, rng.random(), True
         self.hash = zlib.crc32(self.name.encode())
         self.ring_position = mix(self.hash)  # on the consistent-hashing ring
@@ -50,7 +50,7 @@
         self.up_index = -1  # index in the partition's list of endpoints that are up; -1: not in it
         self.reset(listed, now, rng)
 
-    def reset(self, listed: interface.Listed, now: float, rng: random.Random) -> None:
+    def reset(self, listed: interface.ListedEndpoint, now: float, rng: random.Random) -> None:
         """Discard what was learned, as the endpoint's process is a new one."""
         self.success, self.latency, self.served = (
             DecayingMean(DECAY_TIME),
@@ -64,7 +64,7 @@
         self.tokens, self.tokens_at = rng.random(), now
         self.update(listed)
 
-    def update(self, listed: interface.Listed) -> None:
+    def update(self, listed: interface.ListedEndpoint) -> None:
         """Apply the endpoint's entry in the list."""
         self.phase, self.size, self.zone, self.cell = listed.phase, listed.size, listed.zone, listed.cell
         self.started_at = listed.started_at
--- a/zinclever/policy/partition.py
+++ b/zinclever/policy/partition.py
@@ -131,7 +131,7 @@
             self.ring = Ring((endpoint.ring_position, endpoint.size, endpoint) for endpoint in self.ready)
         return self.ring.owner_of(seed)
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Return whether the window has capacity for one more attempt."""
         discounted = min(self.stalled, MAX_STALLED_SHARE * self.window.size)
         return bool(self.ready) and self.inflight - discounted < self.window.size
--- a/zinclever/policy/selection.py
+++ b/zinclever/policy/selection.py
@@ -52,7 +52,7 @@
         """
         drawn: tuple[Endpoint, Endpoint, float] | None = None
         for partition in self.partitions(now, request):
-            if partition.has_room():
+            if partition.has_capacity():
                 drawn = self.draw_two(now, request, partition)
                 if drawn is not None:
                     break
@@ -235,7 +235,7 @@
             endpoint
             for endpoint in used
             if endpoint.phase == "ready"
-            and self.endpoint_list.partition_of(endpoint).has_room()
+            and self.endpoint_list.partition_of(endpoint).has_capacity()
             and self.slow_start.admits(now, endpoint)
             and self.endpoint_list.is_same_group(request, endpoint)
         ]
--- a/zinclever/policy/stalled_attempts.py
+++ b/zinclever/policy/stalled_attempts.py
@@ -102,5 +102,5 @@
             return False
         return (
             now + MIN_LATENCIES_LEFT * request.klass.mean_latency + request.work <= request.target_at
-            and attempt.partition.has_room()
+            and attempt.partition.has_capacity()
         )
