--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -357,9 +357,9 @@
 
 def test_starts_are_spread_and_stay_within_the_rule() -> None:
     rng = Random(4)
-    small = [DiscoveryCallPacer(400.0, 1000, 10_000.0, rng).start() for _ in range(1000)]
+    small = [DiscoveryCallPacer(400.0, 1000, 10_000.0, rng).initial_delay() for _ in range(1000)]
     assert max(small) <= 5000.0 and 2300.0 < fmean(small) < 2700.0
-    large = [DiscoveryCallPacer(400.0, GROUP, 10_000.0, rng).start() for _ in range(1000)]
+    large = [DiscoveryCallPacer(400.0, GROUP, 10_000.0, rng).initial_delay() for _ in range(1000)]
     assert 7500.0 < max(large) <= 8000.0  # the list must be fetched every 10 s
 
 
@@ -419,7 +419,7 @@
             real = BalancerHarness(settings(discovery="on_request", shares=interface.Shares(subset=6), group_size=400))
             real.feed(interface.MembershipUpdate("refused"))
             assert (await (await s.client()).ask()).status == 503
-            assert len(updates) == 2 and len(updates[1].entries) == 7 and updates[1].of == 60
+            assert len(updates) == 2 and len(updates[1].entries) == 7 and updates[1].total == 60
             real.feed(updates[1])
             before = len(real.of(interface.WatchMembership))
             real.wait(10_000.0)
--- a/zinclever/fleet/limits.py
+++ b/zinclever/fleet/limits.py
@@ -281,7 +281,7 @@
         self.span = 1000.0 * group_size / per_s if per_s else 0.0
         """ms between two calls of an instance if all instances use the full cap; 0: no cap."""
 
-    def start(self) -> float:
+    def initial_delay(self) -> float:
         """Return the ms until the first call of an instance that starts with a remembered list; a watch follows it."""
         return self.rng.random() * min(2.0 * self.span, MAX_SPREAD_SHARE * self.ask_within)
 
--- a/zinclever/fleet/window.py
+++ b/zinclever/fleet/window.py
@@ -45,7 +45,7 @@
             now: current instant, in ms.
             requests_waiting: whether requests are held for lack of capacity.
             endpoints: number of endpoints on this side.
-            sharing: number of balancers that share each endpoint.
+            balancers_per_endpoint: number of balancers that share each endpoint.
             min_size: capacity that is always added.
         """
         self.first_answer_at = min(self.first_answer_at, now)
--- a/zinclever/interface.py
+++ b/zinclever/interface.py
@@ -231,7 +231,7 @@
 
     kind: ListKind
     entries: Sequence[ListedEndpoint] = ()
-    of: int = 0
+    total: int = 0
     """Total number of endpoints if the balancer is given only a subset; 0: it is given all of them."""
 
 
--- a/zinclever/policy/balancer.py
+++ b/zinclever/policy/balancer.py
@@ -195,7 +195,7 @@
         floor = (
             self.settings.shares.floor_per_s
             / 1000.0
-            * (update.of or len(self.endpoint_list.ready))
+            * (update.total or len(self.endpoint_list.ready))
             / self.settings.group_size
         )
         for budget in (self.retry_budget, self.hedge_budget):
--- a/zinclever/policy/endpoint_list.py
+++ b/zinclever/policy/endpoint_list.py
@@ -15,7 +15,9 @@
 
 INITIAL_RETRY_DELAY = 300.0  # ms before discovery is called again, doubled with each refusal
 MIN_POOL = 3.0  # unused endpoints to draw two from when hundreds of balancers share them
-MIN_SHARING = 10.0  # balancers that draw on each endpoint at least, so that their uneven loads average out
+MIN_BALANCERS_PER_ENDPOINT = (
+    10.0  # balancers that draw on each endpoint at least, so that their uneven loads average out
+)
 HOME_PREFERRED_PRICE = 0.05  # price of crossing zones from which the home zone is preferred over a wider choice
 INCREMENTAL_SHARE = 0.1  # share of the list up to which changes are applied one by one
 
@@ -50,7 +52,7 @@
             self.refusals, self.fetch_at = 0, NEVER
         elif update.entries and self.fetch_at == -NEVER and self.calls.span:
             # Spreads the first calls of balancers that start at the same time, each with the list it remembers.
-            self.fetch_at = now + self.calls.start()
+            self.fetch_at = now + self.calls.initial_delay()
         if update.kind == "changes" and len(update.entries) < INCREMENTAL_SHARE * len(self.endpoints):
             for entry in update.entries:
                 self.apply_change(now, entry)
@@ -59,7 +61,7 @@
         self.gone_in_flight = {
             endpoint for endpoint in self.gone_in_flight if endpoint.phase == "gone" and endpoint.inflight
         }
-        known_share = min(1.0, len(self.ready) / update.of) if update.of else 1.0
+        known_share = min(1.0, len(self.ready) / update.total) if update.total else 1.0
         self.balancers_per_endpoint = max(1.0, known_share * self.settings.group_size)
         return True
 
@@ -139,7 +141,7 @@
 
     def pool_size(self) -> float:
         """Return how many unused endpoints to draw from: few, as others share them, and more with more in flight."""
-        shared = MIN_SHARING * len(self.ready) / self.balancers_per_endpoint
+        shared = MIN_BALANCERS_PER_ENDPOINT * len(self.ready) / self.balancers_per_endpoint
         return max(MIN_POOL, shared) + self.inflight()
 
     def is_same_group(self, request: Request, endpoint: Endpoint) -> bool:
