--- a/zinclever/drill.py
+++ b/zinclever/drill.py
@@ -88,7 +88,7 @@
     interface.Fail: lambda number, action: ["lose", number, action.request],
     interface.SetTimer: lambda number, action: ["wake-me", number, action.at, action.token],
     interface.FetchMembership: lambda number, action: ["refresh", number],
-    interface.WatchMembership: lambda number, action: ["subscribe", number, action.on],
+    interface.WatchMembership: lambda number, action: ["subscribe", number, action.subscribe],
     interface.Probe: lambda number, action: ["touch", number, action.endpoint],
     interface.SendToPeers: lambda number, action: [
         "broadcast-to",
