--- a/zinclever/interface.py
+++ b/zinclever/interface.py
@@ -79,9 +79,11 @@
     max_retry_after: float = 0.0
     """Longest retry delay that clients observe."""
     connect_timeout: float = 1000.0
+    """Time after which a connect has failed."""
     connection_idle: float = 60000.0
     """Time after which endpoints close an idle connection."""
     streams_per_connection: int = 1
+    """Requests that a connection carries at once."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -186,23 +188,27 @@
             require(0 < c.deadline < float("inf"), f"{prefix}.deadline", "must be above 0")
             require(c.value >= 0, f"{prefix}.value", "must not be negative")
             require(c.window >= 0, f"{prefix}.window", "must not be negative")
-            require(0 <= c.late_worth <= 1, f"{prefix}.late_worth", "must lie between 0 and 1")
-            require(c.repeat in ("idempotent", "deduplicated", "at_most_once"), f"{prefix}.repeat", "unknown kind")
-            require(c.group in ("all", "zone", "cell"), f"{prefix}.group", "unknown kind")
+            require(0 <= c.late_worth <= 1, f"{prefix}.late_worth", "must be between 0 and 1")
+            require(
+                c.repeat in ("idempotent", "deduplicated", "at_most_once"),
+                f"{prefix}.repeat",
+                "must be 'idempotent', 'deduplicated' or 'at_most_once'",
+            )
+            require(c.group in ("all", "zone", "cell"), f"{prefix}.group", "must be 'all', 'zone' or 'cell'")
         for i, t in enumerate(self.tenants):
             require(t.quota_per_s >= 0, f"tenants[{i}].quota_per_s", "must not be negative")
         require(self.prices.cross_zone >= 0, "prices.cross_zone", "must not be negative")
         r = self.rules
         require(self.limits.max_attempts >= 1, "limits.max_attempts", "must be at least 1")
-        require(0 < r.cold_share <= 1, "rules.cold_share", "must lie above 0 and at most at 1")
+        require(0 < r.cold_share <= 1, "rules.cold_share", "must be above 0 and at most 1")
         require(r.cold_for >= 0, "rules.cold_for", "must not be negative")
         require(r.overload_factor > 0, "rules.overload_factor", "must be above 0")
         require(r.overload_for > 0, "rules.overload_for", "must be above 0")
         require(r.ask_within > 0, "rules.ask_within", "must be above 0")
         require(self.group_size >= 1, "group_size", "must be at least 1")
-        require(self.discovery in ("pushed", "on_request"), "discovery", "unknown kind")
+        require(self.discovery in ("pushed", "on_request"), "discovery", "must be 'pushed' or 'on_request'")
         require(self.value_by in ("request", "work"), "value_by", "must be 'request' or 'work'")
-        require(0 <= self.over_share_worth <= 1, "over_share_worth", "must lie between 0 and 1")
+        require(0 <= self.over_share_worth <= 1, "over_share_worth", "must be between 0 and 1")
 
 
 # --- events -----------------------------------------------------------------------------------------------
--- a/zinclever/policy/balancer.py
+++ b/zinclever/policy/balancer.py
@@ -70,7 +70,7 @@
         elif isinstance(event, interface.RequestArrived):
             self.on_arrived(now, event)
         elif isinstance(event, interface.TimerFired):
-            if now >= self.timer_at:  # otherwise a later timer, replaced by an earlier one
+            if now >= self.timer_at:  # otherwise an earlier timer replaced this one
                 self.timer_at = NEVER
             self.send_due_hedges(now)
         elif isinstance(event, interface.MembershipUpdate):
@@ -269,9 +269,7 @@
                     self.actions.append(interface.Cancel(request.id, n))
 
     def send_held(self, now: float) -> None:
-        """Refuse held requests that can no longer be answered in time, and send the most valuable ones while there is
-        capacity.
-        """
+        """Refuse held requests that would be answered too late, and send the most valuable while there is capacity."""
         for request in self.admission.expire_held(now):
             self.refuse_or_fail(now, request)
         if not self.admission.has_capacity():
--- a/zinclever/policy/learning.py
+++ b/zinclever/policy/learning.py
@@ -94,8 +94,7 @@
             self.first_answer_at = min(self.first_answer_at, now)
             self.admission.adapt_window(now, attempt.partition)
         elif outcome == "connect_failed" and endpoint.served_at < attempt.sent_at:
-            # Without an answer since the send the endpoint is down; with answers in between its connections are used
-            # up.
+            # Without an answer since the send the endpoint is down; otherwise its connections are used up.
             endpoint.failures += 1
             if self.reachability.state_of(endpoint.zone).on_failure(now) is (endpoint.presumed_cold_at < NEVER):
                 self.slow_start.mark_cold(now, endpoint, NEVER if endpoint.presumed_cold_at < NEVER else -NEVER)
