--- a/zinclever/fleet/layout.py
+++ b/zinclever/fleet/layout.py
@@ -1,11 +1,11 @@
-"""Where each server of a fleet sits in a table that all instances agree on without talking.
-
-Every server has one slot, and which one depends on the names listed and the size of the table alone, not on the
-order in which they came: each proposes to slots in an order of its own, and a slot keeps the proposer that it
-ranks first (deferred acceptance: Gale and Shapley, "College Admissions and the Stability of Marriage", 1962). Both
-sides rank by the same thing, the number of the proposal, and slots by a hash among equals: so there is one stable
-outcome only, and servers may come and go in any order. A table that is at most 85 per cent full takes some two
-proposals a server, and one server more or less moves a few others.
+"""A table of slots for the servers of a fleet that all instances compute alike, without communicating.
+
+Each server has one slot, which depends only on the listed names and the size of the table, not on the order of
+arrival. Each server proposes to slots in an order of its own, and a slot keeps the proposal that it ranks first
+(deferred acceptance: Gale and Shapley, "College Admissions and the Stability of Marriage", 1962). Both sides rank by
+the number of the proposal, and slots break ties by a hash. There is therefore only one stable outcome, whatever the
+order in which servers come and go. A table that is at most 85 % full takes about two proposals for each server, and
+adding or removing a server moves a few others.
 """
 
 from __future__ import annotations
@@ -15,132 +15,137 @@
 
 from .. import interface
 
-FULLEST = 0.85  # part of the table in use from which on it grows: beyond, a change moves ever more servers
-EMPTIEST = 0.4  # below which it shrinks; apart from FULLEST, as a list that flaps must not lay out anew each time
-STEP = 1.25  # by which it grows: 68 to 85 per cent are in use after it
-SMALLEST = 8  # slots
+MAX_LOAD_FACTOR = 0.85  # share of used slots above which the table grows, as changes of a fuller one move more servers
+MIN_LOAD_FACTOR = 0.4  # below it the table shrinks; far below the maximum, so that a flapping list causes no rebuilds
+GROWTH_FACTOR = 1.25  # 68 % to 85 % of the slots are in use after growing
+MIN_TABLE_SIZE = 8  # slots
 MASK = 2**64 - 1
-GOLDEN = 0x9E3779B97F4A7C15  # splitmix64's increment
+GOLDEN = 0x9E3779B97F4A7C15  # increment of splitmix64
 
 
 def mix(x: int) -> int:
-    """The finalizer of splitmix64 (Steele, Lea and Flood, 2014): 64 bits in, 64 well-mixed bits out."""
+    """Mix 64 bits: the finalizer of splitmix64 (Steele, Lea and Flood, 2014)."""
     x = (x ^ x >> 30) * 0xBF58476D1CE4E5B9 & MASK
     x = (x ^ x >> 27) * 0x94D049BB133111EB & MASK
     return x ^ x >> 31
 
 
-def mark_of(name: str) -> int:
+def hash_of(name: str) -> int:
+    """Return a 64-bit hash of a server's name that is the same in all processes."""
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest())
 
 
 def table_size(servers: int) -> int:
-    """Slots for so many servers: the first step that leaves enough of them empty."""
-    size = SMALLEST
-    while servers > FULLEST * size:
-        size = int(size * STEP) + 1
+    """Return the smallest table size in the growth sequence that leaves enough slots empty."""
+    size = MIN_TABLE_SIZE
+    while servers > MAX_LOAD_FACTOR * size:
+        size = int(size * GROWTH_FACTOR) + 1
     return size
 
 
-class Seat:
-    """One server: which of its own proposals was taken."""
+class Placement:
+    """A server and the number of its proposal that was accepted."""
 
-    __slots__ = ("listed", "mark", "tried")
+    __slots__ = ("accepted", "hash", "listed")
 
     def __init__(self, listed: interface.ListedEndpoint) -> None:
-        self.listed, self.mark = listed, mark_of(listed.endpoint)
-        self.tried = 0
+        self.listed, self.hash = listed, hash_of(listed.endpoint)
+        self.accepted = 0
 
     def proposal(self, number: int, size: int) -> int:
-        return mix(self.mark + number * GOLDEN & MASK) % size
+        """Return the slot of the server's proposal ``number`` in a table of ``size`` slots."""
+        return mix(self.hash + number * GOLDEN & MASK) % size
 
     def slot(self, size: int) -> int:
-        return self.proposal(self.tried, size)
+        """Return the server's slot in a table of ``size`` slots."""
+        return self.proposal(self.accepted, size)
 
     def rank(self, number: int, slot: int) -> tuple[int, int, str]:
-        """Where a slot ranks this proposal of it: the least is kept."""
-        return number, mix(self.mark ^ slot * GOLDEN & MASK), self.listed.endpoint
+        """Return the rank of a proposal at a slot; the slot keeps the lowest."""
+        return number, mix(self.hash ^ slot * GOLDEN & MASK), self.listed.endpoint
 
 
 class Layout:
-    """The servers that may be sent to, each in its slot. A change costs what it moves; see the module's text.
+    """The servers that may be sent to, each in its slot. The cost of a change is the number of servers that it moves.
 
-    ``size`` is that of the table. It depends on the number of servers where the layout is made at once; one that
-    has grown or shrunk may keep another size for a while, so that instances needn't agree on it.
+    ``size`` is the size of the table. After growing or shrinking it can differ from that of a new layout with the same
+    number of servers, so that instances with different histories may differ for a while.
     """
 
     def __init__(self, listed: Iterable[interface.ListedEndpoint] = ()) -> None:
-        self.placements: dict[str, Seat] = {x.endpoint: Seat(x) for x in listed}
-        self.lay_out()
+        self.placements: dict[str, Placement] = {x.endpoint: Placement(x) for x in listed}
+        self.rebuild()
 
-    def lay_out(self) -> None:
+    def rebuild(self) -> None:
+        """Place all servers anew in a table of the matching size."""
         self.size = table_size(len(self.placements))
-        self.table: list[Seat | None] = [None] * self.size
-        self.wanting: dict[int, list[tuple[int, Seat]]] = {}
-        """Who proposed to a slot and was not kept, and by which proposal."""
-        for seat in self.placements.values():
-            self.settle(seat, 0)
+        self.table: list[Placement | None] = [None] * self.size
+        self.rejected: dict[int, list[tuple[int, Placement]]] = {}
+        """By slot: the proposals that it did not keep, with their servers."""
+        for placement in self.placements.values():
+            self.assign(placement, 0)
 
     def __len__(self) -> int:
         return len(self.placements)
 
-    def settle(self, seat: Seat, number: int) -> None:
-        """Propose on until one is taken, for whoever is without a slot."""
+    def assign(self, placement: Placement, number: int) -> None:
+        """Make the proposals of a server from ``number`` on until every server that this displaces has a slot."""
         while True:
-            slot = seat.proposal(number, self.size)
-            holder = self.table[slot]
-            if holder is None or seat.rank(number, slot) < holder.rank(holder.tried, slot):
-                self.table[slot], seat.tried = seat, number
-                if holder is None:
+            slot = placement.proposal(number, self.size)
+            occupant = self.table[slot]
+            if occupant is None or placement.rank(number, slot) < occupant.rank(occupant.accepted, slot):
+                self.table[slot], placement.accepted = placement, number
+                if occupant is None:
                     return
-                seat, number = holder, holder.tried
-            self.wanting.setdefault(slot, []).append((number, seat))
+                placement, number = occupant, occupant.accepted
+            self.rejected.setdefault(slot, []).append((number, placement))
             number += 1
 
     def put(self, listed: interface.ListedEndpoint) -> None:
-        """A server, new or with other news of it."""
+        """Add a server, or update its entry."""
         known = self.placements.get(listed.endpoint)
         if known is not None:
             known.listed = listed
             return
-        seat = self.placements[listed.endpoint] = Seat(listed)
-        if len(self.placements) > FULLEST * self.size:
-            self.lay_out()
+        placement = self.placements[listed.endpoint] = Placement(listed)
+        if len(self.placements) > MAX_LOAD_FACTOR * self.size:
+            self.rebuild()
         else:
-            self.settle(seat, 0)
+            self.assign(placement, 0)
 
     def drop(self, name: str) -> None:
-        """A server has gone: its slot is for the first of those that wanted it, and so on."""
-        seat = self.placements.pop(name, None)
-        if seat is None:
+        """Remove a server. Its slot goes to the best rejected proposal, and so on for the slot that this vacates."""
+        placement = self.placements.pop(name, None)
+        if placement is None:
             return
-        if self.size > SMALLEST and len(self.placements) < EMPTIEST * self.size:
-            self.lay_out()
+        if self.size > MIN_TABLE_SIZE and len(self.placements) < MIN_LOAD_FACTOR * self.size:
+            self.rebuild()
             return
-        slot = seat.slot(self.size)
-        self.withdraw(seat, 0, seat.tried)
+        slot = placement.slot(self.size)
+        self.withdraw(placement, 0, placement.accepted)
         self.refill(slot)
 
     def refill(self, slot: int) -> None:
+        """Fill an empty slot from its rejected proposals, and then the slot that this vacates, until none is left."""
         while True:
-            waiting = self.wanting.get(slot)
+            waiting = self.rejected.get(slot)
             if not waiting:
                 self.table[slot] = None
                 return
-            number, heir = min(waiting, key=lambda x, slot=slot: x[1].rank(x[0], slot))  # type: ignore[misc]
-            left = heir.slot(self.size)
-            self.withdraw(heir, number, heir.tried)
-            self.table[slot], heir.tried = heir, number
-            slot = left
-
-    def withdraw(self, seat: Seat, first: int, end: int) -> None:
-        """It wants the slots of these proposals no longer."""
+            number, successor = min(waiting, key=lambda x, slot=slot: x[1].rank(x[0], slot))  # type: ignore[misc]
+            vacated = successor.slot(self.size)
+            self.withdraw(successor, number, successor.accepted)
+            self.table[slot], successor.accepted = successor, number
+            slot = vacated
+
+    def withdraw(self, placement: Placement, first: int, end: int) -> None:
+        """Remove a server's rejected proposals ``first`` to ``end`` (exclusive)."""
         for number in range(first, end):
-            slot = seat.proposal(number, self.size)
-            self.wanting[slot].remove((number, seat))
-            if not self.wanting[slot]:
-                del self.wanting[slot]
-
-    def places(self) -> Mapping[str, int]:
-        """Each server's slot."""
-        return {name: seat.slot(self.size) for name, seat in self.placements.items()}
+            slot = placement.proposal(number, self.size)
+            self.rejected[slot].remove((number, placement))
+            if not self.rejected[slot]:
+                del self.rejected[slot]
+
+    def slots_by_name(self) -> Mapping[str, int]:
+        """Return the slot of each server."""
+        return {name: placement.slot(self.size) for name, placement in self.placements.items()}
--- a/zinclever/policy/partition.py
+++ b/zinclever/policy/partition.py
@@ -1,4 +1,4 @@
-"""The ready endpoints of the home zone, or of the others, and how much each side can carry."""
+"""The ready endpoints of the home zone or of the other zones, with an in-flight window of their own."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 import itertools
 import random
 
-from ..fleet.ranked import cut, rank_of
+from ..fleet.ranked import rank_of, remove_ranked
 from ..fleet.ring import Ring
-from ..fleet.timed import Timed
-from ..fleet.window import Window
+from ..fleet.timed import ExpiringSet
+from ..fleet.window import InflightWindow
 from .endpoints import Endpoint
 
-MAX_STALLED_SHARE = 0.5  # of a window: as many overdue attempts at the most leave their place in it to others
+MAX_STALLED_SHARE = 0.5  # of a window: overdue attempts up to this share no longer count against it
 
 
 class ZonePartition:
-    """The ready endpoints of the home zone, or of the others: each can carry so much.
+    """The ready endpoints of the home zone, or of all other zones.
 
-    Guards against a home zone that is full, and requests that wait for it, while others have room: what one
-    zone answers tells nothing of what the others could.
+    Each partition has its own in-flight window, so that requests don't wait for a full home zone while others have
+    capacity: the answers of one zone say nothing about the capacity of another.
     """
 
     __slots__ = (
@@ -35,103 +35,103 @@
     )
 
     def __init__(self) -> None:
-        self.ready: list[Endpoint] = []  # in this balancer's own random order
-        self.cumulative_sizes: list[float] = []  # of their sizes, one after another; empty: not made yet
-        self.down, self.cold = Timed[Endpoint](), Timed[Endpoint]()  # of these, those taken to be down, or cold
-        self.up: list[Endpoint] = []  # the others than those down, in no order
-        self.ring: Ring[Endpoint] | None = None  # of all, where keys have keepers; None: not made yet
+        self.ready: list[Endpoint] = []  # in this balancer's random order
+        self.cumulative_sizes: list[float] = []  # running sums of the sizes; empty: not computed yet
+        self.down, self.cold = ExpiringSet[Endpoint](), ExpiringSet[Endpoint]()
+        self.up: list[Endpoint] = []  # ready endpoints that are not down, in no order
+        self.ring: Ring[Endpoint] | None = None  # consistent hashing of keys; None: not built yet
         self.inflight = 0
-        self.stalled = 0  # of these, where attempts are being swallowed
-        self.window = Window()
+        self.stalled = 0  # overdue attempts among those in flight
+        self.window = InflightWindow()
 
     def replace_all(self, now: float, ready: list[Endpoint], cold_for: float) -> None:
-        """Take another list. Costs its length; draws between two lists don't."""
+        """Replace the list. The cost grows with its length, that of draws between two lists doesn't."""
         self.ready, self.cumulative_sizes, self.ring, self.up = ready, [], None, []
-        self.down, self.cold = Timed[Endpoint](), Timed[Endpoint]()
-        for e in ready:
-            self.index(now, e, cold_for)
+        self.down, self.cold = ExpiringSet[Endpoint](), ExpiringSet[Endpoint]()
+        for endpoint in ready:
+            self.index(now, endpoint, cold_for)
 
-    def insert(self, now: float, e: Endpoint, cold_for: float) -> None:
+    def insert(self, now: float, endpoint: Endpoint, cold_for: float) -> None:
         """Add an endpoint."""
-        bisect.insort(self.ready, e, key=rank_of)
+        bisect.insort(self.ready, endpoint, key=rank_of)
         self.cumulative_sizes = []
         if self.ring is not None:
-            self.ring.insert(e.ring_position, e.size, e)
-        self.index(now, e, cold_for)
-
-    def index(self, now: float, e: Endpoint, cold_for: float) -> None:
-        """Sort an endpoint in among those that are up, down or cold."""
-        e.up_index = len(self.up)
-        self.up.append(e)
-        if e.down_until > now:
-            self.mark_down(now, e)
-        if e.started_at + cold_for > now:
-            self.cold.add(e.started_at + cold_for, e.rank, e)
-
-    def remove(self, e: Endpoint) -> None:
+            self.ring.insert(endpoint.ring_position, endpoint.size, endpoint)
+        self.index(now, endpoint, cold_for)
+
+    def index(self, now: float, endpoint: Endpoint, cold_for: float) -> None:
+        """Add an endpoint to those that are up, down or cold."""
+        endpoint.up_index = len(self.up)
+        self.up.append(endpoint)
+        if endpoint.down_until > now:
+            self.mark_down(now, endpoint)
+        if endpoint.started_at + cold_for > now:
+            self.cold.add(endpoint.started_at + cold_for, endpoint.rank, endpoint)
+
+    def remove(self, endpoint: Endpoint) -> None:
         """Remove an endpoint."""
-        cut(self.ready, e)
+        remove_ranked(self.ready, endpoint)
         self.cumulative_sizes = []
         if self.ring is not None:
-            self.ring.remove(e.ring_position, e)
-        self.down.members.discard(e)
-        self.cold.members.discard(e)
-        self.leave_up(e)
-
-    def leave_up(self, e: Endpoint) -> None:
-        """Out of those that are up: the last one takes its place."""
-        if e.up_index >= 0:
+            self.ring.remove(endpoint.ring_position, endpoint)
+        self.down.members.discard(endpoint)
+        self.cold.members.discard(endpoint)
+        self.remove_from_up(endpoint)
+
+    def remove_from_up(self, endpoint: Endpoint) -> None:
+        """Remove an endpoint from those that are up, by moving the last one into its place."""
+        if endpoint.up_index >= 0:
             last = self.up.pop()
-            if last is not e:
-                self.up[e.up_index] = last
-                last.up_index = e.up_index
-            e.up_index = -1
+            if last is not endpoint:
+                self.up[endpoint.up_index] = last
+                last.up_index = endpoint.up_index
+            endpoint.up_index = -1
 
-    def draw_by_size(self, rng: random.Random, among: int) -> Endpoint:
-        """Any one of so many first ones, by size. The running sums are made once after each change of the list."""
+    def sample_by_size(self, rng: random.Random, count: int) -> Endpoint:
+        """Draw one of the first ``count`` endpoints, weighted by size. The sums are computed once after each change."""
         if not self.cumulative_sizes:
-            self.cumulative_sizes = list(itertools.accumulate(e.size for e in self.ready))
+            self.cumulative_sizes = list(itertools.accumulate(endpoint.size for endpoint in self.ready))
         return self.ready[
-            bisect.bisect(self.cumulative_sizes, rng.random() * self.cumulative_sizes[among - 1], 0, among - 1)
+            bisect.bisect(self.cumulative_sizes, rng.random() * self.cumulative_sizes[count - 1], 0, count - 1)
         ]
 
-    def mark_down(self, now: float, e: Endpoint) -> None:
-        """An endpoint is taken to be down."""
+    def mark_down(self, now: float, endpoint: Endpoint) -> None:
+        """Mark an endpoint as down until its ``down_until``."""
         self.expire_down(now)
-        self.down.add(e.down_until, e.rank, e)
-        self.leave_up(e)
+        self.down.add(endpoint.down_until, endpoint.rank, endpoint)
+        self.remove_from_up(endpoint)
 
-    def mark_up(self, e: Endpoint) -> None:
-        """It has answered, or it has been left alone for long enough."""
-        if e in self.down.members:
-            self.down.members.discard(e)
-            e.up_index = len(self.up)
-            self.up.append(e)
+    def mark_up(self, endpoint: Endpoint) -> None:
+        """Mark an endpoint as up: it has answered, or its time as down has passed."""
+        if endpoint in self.down.members:
+            self.down.members.discard(endpoint)
+            endpoint.up_index = len(self.up)
+            self.up.append(endpoint)
 
     def is_mostly_down(self, now: float) -> bool:
-        """Whether more than half of the endpoints are down."""
+        """Return whether more than half of the endpoints are down."""
         self.expire_down(now)
         return 2 * len(self.down.members) > len(self.ready)
 
     def expire_down(self, now: float) -> None:
-        """Those whose time has passed count as up again."""
-        for e in self.down.over(now):
-            if e.down_until <= now:
-                self.mark_up(e)
+        """Mark the endpoints as up whose time as down has passed."""
+        for endpoint in self.down.pop_due(now):
+            if endpoint.down_until <= now:
+                self.mark_up(endpoint)
 
     def warm_count(self, now: float) -> int:
-        """How many are not cold."""
-        for e in self.cold.over(now):
-            self.cold.members.discard(e)
+        """Return the number of endpoints that are not cold."""
+        for endpoint in self.cold.pop_due(now):
+            self.cold.members.discard(endpoint)
         return len(self.ready) - len(self.cold.members)
 
     def key_owner(self, seed: int) -> Endpoint:
-        """The endpoint that owns a key, by consistent hashing."""
+        """Return the endpoint that owns a key, by consistent hashing."""
         if self.ring is None:
-            self.ring = Ring((e.ring_position, e.size, e) for e in self.ready)
-        return self.ring.keeper(seed)
+            self.ring = Ring((endpoint.ring_position, endpoint.size, endpoint) for endpoint in self.ready)
+        return self.ring.owner_of(seed)
 
     def has_capacity(self) -> bool:
-        """Whether one more may go out."""
-        forgiven = min(self.stalled, MAX_STALLED_SHARE * self.window.size)
-        return bool(self.ready) and self.inflight - forgiven < self.window.size
+        """Return whether the window has capacity for one more attempt."""
+        discounted = min(self.stalled, MAX_STALLED_SHARE * self.window.size)
+        return bool(self.ready) and self.inflight - discounted < self.window.size
