--- a/zinclever/mesh/membership/__init__.py
+++ b/zinclever/mesh/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership by gossip: who is there (SWIM), and replicated records of nodes, endpoints and the newest version.
+"""Gossip membership: SWIM failure detection and replicated records of nodes, endpoints and the newest configuration.
 
-:class:`.gossip.Gossip` puts the parts together; all of them are pure but :mod:`.gossip_socket`.
+:class:`.gossip.Gossip` combines the parts. Only :mod:`.gossip_socket` does I/O.
 """
--- a/zinclever/mesh/membership/broadcasts.py
+++ b/zinclever/mesh/membership/broadcasts.py
@@ -1,4 +1,4 @@
-"""Spreading records: each is retransmitted a few times to random peers, or until named recipients confirm it. Pure."""
+"""Record dissemination: each record is retransmitted to random peers, or until named recipients confirm it. No I/O."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from .records import RecordKey, is_urgent, record_key
 from .transmitter import Transmitter
 
-FANOUT = 3  # peers that a retransmission goes to
-RETRANSMITS = 2  # times that each process passes a record on: whoever is missed learns of it by digests, in 1 to 2 s
-URGENT_RETRANSMITS = 3  # times for an urgent one
-STARTUP_PERIOD = 6.0  # s after its own start for which a process knows few others yet ...
-STARTUP_EXTRA_RETRANSMITS = 5  # ... and passes each record on so many times more
-STARTUP_BYTES = 60_000  # sent by then at the most: where there are many processes, digests do for the rest
-RECEIPT_RETRY_INTERVAL = 0.15  # s after which a record is sent again to those that haven't confirmed it
+FANOUT = 3  # peers per retransmission
+RETRANSMITS = 2  # per record and process; digests deliver the record to missed peers within 1 to 2 s
+URGENT_RETRANSMITS = 3  # per urgent record
+STARTUP_PERIOD = 6.0  # s after the start during which a process knows few peers and retransmits records more often
+STARTUP_EXTRA_RETRANSMITS = 5  # additional retransmissions of each record during the startup period
+STARTUP_BYTES = 60_000  # no additional retransmissions once this much was sent; in large meshes digests do the rest
+RECEIPT_RETRY_INTERVAL = 0.15  # s after which a record is resent to recipients that have not confirmed it
 
 
 @dataclass(slots=True)
 class ConfirmedBroadcast:
-    """A record that is sent to its recipients until each has confirmed that it holds it."""
+    """A record that is resent until each recipient has confirmed that it holds it."""
 
     record: Record
     recipients: set[str]
@@ -30,28 +30,28 @@
 
 
 class Broadcasts:
-    """The records that are being spread."""
+    """The records that are being disseminated."""
 
-    def __init__(self, transmitter: Transmitter, numbers: Iterator[int], now: float) -> None:
+    def __init__(self, transmitter: Transmitter, ids: Iterator[int], now: float) -> None:
         self.transmitter = transmitter
         self.members = transmitter.members
         self.records = transmitter.members.records
-        self.numbers = numbers
+        self.ids = ids
         self.started_at = self.ticked_at = now
         self.retransmits: dict[RecordKey, int] = {}
-        """Retransmissions that are left of each record."""
+        """Remaining retransmissions of each record."""
         self.confirmed: dict[int, ConfirmedBroadcast] = {}
-        """By number. Whoever began one removes it."""
+        """Confirmed broadcasts by id. The caller that began a broadcast removes it."""
 
     def enqueue(self, key: RecordKey) -> None:
-        """Spread a record that is new here."""
+        """Queue a new record for retransmission."""
         count = URGENT_RETRANSMITS if is_urgent(self.records.by_key[key]) else RETRANSMITS
         if self.ticked_at - self.started_at < STARTUP_PERIOD and self.transmitter.bytes_sent < STARTUP_BYTES:
             count += STARTUP_EXTRA_RETRANSMITS
         self.retransmits[key] = count
 
     def retransmit(self) -> None:
-        """Send what is queued to a few others: urgent records at once, the rest as the rate allows."""
+        """Send the queued records to a few random peers: urgent ones at once, the others as the rate limit allows."""
         if not self.retransmits or not self.members.others():
             return
         by_key = self.records.by_key
@@ -67,28 +67,32 @@
                 del self.retransmits[key]
 
     def begin_confirmed(self, now: float, record: Record, recipients: Iterable[str]) -> int:
-        """Send a record until each recipient has confirmed it; a number for :attr:`confirmed`."""
-        number = next(self.numbers)
-        self.confirmed[number] = ConfirmedBroadcast(record, set(recipients) - {self.members.name})
+        """Send a record until each recipient has confirmed it.
+
+        Returns:
+            The id of the broadcast in :attr:`confirmed`.
+        """
+        broadcast_id = next(self.ids)
+        self.confirmed[broadcast_id] = ConfirmedBroadcast(record, set(recipients) - {self.members.name})
         self.resend_unconfirmed(now)
-        return number
+        return broadcast_id
 
     def resend_unconfirmed(self, now: float) -> None:
-        """Send records again whose receipts are due."""
-        for number, broadcast in self.confirmed.items():
+        """Resend records whose receipts are overdue."""
+        for broadcast_id, broadcast in self.confirmed.items():
             if now - broadcast.sent_at >= RECEIPT_RETRY_INTERVAL:
                 broadcast.sent_at = now
                 for name in broadcast.recipients - broadcast.confirmed_by:
-                    message = GossipMessage(records=[broadcast.record], receipt_request=number)
+                    message = GossipMessage(records=[broadcast.record], receipt_request=broadcast_id)
                     self.transmitter.send(name, message)
 
-    def on_receipt(self, number: int, name: str) -> None:
-        """A recipient confirms a record."""
-        if number in self.confirmed:
-            self.confirmed[number].confirmed_by.add(name)
+    def on_receipt(self, broadcast_id: int, name: str) -> None:
+        """Record that a recipient has confirmed a broadcast."""
+        if broadcast_id in self.confirmed:
+            self.confirmed[broadcast_id].confirmed_by.add(name)
 
     def answer_receipt_request(self, name: str, message: GossipMessage) -> None:
-        """Confirm the records of a message, unless others take precedence here: then the sender gets those instead."""
+        """Confirm the records of a message, or send back the records held here that take precedence over them."""
         superseding = self.records.superseding(message.records)
         if superseding:
             self.transmitter.send_records(name, superseding)
@@ -96,6 +100,6 @@
             self.transmitter.send(name, GossipMessage(receipt=message.receipt_request))
 
     def send_requested(self, name: str, message: GossipMessage) -> None:
-        """Send the records that another asks for."""
+        """Send the records that a peer has requested."""
         keys = (record_key(version) for version in message.wanted)
         self.transmitter.send_records(name, [self.records.by_key[key] for key in keys if key in self.records.by_key])
--- a/zinclever/mesh/membership/gossip.py
+++ b/zinclever/mesh/membership/gossip.py
@@ -1,6 +1,6 @@
-"""One process in the gossip: takes datagrams and ticks, and leaves datagrams and changed records. Pure.
+"""Gossip protocol of one process: consumes datagrams and ticks, and produces datagrams and record changes. No I/O.
 
-Instants are in s, of any clock that only moves forward; they and random numbers are handed in.
+The caller supplies the time, in seconds on a monotonic clock, and the random number generator.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 from .transmitter import DEFAULT_RATE, GossipCounters, Transmitter
 
 TICK_INTERVAL = 0.2  # s between two calls of Gossip.tick
-STALL_THRESHOLD = 3 * TICK_INTERVAL  # s between two ticks from which on this process itself stood still
-MAX_RECORDS = 100_000  # that are held: a mesh has a few for each machine
+STALL_THRESHOLD = 3 * TICK_INTERVAL  # s between two ticks beyond which this process counts as stalled
+MAX_RECORDS = 100_000  # records held; a mesh has a few per machine
 MAX_REASON_LENGTH = 300  # characters
 
 
 class Gossip:
     """Membership and records of one process.
 
-    Call :meth:`tick` each :data:`TICK_INTERVAL`, :meth:`receive` with each datagram, and :meth:`broadcast` with each
-    record that is new here. Afterwards send what is in ``transmitter.outbox``, and read ``changes``.
+    Call :meth:`tick` every :data:`TICK_INTERVAL`, :meth:`receive` with each datagram, and :meth:`broadcast` with each
+    record that originates here. After each call, send the messages in ``transmitter.outbox`` and process ``changes``.
     """
 
     def __init__(
@@ -44,20 +44,30 @@
         rng: Random,
         rate: float = DEFAULT_RATE,
     ) -> None:
-        """``incarnation`` is higher than at any earlier start of this process; ``rate`` is in bytes/s."""
-        numbers = itertools.count(1)
+        """Create the node record of this process and queue it for dissemination.
+
+        Args:
+            name: Name of this node.
+            incarnation: Has to be higher than at any earlier start of this node.
+            info: Body of the node record.
+            seeds: Addresses that are contacted to join the mesh.
+            now: Current time in seconds.
+            rng: Selects peers and jitter.
+            rate: Bytes per second that background records may use.
+        """
+        ids = itertools.count(1)
         self.name = name
         self.rng = rng
         self.counters = GossipCounters()
         self.records = RecordStore()
         self.members = Members(name, self.records, rng)
         self.transmitter = Transmitter(self.members, self.counters, rate)
-        self.broadcasts = Broadcasts(self.transmitter, numbers, now)
-        self.failure_detector = FailureDetector(self.transmitter, numbers, self.declare, now)
+        self.broadcasts = Broadcasts(self.transmitter, ids, now)
+        self.failure_detector = FailureDetector(self.transmitter, ids, self.declare, now)
         self.anti_entropy = AntiEntropy(self.transmitter, seeds, now)
         self.orphan_detector = OrphanDetector()
         self.changes: list[tuple[Record, str]] = []
-        """Records that are new here since this was last emptied, each with the process that sent it."""
+        """Records that have changed here since the caller last emptied the list, each with the node that sent it."""
         self.ticked_at = now
         self.digests_sent_at = -math.inf
         own = Record(
@@ -67,13 +77,17 @@
         self.broadcasts.enqueue(record_key(own))
 
     def own_record(self) -> Record:
-        """The record of this process."""
+        """Return the node record of this process."""
         return self.records.by_key[RecordKey(RecordKind.NODE, self.name)]
 
-    # --- records from here ---
+    # --- local records ---
 
     def broadcast(self, now: float, record: Record) -> bool:
-        """Spread a record from here, at once. False where one that takes precedence is held."""
+        """Apply a local record and send it to other nodes at once.
+
+        Returns:
+            False if the held record of the same key takes precedence, in which case nothing is sent.
+        """
         if not self.records.apply(now, record):
             return False
         self.changes.append((record, self.name))
@@ -82,15 +96,16 @@
         return True
 
     def broadcast_confirmed(self, now: float, record: Record, recipients: Iterable[str]) -> int:
-        """Spread a record, and send it to ``recipients`` until each has confirmed it.
+        """Broadcast a record, and resend it to ``recipients`` until each has confirmed it.
 
-        Returns a number for ``broadcasts.confirmed``, from which the caller removes it.
+        Returns:
+            The id of the entry in ``broadcasts.confirmed``, which the caller has to remove.
         """
         self.broadcast(now, record)
         return self.broadcasts.begin_confirmed(now, record, recipients)
 
     def leave(self, now: float) -> None:
-        """Say that this process ends in order."""
+        """Announce that this process leaves the mesh."""
         own = self.own_record()
         self.broadcast(
             now,
@@ -105,7 +120,7 @@
         )
 
     def declare(self, now: float, name: str, state: MemberState, reason: str) -> None:
-        """Spread what was found about another; it may refute that with a higher ``seq``."""
+        """Broadcast a new state of another node, which may refute it by a record with a higher ``seq``."""
         record = self.records.get(RecordKind.NODE, name)
         if record is None or record.rank >= state:
             return
@@ -131,12 +146,12 @@
     # --- ticks ---
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Run all periodic work that is due."""
         elapsed = now - self.ticked_at
         self.ticked_at = self.broadcasts.ticked_at = now
         self.transmitter.refill(elapsed)
         if elapsed > STALL_THRESHOLD:
-            self.failure_detector.after_stall(now)
+            self.failure_detector.on_stall(now)
         self.records.expire(now)
         for record in self.orphan_detector.find_ended(now, self.records):
             self.broadcast(now, record)
@@ -147,17 +162,17 @@
             self.digests_sent_at = now
             self.anti_entropy.send_digests(now)
 
-    # --- datagrams of others ---
+    # --- received datagrams ---
 
     def receive(self, now: float, message: GossipMessage, source: Address) -> None:
-        """Handle a datagram that came from ``source``."""
+        """Handle a datagram that was received from the address ``source``."""
         name = message.sender
         if not name or name == self.name:
             self.counters.dropped += 1
             return
         self.counters.received += 1
         merged = [self.merge(now, record, name) for record in message.records]
-        self.failure_detector.on_heard(now, name)
+        self.failure_detector.on_message(now, name)
         if message.receipt_request:
             self.broadcasts.answer_receipt_request(name, message)
         if message.receipt:
@@ -180,18 +195,22 @@
             self.broadcasts.retransmit()
 
     def correct_sender(self, name: str, incarnation: int) -> None:
-        """Tell a sender what is held about it, where it is suspect, dead, or of a later incarnation than it says.
+        """Send a node its own record if that is suspect, dead or of a later incarnation, so that it can refute it.
 
-        It may refute that. The incarnation is lower than the one held where its clock was ahead before.
+        The held incarnation is higher than the sender's if the sender's clock was ahead at an earlier start.
         """
-        known = self.records.get(RecordKind.NODE, name)
-        if known is None:
+        held = self.records.get(RecordKind.NODE, name)
+        if held is None:
             return
-        if incarnation < known.incarnation or known.rank in (MemberState.SUSPECT, MemberState.DEAD):
-            self.transmitter.send(name, GossipMessage(records=[known, *self.records.config_version()]))
+        if incarnation < held.incarnation or held.rank in (MemberState.SUSPECT, MemberState.DEAD):
+            self.transmitter.send(name, GossipMessage(records=[held, *self.records.config_version()]))
 
     def merge(self, now: float, record: Record, sender: str) -> bool:
-        """Take in a record of another; whether it is new here."""
+        """Apply a received record, and queue it for retransmission if it is new.
+
+        Returns:
+            Whether the record was new here. Records of this node itself are never new; they are refuted if necessary.
+        """
         key = record_key(record)
         if key == RecordKey(RecordKind.NODE, self.name):
             self.refute(now, record)
@@ -209,9 +228,9 @@
         return True
 
     def refute(self, now: float, record: Record) -> None:
-        """Answer a record of this process that another holds, and that this one didn't make.
+        """Override a record of this node that this process did not issue.
 
-        Another takes this process for gone, or an earlier incarnation of it had a clock that was ahead.
+        Such a record declares this node suspect or dead, or stems from an earlier incarnation whose clock was ahead.
         """
         own = self.own_record()
         if precedence(record) <= precedence(own) or not (record.rank or record.incarnation > own.incarnation):
--- a/zinclever/mesh/membership/gossip_socket.py
+++ b/zinclever/mesh/membership/gossip_socket.py
@@ -1,4 +1,4 @@
-"""The UDP socket of a process, and the timer that drives its gossip."""
+"""UDP socket and timer that drive the gossip protocol of a process."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 class GossipSocket(asyncio.DatagramProtocol):
     """Owns the socket and the timer from :meth:`listen` to :meth:`close`.
 
-    ``on_change`` is called with each record that is new here, and the name of the process that sent it.
+    ``on_change`` is called with each record that has changed here and the name of the node that sent it.
     """
 
     def __init__(self, gossip: Gossip, on_change: Callable[[Record, str], None]) -> None:
@@ -28,16 +28,20 @@
         self.is_notifying = False
 
     async def listen(self, address: Address) -> None:
-        """Bind the socket and begin to tick. OSError where the address can't be bound."""
+        """Bind the socket and start the timer.
+
+        Raises:
+            OSError: The address cannot be bound.
+        """
         await self.loop.create_datagram_endpoint(lambda: self, local_addr=address)
         self.run_tick()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by asyncio."""
+        """Store the transport once the socket is bound."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Called by asyncio."""
+        """Decode a datagram and pass it to the gossip protocol; undecodable datagrams are counted as dropped."""
         try:
             message = GossipMessage.FromString(data)
         except DecodeError:
@@ -47,16 +51,16 @@
         self.flush()
 
     def error_received(self, exc: Exception) -> None:
-        """Called by asyncio where nobody listens at a port: probes find that out."""
+        """Ignore ICMP errors such as an unreachable port; the failure detector notices unreachable nodes."""
 
     def run_tick(self) -> None:
-        """Tick, and schedule the next tick."""
+        """Run one tick and schedule the next."""
         self.timer = self.loop.call_later(TICK_INTERVAL, self.run_tick)
         self.gossip.tick(self.loop.time())
         self.flush()
 
     def flush(self) -> None:
-        """Send the outbox, and report changes. Listeners may broadcast and flush again from within."""
+        """Send the outbox and report changes. ``on_change`` may broadcast records and call this method again."""
         transmitter = self.gossip.transmitter
         outbox, transmitter.outbox = transmitter.outbox, []
         if self.transport is not None:
@@ -75,7 +79,7 @@
             self.flush()
 
     def close(self) -> None:
-        """Release the timer and the socket."""
+        """Cancel the timer and close the socket."""
         if self.timer is not None:
             self.timer.cancel()
         if self.transport is not None:
--- a/zinclever/mesh/membership/members.py
+++ b/zinclever/mesh/membership/members.py
@@ -1,4 +1,4 @@
-"""The other processes of the mesh, as the records tell of them. Pure."""
+"""View of the other nodes of the mesh, derived from the held records. No I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Members:
-    """A view of the records of nodes, from the process ``name``."""
+    """The node records as seen by the node ``name``."""
 
     def __init__(self, name: str, records: RecordStore, rng: Random) -> None:
         self.name = name
@@ -21,22 +21,22 @@
         self.cached_others: list[str] = []
 
     def node_info(self, name: str) -> NodeInfo | None:
-        """The description of a process; None where it isn't known."""
+        """Return the description of a node, or None if the node is unknown."""
         record = self.records.get(RecordKind.NODE, name)
         return NodeInfo.FromString(record.body) if record is not None else None
 
     def state_of(self, name: str) -> MemberState | None:
-        """The state of a process; None where it isn't known."""
+        """Return the state of a node, or None if the node is unknown."""
         record = self.records.get(RecordKind.NODE, name)
         return MemberState.of(record) if record is not None else None
 
     def address_of(self, name: str) -> Address | None:
-        """The address of a process, for gossip and for links; None where it isn't known."""
+        """Return the address of a node for gossip and for channels, or None if the node is unknown."""
         info = self.node_info(name)
         return (info.ip, info.port) if info is not None else None
 
     def others(self) -> list[str]:
-        """The names of the others that are alive or suspect. The caller must not change the list."""
+        """Return the names of the other nodes that are alive or suspect. The cached list must not be modified."""
         if self.cached_revision != self.records.nodes_revision:
             self.cached_revision = self.records.nodes_revision
             self.cached_others = [
@@ -47,11 +47,11 @@
         return self.cached_others
 
     def dead(self) -> list[str]:
-        """The names of those that were declared dead and are not forgotten yet."""
+        """Return the names of the nodes that were declared dead and whose records have not expired."""
         return [record.id for record in self.records.of_kind(RecordKind.NODE) if record.rank == MemberState.DEAD]
 
     def sample(self, count: int, exclude: str = "") -> list[str]:
-        """Up to ``count`` of the others, drawn at random."""
+        """Return up to ``count`` random names of other nodes that are alive or suspect."""
         others = self.others()
-        drawn = self.rng.sample(others, min(len(others), count + (exclude != "")))
-        return [name for name in drawn if name != exclude][:count]
+        sampled = self.rng.sample(others, min(len(others), count + (exclude != "")))
+        return [name for name in sampled if name != exclude][:count]
--- a/zinclever/mesh/membership/orphans.py
+++ b/zinclever/mesh/membership/orphans.py
@@ -1,7 +1,7 @@
-"""Endpoints whose sidecar is gone for good, with nobody left to say that they are gone, too. Pure.
+"""Detects orphaned endpoints, whose sidecar has left the mesh without declaring them gone. No I/O.
 
-Each process finds them by itself and broadcasts the same record, so that it doesn't matter who is first. Without this
-the records of endpoints that vanished together with their machine would be held for ever and fill the store.
+Every process detects them on its own and broadcasts the same record, so the order does not matter. Without this, the
+records of endpoints that were lost together with their machine would never expire and would fill the store.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 from .records import ENDED_RANK, EndpointPhase, RecordKey, RecordKind
 
 CHECK_INTERVAL = 5.0  # s between two checks
-ORPHAN_TIMEOUT = TOMBSTONE_RETENTION  # s without a known sidecar after which an endpoint counts as gone
+ORPHAN_TIMEOUT = TOMBSTONE_RETENTION  # s without a known sidecar after which an endpoint is declared gone
 
 
 class OrphanDetector:
-    """Endpoints without a known sidecar, and since when."""
+    """Tracks endpoints without a known sidecar and the time since when they have none."""
 
     def __init__(self) -> None:
         self.orphaned_since: dict[RecordKey, float] = {}
         self.checked_at = 0.0
 
     def find_ended(self, now: float, records: RecordStore) -> list[Record]:
-        """The records by which orphaned endpoints are declared gone; nothing before the next check is due."""
+        """Return records that declare orphaned endpoints gone, or an empty list if the next check is not due yet."""
         if now - self.checked_at < CHECK_INTERVAL:
             return []
         self.checked_at = now
--- a/zinclever/mesh/membership/receipt_quorum.py
+++ b/zinclever/mesh/membership/receipt_quorum.py
@@ -1,9 +1,9 @@
-"""When the end of an endpoint may be acknowledged: which other processes have to hold its record first. Pure.
+"""Quorum of receipts that is required before the drain or departure of an endpoint is acknowledged. No I/O.
 
-A process that acknowledged a drain may lose power in the next instant, and with it as many control nodes as the fault
-model allows. So the record has to be held by one control node more than may be lost, and by the sidecar in front of the
-endpoint, through which every request to it goes. The counts follow from the fault model, never from who is thought to
-be alive: a process that is cut off has nobody left to ask, and acknowledges nothing.
+A process that has acknowledged a drain may lose power immediately afterwards, together with as many control nodes as
+the fault model tolerates. The record therefore has to be held by one control node more than may be lost, and by the
+sidecar in front of the endpoint, which handles every request to it. The counts follow from the fault model and never
+from the current membership: a partitioned process receives no receipts and acknowledges nothing.
 """
 
 from __future__ import annotations
@@ -11,27 +11,27 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-SIDECAR_PREFERRED_FOR = 0.4  # s for which the endpoint's own sidecar is waited for, before another's receipt will do
+SIDECAR_PREFERRED_FOR = 0.4  # s to wait for the endpoint's own sidecar before a receipt of another sidecar is accepted
 
 
 @dataclass(frozen=True, slots=True)
 class ReceiptQuorum:
-    """The processes that get the record, and how many of them have to confirm it."""
+    """The recipients of a record and the receipts that are required."""
 
     control_nodes: frozenset[str]
     """Control nodes other than this process."""
     required_control_receipts: int
     endpoint_sidecar: str
-    """The sidecar in front of the endpoint; empty where none is known, or where it is this process."""
+    """The sidecar in front of the endpoint; empty if it is unknown or is this process."""
     sidecars: frozenset[str]
-    """Sidecars other than this process, the endpoint's own among them where it is thought to be alive."""
+    """Sidecars other than this process, including the endpoint's own sidecar if that is considered alive."""
 
     def recipients(self) -> frozenset[str]:
-        """All processes that get the record."""
+        """Return all nodes that the record is sent to."""
         return self.control_nodes | self.sidecars
 
     def is_reached(self, received: Iterable[str], waited: float) -> bool:
-        """Whether receipts of these processes are enough after ``waited`` s."""
+        """Return whether the receipts of the nodes ``received`` suffice after ``waited`` seconds."""
         confirmed_by = frozenset(received)
         if len(confirmed_by & self.control_nodes) < self.required_control_receipts:
             return False
--- a/zinclever/mesh/membership/records.py
+++ b/zinclever/mesh/membership/records.py
@@ -1,6 +1,6 @@
-"""Records: the replicated facts that gossip spreads, and which of two versions of one fact holds. Pure.
+"""Replicated records: their kinds, keys, precedence, validation and fingerprints. No I/O.
 
-Sources: SWIM (Das and others, 2002) for incarnations, Scuttlebutt (van Renesse and others, 2008) for versions.
+Incarnations follow SWIM (Das et al., 2002), versions follow Scuttlebutt (van Renesse et al., 2008).
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 
 from ..transport.mesh_pb2 import EndpointInfo, NodeInfo, Record, RecordVersion, Version
 
-CONFIG_RECORD_ID = "config"  # id of the one record of kind VERSION
-RANGE_COUNT = 64  # ranges that the keys are spread over for digests
+CONFIG_RECORD_ID = "config"  # id of the only record of kind VERSION
+RANGE_COUNT = 64  # hash ranges of keys, each with its own digest
 MAX_BODY_BYTES = 1000
-ENDED_RANK = 2  # rank from which on a node is dead or has left, and an endpoint is gone
-DEPARTED_SEQ = 2**62  # seq of an endpoint that has left for good: above that of any heartbeat
+ENDED_RANK = 2  # lowest rank at which a node is dead or has left, or an endpoint is gone
+DEPARTED_SEQ = 2**62  # seq of an endpoint that has departed; higher than that of any heartbeat
 
 
 class RecordKind(enum.IntEnum):
-    """What a record describes, and with that the type of its body."""
+    """What a record describes; determines the type of its body."""
 
     NODE = 1
     ENDPOINT = 2
@@ -30,7 +30,7 @@
 
 
 class EndpointPhase(enum.IntEnum):
-    """The phase of an endpoint: the rank of its record."""
+    """The phase of an endpoint, which is the rank of its record."""
 
     READY = 0
     DRAINING = 1
@@ -38,12 +38,12 @@
 
     @classmethod
     def of(cls, record: Record) -> EndpointPhase:
-        """The phase that the record of an endpoint tells; ranks of later versions count as GONE."""
+        """Return the phase of an endpoint record; unknown higher ranks of later protocol versions map to GONE."""
         return cls(min(record.rank, cls.GONE))
 
 
 class MemberState(enum.IntEnum):
-    """The state of a process of the mesh: the rank of its record."""
+    """The state of a node of the mesh, which is the rank of its record."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -52,12 +52,12 @@
 
     @classmethod
     def of(cls, record: Record) -> MemberState:
-        """The state that the record of a node tells; ranks of later versions count as LEFT."""
+        """Return the state of a node record; unknown higher ranks of later protocol versions map to LEFT."""
         return cls(min(record.rank, cls.LEFT))
 
     @property
     def label(self) -> str:
-        """The name in answers to operators: ``live``, ``suspect``, ``dead`` or ``left``."""
+        """The name used by the control API: ``live``, ``suspect``, ``dead`` or ``left``."""
         return "live" if self is MemberState.ALIVE else self.name.lower()
 
 
@@ -69,17 +69,17 @@
 
 
 class RecordKey(NamedTuple):
-    """Identifies a record."""
+    """The unique key of a record."""
 
     kind: int
     id: str
 
 
 class Precedence(NamedTuple):
-    """Of two records with the same key the one with the higher precedence holds, compared field by field.
+    """Decides between two records with the same key: the one with the higher precedence wins, compared field by field.
 
-    A new incarnation overrides everything of the one before; within it a higher ``seq`` is newer; with the same ``seq``
-    a higher rank holds, so that a drain or a suspicion overrides what it was drawn from.
+    A new incarnation overrides all records of the previous one. Within an incarnation a higher ``seq`` wins. With equal
+    ``seq`` a higher rank wins, so that a drain or a suspicion overrides the record that it was derived from.
     """
 
     incarnation: int
@@ -88,17 +88,17 @@
 
 
 def precedence(record: Record | RecordVersion) -> Precedence:
-    """The precedence of a record or of its version."""
+    """Return the precedence of a record or of a record version."""
     return Precedence(record.incarnation, record.seq, record.rank)
 
 
 def record_key(record: Record | RecordVersion) -> RecordKey:
-    """The key of a record or of its version."""
+    """Return the key of a record or of a record version."""
     return RecordKey(record.kind, record.id)
 
 
 def is_valid(record: Record) -> bool:
-    """Whether a received record is of a known kind, within bounds, and has a body that can be parsed."""
+    """Return whether a received record has a known kind, an id, and a body of bounded size that can be parsed."""
     if record.kind not in BODY_TYPES or not record.id or len(record.body) > MAX_BODY_BYTES:
         return False
     try:
@@ -109,7 +109,7 @@
 
 
 def is_urgent(record: Record) -> bool:
-    """Whether a record has to reach all others within a bound: versions, drains, departures, processes that leave."""
+    """Return whether a record has to reach all nodes quickly: versions, drains, departures and nodes that leave."""
     if record.kind == RecordKind.VERSION:
         return True
     if record.kind == RecordKind.ENDPOINT:
@@ -118,11 +118,11 @@
 
 
 def range_index(key: RecordKey) -> int:
-    """The range of a key, from 0 to :data:`RANGE_COUNT` - 1."""
+    """Return the index of the hash range of a key, from 0 to :data:`RANGE_COUNT` - 1."""
     return zlib.crc32(b"%d %b" % (key.kind, key.id.encode())) % RANGE_COUNT
 
 
 def fingerprint(key: RecordKey, version: Precedence) -> int:
-    """A record's part in the digest of its range: 64 bits. A digest is the exclusive or of these."""
+    """Return the 64-bit fingerprint of a record. The digest of a range is the XOR of its fingerprints."""
     encoded = b"%d %b %d %d %d" % (key.kind, key.id.encode(), *version)
     return int.from_bytes(hashlib.blake2b(encoded, digest_size=8).digest(), "big")
