--- a/zinclever/mesh/transport/__init__.py
+++ b/zinclever/mesh/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Frames between two processes of the mesh: connections, dialling, and channels that multiplex calls."""
+"""Framed TCP connections between the processes of the mesh, dialing, and channels that multiplex calls."""
--- a/zinclever/mesh/transport/dialing.py
+++ b/zinclever/mesh/transport/dialing.py
@@ -1,4 +1,4 @@
-"""Dialling: a connection attempt that hangs is joined by further ones, and the first that succeeds is used."""
+"""Dialing with staggered connection attempts, of which the first that succeeds is used."""
 
 from __future__ import annotations
 
@@ -8,14 +8,18 @@
 from ...core.protocol import Address
 from .framed_connection import FramedConnection
 
-DIAL_TIMEOUT = 0.6  # s for all attempts together: on a local network a connection takes ms
-DIAL_RETRY_DELAYS = (0.1, 0.2)  # s after which one more attempt joins those that hang: the peer may be up again
+DIAL_TIMEOUT = 0.6  # s for all attempts together; on a local network a connection takes milliseconds
+DIAL_RETRY_DELAYS = (0.1, 0.2)  # s after which a further attempt starts, as the peer may be reachable again
 
 
 async def race_dials(
     loop: asyncio.AbstractEventLoop, address: Address, make_protocol: Callable[[], FramedConnection]
 ) -> FramedConnection:
-    """The first connection to ``address`` that is established. OSError where none is within :data:`DIAL_TIMEOUT`."""
+    """Return the first established connection to ``address``; later attempts run in parallel with hanging ones.
+
+    Raises:
+        OSError: The first attempt to finish has failed, or none has finished within :data:`DIAL_TIMEOUT`.
+    """
 
     async def dial() -> FramedConnection:
         _, connection = await loop.create_connection(make_protocol, *address)
@@ -40,6 +44,6 @@
 
 
 def abort_late_connection(attempt: asyncio.Task[FramedConnection]) -> None:
-    """Close a connection that was established although nobody waits for it any more."""
+    """Close a connection that was established after another attempt had already been used."""
     if not attempt.cancelled() and attempt.exception() is None:
         attempt.result().abort()
