--- a/tests/mesh/cluster.py
+++ b/tests/mesh/cluster.py
@@ -1,5 +1,4 @@
-"""A mesh of real roles on loopback addresses, in one process: members of the core, sidecars, endpoints that do as they
-are told, clients and operators."""
+"""Test harness: a mesh of a control node, sidecars and scripted endpoints on loopback addresses, in one process."""
 
 from __future__ import annotations
 
@@ -18,12 +17,12 @@
 from zinclever.mesh.roles.control import ControlNode
 from zinclever.mesh.roles.sidecar import Sidecar
 
-PATIENCE = 20.0  # s: far more than any wait here takes
-CLEAR_WITHIN = 10.0  # s in which a call of an operator has a clear answer, however busy this machine is
-_nets = itertools.count(1)
+TEST_TIMEOUT = 20.0  # s
+DEFINITE_RESULT_TIMEOUT = 10.0  # s in which a repeated call of an operator has to get a response other than 503
+_network_numbers = itertools.count(1)
 
-Plan = Callable[[dict[str, str]], bytes | None]
-"""What an endpoint answers to a request's headers; None: it closes without a word."""
+Responder = Callable[[dict[str, str]], bytes | None]
+"""Returns the response of an endpoint to a request with the given headers; None closes the connection."""
 
 
 def good(headers: dict[str, str], body: bytes = b"made") -> bytes:
@@ -34,39 +33,40 @@
     )
 
 
-def away(headers: dict[str, str]) -> bytes:
+def not_executed(headers: dict[str, str]) -> bytes:
     return (
         b"HTTP/1.1 503 Busy\r\nX-Attempt-Id: %b\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
         % headers["x-attempt-id"].encode()
     )
 
 
-async def until(true: Callable[[], Any]) -> None:
-    """Wait for what the loop brings about."""
-    async with asyncio.timeout(PATIENCE):
-        while not true():
+async def until(condition: Callable[[], Any]) -> None:
+    """Wait until a condition holds; fails after :data:`TEST_TIMEOUT`."""
+    async with asyncio.timeout(TEST_TIMEOUT):
+        while not condition():
             await asyncio.sleep(0.005)
 
 
-async def read_message(reader: asyncio.StreamReader, first: bytes = b"") -> tuple[str, dict[str, str], bytes]:
-    head = (first + await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
-    headers = {n.lower(): v.strip() for n, _, v in (line.partition(":") for line in head[1:] if line)}
+async def read_message(reader: asyncio.StreamReader, received: bytes = b"") -> tuple[str, dict[str, str], bytes]:
+    """Read an HTTP message: its start line, its headers by lower-case name, and its body."""
+    head = (received + await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
+    headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in head[1:] if line)}
     body = await reader.readexactly(int(headers.get("content-length", "0")))
     return head[0], headers, body
 
 
 class App:
-    """An endpoint beside a sidecar."""
+    """A scripted HTTP endpoint in front of which a sidecar runs."""
 
-    def __init__(self, address: str, service: str, plan: Plan = good) -> None:
-        self.address, self.service, self.plan = address, service, plan
+    def __init__(self, address: str, service: str, responder: Responder = good) -> None:
+        self.address, self.service, self.responder = address, service, responder
         self.id = f"i-{address}"
         self.seen: list[tuple[str, dict[str, str], bytes]] = []
         self.seq = 0
-        self.hold: asyncio.Event | None = None
-        """Answers wait for it."""
-        self.forgotten: set[asyncio.StreamWriter] = set()
-        """Connections on which whatever comes is reset."""
+        self.response_gate: asyncio.Event | None = None
+        """If set, responses wait for this event."""
+        self.half_open: set[asyncio.StreamWriter] = set()
+        """Connections that are reset as soon as a byte is received."""
         self.resets = 0
         self.writers: set[asyncio.StreamWriter] = set()
 
@@ -78,23 +78,23 @@
         self.writers.add(writer)
         try:
             while True:
-                first = await reader.readexactly(1)
-                if writer in self.forgotten:
+                first_byte = await reader.readexactly(1)
+                if writer in self.half_open:
                     self.resets += 1
                     break
-                start, headers, body = await read_message(reader, first)
+                start, headers, body = await read_message(reader, first_byte)
                 self.seen.append((start, headers, body))
-                if self.hold is not None:
-                    await self.hold.wait()
-                answer = self.plan(headers)
-                if answer is None:
+                if self.response_gate is not None:
+                    await self.response_gate.wait()
+                response = self.responder(headers)
+                if response is None:
                     break
-                writer.write(answer)
+                writer.write(response)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         writer.transport.abort()
         self.writers.discard(writer)
-        self.forgotten.discard(writer)
+        self.half_open.discard(writer)
 
     async def stop(self) -> None:
         self.server.close()
@@ -114,27 +114,27 @@
 
 
 class Mesh:
-    """Use as an asynchronous context."""
+    """One control node and a sidecar for each endpoint. Use as an asynchronous context manager."""
 
-    def __init__(self, services: list[str], plans: dict[int, Plan] | None = None) -> None:
-        net = next(_nets)
-        self.core = f"127.77.{net}.1"
+    def __init__(self, services: list[str], responders: dict[int, Responder] | None = None) -> None:
+        network = next(_network_numbers)
+        self.core = f"127.77.{network}.1"
         with socket.socket() as s:
             s.bind((self.core, 0))
             port = s.getsockname()[1]
         self.port = min(port, 65000)
         self.folder = tempfile.TemporaryDirectory()
-        self.ips = [f"127.77.{net}.{10 + n}" for n in range(len(services))]
+        self.ips = [f"127.77.{network}.{10 + n}" for n in range(len(services))]
         self.apps = [
-            App(f"{ip}:{self.port + 6}", s, (plans or {}).get(n, good))
+            App(f"{ip}:{self.port + 6}", s, (responders or {}).get(n, good))
             for n, (ip, s) in enumerate(zip(self.ips, services, strict=True))
         ]
         self.ids = itertools.count(1)
 
-    def boot(self, ip: str, role: str, **more: Any) -> node_settings.NodeSettings:
+    def boot(self, ip: str, role: str, **overrides: Any) -> node_settings.NodeSettings:
         names = ("Egress", "Readiness", "ControlPlane") if role == "forager" else ("ControlPlane",)
-        bind = {n: f"{ip}:{self.port + 2 + k}" for k, n in enumerate(names)}
-        told = {
+        bind = {name: f"{ip}:{self.port + 2 + offset}" for offset, name in enumerate(names)}
+        defaults = {
             "NodeName": ip,
             "Role": role,
             "Ip": ip,
@@ -148,7 +148,7 @@
             "FaultModel": {"HostLosses": 0},
             "Bounds": ["RetryRatio=0.2", "RetryWindowS=10", "RetrySlack=60", "GraceS=1"],
         }
-        return node_settings.parse(json.dumps({**told, **more}).encode())
+        return node_settings.parse(json.dumps({**defaults, **overrides}).encode())
 
     async def __aenter__(self) -> Mesh:
         self.control = ControlNode(self.boot(self.core, "comb", StateDir=str(Path(self.folder.name) / "disk")))
@@ -156,106 +156,113 @@
         self.sidecars: list[Sidecar] = []
         for ip, app in zip(self.ips, self.apps, strict=True):
             await app.start()
-            f = Sidecar(self.boot(ip, "forager", AppAddr=app.address, Target=app.service))
-            await f.start()
-            self.sidecars.append(f)
+            sidecar = Sidecar(self.boot(ip, "forager", AppAddr=app.address, Target=app.service))
+            await sidecar.start()
+            self.sidecars.append(sidecar)
         return self
 
     async def __aexit__(self, *error: object) -> None:
-        for f in self.sidecars:
-            for server in f.servers:
+        for sidecar in self.sidecars:
+            for server in sidecar.servers:
                 server.close()
-            f.node.stop()
+            sidecar.node.stop()
         for app in self.apps:
             await app.stop()
         self.control.node.stop()
         if self.control.server is not None:
             self.control.server.close()
         self.control.store.close()
-        self.control.store.thread.shutdown(wait=True)  # a save may be under way in the folder
+        self.control.store.thread.shutdown(wait=True)  # a save to the folder may be in progress
         self.folder.cleanup()
 
-    # --- callers ---
+    # --- requests of clients, endpoints and operators ---
 
     async def call(
         self, address: str, method: str, path: str, body: bytes = b"", **headers: Any
     ) -> tuple[int, dict[str, str], bytes]:
+        """Send an HTTP request and return the status, the headers and the body of the response."""
         host, _, port = address.partition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
-        lines = "".join(f"{n.replace('_', '-')}: {v}\r\n" for n, v in {"Host": "a.example", **headers}.items())
+        lines = "".join(
+            f"{name.replace('_', '-')}: {value}\r\n" for name, value in {"Host": "a.example", **headers}.items()
+        )
         writer.write(f"{method} {path} HTTP/1.1\r\n{lines}Content-Length: {len(body)}\r\n\r\n".encode() + body)
-        async with asyncio.timeout(PATIENCE):
-            start, told, made = await read_message(reader)
+        async with asyncio.timeout(TEST_TIMEOUT):
+            start, response_headers, response_body = await read_message(reader)
         writer.close()
-        return int(start.split()[1]), told, made
+        return int(start.split()[1]), response_headers, response_body
 
     async def ask(
         self, path: str, method: str = "GET", at: int = 0, body: bytes = b"", **headers: Any
     ) -> tuple[int, dict[str, str], bytes]:
-        """A client's request at one of the sidecars."""
-        told = {"X_Attempt_Id": f"r{next(self.ids)}", "X_Deadline_Ms": "3000", **headers}
-        return await self.call(f"{self.ips[at]}:{self.port + 2}", method, path, body, **told)
+        """Send a client's request to the sidecar with the index ``at``."""
+        request_headers = {"X_Attempt_Id": f"r{next(self.ids)}", "X_Deadline_Ms": "3000", **headers}
+        return await self.call(f"{self.ips[at]}:{self.port + 2}", method, path, body, **request_headers)
 
     async def put(self, config: dict[str, Any] | bytes, base: int) -> tuple[int, dict[str, str], bytes]:
+        """Replace the configuration of generation ``base``, and return the control node's response."""
         text = config if isinstance(config, bytes) else json.dumps(config).encode()
         return await self.call(
             f"{self.core}:{self.port + 2}", "POST", "/v1/config/replace", text, X_Base_Version=str(base)
         )
 
-    async def beat(self, n: int, phase: str = "ready") -> int:
-        app = self.apps[n]
+    async def beat(self, index: int, phase: str = "ready") -> int:
+        """Send a heartbeat of an endpoint to its sidecar, and return the status."""
+        app = self.apps[index]
         status, _, _ = await self.call(
-            f"{self.ips[n]}:{self.port + 4}", "POST", f"/v1/endpoints/{app.id}/heartbeat", app.beat(phase)
+            f"{self.ips[index]}:{self.port + 4}", "POST", f"/v1/endpoints/{app.id}/heartbeat", app.beat(phase)
         )
         return status
 
     async def serve(self) -> None:
-        """A configuration is in force everywhere, and all endpoints are known everywhere."""
-        for n in range(len(self.apps)):
-            assert await self.beat(n) == 200
-        await self.put_until_clear(config(*{a.service for a in self.apps}), 0)
-        await until(lambda: all(f.node.active.generation == 1 for f in self.sidecars))
-        await until(lambda: all(self.known(f) == len(self.apps) for f in self.sidecars))
-
-    async def put_until_clear(self, text: dict[str, Any], base: int) -> None:
-        """Put a configuration in force as an operator does: 503 is no clear answer, and the call is sent again."""
-        until_at = asyncio.get_running_loop().time() + CLEAR_WITHIN
+        """Activate a configuration, and wait until all sidecars use it and know all endpoints."""
+        for index in range(len(self.apps)):
+            assert await self.beat(index) == 200
+        await self.put_until_definite(config(*{app.service for app in self.apps}), 0)
+        await until(lambda: all(sidecar.node.active.generation == 1 for sidecar in self.sidecars))
+        await until(lambda: all(self.known_endpoints(sidecar) == len(self.apps) for sidecar in self.sidecars))
+
+    async def put_until_definite(self, text: dict[str, Any], base: int) -> None:
+        """Replace the configuration, repeating the call while the status is 503, after which its result is unknown."""
+        deadline = asyncio.get_running_loop().time() + DEFINITE_RESULT_TIMEOUT
         status = 503
-        while status == 503 and asyncio.get_running_loop().time() < until_at:
+        while status == 503 and asyncio.get_running_loop().time() < deadline:
             status, _, _ = await self.put(text, base)
         assert status == 200, status
 
-    def known(self, sidecar: Sidecar) -> int:
-        return sum(len(f.forwarder.addresses) for f in sidecar.clients.clients.values())
+    def known_endpoints(self, sidecar: Sidecar) -> int:
+        """Return how many endpoints a sidecar can forward requests to."""
+        return sum(len(client.forwarder.addresses) for client in sidecar.clients.clients.values())
 
-    def runs(self) -> int:
-        return sum(len(a.seen) for a in self.apps)
+    def executed_requests(self) -> int:
+        """Return how many requests all endpoints have received."""
+        return sum(len(app.seen) for app in self.apps)
 
 
 def config(*services: str, generation: int = 1) -> dict[str, Any]:
-    """Safe requests under /SERVICE/safe/, others under /SERVICE/unsafe/."""
+    """Return a configuration with idempotent routes at /SERVICE/safe/ and non-idempotent ones at /SERVICE/unsafe/."""
     routes = {
-        f"{s}-{kind}": {
+        f"{service}-{kind}": {
             "Authority": "a.example",
-            "PathPrefix": f"/{s}/{kind}/",
-            "RouteClass": told,
+            "PathPrefix": f"/{service}/{kind}/",
+            "RouteClass": route_class,
             "DeadlineS": 3,
             "TargetLatencyS": 2,
             "Priority": 1,
             "MaxAttempts": 2,
-            "Target": s,
+            "Target": service,
         }
-        for s in services
-        for kind, told in (("safe", "idempotent"), ("unsafe", "non_idempotent"))
+        for service in services
+        for kind, route_class in (("safe", "idempotent"), ("unsafe", "non_idempotent"))
     }
-    return {"Generation": generation, "Routes": routes, "Services": {s: {} for s in services}}
+    return {"Generation": generation, "Routes": routes, "Services": {service: {} for service in services}}
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
-    """Run one test on the loop that is used in service; guards against one that hangs."""
+    """Run a test on uvloop, the event loop used in production, with :data:`TEST_TIMEOUT`."""
 
     async def bounded() -> None:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             await test()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/tests/mesh/processes.py
+++ b/tests/mesh/processes.py
@@ -1,5 +1,7 @@
-"""A mesh whose roles are processes of the program, each with a settings file of its own; endpoints and clients are
-stand-ins in the test's process. What they saw is all that :func:`audit` judges by."""
+"""Test harness: a mesh whose roles run as separate processes, with endpoints and clients in the test's process.
+
+:func:`audit` checks the invariants of request execution, based only on what the clients and the endpoints observed.
+"""
 
 from __future__ import annotations
 
@@ -23,47 +25,47 @@
 ROOT = Path(__file__).parents[2]
 SERVICE = "s"
 MAX_ATTEMPTS = 2  # of the routes of cluster.config
-WORK_S = 0.01  # that an endpoint takes for a request
-DEADLINE_S = 2.0  # of each request: longer than a link is trusted that is silent (1 s)
-GIVES_UP_S = 2.2  # after which a client waits no longer
-PAUSE_S = 0.02  # of a client that was not answered
-GRACE_S = 3.2  # of a SIGTERM
-READY_EACH_S = 1.0  # between two questions of the platform whether a sidecar is ready
-MISSES = 2  # of them, after which clients are given no new work
+SERVICE_TIME_S = 0.01  # of a request at an endpoint
+DEADLINE_S = 2.0  # of each request; longer than the silence after which a link is aborted (1 s)
+CLIENT_TIMEOUT_S = 2.2
+RETRY_DELAY_S = 0.02  # of a client after a request that was not answered
+GRACE_S = 3.2  # shutdown grace period after SIGTERM
+READINESS_PROBE_INTERVAL_S = 1.0  # between two readiness probes of the platform
+FAILURE_THRESHOLD = 2  # failed readiness probes after which clients receive no new work
 WARM_UP_CLIENTS = 12
-BEAT_EACH_S = 0.3
-BEAT_WITHIN_S = 0.5
-STARTED_WITHIN_S = 15.0
-ENDED_WITHIN_S = 10.0
-LOG_TAIL = 2000  # characters of a process's log that a failure shows
+HEARTBEAT_INTERVAL_S = 0.3
+HEARTBEAT_TIMEOUT_S = 0.5
+START_TIMEOUT_S = 15.0
+KILL_TIMEOUT_S = 10.0
+LOG_TAIL_LENGTH = 2000  # characters of a process's log that are shown on failure
 
 PR_SET_PDEATHSIG = 1
 _libc = ctypes.CDLL(None)
 
 
-def end_with_parent() -> None:
-    """In the child: the kernel kills it when the test's process is gone, however that ended."""
+def kill_with_parent() -> None:
+    """Run in the child process: have the kernel kill it when the test's process ends for whatever reason."""
     _libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
-# --- what was seen ---
+# --- observations and invariants ---
 
 
-class Kind(enum.Enum):
+class RouteClass(enum.Enum):
     IDEMPOTENT = "safe"
     NON_IDEMPOTENT = "unsafe"
 
 
 class Outcome(enum.Enum):
     NOT_SENT = "not sent"
-    """No connection was had: nothing can have run."""
+    """No connection was established: the request cannot have been executed."""
     ANSWERED = "answered"
     REFUSED = "refused"
-    """429 or 503: it did not run and never will."""
+    """Status 429 or 503: the request was not executed and never will be."""
     UNKNOWN = "unknown"
-    """502, 504, a closed connection, or silence: it may have run, or may run later."""
-    WRONG = "wrong"
-    """A status that no proper request of these routes gets."""
+    """Status 502 or 504, a closed connection, or a timeout: the request may have been executed, or may be later."""
+    UNEXPECTED_STATUS = "unexpected status"
+    """A status that no valid request of these routes receives."""
 
 
 OUTCOMES = {200: Outcome.ANSWERED, 429: Outcome.REFUSED, 503: Outcome.REFUSED} | dict.fromkeys(
@@ -72,188 +74,202 @@
 
 
 @dataclass(slots=True)
-class Try:
-    """One request, as its client saw it."""
+class ClientRequest:
+    """A request as observed by its client."""
 
     id: str
-    kind: Kind
+    route_class: RouteClass
     outcome: Outcome = Outcome.NOT_SENT
-    told_id: str = ""
-    body: bytes = b""
+    response_id: str = ""
+    response_body: bytes = b""
     ended_at: float = 0.0
 
     @property
-    def text(self) -> bytes:
+    def request_body(self) -> bytes:
         return b"body of " + self.id.encode()
 
 
 @dataclass(frozen=True, slots=True)
-class Run:
-    """One request, as an endpoint began to work on it."""
+class Execution:
+    """An execution of a request, as observed by its endpoint."""
 
     id: str
     path: str
     body: bytes
     endpoint: str
-    at: float
+    started_at: float
 
 
-def answer_to(body: bytes) -> bytes:
+def response_body_for(body: bytes) -> bytes:
     return b"answer to " + body
 
 
-class Rule(enum.Enum):
-    TWICE = "a request ran more often than its route allows: once, or MaxAttempts times where it is idempotent"
-    REFUSED = "a non-idempotent request ran although its client was told that it did not"
-    MIXED = "an answer that is not the request's own"
-    UNASKED = "a request ran that no client sent, or another than was sent"
-    WRONG = "a status that no proper request gets"
+class Invariant(enum.Enum):
+    EXECUTED_TOO_OFTEN = "a request was executed more than once, or more than MaxAttempts times if it is idempotent"
+    EXECUTED_AFTER_REFUSAL = "a non-idempotent request was executed although its client received a refusal"
+    MISMATCHED_RESPONSE = "a response does not belong to its request"
+    UNKNOWN_REQUEST = "a request was executed that no client sent, or that differs from the one that was sent"
+    UNEXPECTED_STATUS = "a request received an unexpected status"
 
 
 @dataclass(frozen=True, slots=True)
-class Breach:
-    rule: Rule
+class Violation:
+    invariant: Invariant
     request: str
 
 
-def audit(tries: Iterable[Try], runs: Iterable[Run]) -> list[Breach]:
-    """What breaks a rule; an unknown outcome by itself breaks none."""
-    found: list[Breach] = []
-    by_id = {t.id: t for t in tries}
-    ran: dict[str, list[Run]] = {}
-    for run in runs:
-        ran.setdefault(run.id, []).append(run)
-        sent = by_id.get(run.id)
-        if sent is None or run.body != sent.text or run.path != f"/{SERVICE}/{sent.kind.value}/":
-            found.append(Breach(Rule.UNASKED, run.id))
-    for sent in by_id.values():
-        its = ran.get(sent.id, [])
-        found += [Breach(rule, sent.id) for rule in broken_by(sent, its)]
-    return found
-
-
-def broken_by(sent: Try, runs: list[Run]) -> list[Rule]:
-    most = MAX_ATTEMPTS if sent.kind is Kind.IDEMPOTENT else 1
-    found: list[Rule] = []
-    if len(runs) > most:
-        found.append(Rule.TWICE)
-    if runs and (sent.outcome is Outcome.NOT_SENT or refused_for_good(sent)):
-        found.append(Rule.REFUSED)
-    if sent.outcome is Outcome.ANSWERED and not (
-        runs and sent.told_id == sent.id and sent.body == answer_to(sent.text)
+def audit(requests: Iterable[ClientRequest], executions: Iterable[Execution]) -> list[Violation]:
+    """Return all violations of invariants. An unknown outcome alone is not a violation."""
+    violations: list[Violation] = []
+    by_id = {r.id: r for r in requests}
+    executions_by_id: dict[str, list[Execution]] = {}
+    for execution in executions:
+        executions_by_id.setdefault(execution.id, []).append(execution)
+        request = by_id.get(execution.id)
+        if (
+            request is None
+            or execution.body != request.request_body
+            or execution.path != f"/{SERVICE}/{request.route_class.value}/"
+        ):
+            violations.append(Violation(Invariant.UNKNOWN_REQUEST, execution.id))
+    for request in by_id.values():
+        request_executions = executions_by_id.get(request.id, [])
+        violations += [
+            Violation(invariant, request.id) for invariant in violated_invariants(request, request_executions)
+        ]
+    return violations
+
+
+def violated_invariants(request: ClientRequest, executions: list[Execution]) -> list[Invariant]:
+    max_executions = MAX_ATTEMPTS if request.route_class is RouteClass.IDEMPOTENT else 1
+    violations: list[Invariant] = []
+    if len(executions) > max_executions:
+        violations.append(Invariant.EXECUTED_TOO_OFTEN)
+    if executions and (request.outcome is Outcome.NOT_SENT or is_final_refusal(request)):
+        violations.append(Invariant.EXECUTED_AFTER_REFUSAL)
+    if request.outcome is Outcome.ANSWERED and not (
+        executions
+        and request.response_id == request.id
+        and request.response_body == response_body_for(request.request_body)
     ):
-        found.append(Rule.MIXED)
-    if sent.outcome is Outcome.WRONG:
-        found.append(Rule.WRONG)
-    return found
+        violations.append(Invariant.MISMATCHED_RESPONSE)
+    if request.outcome is Outcome.UNEXPECTED_STATUS:
+        violations.append(Invariant.UNEXPECTED_STATUS)
+    return violations
+
 
+def is_final_refusal(request: ClientRequest) -> bool:
+    """Return whether a refusal guarantees that the request is never executed.
 
-def refused_for_good(sent: Try) -> bool:
-    """An idempotent request whose first attempt may have run can be refused at its second: the rules allow it."""
-    return sent.outcome is Outcome.REFUSED and sent.kind is Kind.NON_IDEMPOTENT
+    It doesn't for an idempotent request, whose second attempt may be refused after the first was executed.
+    """
+    return request.outcome is Outcome.REFUSED and request.route_class is RouteClass.NON_IDEMPOTENT
 
 
-def counts(tries: Iterable[Try], runs: Iterable[Run]) -> str:
-    """Tried, run, answered, refused, unknown, by kind."""
-    tries = list(tries)
-    ran = Counter(r.id for r in runs)
+def summarize(requests: Iterable[ClientRequest], executions: Iterable[Execution]) -> str:
+    """Return a summary of the requests, executions and outcomes of each route class."""
+    requests = list(requests)
+    execution_counts = Counter(execution.id for execution in executions)
     lines: list[str] = []
-    for kind in Kind:
-        its = [t for t in tries if t.kind is kind]
-        ended = Counter(t.outcome for t in its)
-        told = ", ".join(f"{o.value} {ended[o]}" for o in Outcome)
-        runs_of_kind = sum(ran[t.id] for t in its)
-        distinct = sum(ran[t.id] > 0 for t in its)
-        unknown_but_run = sum(ran[t.id] > 0 for t in its if t.outcome is Outcome.UNKNOWN)
+    for route_class in RouteClass:
+        of_class = [request for request in requests if request.route_class is route_class]
+        outcomes = Counter(request.outcome for request in of_class)
+        outcome_counts = ", ".join(f"{outcome.value} {outcomes[outcome]}" for outcome in Outcome)
+        total = sum(execution_counts[request.id] for request in of_class)
+        distinct = sum(execution_counts[request.id] > 0 for request in of_class)
+        unknown_but_executed = sum(
+            execution_counts[request.id] > 0 for request in of_class if request.outcome is Outcome.UNKNOWN
+        )
         lines.append(
-            f"{kind.name.lower()}: tried {len(its)}, run {distinct} ({runs_of_kind} runs), {told} "
-            f"({unknown_but_run} of the unknown ran)"
+            f"{route_class.name.lower()}: sent {len(of_class)}, executed {distinct} ({total} executions), "
+            f"{outcome_counts} ({unknown_but_executed} of the unknown were executed)"
         )
     return "; ".join(lines)
 
 
-# --- stand-ins ---
+# --- endpoints and clients ---
 
 
-class Endpoint(App):
-    """Takes some time for each request, and remembers each as run from the moment that it has read it."""
+class RecordingEndpoint(App):
+    """Responds to each request after a service time, and records its execution as soon as it was read."""
 
     def __init__(self, address: str, service: str) -> None:
         super().__init__(address, service)
-        self.runs: list[Run] = []
+        self.executions: list[Execution] = []
 
     async def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.add(writer)
         try:
             while True:
                 start, headers, body = await read_message(reader)
-                answer = await self.work(headers["x-attempt-id"], start.split()[1], body)
-                writer.write(answer)
+                response = await self.handle(headers["x-attempt-id"], start.split()[1], body)
+                writer.write(response)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         writer.transport.abort()
         self.writers.discard(writer)
 
-    async def work(self, request: str, path: str, body: bytes) -> bytes:
-        self.begin(request, path, body)
-        await asyncio.sleep(WORK_S)
-        if self.hold is not None:
-            await self.hold.wait()
-        return self.answer(request, answer_to(body))
+    async def handle(self, request: str, path: str, body: bytes) -> bytes:
+        self.record_execution(request, path, body)
+        await asyncio.sleep(SERVICE_TIME_S)
+        if self.response_gate is not None:
+            await self.response_gate.wait()
+        return self.response(request, response_body_for(body))
 
-    def begin(self, request: str, path: str, body: bytes) -> None:
-        self.runs.append(Run(request, path, body, self.id, asyncio.get_running_loop().time()))
+    def record_execution(self, request: str, path: str, body: bytes) -> None:
+        self.executions.append(Execution(request, path, body, self.id, asyncio.get_running_loop().time()))
 
-    def answer(self, request: str, body: bytes, status: str = "200 OK", more: str = "") -> bytes:
-        head = f"HTTP/1.1 {status}\r\nX-Attempt-Id: {request}\r\nX-Server-Seal: s\r\n{more}"
+    def response(self, request: str, body: bytes, status: str = "200 OK", extra_headers: str = "") -> bytes:
+        head = f"HTTP/1.1 {status}\r\nX-Attempt-Id: {request}\r\nX-Server-Seal: s\r\n{extra_headers}"
         return f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
 class Client:
-    """One request after the other; keeps its connection, or opens one for each request."""
+    """Sends one request at a time, on a persistent connection or on a new connection for each request."""
 
     _numbers = itertools.count(1)
 
-    def __init__(self, host: str, port: int, keeps: bool) -> None:
-        self.host, self.port, self.keeps = host, port, keeps
+    def __init__(self, host: str, port: int, persistent: bool) -> None:
+        self.host, self.port, self.persistent = host, port, persistent
         self.number = next(self._numbers)
-        self.tries: list[Try] = []
+        self.requests: list[ClientRequest] = []
         self.reader: asyncio.StreamReader | None = None
         self.writer: asyncio.StreamWriter | None = None
 
-    async def go_on(self, ended: asyncio.Event) -> None:
-        while not ended.is_set():
-            kind = Kind.NON_IDEMPOTENT if len(self.tries) % 2 else Kind.IDEMPOTENT
-            told = await self.ask(kind)
-            if told.outcome is not Outcome.ANSWERED:
-                await asyncio.sleep(PAUSE_S)
+    async def send_until(self, load_ended: asyncio.Event) -> None:
+        while not load_ended.is_set():
+            route_class = RouteClass.NON_IDEMPOTENT if len(self.requests) % 2 else RouteClass.IDEMPOTENT
+            request = await self.send(route_class)
+            if request.outcome is not Outcome.ANSWERED:
+                await asyncio.sleep(RETRY_DELAY_S)
         self.close()
 
-    async def ask(self, kind: Kind) -> Try:
-        sent = Try(f"c{self.number}-{len(self.tries)}", kind)
-        self.tries.append(sent)
+    async def send(self, route_class: RouteClass) -> ClientRequest:
+        request = ClientRequest(f"c{self.number}-{len(self.requests)}", route_class)
+        self.requests.append(request)
         try:
-            async with asyncio.timeout(GIVES_UP_S):
-                await self.exchange(sent)
+            async with asyncio.timeout(CLIENT_TIMEOUT_S):
+                await self.exchange(request)
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             self.close()
-        sent.ended_at = asyncio.get_running_loop().time()
-        if not self.keeps:
+        request.ended_at = asyncio.get_running_loop().time()
+        if not self.persistent:
             self.close()
-        return sent
+        return request
 
-    async def exchange(self, sent: Try) -> None:
+    async def exchange(self, request: ClientRequest) -> None:
         if self.reader is None or self.writer is None:
             self.reader, self.writer = await asyncio.open_connection(self.host, self.port)
-        sent.outcome = Outcome.UNKNOWN
+        request.outcome = Outcome.UNKNOWN
         self.writer.write(
-            f"POST /{SERVICE}/{sent.kind.value}/ HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: {sent.id}\r\n"
-            f"X-Deadline-Ms: {int(DEADLINE_S * 1000)}\r\nContent-Length: {len(sent.text)}\r\n\r\n".encode()
-            + sent.text
+            f"POST /{SERVICE}/{request.route_class.value}/ HTTP/1.1\r\n"
+            f"Host: a.example\r\nX-Attempt-Id: {request.id}\r\n"
+            f"X-Deadline-Ms: {int(DEADLINE_S * 1000)}\r\nContent-Length: {len(request.request_body)}\r\n\r\n".encode()
+            + request.request_body
         )
-        start, headers, sent.body = await read_message(self.reader)
-        sent.told_id = headers.get("x-attempt-id", "")
-        sent.outcome = OUTCOMES.get(int(start.split()[1]), Outcome.WRONG)
+        start, headers, request.response_body = await read_message(self.reader)
+        request.response_id = headers.get("x-attempt-id", "")
+        request.outcome = OUTCOMES.get(int(start.split()[1]), Outcome.UNEXPECTED_STATUS)
         if headers.get("connection", "").lower() == "close":
             self.close()
 
@@ -263,63 +279,65 @@
         self.reader = self.writer = None
 
 
-# --- the processes ---
+# --- processes ---
 
 
 class Process:
-    """One role of the program. Its output goes to a file: nobody has to read it for the process to go on."""
+    """A process that runs one role. Its output goes to a file, so that it never blocks on a full pipe."""
 
     def __init__(self, role: str, folder: Path, settings: dict[str, Any]) -> None:
         self.settings = settings
-        self.boot = folder / f"{settings['NodeName']}.json"
-        self.log = folder / f"{settings['NodeName']}.log"
-        self.write()
-        with self.log.open("wb") as log:
+        self.settings_path = folder / f"{settings['NodeName']}.json"
+        self.log_path = folder / f"{settings['NodeName']}.log"
+        self.write_settings()
+        with self.log_path.open("wb") as log:
             self.popen = subprocess.Popen(
                 [sys.executable, "meshd.py", role],
                 cwd=ROOT,
-                env={**os.environ, "ZINCLEVER_BOOT": str(self.boot)},
+                env={**os.environ, "ZINCLEVER_BOOT": str(self.settings_path)},
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
-                preexec_fn=end_with_parent,
+                preexec_fn=kill_with_parent,
             )
 
-    def write(self) -> None:
-        """Replaced at once: the process may read it at any time."""
-        new = self.boot.with_suffix(".new")
-        new.write_text(json.dumps(self.settings))
-        new.replace(self.boot)
+    def write_settings(self) -> None:
+        """Replace the settings file atomically, as the process may read it at any time."""
+        temporary = self.settings_path.with_suffix(".new")
+        temporary.write_text(json.dumps(self.settings))
+        temporary.replace(self.settings_path)
 
-    def send(self, number: signal.Signals) -> None:
-        self.popen.send_signal(number)
+    def send_signal(self, signal_number: signal.Signals) -> None:
+        self.popen.send_signal(signal_number)
 
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
         return self.popen.poll() is None
 
     def kill(self) -> None:
         self.popen.kill()
-        self.popen.wait(ENDED_WITHIN_S)
+        self.popen.wait(KILL_TIMEOUT_S)
 
-    def tail(self) -> str:
-        return self.log.read_text(errors="replace")[-LOG_TAIL:]
+    def log_tail(self) -> str:
+        return self.log_path.read_text(errors="replace")[-LOG_TAIL_LENGTH:]
 
 
 class ProcessMesh(Mesh):
-    """One control process, and a sidecar process beside each endpoint; all endpoints serve :data:`SERVICE`. Clients ask
-    the first sidecar, which is the caller; the second is the keeper that it sends to. Use as an asynchronous context.
+    """A control process, two endpoints of :data:`SERVICE`, and a sidecar process for each of them.
+
+    Clients send their requests to the first sidecar, which serves them locally or forwards them to the second. Use as
+    an asynchronous context manager.
     """
 
-    def __init__(self, make: Callable[[str, str], Endpoint] = Endpoint) -> None:
+    def __init__(self, make_endpoint: Callable[[str, str], RecordingEndpoint] = RecordingEndpoint) -> None:
         super().__init__([SERVICE] * 2)
-        self.endpoints = [make(a.address, a.service) for a in self.apps]
+        self.endpoints = [make_endpoint(app.address, app.service) for app in self.apps]
         self.apps = [*self.endpoints]
         self.processes: list[Process] = []
-        self.beats: asyncio.Task[None] | None = None
-        self.warm_up: set[str] = set()
-        """Requests sent until all endpoints are reached; not judged."""
+        self.heartbeat_task: asyncio.Task[None] | None = None
+        self.warm_up_ids: set[str] = set()
+        """Ids of the requests that were request during the warm-up; they are not audited."""
 
-    def settings(self, ip: str, **more: Any) -> dict[str, Any]:
+    def settings(self, ip: str, **overrides: Any) -> dict[str, Any]:
         names = ("ControlPlane",) if ip == self.core else ("Egress", "Readiness", "ControlPlane")
         return {
             "NodeName": ip,
@@ -327,14 +345,14 @@
             "Ip": ip,
             "Zone": "z",
             "Serves": [],
-            "Bind": {n: f"{ip}:{self.port + 2 + k}" for k, n in enumerate(names)},
+            "Bind": {name: f"{ip}:{self.port + 2 + offset}" for offset, name in enumerate(names)},
             "EphemeralPorts": [self.port, self.port + 1],
             "SeedNodes": [f"{self.core}:{self.port + 2}"],
             "Bootstrap": True,
             "Limits": {"MaxFds": 1024},
             "FaultModel": {"HostLosses": 0},
             "Bounds": ["RetryRatio=0.2", "RetryWindowS=10", "RetrySlack=60", f"GraceS={GRACE_S}"],
-            **more,
+            **overrides,
         }
 
     async def __aenter__(self) -> ProcessMesh:
@@ -342,94 +360,99 @@
             await self.start()
         except BaseException:
             for process in self.processes:
-                print(process.log.name, process.tail(), file=sys.stderr)
+                print(process.log_path.name, process.log_tail(), file=sys.stderr)
             await self.__aexit__()
             raise
         return self
 
     async def start(self) -> None:
         folder = Path(self.folder.name)
-        state = self.settings(self.core, StateDir=str(folder / "disk"))
-        self.processes.append(Process("control", folder, state))
+        control_settings = self.settings(self.core, StateDir=str(folder / "disk"))
+        self.processes.append(Process("control", folder, control_settings))
         for ip, endpoint in zip(self.ips, self.endpoints, strict=True):
             await endpoint.start()
-            told = self.settings(ip, AppAddr=endpoint.address, Target=endpoint.service)
-            self.processes.append(Process("sidecar", folder, told))
-        async with asyncio.timeout(STARTED_WITHIN_S):
-            await again(lambda: self.put_until_clear(config(SERVICE), 0))
-            self.beats = asyncio.ensure_future(self.go_on_beating())
+            sidecar_settings = self.settings(ip, AppAddr=endpoint.address, Target=endpoint.service)
+            self.processes.append(Process("sidecar", folder, sidecar_settings))
+        async with asyncio.timeout(START_TIMEOUT_S):
+            await retry_until_success(lambda: self.put_until_definite(config(SERVICE), 0))
+            self.heartbeat_task = asyncio.ensure_future(self.send_heartbeats())
             for ip in self.ips:
-                await again(lambda ip=ip: self.see_ready(ip))  # type: ignore[misc]
-            await self.reach_all()
+                await retry_until_success(lambda ip=ip: self.check_ready(ip))  # type: ignore[misc]
+            await self.warm_up_endpoints()
 
-    async def see_ready(self, ip: str) -> None:
+    async def check_ready(self, ip: str) -> None:
         status, _, _ = await self.call(f"{ip}:{self.port + 3}", "GET", "/v1/ready")
         if status != 200:
             raise ConnectionError(status)
 
-    async def reach_all(self) -> None:
-        """The caller sends to each endpoint, as one is not enough for so many requests at once."""
-        clients = [self.client(keeps=True) for _ in range(WARM_UP_CLIENTS)]
-        while not all(e.runs for e in self.endpoints):
-            await asyncio.gather(*(c.ask(Kind.IDEMPOTENT) for c in clients))
+    async def warm_up_endpoints(self) -> None:
+        """Send concurrent requests until the first sidecar has forwarded some to each endpoint."""
+        clients = [self.client(persistent=True) for _ in range(WARM_UP_CLIENTS)]
+        while not all(endpoint.executions for endpoint in self.endpoints):
+            await asyncio.gather(*(c.send(RouteClass.IDEMPOTENT) for c in clients))
         for client in clients:
             client.close()
-            self.warm_up.update(t.id for t in client.tries)
+            self.warm_up_ids.update(request.id for request in client.requests)
 
-    async def until_not_ready(self, ip: str) -> None:
-        """As the platform asks."""
-        misses = 0
-        while misses < MISSES:
-            await asyncio.sleep(READY_EACH_S)
+    async def wait_until_not_ready(self, ip: str) -> None:
+        """Wait until :data:`FAILURE_THRESHOLD` readiness probes in a row have failed."""
+        failures = 0
+        while failures < FAILURE_THRESHOLD:
+            await asyncio.sleep(READINESS_PROBE_INTERVAL_S)
             try:
-                await self.see_ready(ip)
-                misses = 0
+                await self.check_ready(ip)
+                failures = 0
             except (OSError, asyncio.IncompleteReadError):
-                misses += 1
+                failures += 1
 
-    async def go_on_beating(self) -> None:
+    async def send_heartbeats(self) -> None:
         while True:
-            for n in range(len(self.endpoints)):
+            for index in range(len(self.endpoints)):
                 try:
-                    async with asyncio.timeout(BEAT_WITHIN_S):
-                        await self.beat(n)
+                    async with asyncio.timeout(HEARTBEAT_TIMEOUT_S):
+                        await self.beat(index)
                 except (OSError, TimeoutError, asyncio.IncompleteReadError):
-                    continue  # its sidecar stands still or has ended
-            await asyncio.sleep(BEAT_EACH_S)
+                    continue  # the sidecar is stopped or has exited
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def __aexit__(self, *error: object) -> None:
         try:
             for process in self.processes:
                 process.kill()
         finally:
-            if self.beats is not None:
-                self.beats.cancel()
+            if self.heartbeat_task is not None:
+                self.heartbeat_task.cancel()
             for endpoint in self.endpoints:
-                if endpoint.hold is not None:
-                    endpoint.hold.set()
+                if endpoint.response_gate is not None:
+                    endpoint.response_gate.set()
                 if endpoint.writers:
-                    await asyncio.sleep(WORK_S)
+                    await asyncio.sleep(SERVICE_TIME_S)
                 if hasattr(endpoint, "server"):
                     await endpoint.stop()
             self.folder.cleanup()
 
     @property
-    def caller(self) -> Process:
+    def egress_sidecar(self) -> Process:
         return self.processes[1]
 
     @property
-    def keeper(self) -> Process:
+    def ingress_sidecar(self) -> Process:
         return self.processes[2]
 
-    def client(self, keeps: bool) -> Client:
-        return Client(self.ips[0], self.port + 2, keeps)
+    def client(self, persistent: bool) -> Client:
+        return Client(self.ips[0], self.port + 2, persistent)
 
-    def all_runs(self) -> list[Run]:
-        return [r for e in self.endpoints for r in e.runs if r.id not in self.warm_up]
+    def audited_executions(self) -> list[Execution]:
+        return [
+            execution
+            for endpoint in self.endpoints
+            for execution in endpoint.executions
+            if execution.id not in self.warm_up_ids
+        ]
 
 
-async def again(call: Callable[[], Awaitable[None]]) -> None:
-    """Until it goes well: a process that starts doesn't listen yet. The caller bounds the time."""
+async def retry_until_success(call: Callable[[], Awaitable[None]]) -> None:
+    """Repeat a call until it succeeds, as a starting process does not listen yet. The caller sets a timeout."""
     while True:
         try:
             return await call()
--- a/tests/mesh/test_configuration_handout.py
+++ b/tests/mesh/test_configuration_handout.py
@@ -11,8 +11,8 @@
 from zinclever.mesh.configuration.fetching import (
     FETCH_TIMEOUT,
     INITIAL_HEDGE_DELAY,
-    MAX_OPEN_FETCHES,
     MAX_HEDGE_DELAY,
+    MAX_OPEN_FETCHES,
     MAX_WAITERS,
     WAITER_TIMEOUT,
     FetchScheduler,
--- a/tests/mesh/test_leaving.py
+++ b/tests/mesh/test_leaving.py
@@ -51,7 +51,7 @@
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
                 app, ending = m.apps[0], m.sidecars[1]
-                app.hold = asyncio.Event()
+                app.response_gate = asyncio.Event()
                 asked = asyncio.ensure_future(m.ask("/one/unsafe/x", "POST", 1, b"body"))
                 await until(lambda: app.seen)
                 with mock.patch.object(sidecar, "MIN_DRAIN_PERIOD", 0.05):
@@ -60,7 +60,7 @@
                     ready = await m.call(f"{m.ips[1]}:{m.port + 3}", "GET", "/v1/ready")
                     self.assertEqual(ready[0], 503)  # before anything else changes
                     self.assertFalse(asked.done() or stopped.done())
-                    app.hold.set()
+                    app.response_gate.set()
                     self.assertEqual((await asked)[0], 200)
                     await stopped
 
@@ -156,7 +156,7 @@
                 app = m.apps[0]
                 status, _, _ = await m.call(f"{m.ips[0]}:{m.port + 4}", "POST", f"/v1/endpoints/{app.id}/departure")
                 self.assertEqual(status, 200)
-                await until(lambda: all(m.known(f) == 2 for f in m.sidecars))
+                await until(lambda: all(m.known_endpoints(sidecar) == 2 for sidecar in m.sidecars))
 
         run(test)
 
--- a/tests/mesh/test_mesh.py
+++ b/tests/mesh/test_mesh.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from mesh.cases import params
-from mesh.cluster import Mesh, Plan, away, good, run, until
+from mesh.cluster import Mesh, Responder, good, not_executed, run, until
 from zinclever.mesh.dataplane.ingress import Ingress
 from zinclever.mesh.roles.forward_server import ForwardServer, InboundForward
 from zinclever.mesh.transport.channel import Channel
@@ -61,18 +61,18 @@
         ("bytes that are no answer", noise, "unsafe", 502, 1),
         ("closed without a word", silence, "unsafe", 502, 1),
         ("its own failure", failed, "unsafe", 500, 1),
-        ("turned away", away, "unsafe", 503, 1),
+        ("turned away", not_executed, "unsafe", 503, 1),
     )
-    def test_answers(self, name: str, plan: Plan, kind: str, status: int, runs: int) -> None:
+    def test_answers(self, name: str, plan: Responder, kind: str, status: int, runs: int) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"], {0: plan}) as m:
                 await m.serve()
                 # Beside the endpoint, over a hop, and over a hop with a body that knocks.
                 for at, sent in ((0, b"body"), (1, b"body"), (1, b"body" * 1000)):
-                    before = m.runs()
+                    before = m.executed_requests()
                     got, headers, body = await m.ask(f"/one/{kind}/x", "POST", at, sent)
                     self.assertEqual(got, status, name)
-                    self.assertEqual(m.runs() - before, runs, name)
+                    self.assertEqual(m.executed_requests() - before, runs, name)
                     if got == 200:
                         self.assertEqual((body, headers["x-server-seal"]), (b"made", "s"))
                     elif got == 503:
@@ -139,12 +139,12 @@
         ("unsafe", silence, 502, 1),
         ("safe", failed, 200, 2),
         ("unsafe", failed, 500, 1),
-        ("safe", away, 200, 2),
-        ("unsafe", away, 200, 2),
+        ("safe", not_executed, 200, 2),
+        ("unsafe", not_executed, 200, 2),
         ("unsafe", other_id, 502, 1),
         ("safe", other_id, 200, 2),
     )
-    def test_goes_on_only_where_it_may(self, kind: str, first: Plan, status: int, seen: int) -> None:
+    def test_goes_on_only_where_it_may(self, kind: str, first: Responder, status: int, seen: int) -> None:
         """The first that has it does harm, the other is well."""
 
         async def test() -> None:
@@ -196,7 +196,7 @@
                 app, keeper = m.apps[0], m.sidecars[0].ingress
                 for at in (0, 1, 0, 1):
                     self.assertEqual((await m.ask(f"/one/{kind}/x", "POST", at, b"body"))[0], 200)
-                    app.forgotten |= app.writers
+                    app.half_open |= app.writers
                     for connection in keeper.pools.idle:
                         connection.heard_at -= 1.0  # it has been quiet for a while
                 self.assertEqual((len(app.seen), app.resets), (4, 3))
@@ -217,7 +217,7 @@
                 m.sidecars[0].ingress.queue.busy = 400
                 with mock.patch.object(Channel, "send_on_call", autospec=True) as sent:
                     got, headers, _ = await m.ask("/one/unsafe/x", "POST", 1, self.BODY)
-                self.assertEqual((got, m.runs(), sent.call_count), (503, 0, 0))
+                self.assertEqual((got, m.executed_requests(), sent.call_count), (503, 0, 0))
                 self.assertGreater(float(headers["retry-after"]), 0.0)
                 self.assertFalse(m.sidecars[0].forward_server.open)
 
@@ -246,7 +246,7 @@
                     for f in m.sidecars:  # handlers are bound at the start
                         f.node.frame_handlers["forward_request"] = f.forward_server.on_request
                     got, _, _ = await m.ask("/one/unsafe/x", "POST", 2, self.BODY)
-                self.assertEqual((got, m.runs()), (status, ran))
+                self.assertEqual((got, m.executed_requests()), (status, ran))
 
         run(test)
 
--- a/tests/mesh/test_mesh_operators.py
+++ b/tests/mesh/test_mesh_operators.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from mesh.cluster import Mesh, away, config, run, until
+from mesh.cluster import Mesh, config, not_executed, run, until
 from zinclever.mesh.consensus.replica_store import read_folder
 from zinclever.mesh.errors import MeshError
 from zinclever.mesh.operator_cli.control_client import ControlRequest, call
@@ -88,7 +88,7 @@
 
     def test_why_a_request_was_refused(self) -> None:
         async def test() -> None:
-            async with Mesh(["one", "two"], {0: away}) as m:
+            async with Mesh(["one", "two"], {0: not_executed}) as m:
                 await m.serve()
                 self.assertEqual((await m.ask("/one/unsafe/x", "POST", 1, X_Attempt_Id="r-asked"))[0], 503)
                 core, loop = [f"{m.core}:{m.port + 2}"], m.control.loop
--- a/tests/mesh/test_signals.py
+++ b/tests/mesh/test_signals.py
@@ -1,5 +1,8 @@
-"""Signals to sidecars that run as processes, and an endpoint that stands still, under load: what runs how often, and
-what clients are told. ``ZINCLEVER_TEST_STANDSTILL_S`` makes the standstills longer."""
+"""Process tests of SIGSTOP, SIGTERM and SIGHUP to sidecars, and of a stalled endpoint, under load.
+
+They check how often requests are executed and what clients receive. ``ZINCLEVER_TEST_STANDSTILL_S`` sets the duration
+of the stalls in seconds.
+"""
 
 from __future__ import annotations
 
@@ -11,235 +14,274 @@
 
 import uvloop
 
-from mesh.processes import GIVES_UP_S, Breach, Endpoint, Kind, Outcome, ProcessMesh, Rule, Try, answer_to, audit, counts
-
-STANDSTILL_S = float(os.environ.get("ZINCLEVER_TEST_STANDSTILL_S", "1.5"))
+from mesh.processes import (
+    CLIENT_TIMEOUT_S,
+    ClientRequest,
+    Invariant,
+    Outcome,
+    ProcessMesh,
+    RecordingEndpoint,
+    RouteClass,
+    Violation,
+    audit,
+    response_body_for,
+    summarize,
+)
+
+STALL_S = float(os.environ.get("ZINCLEVER_TEST_STANDSTILL_S", "1.5"))
 CLIENTS = 24
-BEFORE_S = 0.5  # of load before the trouble
-AFTER_S = 1.0  # of load after it
-SETTLE_S = 0.3  # after the load: what runs late is seen
-SLACK_S = 0.2  # until a signal has its effect on what is seen
-ANSWERED_AT_LEAST = 20  # requests of each kind, before the trouble and (where the caller is still there) after it
-PATIENCE_S = 25.0 + STANDSTILL_S  # guards against a test that hangs
+LOAD_BEFORE_S = 0.5  # of load before the fault
+LOAD_AFTER_S = 1.0  # of load after the fault
+SETTLE_S = 0.3  # after the load, in which late executions are still recorded
+SIGNAL_DELAY_S = 0.2  # until a signal takes effect
+MIN_ANSWERED = 20  # requests of each route class before the fault, and after it if the first sidecar still runs
+TEST_TIMEOUT_S = 25.0 + STALL_S
 RELOADS = 5
-RELOAD_EACH_S = 0.05
-POLL_S = 0.02
+RELOAD_INTERVAL_S = 0.05
+POLL_INTERVAL_S = 0.02
 
-Trouble = Callable[[ProcessMesh, asyncio.Event], Awaitable[None]]
-"""Set the event to end the load."""
+Fault = Callable[[ProcessMesh, asyncio.Event], Awaitable[None]]
+"""Injects a fault into a mesh. It may set the event to end the load."""
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
     async def bounded() -> None:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await test()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(bounded())
 
 
-class Played:
-    """Load on a mesh of processes, with a trouble in the midst of it."""
+class FaultScenario:
+    """Runs load on a mesh of processes and injects a fault during it."""
 
-    def __init__(self, trouble: Trouble) -> None:
-        self.trouble = trouble
+    def __init__(self, fault: Fault) -> None:
+        self.fault = fault
         self.mesh = ProcessMesh()
-        self.began_at = self.ended_at = 0.0
-        self.tries: list[Try] = []
+        self.fault_began_at = self.fault_ended_at = 0.0
+        self.requests: list[ClientRequest] = []
 
-    async def play(self) -> None:
+    async def run(self) -> None:
         async with self.mesh:
-            ended = asyncio.Event()
-            clients = [self.mesh.client(keeps=bool(n % 2)) for n in range(CLIENTS)]
-            load = [asyncio.ensure_future(c.go_on(ended)) for c in clients]
+            load_ended = asyncio.Event()
+            clients = [self.mesh.client(persistent=bool(n % 2)) for n in range(CLIENTS)]
+            load = [asyncio.ensure_future(client.send_until(load_ended)) for client in clients]
             try:
-                await self.bring_about(ended)
-                ended.set()
-                await asyncio.wait_for(asyncio.gather(*load), GIVES_UP_S + SLACK_S)
+                await self.inject_fault(load_ended)
+                load_ended.set()
+                await asyncio.wait_for(asyncio.gather(*load), CLIENT_TIMEOUT_S + SIGNAL_DELAY_S)
                 await asyncio.sleep(SETTLE_S)
             finally:
                 for task in load:
                     task.cancel()
-        self.tries = [t for c in clients for t in c.tries]
+        self.requests = [request for client in clients for request in client.requests]
 
-    async def bring_about(self, ended: asyncio.Event) -> None:
+    async def inject_fault(self, load_ended: asyncio.Event) -> None:
         loop = asyncio.get_running_loop()
-        await asyncio.sleep(BEFORE_S)
-        self.began_at = loop.time()
-        await self.trouble(self.mesh, ended)
-        self.ended_at = loop.time()
-        if not ended.is_set():
-            await asyncio.sleep(AFTER_S)
+        await asyncio.sleep(LOAD_BEFORE_S)
+        self.fault_began_at = loop.time()
+        await self.fault(self.mesh, load_ended)
+        self.fault_ended_at = loop.time()
+        if not load_ended.is_set():
+            await asyncio.sleep(LOAD_AFTER_S)
 
-    def answered(self, kind: Kind, after: float, before: float) -> int:
-        return sum(t.kind is kind and t.outcome is Outcome.ANSWERED and after < t.ended_at < before for t in self.tries)
+    def answered(self, route_class: RouteClass, after: float, before: float) -> int:
+        return sum(
+            request.route_class is route_class
+            and request.outcome is Outcome.ANSWERED
+            and after < request.ended_at < before
+            for request in self.requests
+        )
 
-    def lost(self) -> list[Try]:
-        return [t for t in self.tries if t.outcome is Outcome.UNKNOWN]
+    def lost(self) -> list[ClientRequest]:
+        return [request for request in self.requests if request.outcome is Outcome.UNKNOWN]
 
 
-async def caller_stands_still(mesh: ProcessMesh, ended: asyncio.Event) -> None:
-    mesh.caller.send(signal.SIGSTOP)
-    await asyncio.sleep(STANDSTILL_S)
-    mesh.caller.send(signal.SIGCONT)
+async def egress_sidecar_stalls(mesh: ProcessMesh, load_ended: asyncio.Event) -> None:
+    mesh.egress_sidecar.send_signal(signal.SIGSTOP)
+    await asyncio.sleep(STALL_S)
+    mesh.egress_sidecar.send_signal(signal.SIGCONT)
 
 
-async def keeper_stands_still(mesh: ProcessMesh, ended: asyncio.Event) -> None:
-    mesh.keeper.send(signal.SIGSTOP)
-    await asyncio.sleep(STANDSTILL_S)
-    mesh.keeper.send(signal.SIGCONT)
+async def ingress_sidecar_stalls(mesh: ProcessMesh, load_ended: asyncio.Event) -> None:
+    mesh.ingress_sidecar.send_signal(signal.SIGSTOP)
+    await asyncio.sleep(STALL_S)
+    mesh.ingress_sidecar.send_signal(signal.SIGCONT)
 
 
-async def endpoint_stands_still(mesh: ProcessMesh, ended: asyncio.Event) -> None:
-    """It has begun what it was sent, and answers all of it in the end."""
-    mesh.endpoints[1].hold = hold = asyncio.Event()
-    await asyncio.sleep(STANDSTILL_S)
-    hold.set()
+async def endpoint_stalls(mesh: ProcessMesh, load_ended: asyncio.Event) -> None:
+    """The endpoint has started to execute the requests that it received, and responds to all of them afterwards."""
+    mesh.endpoints[1].response_gate = gate = asyncio.Event()
+    await asyncio.sleep(STALL_S)
+    gate.set()
 
 
-async def caller_is_ended(mesh: ProcessMesh, ended: asyncio.Event) -> None:
-    """The platform gives its clients no new work once it has told twice that it is not ready."""
-    mesh.caller.send(signal.SIGTERM)
-    await mesh.until_not_ready(mesh.ips[0])
-    ended.set()
-    while mesh.caller.runs():
-        await asyncio.sleep(POLL_S)
+async def egress_sidecar_terminates(mesh: ProcessMesh, load_ended: asyncio.Event) -> None:
+    """The clients stop once two readiness probes in a row have failed, as on the platform."""
+    mesh.egress_sidecar.send_signal(signal.SIGTERM)
+    await mesh.wait_until_not_ready(mesh.ips[0])
+    load_ended.set()
+    while mesh.egress_sidecar.is_running():
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def caller_is_ended_under_load(mesh: ProcessMesh, ended: asyncio.Event) -> None:
-    """Clients go on until nobody is there."""
-    mesh.caller.send(signal.SIGTERM)
-    while mesh.caller.runs():
-        await asyncio.sleep(POLL_S)
+async def egress_sidecar_terminates_under_load(mesh: ProcessMesh, load_ended: asyncio.Event) -> None:
+    """The clients continue to send requests until the process has exited."""
+    mesh.egress_sidecar.send_signal(signal.SIGTERM)
+    while mesh.egress_sidecar.is_running():
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def keeper_is_ended(mesh: ProcessMesh, ended: asyncio.Event) -> None:
-    mesh.keeper.send(signal.SIGTERM)
-    while mesh.keeper.runs():
-        await asyncio.sleep(POLL_S)
+async def ingress_sidecar_terminates(mesh: ProcessMesh, load_ended: asyncio.Event) -> None:
+    mesh.ingress_sidecar.send_signal(signal.SIGTERM)
+    while mesh.ingress_sidecar.is_running():
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def settings_change(mesh: ProcessMesh, ended: asyncio.Event) -> None:
-    """Both sidecars, some times in a row; each time with another list of seeds."""
+async def sidecars_reload(mesh: ProcessMesh, load_ended: asyncio.Event) -> None:
+    """Reload both sidecars several times, each time with a different list of seeds."""
     for n in range(RELOADS):
-        for process in (mesh.caller, mesh.keeper):
+        for process in (mesh.egress_sidecar, mesh.ingress_sidecar):
             process.settings["SeedNodes"] = [f"{ip}:{mesh.port + 2}" for ip in (mesh.core, *mesh.ips[: n % 2])]
-            process.write()
-            process.send(signal.SIGHUP)
-        await asyncio.sleep(RELOAD_EACH_S)
+            process.write_settings()
+            process.send_signal(signal.SIGHUP)
+        await asyncio.sleep(RELOAD_INTERVAL_S)
 
 
 class Signals(unittest.TestCase):
-    def play(self, *troubles: Trouble) -> list[Played]:
-        """Each on a mesh of its own, at once. The rules hold, and the load was one."""
-        played = [Played(t) for t in troubles]
+    def run_scenarios(self, *faults: Fault) -> list[FaultScenario]:
+        """Run each scenario on its own mesh, all concurrently, and check the invariants and a minimum load."""
+        scenarios = [FaultScenario(fault) for fault in faults]
 
         async def test() -> None:
             async with asyncio.TaskGroup() as group:
-                for one in played:
-                    group.create_task(one.play())
+                for scenario in scenarios:
+                    group.create_task(scenario.run())
 
         run(test)
-        for one in played:
-            with self.subTest(one.trouble.__name__):
-                self.keeps_the_rules(one)
-        return played
-
-    def keeps_the_rules(self, played: Played) -> None:
-        runs = played.mesh.all_runs()
-        print(f"\n{played.trouble.__name__}, {CLIENTS} clients: {counts(played.tries, runs)}")
-        found = audit(played.tries, runs)
-        broken = {b.request for b in found}
-        seen = [t for t in played.tries if t.id in broken], [r for r in runs if r.id in broken]
-        self.assertEqual(found, [], seen)
-        for kind in Kind:
-            self.assertGreater(played.answered(kind, 0.0, played.began_at), ANSWERED_AT_LEAST)
-        for endpoint in played.mesh.endpoints:
-            self.assertGreater(sum(r.at < played.began_at for r in endpoint.runs), ANSWERED_AT_LEAST)
-
-    def serves_after(self, played: Played) -> None:
-        for kind in Kind:
-            self.assertGreater(played.answered(kind, played.ended_at, float("inf")), ANSWERED_AT_LEAST)
-
-    def serves_meanwhile(self, played: Played) -> None:
-        for kind in Kind:
-            self.assertGreater(played.answered(kind, played.began_at, played.ended_at), 0)
-
-    def test_one_stands_still(self) -> None:
-        caller, keeper, endpoint = self.play(caller_stands_still, keeper_stands_still, endpoint_stands_still)
-        for played in (caller, keeper, endpoint):
-            self.serves_after(played)
-        for kind in Kind:  # it did stand still
-            self.assertEqual(caller.answered(kind, caller.began_at + SLACK_S, caller.ended_at), 0)
-        stood = (keeper.began_at + SLACK_S, keeper.ended_at)
-        self.assertEqual([r for r in keeper.mesh.endpoints[1].runs if stood[0] < r.at < stood[1]], [])
-        for played in (keeper, endpoint):
-            self.serves_meanwhile(played)
-
-    def test_one_is_ended(self) -> None:
-        """What was read is answered, if only with 503, also under load that never ends."""
-        caller, keeper, under_load = self.play(caller_is_ended, keeper_is_ended, caller_is_ended_under_load)
-        for ended in (caller.mesh.caller, keeper.mesh.keeper, under_load.mesh.caller):
-            self.assertEqual(ended.popen.returncode, 0)
-        for played in (caller, keeper, under_load):
-            self.serves_meanwhile(played)
-        self.serves_after(keeper)
-        self.assertEqual(caller.lost(), [])
-        self.assertEqual(keeper.lost(), [])
+        for scenario in scenarios:
+            with self.subTest(scenario.fault.__name__):
+                self.check_invariants(scenario)
+        return scenarios
+
+    def check_invariants(self, scenario: FaultScenario) -> None:
+        executions = scenario.mesh.audited_executions()
+        print(f"\n{scenario.fault.__name__}, {CLIENTS} clients: {summarize(scenario.requests, executions)}")
+        violations = audit(scenario.requests, executions)
+        violating = {violation.request for violation in violations}
+        observed = (
+            [request for request in scenario.requests if request.id in violating],
+            [execution for execution in executions if execution.id in violating],
+        )
+        self.assertEqual(violations, [], observed)
+        for route_class in RouteClass:
+            self.assertGreater(scenario.answered(route_class, 0.0, scenario.fault_began_at), MIN_ANSWERED)
+        for endpoint in scenario.mesh.endpoints:
+            self.assertGreater(
+                sum(execution.started_at < scenario.fault_began_at for execution in endpoint.executions), MIN_ANSWERED
+            )
+
+    def check_served_after(self, scenario: FaultScenario) -> None:
+        for route_class in RouteClass:
+            self.assertGreater(scenario.answered(route_class, scenario.fault_ended_at, float("inf")), MIN_ANSWERED)
+
+    def check_served_during(self, scenario: FaultScenario) -> None:
+        for route_class in RouteClass:
+            self.assertGreater(scenario.answered(route_class, scenario.fault_began_at, scenario.fault_ended_at), 0)
+
+    def test_stalled_processes(self) -> None:
+        egress, ingress, endpoint = self.run_scenarios(egress_sidecar_stalls, ingress_sidecar_stalls, endpoint_stalls)
+        for scenario in (egress, ingress, endpoint):
+            self.check_served_after(scenario)
+        for route_class in RouteClass:  # the process was stopped during that time
+            self.assertEqual(
+                egress.answered(route_class, egress.fault_began_at + SIGNAL_DELAY_S, egress.fault_ended_at), 0
+            )
+        stall = (ingress.fault_began_at + SIGNAL_DELAY_S, ingress.fault_ended_at)
+        self.assertEqual(
+            [
+                execution
+                for execution in ingress.mesh.endpoints[1].executions
+                if stall[0] < execution.started_at < stall[1]
+            ],
+            [],
+        )
+        for scenario in (ingress, endpoint):
+            self.check_served_during(scenario)
+
+    def test_terminated_processes(self) -> None:
+        """Every request that was read is answered, if only with 503, even under continuous load."""
+        egress, ingress, under_load = self.run_scenarios(
+            egress_sidecar_terminates, ingress_sidecar_terminates, egress_sidecar_terminates_under_load
+        )
+        for process in (egress.mesh.egress_sidecar, ingress.mesh.ingress_sidecar, under_load.mesh.egress_sidecar):
+            self.assertEqual(process.popen.returncode, 0)
+        for scenario in (egress, ingress, under_load):
+            self.check_served_during(scenario)
+        self.check_served_after(ingress)
+        self.assertEqual(egress.lost(), [])
+        self.assertEqual(ingress.lost(), [])
         self.assertEqual(under_load.lost(), [])
 
-    def test_the_settings_change(self) -> None:
-        (played,) = self.play(settings_change)
-        self.assertEqual(played.lost(), [])
-        self.serves_after(played)
-        for process in (played.mesh.caller, played.mesh.keeper):
-            self.assertEqual(process.popen.returncode, -signal.SIGKILL)  # of the test; not ended by SIGHUP
-
-
-class Wrong(Endpoint):
-    """Breaks one rule, from the moment that it is told."""
-
-    rule: Rule | None = None
-
-    async def work(self, request: str, path: str, body: bytes) -> bytes:
-        if self.rule is Rule.MIXED:
-            self.begin(request, path, body)
-            return self.answer(request, answer_to(b"another"))
-        if self.rule is Rule.REFUSED:
-            self.begin(request, path, body)
-            return self.answer(request, b"", "503 Busy", "X-Not-Executed: 1\r\n")
-        if self.rule is Rule.TWICE:
-            self.begin(request, path, body)
-        if self.rule is Rule.UNASKED:
+    def test_reloaded_settings(self) -> None:
+        (scenario,) = self.run_scenarios(sidecars_reload)
+        self.assertEqual(scenario.lost(), [])
+        self.check_served_after(scenario)
+        for process in (scenario.mesh.egress_sidecar, scenario.mesh.ingress_sidecar):
+            self.assertEqual(process.popen.returncode, -signal.SIGKILL)  # killed by the test, not by SIGHUP
+
+
+class FaultyEndpoint(RecordingEndpoint):
+    """Violates the selected invariant."""
+
+    invariant: Invariant | None = None
+
+    async def handle(self, request: str, path: str, body: bytes) -> bytes:
+        if self.invariant is Invariant.MISMATCHED_RESPONSE:
+            self.record_execution(request, path, body)
+            return self.response(request, response_body_for(b"another"))
+        if self.invariant is Invariant.EXECUTED_AFTER_REFUSAL:
+            self.record_execution(request, path, body)
+            return self.response(request, b"", "503 Busy", "X-Not-Executed: 1\r\n")
+        if self.invariant is Invariant.EXECUTED_TOO_OFTEN:
+            self.record_execution(request, path, body)
+        if self.invariant is Invariant.UNKNOWN_REQUEST:
             body = b"another"
-        return await super().work(request, path, body)
+        return await super().handle(request, path, body)
 
 
-class Auditor(unittest.TestCase):
-    """Each rule is found broken where an endpoint breaks it, seen through the processes."""
+class Audit(unittest.TestCase):
+    """The audit detects a violation of each invariant by an endpoint behind real sidecar processes."""
 
-    def test_finds(self) -> None:
+    def test_detects_each_violation(self) -> None:
         async def test() -> None:
-            async with ProcessMesh(Wrong) as mesh:
-                for rule in (None, Rule.TWICE, Rule.MIXED, Rule.UNASKED, Rule.REFUSED):
-                    await self.finds(mesh, rule)
+            async with ProcessMesh(FaultyEndpoint) as mesh:
+                for invariant in (
+                    None,
+                    Invariant.EXECUTED_TOO_OFTEN,
+                    Invariant.MISMATCHED_RESPONSE,
+                    Invariant.UNKNOWN_REQUEST,
+                    Invariant.EXECUTED_AFTER_REFUSAL,
+                ):
+                    await self.check_detected(mesh, invariant)
 
         run(test)
 
-    async def finds(self, mesh: ProcessMesh, rule: Rule | None) -> None:
+    async def check_detected(self, mesh: ProcessMesh, invariant: Invariant | None) -> None:
         for endpoint in mesh.endpoints:
-            assert isinstance(endpoint, Wrong)
-            endpoint.rule = rule
-            endpoint.runs.clear()
-        client = mesh.client(keeps=True)
-        sent = await client.ask(Kind.NON_IDEMPOTENT)
+            assert isinstance(endpoint, FaultyEndpoint)
+            endpoint.invariant = invariant
+            endpoint.executions.clear()
+        client = mesh.client(persistent=True)
+        request = await client.send(RouteClass.NON_IDEMPOTENT)
         client.close()
-        found = audit(client.tries, mesh.all_runs())
-        with self.subTest(rule):
-            if rule is None:
-                self.assertEqual(found, [])
+        violations = audit(client.requests, mesh.audited_executions())
+        with self.subTest(invariant):
+            if invariant is None:
+                self.assertEqual(violations, [])
             else:
-                self.assertIn(Breach(rule, sent.id), found)
+                self.assertIn(Violation(invariant, request.id), violations)
 
 
 if __name__ == "__main__":
