--- a/tests/mesh/test_channel.py
+++ b/tests/mesh/test_channel.py
@@ -1,4 +1,4 @@
-"""Links to what doesn't answer: a relay stands between, and holds back what it is told to."""
+"""Liveness checks, dial failures and keep-alive of channels to peers that do not respond."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from mesh.cluster import run, until
-from zinclever.mesh.transport import channel as channels
+from zinclever.mesh.transport import channel as channel_module
 from zinclever.mesh.transport import dialing
 from zinclever.mesh.transport.channel import Channel
 from zinclever.mesh.transport.framed_connection import FramedConnection
@@ -17,179 +17,182 @@
 HOST = "127.77.201.1"
 
 
-class Ends:
-    """A listener that answers each call, and a line to it. While ``quiet``, the listener reads nothing."""
+class ChannelToListener:
+    """A channel to a listener that answers each call unless ``withhold_answers`` is set.
 
-    async def __aenter__(self) -> Ends:
-        self.links: list[FramedConnection] = []
+    :meth:`set_reading_paused` stops the listener from reading, so that it doesn't answer pings either.
+    """
+
+    async def __aenter__(self) -> ChannelToListener:
+        self.accepted: list[FramedConnection] = []
         self.answers: list[Frame | None] = []
         loop = asyncio.get_running_loop()
 
-        def on_frame(link: FramedConnection, frame: Frame) -> None:
-            if frame.stream and not self.holds:
-                link.send(Frame(stream=frame.stream, cancel=True))
+        def on_frame(connection: FramedConnection, frame: Frame) -> None:
+            if frame.stream and not self.withhold_answers:
+                connection.send(Frame(stream=frame.stream, cancel=True))
 
-        def made() -> FramedConnection:
-            self.links.append(FramedConnection(on_frame, lambda link: None))
-            return self.links[-1]
+        def make_connection() -> FramedConnection:
+            self.accepted.append(FramedConnection(on_frame, lambda connection: None))
+            return self.accepted[-1]
 
-        self.holds = False
-        self.server = await loop.create_server(made, HOST, 0)
-        self.line = Channel((HOST, self.server.sockets[0].getsockname()[1]), "me")
+        self.withhold_answers = False
+        self.server = await loop.create_server(make_connection, HOST, 0)
+        self.channel = Channel((HOST, self.server.sockets[0].getsockname()[1]), "me")
         return self
 
     async def __aexit__(self, *error: object) -> None:
-        self.line.close()
-        for link in self.links:
-            link.abort()
+        self.channel.close()
+        for connection in self.accepted:
+            connection.abort()
         self.server.close()
 
     def call(self) -> int:
-        return self.line.call(Frame(fetch=Fetch(index=1)), self.answers.append)
+        return self.channel.call(Frame(fetch=Fetch(index=1)), self.answers.append)
 
-    def quiet(self, on: bool) -> None:
-        for link in self.links:
-            assert link.transport is not None
-            if on:
-                link.transport.pause_reading()
+    def set_reading_paused(self, paused: bool) -> None:
+        for connection in self.accepted:
+            assert connection.transport is not None
+            if paused:
+                connection.transport.pause_reading()
             else:
-                link.transport.resume_reading()
+                connection.transport.resume_reading()
 
 
-class Silence(unittest.TestCase):
-    def test_doubted_while_nothing_comes_and_trusted_again(self) -> None:
+class UnresponsivePeer(unittest.TestCase):
+    def test_a_silent_peer_is_unresponsive_until_it_answers(self) -> None:
         async def test() -> None:
-            async with Ends() as e:
-                stream = e.call()
-                await until(lambda: e.answers)
-                e.line.finish_call(stream)
-                e.holds = True
-                e.call()
-                self.assertFalse(e.line.is_unresponsive())
-                e.quiet(True)
-                await until(e.line.is_unresponsive)
-                self.assertEqual(len(e.answers), 1)  # what is out goes on
-                e.quiet(False)
-                await until(lambda: not e.line.is_unresponsive())
-                self.assertIsNotNone(e.line.connection)
+            async with ChannelToListener() as peer:
+                stream = peer.call()
+                await until(lambda: peer.answers)
+                peer.channel.finish_call(stream)
+                peer.withhold_answers = True
+                peer.call()
+                self.assertFalse(peer.channel.is_unresponsive())
+                peer.set_reading_paused(True)
+                await until(peer.channel.is_unresponsive)
+                self.assertEqual(len(peer.answers), 1)  # the open call continues
+                peer.set_reading_paused(False)
+                await until(lambda: not peer.channel.is_unresponsive())
+                self.assertIsNotNone(peer.channel.connection)
 
         run(test)
 
-    def test_a_line_at_rest_is_not_doubted(self) -> None:
+    def test_an_idle_channel_is_not_unresponsive(self) -> None:
         async def test() -> None:
-            async with Ends() as e:
-                stream = e.call()
-                await until(lambda: e.answers)
-                e.line.finish_call(stream)
-                e.line.connection.last_received_at -= 100.0  # type: ignore[union-attr]
-                self.assertFalse(e.line.is_unresponsive())
+            async with ChannelToListener() as peer:
+                stream = peer.call()
+                await until(lambda: peer.answers)
+                peer.channel.finish_call(stream)
+                peer.channel.connection.last_received_at -= 100.0  # type: ignore[union-attr]
+                self.assertFalse(peer.channel.is_unresponsive())
 
         run(test)
 
-    def test_after_a_standstill_of_its_own_nothing_is_given_up(self) -> None:
-        """The look comes late, and what has come meanwhile isn't read yet."""
+    def test_a_stall_of_this_process_does_not_abort_the_connection(self) -> None:
+        """After a stall the check runs late, and received bytes have not been read yet."""
 
         async def test() -> None:
-            async with Ends() as e:
-                e.holds = True
-                e.call()
-                await until(lambda: e.line.connection is not None)
-                link = e.line.connection
-                assert link is not None
-                link.last_received_at -= 5.0
-                e.line.check_due_at -= 5.0
-                e.line.check_liveness()
-                self.assertFalse(link.closed)
-                link.last_received_at -= 5.0
-                e.line.check_liveness()  # in time: it is the other end that is silent
-                self.assertTrue(link.closed)
-                self.assertEqual(e.answers, [None])
+            async with ChannelToListener() as peer:
+                peer.withhold_answers = True
+                peer.call()
+                await until(lambda: peer.channel.connection is not None)
+                connection = peer.channel.connection
+                assert connection is not None
+                connection.last_received_at -= 5.0
+                peer.channel.check_due_at -= 5.0
+                peer.channel.check_liveness()
+                self.assertFalse(connection.closed)
+                connection.last_received_at -= 5.0
+                peer.channel.check_liveness()  # on time: the peer is silent
+                self.assertTrue(connection.closed)
+                self.assertEqual(peer.answers, [None])
 
         run(test)
 
-    def test_a_dial_that_hangs_lets_go_of_calls_and_not_of_news(self) -> None:
+    def test_a_hanging_dial_fails_calls_and_keeps_one_way_frames(self) -> None:
         async def test() -> None:
             loop = asyncio.get_running_loop()
-            line = Channel((HOST, 9), "me")
-            hangs: list[asyncio.Future[Any]] = []
+            channel = Channel((HOST, 9), "me")
+            attempts: list[asyncio.Future[Any]] = []
 
-            async def hang(*told: Any, **more: Any) -> Any:
-                hangs.append(loop.create_future())
-                return await hangs[-1]
+            async def hang(*args: Any, **kwargs: Any) -> Any:
+                attempts.append(loop.create_future())
+                return await attempts[-1]
 
-            line.loop = Hanging(loop, hang)  # type: ignore[assignment]
+            channel.loop = HangingLoop(loop, hang)  # type: ignore[assignment]
             answers: list[Frame | None] = []
-            line.send_one_way(Frame(cancel=True))
-            line.call(Frame(fetch=Fetch(index=1)), answers.append)
+            channel.send_one_way(Frame(cancel=True))
+            channel.call(Frame(fetch=Fetch(index=1)), answers.append)
             await until(lambda: answers)
             self.assertEqual(answers, [None])
-            self.assertTrue(line.is_unresponsive())
-            self.assertEqual(len(line.pending), 1)
-            await until(lambda: len(hangs) == 1 + len(dialing.DIAL_RETRY_DELAYS))  # one more and one more joined it
-            await until(lambda: line.dial_task is None)
-            self.assertFalse(line.is_unresponsive())
+            self.assertTrue(channel.is_unresponsive())
+            self.assertEqual(len(channel.pending), 1)
+            await until(lambda: len(attempts) == 1 + len(dialing.DIAL_RETRY_DELAYS))  # the retries run in parallel
+            await until(lambda: channel.dial_task is None)
+            self.assertFalse(channel.is_unresponsive())
 
         run(test)
 
-    async def turns(self, line: Channel, count: int) -> None:
+    async def run_keep_alive(self, channel: Channel, count: int) -> None:
         for _ in range(count):
-            line.keep_alive()
+            channel.keep_alive()
             await asyncio.sleep(0.02)
 
-    def test_a_line_that_only_tells_is_kept_alive_while_the_other_end_answers(self) -> None:
+    def test_keep_alive_retains_a_one_way_channel_while_the_peer_answers(self) -> None:
         async def test() -> None:
-            async with Ends() as e:
-                e.line.send_one_way(Frame(cancel=True))
-                await until(lambda: e.line.connection is not None)
-                link = e.line.connection
-                await self.turns(e.line, 40)
-                self.assertIs(e.line.connection, link)
-
-        with mock.patch.multiple(channels, KEEP_ALIVE_INTERVAL=0.08, KEEP_ALIVE_TIMEOUT=0.3):
+            async with ChannelToListener() as peer:
+                peer.channel.send_one_way(Frame(cancel=True))
+                await until(lambda: peer.channel.connection is not None)
+                connection = peer.channel.connection
+                await self.run_keep_alive(peer.channel, 40)
+                self.assertIs(peer.channel.connection, connection)
+
+        with mock.patch.multiple(channel_module, KEEP_ALIVE_INTERVAL=0.08, KEEP_ALIVE_TIMEOUT=0.3):
             run(test)
 
-    def test_a_line_that_only_tells_dials_anew_after_silence(self) -> None:
-        """What was held up by a cut may stay so for long after it."""
+    def test_keep_alive_replaces_the_connection_to_a_silent_peer(self) -> None:
+        """Bytes queued during a network partition may stay unsent long after it heals."""
 
         async def test() -> None:
-            async with Ends() as e:
-                e.line.send_one_way(Frame(cancel=True))
-                await until(lambda: e.line.connection is not None)
-                link = e.line.connection
-                await until(lambda: e.links and e.links[0].transport is not None)
-                held = e.links[0].transport
-                assert held is not None
-                held.pause_reading()
-                await self.turns(e.line, 40)
-                self.assertIsNone(e.line.connection)
-                e.line.send_one_way(Frame(cancel=True))
-                await until(lambda: e.line.connection is not None)
-                self.assertIsNot(e.line.connection, link)
-                held.abort()
-
-        with mock.patch.multiple(channels, KEEP_ALIVE_INTERVAL=0.08, KEEP_ALIVE_TIMEOUT=0.3):
+            async with ChannelToListener() as peer:
+                peer.channel.send_one_way(Frame(cancel=True))
+                await until(lambda: peer.channel.connection is not None)
+                connection = peer.channel.connection
+                await until(lambda: peer.accepted and peer.accepted[0].transport is not None)
+                paused = peer.accepted[0].transport
+                assert paused is not None
+                paused.pause_reading()
+                await self.run_keep_alive(peer.channel, 40)
+                self.assertIsNone(peer.channel.connection)
+                peer.channel.send_one_way(Frame(cancel=True))
+                await until(lambda: peer.channel.connection is not None)
+                self.assertIsNot(peer.channel.connection, connection)
+                paused.abort()
+
+        with mock.patch.multiple(channel_module, KEEP_ALIVE_INTERVAL=0.08, KEEP_ALIVE_TIMEOUT=0.3):
             run(test)
 
-    def test_a_line_that_looks_late_takes_nobody_for_silent(self) -> None:
+    def test_a_late_keep_alive_check_does_not_abort_the_connection(self) -> None:
         async def test() -> None:
-            async with Ends() as e:
-                e.line.send_one_way(Frame(cancel=True))
-                await until(lambda: e.line.connection is not None)
-                link = e.line.connection
-                assert link is not None
-                link.last_received_at -= 5.0
-                e.line.keep_alive_checked_at -= 5.0
-                e.line.keep_alive()
-                self.assertFalse(link.closed)
-                link.last_received_at -= 5.0
-                e.line.keep_alive()
-                self.assertTrue(link.closed)
+            async with ChannelToListener() as peer:
+                peer.channel.send_one_way(Frame(cancel=True))
+                await until(lambda: peer.channel.connection is not None)
+                connection = peer.channel.connection
+                assert connection is not None
+                connection.last_received_at -= 5.0
+                peer.channel.keep_alive_checked_at -= 5.0
+                peer.channel.keep_alive()
+                self.assertFalse(connection.closed)
+                connection.last_received_at -= 5.0
+                peer.channel.keep_alive()
+                self.assertTrue(connection.closed)
 
         run(test)
 
 
-class Hanging:
-    """A loop whose connections never come up."""
+class HangingLoop:
+    """An event loop whose connection attempts use ``connect``, which may hang."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, connect: Any) -> None:
         self.loop, self.create_connection = loop, connect
--- a/tests/mesh/test_configuration.py
+++ b/tests/mesh/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configurations, settings and calls: what is read, and what is refused and why."""
+"""Parsing and validation of configurations and node settings, and matching of control API paths."""
 
 from __future__ import annotations
 
@@ -42,21 +42,21 @@
 }
 
 
-def changed(path: str, value: Any) -> bytes:
-    """The configuration with one field changed; None removes it."""
-    made = copy.deepcopy(CONFIG)
-    *parts, last = path.split(".")
-    at = made
-    for part in parts:
-        at = at[part]
+def config_with(path: str, value: Any) -> bytes:
+    """Return the configuration with the field at ``path`` set to ``value``, or removed if that is None."""
+    document = copy.deepcopy(CONFIG)
+    *parents, field = path.split(".")
+    table = document
+    for parent in parents:
+        table = table[parent]
     if value is None:
-        del at[last]
+        del table[field]
     else:
-        at[last] = value
-    return json.dumps(made).encode()
+        table[field] = value
+    return json.dumps(document).encode()
 
 
-class Recipes(unittest.TestCase):
+class ConfigurationParsing(unittest.TestCase):
     @params(
         ("a.example", "/s/x", "search"),
         ("a.example", "/s/deep/x", "deep"),
@@ -65,9 +65,9 @@
         ("b.example", "/s/x", None),
         ("a.example", "/", None),
     )
-    def test_the_longest_prefix(self, host: str, path: str, want: str | None) -> None:
+    def test_the_route_with_the_longest_prefix_is_found(self, host: str, path: str, expected: str | None) -> None:
         route = parse(json.dumps(CONFIG).encode()).find_route(host, path)
-        self.assertEqual(route.name if route else None, want)
+        self.assertEqual(route.name if route else None, expected)
 
     @params(
         ("Routes.deep.Target", "three", "Routes.deep.Target"),
@@ -83,35 +83,35 @@
         ("Generation", "7", "Generation"),
         ("Limits.MaxHeaderBytes", -1, "Limits.MaxHeaderBytes"),
     )
-    def test_invalid_ones_name_the_field(self, path: str, value: Any, field: str) -> None:
+    def test_an_invalid_field_is_named_in_the_error(self, path: str, value: Any, field: str) -> None:
         with self.assertRaises(MeshError) as caught:
-            parse(changed(path, value))
+            parse(config_with(path, value))
         self.assertEqual(caught.exception.field, field)
 
     @params(b"", b"{", b"[]", b'{"Generation":1}', b"\xff")
-    def test_what_can_not_be_read_whole(self, text: bytes) -> None:
+    def test_malformed_documents_are_rejected(self, text: bytes) -> None:
         with self.assertRaises(MeshError):
             parse(text)
 
-    def test_only_forward(self) -> None:
+    def test_the_active_configuration_is_only_replaced_by_a_newer_one(self) -> None:
         active, text = ActiveConfiguration(), json.dumps(CONFIG).encode()
         self.assertTrue(active.apply(3, 7, text))
-        self.assertFalse(active.apply(2, 9, changed("Generation", 9)))
+        self.assertFalse(active.apply(2, 9, config_with("Generation", 9)))
         self.assertEqual(active.generation, 7)
         with self.assertRaises(MeshError):
             active.apply(4, 9, b"{")
         self.assertEqual(active.index, 3)
 
-    def test_two_thousand_routes(self) -> None:
-        made = copy.deepcopy(CONFIG)
+    def test_two_thousand_routes_are_parsed(self) -> None:
+        document = copy.deepcopy(CONFIG)
         for n in range(2000):
-            made["Routes"][f"r{n}"] = {**CONFIG["Routes"]["deep"], "PathPrefix": f"/p{n}/"}
-        configuration = parse(json.dumps(made).encode())
+            document["Routes"][f"r{n}"] = {**CONFIG["Routes"]["deep"], "PathPrefix": f"/p{n}/"}
+        configuration = parse(json.dumps(document).encode())
         route = configuration.find_route("a.example", "/p1999/x")
         self.assertEqual(route.name if route else None, "r1999")
 
 
-BOOT: dict[str, Any] = {
+SETTINGS: dict[str, Any] = {
     "NodeName": "n1",
     "Role": "forager",
     "Ip": "127.0.0.1",
@@ -126,11 +126,11 @@
 }
 
 
-class Boots(unittest.TestCase):
-    def test_read(self) -> None:
-        told = node_settings.parse(json.dumps(BOOT).encode())
-        self.assertEqual(dict(told.bounds), {"DrainS": 2.0, "Closed": 0.0, "RetryRatio": 0.2})
-        self.assertEqual(told.seeds, (("127.0.0.2", 5),))
+class NodeSettingsParsing(unittest.TestCase):
+    def test_valid_settings_are_parsed(self) -> None:
+        settings = node_settings.parse(json.dumps(SETTINGS).encode())
+        self.assertEqual(dict(settings.bounds), {"DrainS": 2.0, "Closed": 0.0, "RetryRatio": 0.2})
+        self.assertEqual(settings.seeds, (("127.0.0.2", 5),))
 
     @params(
         ("NodeName", None),
@@ -141,15 +141,15 @@
         ("Bounds", ["DrainS=soon"]),
         ("HeartbeatS", 0),
     )
-    def test_refused(self, field: str, value: Any) -> None:
-        made = {**BOOT, field: value}
+    def test_invalid_settings_are_rejected(self, field: str, value: Any) -> None:
+        document = {**SETTINGS, field: value}
         if value is None:
-            del made[field]
+            del document[field]
         with self.assertRaises(MeshError):
-            node_settings.parse(json.dumps(made).encode())
+            node_settings.parse(json.dumps(document).encode())
 
 
-class Matchers(unittest.TestCase):
+class PathMatching(unittest.TestCase):
     @params(
         ("POST", "/v1/endpoints/i-1/heartbeat", "beat", ["i-1"], True),
         ("POST", "/v1/endpoints/i-1/heartbeat?x=1", "beat", ["i-1"], True),
@@ -159,29 +159,31 @@
         ("GET", "/v1", None, [], False),
         ("GET", "/", None, [], False),
     )
-    def test_find(self, method: str, path: str, want: str | None, captured: list[str], known: bool) -> None:
-        tree: Router[str] = Router()
-        tree.add("POST /v1/endpoints/{id}/heartbeat", "beat")
-        tree.add("GET /v1/ready", "ready")
-        found = tree.find(method, path)
-        self.assertEqual((found.handler, found.path_parameters, found.is_known_path), (want, captured, known))
-
-
-class Packed(unittest.TestCase):
-    def test_there_and_back(self) -> None:
+    def test_method_and_path_find_the_handler(
+        self, method: str, path: str, handler: str | None, parameters: list[str], known: bool
+    ) -> None:
+        router: Router[str] = Router()
+        router.add("POST /v1/endpoints/{id}/heartbeat", "beat")
+        router.add("GET /v1/ready", "ready")
+        found = router.find(method, path)
+        self.assertEqual((found.handler, found.path_parameters, found.is_known_path), (handler, parameters, known))
+
+
+class Compression(unittest.TestCase):
+    def test_a_compressed_text_is_decompressed_unchanged(self) -> None:
         active = ActiveConfiguration()
         text = json.dumps({"Generation": 1, "Routes": {}, "Services": {f"s{n}": {} for n in range(2000)}}).encode()
         active.apply(1, 1, text)
-        packed = active.compressed()
-        self.assertLess(len(packed), len(text) / 4)
-        self.assertEqual(decompress(packed), text)
+        compressed = active.compressed()
+        self.assertLess(len(compressed), len(text) / 4)
+        self.assertEqual(decompress(compressed), text)
         active.apply(2, 2, b'{"Generation": 2, "Routes": {}, "Services": {}}')
-        self.assertEqual(active.compressed(), b"")  # too small to be worth it
+        self.assertEqual(active.compressed(), b"")  # too small to be compressed
 
     @params(b"", b"no zlib", zlib.compress(b"x" * 100)[:-3], zlib.compress(bytes(MAX_TEXT_BYTES + 1)))
-    def test_what_is_none_is_refused(self, packed: bytes) -> None:
+    def test_damaged_or_too_long_data_is_rejected(self, compressed: bytes) -> None:
         with self.assertRaises(MeshError):
-            decompress(packed)
+            decompress(compressed)
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_configuration_handout.py
+++ b/tests/mesh/test_configuration_handout.py
@@ -1,4 +1,4 @@
-"""How a configuration comes from one process to another: late answers, peers that are behind, starts with nobody."""
+"""Distribution of configurations between processes: late answers, lagging peers, and starts during a partition."""
 
 from __future__ import annotations
 
@@ -24,42 +24,43 @@
 from zinclever.mesh.transport.framed_connection import FramedConnection
 from zinclever.mesh.transport.mesh_pb2 import Fetch, Frame
 
-IN_TOUCH = 3.0  # s after which a machine that was cut off counts as in touch, by the rules
-SLOW = 0.9  # s that an answer takes: longer than the first peer is waited for
+RECONNECT_BOUND = 3.0  # s after a partition in which a node has to have the newest configuration
+ANSWER_DELAY = 0.9  # s; longer than the delay before a second peer is asked
 
 
-def answer_late(node: Node) -> None:
-    """Fetches at this process are answered after SLOW, as over a link of a few Mbit/s."""
+def delay_answers(node: Node) -> None:
+    """Make a node answer fetches after ANSWER_DELAY, as over a link of a few Mbit/s."""
     answer = node.frame_handlers["fetch"]
 
-    def late(link: FramedConnection, frame: Frame) -> None:
-        node.loop.call_later(SLOW, answer, link, frame)
+    def answer_after_delay(connection: FramedConnection, frame: Frame) -> None:
+        node.loop.call_later(ANSWER_DELAY, answer, connection, frame)
 
-    node.frame_handlers["fetch"] = late
+    node.frame_handlers["fetch"] = answer_after_delay
 
 
-class Sieve:
-    """A datagram transport that loses what goes to some machines."""
+class LossyTransport:
+    """A datagram transport that drops the datagrams to some addresses."""
 
     def __init__(self, node: Node, ips: set[str]) -> None:
-        self.under, self.ips = node.gossip_socket.transport, ips
-        assert self.under is not None
+        self.wrapped, self.ips = node.gossip_socket.transport, ips
+        assert self.wrapped is not None
 
     def sendto(self, data: bytes, address: tuple[str, int]) -> None:
-        if address[0] not in self.ips and self.under is not None:
-            self.under.sendto(data, address)
+        if address[0] not in self.ips and self.wrapped is not None:
+            self.wrapped.sendto(data, address)
 
     def close(self) -> None:
-        assert self.under is not None
-        self.under.close()
+        assert self.wrapped is not None
+        self.wrapped.close()
 
 
-def lose(node: Node, ips: set[str]) -> None:
-    node.gossip_socket.transport = cast(asyncio.DatagramTransport, Sieve(node, ips))
+def drop_datagrams(node: Node, ips: set[str]) -> None:
+    """Drop the datagrams of a node to the given addresses."""
+    node.gossip_socket.transport = cast(asyncio.DatagramTransport, LossyTransport(node, ips))
 
 
-async def end(sidecar: Sidecar) -> None:
-    """As by SIGKILL: nobody is told."""
+async def crash(sidecar: Sidecar) -> None:
+    """Stop a sidecar as if killed, without announcing that it leaves."""
     for server in sidecar.servers:
         server.close()
     sidecar.node.gossip_socket.close()
@@ -69,112 +70,115 @@
     await asyncio.sleep(0.05)
 
 
-class First(unittest.TestCase):
-    def test_the_teller_is_asked_first_then_others_beside_it(self) -> None:
-        inquiry = FetchScheduler()
+class FetchScheduling(unittest.TestCase):
+    def test_the_preferred_peer_is_asked_first_and_then_others_in_parallel(self) -> None:
+        scheduler = FetchScheduler()
         peers = ["a", "b", "c", "d"]
-        asked = [inquiry.next_peer(0.0, "c", peers, min) for _ in range(MAX_OPEN_FETCHES + 1)]
-        self.assertEqual(asked, ["c", "a", "b", None])
-
-    def test_no_peer_is_asked_twice_at_once(self) -> None:
-        inquiry = FetchScheduler()
-        self.assertEqual(inquiry.next_peer(0.0, "a", ["a"], min), "a")
-        self.assertIsNone(inquiry.next_peer(1.0, "a", ["a"], min))
-        inquiry.on_answered("a")
-        self.assertEqual(inquiry.next_peer(1.0, "a", ["a"], min), "a")
-
-    def test_who_never_answers_is_forgotten(self) -> None:
-        inquiry = FetchScheduler()
+        selected = [scheduler.next_peer(0.0, "c", peers, min) for _ in range(MAX_OPEN_FETCHES + 1)]
+        self.assertEqual(selected, ["c", "a", "b", None])
+
+    def test_a_peer_with_an_open_fetch_is_not_asked_again(self) -> None:
+        scheduler = FetchScheduler()
+        self.assertEqual(scheduler.next_peer(0.0, "a", ["a"], min), "a")
+        self.assertIsNone(scheduler.next_peer(1.0, "a", ["a"], min))
+        scheduler.on_answered("a")
+        self.assertEqual(scheduler.next_peer(1.0, "a", ["a"], min), "a")
+
+    def test_a_fetch_without_an_answer_times_out(self) -> None:
+        scheduler = FetchScheduler()
         peers = ["a", "b", "c"]
         for _ in peers:
-            inquiry.next_peer(0.0, "", peers, min)
-        self.assertIsNone(inquiry.next_peer(FETCH_TIMEOUT - 0.1, "", peers, min))
-        self.assertEqual(inquiry.next_peer(FETCH_TIMEOUT, "", peers, min), "a")
-
-    def test_patience_doubles_until_the_version_is_there(self) -> None:
-        inquiry = FetchScheduler()
-        waits = [inquiry.next_delay() for _ in range(6)]
-        self.assertEqual(waits, [INITIAL_HEDGE_DELAY * 2**n for n in range(4)] + [MAX_HEDGE_DELAY] * 2)
-        inquiry.finish()
-        self.assertEqual(inquiry.next_delay(), INITIAL_HEDGE_DELAY)
-
-    def test_waiting_is_bounded_in_number_and_time(self) -> None:
-        waiting: FetchWaiters[int, str] = FetchWaiters()
+            scheduler.next_peer(0.0, "", peers, min)
+        self.assertIsNone(scheduler.next_peer(FETCH_TIMEOUT - 0.1, "", peers, min))
+        self.assertEqual(scheduler.next_peer(FETCH_TIMEOUT, "", peers, min), "a")
+
+    def test_the_hedge_delay_doubles_until_the_fetch_finishes(self) -> None:
+        scheduler = FetchScheduler()
+        delays = [scheduler.next_delay() for _ in range(6)]
+        self.assertEqual(delays, [INITIAL_HEDGE_DELAY * 2**n for n in range(4)] + [MAX_HEDGE_DELAY] * 2)
+        scheduler.finish()
+        self.assertEqual(scheduler.next_delay(), INITIAL_HEDGE_DELAY)
+
+    def test_waiting_requests_are_limited_in_number_and_time(self) -> None:
+        waiters: FetchWaiters[int, str] = FetchWaiters()
         for n in range(MAX_WAITERS):
-            self.assertTrue(waiting.add(0.0, n, "old"))
-        self.assertFalse(waiting.add(1.0, MAX_WAITERS, "one too many"))
-        self.assertTrue(waiting.add(1.0, 7, "newer on the same link"))
-        self.assertTrue(waiting.add(WAITER_TIMEOUT, MAX_WAITERS, "there is room again"))
+            self.assertTrue(waiters.add(0.0, n, "old"))
+        self.assertFalse(waiters.add(1.0, MAX_WAITERS, "beyond the limit"))
+        self.assertTrue(waiters.add(1.0, 7, "newer request of the same connection"))
+        self.assertTrue(waiters.add(WAITER_TIMEOUT, MAX_WAITERS, "after the timeout"))
         self.assertEqual(
-            waiting.take_all(WAITER_TIMEOUT), [(7, "newer on the same link"), (MAX_WAITERS, "there is room again")]
+            waiters.take_all(WAITER_TIMEOUT),
+            [(7, "newer request of the same connection"), (MAX_WAITERS, "after the timeout")],
         )
-        self.assertEqual(waiting.take_all(WAITER_TIMEOUT), [])
+        self.assertEqual(waiters.take_all(WAITER_TIMEOUT), [])
 
 
-class Coming(unittest.TestCase):
-    def test_a_late_answer_is_taken(self) -> None:
+class Distribution(unittest.TestCase):
+    def test_a_late_answer_is_used(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                for node in (m.control.node, *(f.node for f in m.sidecars)):
-                    answer_late(node)
+                for node in (m.control.node, *(sidecar.node for sidecar in m.sidecars)):
+                    delay_answers(node)
                 self.assertEqual((await m.put(config("one", "two", generation=2), 1))[0], 200)
-                began = m.control.loop.time()
-                await until(lambda: all(f.node.active.generation == 2 for f in m.sidecars))
-                self.assertLess(m.control.loop.time() - began, 2 * SLOW)
+                started_at = m.control.loop.time()
+                await until(lambda: all(sidecar.node.active.generation == 2 for sidecar in m.sidecars))
+                self.assertLess(m.control.loop.time() - started_at, 2 * ANSWER_DELAY)
 
         run(test)
 
-    def test_a_peer_that_is_behind_answers_each_asker_once(self) -> None:
-        """However often it was asked meanwhile: a text of 1 MB thirty times would hold up a link for minutes."""
+    def test_a_lagging_peer_answers_only_the_latest_fetch_of_each_connection(self) -> None:
+        """Sending a text of 1 MB thirty times would block a slow link for minutes."""
 
         async def test() -> None:
             async with Mesh(["one"]) as m:
                 await m.serve()
                 active = m.control.node.active
-                line = m.sidecars[0].node.channel_to((m.core, m.port + 1))
+                channel = m.sidecars[0].node.channel_to((m.core, m.port + 1))
                 answers: list[Frame | None] = []
                 for _ in range(30):
-                    line.call(Frame(fetch=Fetch(index=active.index + 1)), answers.append)
-                done: list[Frame | None] = []
-                line.call(Frame(fetch=Fetch(index=1)), done.append)
-                await until(lambda: done)  # so all the others have come, too
+                    channel.call(Frame(fetch=Fetch(index=active.index + 1)), answers.append)
+                completed: list[Frame | None] = []
+                channel.call(Frame(fetch=Fetch(index=1)), completed.append)
+                await until(lambda: completed)  # the earlier fetches have been received as well
                 m.control.node.put_in_force(
                     active.index + 1, 2, active.text.replace(b'"Generation":1', b'"Generation":2')
                 )
-                done.clear()
-                line.call(Frame(fetch=Fetch(index=1)), done.append)
-                await until(lambda: done)
+                completed.clear()
+                channel.call(Frame(fetch=Fetch(index=1)), completed.append)
+                await until(lambda: completed)
                 self.assertEqual(len(answers), 1)
 
         run(test)
 
-    def test_one_that_is_asked_by_too_many_says_so(self) -> None:
+    def test_a_fetch_beyond_the_limit_is_answered_at_once_without_a_text(self) -> None:
         async def test() -> None:
             async with Mesh(["one"]) as m:
                 await m.serve()
-                link = mock.create_autospec(FramedConnection, instance=True)
+                connection = mock.create_autospec(FramedConnection, instance=True)
                 with mock.patch.object(m.control.node.distributor.waiters, "add", return_value=False):
-                    m.control.node.distributor.on_fetch(link, Frame(stream=9, fetch=Fetch(index=99)))
-                (sent,) = link.send.call_args.args
+                    m.control.node.distributor.on_fetch(connection, Frame(stream=9, fetch=Fetch(index=99)))
+                (sent,) = connection.send.call_args.args
                 self.assertEqual((sent.stream, sent.fetch_reply.index), (9, 0))
 
         run(test)
 
 
-class CutOff(unittest.TestCase):
-    def test_a_sidecar_that_starts_with_nobody_promises_that_nothing_ran(self) -> None:
-        """It knows no configuration: it isn't ready, and 404 would say that a route is not there."""
+class Partition(unittest.TestCase):
+    def test_a_sidecar_that_starts_without_peers_refuses_requests(self) -> None:
+        """Without a configuration it is not ready, and answers 503, as 404 would mean that the route does not exist."""
 
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                started = m.sidecars.pop()
-                for server in started.servers:
+                stopped = m.sidecars.pop()
+                for server in stopped.servers:
                     server.close()
-                started.node.stop()
-                nobody = [f"127.77.0.9:{m.port + 2}"]
-                new = Sidecar(m.boot(m.ips[1], "forager", AppAddr=m.apps[1].address, Target="two", SeedNodes=nobody))
+                stopped.node.stop()
+                unreachable = [f"127.77.0.9:{m.port + 2}"]
+                new = Sidecar(
+                    m.boot(m.ips[1], "forager", AppAddr=m.apps[1].address, Target="two", SeedNodes=unreachable)
+                )
                 await new.start()
                 m.sidecars.append(new)
                 with mock.patch.object(new.node.gossip_socket, "transport", None):
@@ -183,47 +187,46 @@
 
         run(test)
 
-    def test_a_sidecar_that_starts_on_the_side_without_the_core(self) -> None:
-        """It serves what its side has, and has the newest version once it counts as in touch."""
+    def test_a_sidecar_that_starts_partitioned_from_the_control_node(self) -> None:
+        """It uses the configuration of its peers, and gets the newest one soon after the partition heals."""
 
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                core = m.control.node
-                lose(core, set(m.ips))
-                core.frame_handlers["fetch"] = lambda link, frame: None
-                lose(m.sidecars[0].node, {m.core})
+                control = m.control.node
+                drop_datagrams(control, set(m.ips))
+                control.frame_handlers["fetch"] = lambda connection, frame: None
+                drop_datagrams(m.sidecars[0].node, {m.core})
                 self.assertEqual((await m.put(config("one", "two", generation=2), 1))[0], 200)
-                await end(m.sidecars[1])
+                await crash(m.sidecars[1])
                 new = m.sidecars[1] = Sidecar(m.boot(m.ips[1], "forager", AppAddr=m.apps[1].address, Target="two"))
                 await new.start()
-                lose(new.node, {m.core})
+                drop_datagrams(new.node, {m.core})
                 await until(lambda: new.ready())
-                self.assertEqual([f.node.active.generation for f in m.sidecars], [1, 1])
+                self.assertEqual([sidecar.node.active.generation for sidecar in m.sidecars], [1, 1])
                 self.assertEqual((await m.ask("/one/safe/x", at=1))[0], 200)
-                core.frame_handlers["fetch"] = core.distributor.on_fetch
-                for node in (core, *(f.node for f in m.sidecars)):
-                    cast(Sieve, node.gossip_socket.transport).ips.clear()
-                began = m.control.loop.time()
-                await until(lambda: all(f.node.active.generation == 2 for f in m.sidecars))
-                self.assertLess(m.control.loop.time() - began, IN_TOUCH)
+                control.frame_handlers["fetch"] = control.distributor.on_fetch
+                for node in (control, *(sidecar.node for sidecar in m.sidecars)):
+                    cast(LossyTransport, node.gossip_socket.transport).ips.clear()
+                started_at = m.control.loop.time()
+                await until(lambda: all(sidecar.node.active.generation == 2 for sidecar in m.sidecars))
+                self.assertLess(m.control.loop.time() - started_at, RECONNECT_BOUND)
 
         run(test)
 
-    def test_a_peer_that_is_behind_takes_nothing_back(self) -> None:
-        """What was in force once in this life stays so: an older version, from whomever, changes nothing and is told
-        to nobody."""
+    def test_an_older_configuration_is_neither_activated_nor_announced(self) -> None:
+        """The active configuration of a process is never replaced by an older one, whoever sends it."""
 
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                old = m.control.node.active.text
-                number = m.control.node.active.index
+                old_text = m.control.node.active.text
+                old_index = m.control.node.active.index
                 self.assertEqual((await m.put(config("one", "two", generation=2), 1))[0], 200)
-                await until(lambda: all(f.node.active.generation == 2 for f in m.sidecars))
+                await until(lambda: all(sidecar.node.active.generation == 2 for sidecar in m.sidecars))
                 node = m.sidecars[0].node
                 record = node.gossip.records.get(RecordKind.VERSION, "config")
-                node.put_in_force(number, 1, old)
+                node.put_in_force(old_index, 1, old_text)
                 self.assertEqual(node.active.generation, 2)
                 self.assertEqual(node.gossip.records.get(RecordKind.VERSION, "config"), record)
 
