--- a/tests/mesh/test_leaving.py
+++ b/tests/mesh/test_leaving.py
@@ -1,4 +1,4 @@
-"""Endpoints, sidecars and settings that leave or change while requests run."""
+"""Draining and departing endpoints, terminating sidecars and changed settings while requests are in progress."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 
 
 class Leaving(unittest.TestCase):
-    def test_a_drained_endpoint_gets_nothing_more(self) -> None:
+    def test_a_drained_endpoint_receives_no_more_requests(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "one", "two"]) as m:
                 await m.serve()
                 self.assertEqual(await m.beat(0, "draining"), 200)
-                for _ in range(20):  # from the first on, whoever knows of it
+                for _ in range(20):  # from the first request on, from any sidecar
                     self.assertEqual((await m.ask("/one/unsafe/x", "POST", 2))[0], 200)
                 self.assertEqual(len(m.apps[0].seen), 0)
                 m.apps[0].seq = 0
-                self.assertEqual(await m.beat(0), 200)  # a late beat
+                self.assertEqual(await m.beat(0), 200)  # a late heartbeat
                 self.assertFalse(m.sidecars[0].ingress.is_open)
 
         run(test)
 
-    def test_a_drain_told_to_the_core(self) -> None:
+    def test_a_drain_is_confirmed_by_the_sidecar_if_sent_to_a_control_node(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
@@ -42,56 +42,56 @@
                     f"{m.core}:{m.port + 2}", "POST", f"/v1/endpoints/{app.id}/heartbeat", app.beat("draining")
                 )
                 self.assertEqual(status, 200)
-                self.assertFalse(m.sidecars[0].ingress.is_open)  # its keeper knew before it was acknowledged
+                self.assertFalse(m.sidecars[0].ingress.is_open)  # its sidecar knew before the acknowledgement
 
         run(test)
 
-    def test_a_sidecar_told_to_end_finishes_what_runs(self) -> None:
+    def test_a_terminating_sidecar_finishes_running_requests(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                app, ending = m.apps[0], m.sidecars[1]
+                app, terminating = m.apps[0], m.sidecars[1]
                 app.response_gate = asyncio.Event()
-                asked = asyncio.ensure_future(m.ask("/one/unsafe/x", "POST", 1, b"body"))
+                response = asyncio.ensure_future(m.ask("/one/unsafe/x", "POST", 1, b"body"))
                 await until(lambda: app.seen)
                 with mock.patch.object(sidecar, "MIN_DRAIN_PERIOD", 0.05):
-                    stopped = asyncio.ensure_future(ending.stop(6.0))
-                    await until(lambda: ending.ending)
-                    ready = await m.call(f"{m.ips[1]}:{m.port + 3}", "GET", "/v1/ready")
-                    self.assertEqual(ready[0], 503)  # before anything else changes
-                    self.assertFalse(asked.done() or stopped.done())
+                    stopped = asyncio.ensure_future(terminating.stop(6.0))
+                    await until(lambda: terminating.ending)
+                    readiness = await m.call(f"{m.ips[1]}:{m.port + 3}", "GET", "/v1/ready")
+                    self.assertEqual(readiness[0], 503)  # before anything else changes
+                    self.assertFalse(response.done() or stopped.done())
                     app.response_gate.set()
-                    self.assertEqual((await asked)[0], 200)
+                    self.assertEqual((await response)[0], 200)
                     await stopped
 
         run(test)
 
-    def test_a_request_for_another_life_goes_nowhere(self) -> None:
-        """Its address may be another service's by now."""
+    def test_a_request_for_a_replaced_endpoint_is_not_executed(self) -> None:
+        """The address may have been taken over by an endpoint of another service."""
 
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                m.apps[0].id = "i-next"  # another life at the same address
+                m.apps[0].id = "i-next"  # a new endpoint at the same address
                 self.assertEqual(await m.beat(0), 200)
-                told: list[ForwardReply] = []
-                load = ForwardRequest(
+                replies: list[ForwardReply] = []
+                request = ForwardRequest(
                     endpoint=f"i-{m.apps[0].address}", head=b"GET / HTTP/1.1\r\n", id="r", deadline_ms=1000
                 )
-                m.sidecars[0].ingress.submit(load, b"", told.append)
-                self.assertEqual([y.outcome for y in told], [AttemptOutcome.NOT_EXECUTED])
+                m.sidecars[0].ingress.submit(request, b"", replies.append)
+                self.assertEqual([reply.outcome for reply in replies], [AttemptOutcome.NOT_EXECUTED])
                 self.assertEqual(m.apps[0].seen, [])
 
         run(test)
 
-    def test_settings_that_change(self) -> None:
-        """On SIGHUP, and without one; what can't be used changes nothing."""
+    def test_changed_settings_are_reloaded(self) -> None:
+        """On each check, with or without SIGHUP; invalid settings change nothing."""
 
         async def test() -> None:
             async with Mesh(["one"]) as m:
                 role, path = m.sidecars[0], Path(m.folder.name) / "boot.json"
-                watch = cli.SettingsWatcher(role, role.settings)
-                told = {
+                watcher = cli.SettingsWatcher(role, role.settings)
+                changed = {
                     "NodeName": "n",
                     "Role": "r",
                     "Ip": m.ips[0],
@@ -101,55 +101,55 @@
                     "EphemeralPorts": [m.port, m.port + 1],
                     "SeedNodes": ["127.0.0.9:5"],
                 }
-                before = list(role.node.gossip.anti_entropy.seeds)
+                seeds_before = list(role.node.gossip.anti_entropy.seeds)
                 with mock.patch.dict(os.environ, {"ZINCLEVER_BOOT": str(path)}):
                     path.write_text("{")
-                    watch.check()
-                    self.assertEqual(role.node.gossip.anti_entropy.seeds, before)
-                    path.write_text(json.dumps(told))
-                    watch.check()
+                    watcher.check()
+                    self.assertEqual(role.node.gossip.anti_entropy.seeds, seeds_before)
+                    path.write_text(json.dumps(changed))
+                    watcher.check()
                     self.assertEqual(role.node.gossip.anti_entropy.seeds, [("127.0.0.9", m.port + 1)])
 
         run(test)
 
-    def test_after_a_standstill_the_module_is_the_meshs_still(self) -> None:
+    def test_the_admission_policy_survives_a_stall(self) -> None:
         async def test() -> None:
             async with Mesh(["one"]) as m:
                 await m.serve()
                 ledger = m.sidecars[0].clients.to("one").ledger
-                ledger.settle(True)  # what it does after standing still for a second
+                ledger.settle(True)  # as after a stall of a second
                 self.assertIsInstance(ledger.balancer.admission, IngressAdmission)
-                told = config("one", generation=2)
-                told["Routes"]["one-safe"]["DeadlineS"] = 2.5  # a class that there was not
-                self.assertEqual((await m.put(told, 1))[0], 200)
+                changed = config("one", generation=2)
+                changed["Routes"]["one-safe"]["DeadlineS"] = 2.5  # adds a request class
+                self.assertEqual((await m.put(changed, 1))[0], 200)
                 await until(lambda: m.sidecars[0].node.active.generation == 2)
                 self.assertEqual((await m.ask("/one/safe/x"))[0], 200)
 
         run(test)
 
-    def test_an_endpoint_that_came_up_before_its_sidecar_was_known(self) -> None:
+    def test_a_heartbeat_replaces_an_endpoint_record_without_a_sidecar(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
                 app = m.apps[0]
-                for f in m.sidecars:  # as after a start of all: nobody knows the endpoint, nor who keeps it
-                    f.node.gossip.records.by_key.pop(RecordKey(RecordKind.ENDPOINT, app.id))
+                for other in m.sidecars:  # as after a start of the whole mesh: the endpoint is unknown
+                    other.node.gossip.records.by_key.pop(RecordKey(RecordKind.ENDPOINT, app.id))
                 body = app.beat()
-                record = m.control.node.gossip.records
-                record.by_key.pop(RecordKey(RecordKind.ENDPOINT, app.id))
+                records = m.control.node.gossip.records
+                records.by_key.pop(RecordKey(RecordKind.ENDPOINT, app.id))
                 m.control.endpoint_api.sidecar_at = lambda address: ""  # type: ignore[method-assign]
                 await m.call(f"{m.core}:{m.port + 2}", "POST", f"/v1/endpoints/{app.id}/heartbeat", body)
                 self.assertEqual(await m.beat(0), 200)
                 await until(
                     lambda: (
-                        (r := record.get(RecordKind.ENDPOINT, app.id)) is not None
+                        (r := records.get(RecordKind.ENDPOINT, app.id)) is not None
                         and m.sidecars[0].node.name.encode() in r.body
                     )
                 )
 
         run(test)
 
-    def test_a_departure_is_known_everywhere(self) -> None:
+    def test_a_departure_reaches_all_sidecars(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "one", "two"]) as m:
                 await m.serve()
@@ -160,18 +160,18 @@
 
         run(test)
 
-    def test_news_of_a_leaving_sidecar_cuts_nothing(self) -> None:
+    def test_the_channel_to_a_leaving_sidecar_keeps_its_open_calls(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
                 await m.ask("/one/safe/x", at=1)
                 address = (m.ips[0], m.port)
-                line = m.sidecars[1].node.channel_to(address)
-                line.open_calls[999] = lambda frame: None  # something is out on it
+                channel = m.sidecars[1].node.channel_to(address)
+                channel.open_calls[999] = lambda frame: None  # an open call
                 m.sidecars[0].node.gossip.leave(m.sidecars[0].loop.time())
                 m.sidecars[0].node.gossip_socket.flush()
                 await until(lambda: (m.sidecars[1].node.gossip.members.state_of(m.sidecars[0].node.name) or 0) > 1)
-                self.assertIsNotNone(line.connection)
+                self.assertIsNotNone(channel.connection)
 
         run(test)
 
--- a/tests/mesh/test_mesh.py
+++ b/tests/mesh/test_mesh.py
@@ -1,4 +1,4 @@
-"""The whole path on real sockets: what clients, endpoints and operators see."""
+"""End-to-end tests of requests through the mesh over real sockets."""
 
 from __future__ import annotations
 
@@ -16,76 +16,78 @@
 from zinclever.mesh.transport.mesh_pb2 import ForwardRequest
 
 
-def other_id(headers: dict[str, str]) -> bytes:
+def other_request_id(headers: dict[str, str]) -> bytes:
     return good({"x-attempt-id": "another"})
 
 
-def surplus(headers: dict[str, str]) -> bytes:
+def extra_response(headers: dict[str, str]) -> bytes:
     return good(headers) + good({"x-attempt-id": "another"})
 
 
-def short(headers: dict[str, str]) -> bytes:
+def truncated_response(headers: dict[str, str]) -> bytes:
     return good(headers)[:-2].replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
 
 
-def no_seal(headers: dict[str, str]) -> bytes:
+def missing_seal(headers: dict[str, str]) -> bytes:
     return good(headers).replace(b"X-Server-Seal: s\r\n", b"")
 
 
-def coded(headers: dict[str, str]) -> bytes:
+def content_encoding(headers: dict[str, str]) -> bytes:
     return good(headers).replace(b"X-Server-Seal", b"Content-Encoding: gzip\r\nX-Server-Seal")
 
 
-def noise(headers: dict[str, str]) -> bytes:
+def invalid_http(headers: dict[str, str]) -> bytes:
     return b"\x00\x01not HTTP at all\r\n\r\n"
 
 
-def silence(headers: dict[str, str]) -> None:
+def closed_connection(headers: dict[str, str]) -> None:
     return None
 
 
-def failed(headers: dict[str, str]) -> bytes:
+def server_error(headers: dict[str, str]) -> bytes:
     return good(headers).replace(b"200 OK", b"500 Error")
 
 
 class OneEndpoint(unittest.TestCase):
-    """What an endpoint does, what the client gets, how often it ran."""
+    """The response of the endpoint, the status that the client receives, and the number of executions."""
 
     @params(
-        ("good", good, "unsafe", 200, 1),
-        ("good", good, "safe", 200, 1),
-        ("an answer to another request", other_id, "unsafe", 502, 1),
-        ("a surplus answer behind", surplus, "unsafe", 200, 1),
-        ("without the seal", no_seal, "unsafe", 502, 1),
-        ("with an encoding", coded, "unsafe", 502, 1),
-        ("bytes that are no answer", noise, "unsafe", 502, 1),
-        ("closed without a word", silence, "unsafe", 502, 1),
-        ("its own failure", failed, "unsafe", 500, 1),
-        ("turned away", not_executed, "unsafe", 503, 1),
+        ("a valid response", good, "unsafe", 200, 1),
+        ("a valid response", good, "safe", 200, 1),
+        ("a response to another request", other_request_id, "unsafe", 502, 1),
+        ("an extra response", extra_response, "unsafe", 200, 1),
+        ("a missing seal", missing_seal, "unsafe", 502, 1),
+        ("a content encoding", content_encoding, "unsafe", 502, 1),
+        ("invalid HTTP", invalid_http, "unsafe", 502, 1),
+        ("a closed connection", closed_connection, "unsafe", 502, 1),
+        ("a server error", server_error, "unsafe", 500, 1),
+        ("not executed", not_executed, "unsafe", 503, 1),
     )
-    def test_answers(self, name: str, plan: Responder, kind: str, status: int, runs: int) -> None:
+    def test_responses_of_an_endpoint(
+        self, name: str, responder: Responder, kind: str, status: int, executed_requests: int
+    ) -> None:
         async def test() -> None:
-            async with Mesh(["one", "two"], {0: plan}) as m:
+            async with Mesh(["one", "two"], {0: responder}) as m:
                 await m.serve()
-                # Beside the endpoint, over a hop, and over a hop with a body that knocks.
-                for at, sent in ((0, b"body"), (1, b"body"), (1, b"body" * 1000)):
+                # At the endpoint's own sidecar; forwarded; and forwarded with a body that needs a reservation.
+                for at, request_body in ((0, b"body"), (1, b"body"), (1, b"body" * 1000)):
                     before = m.executed_requests()
-                    got, headers, body = await m.ask(f"/one/{kind}/x", "POST", at, sent)
-                    self.assertEqual(got, status, name)
-                    self.assertEqual(m.executed_requests() - before, runs, name)
-                    if got == 200:
+                    received_status, headers, body = await m.ask(f"/one/{kind}/x", "POST", at, request_body)
+                    self.assertEqual(received_status, status, name)
+                    self.assertEqual(m.executed_requests() - before, executed_requests, name)
+                    if received_status == 200:
                         self.assertEqual((body, headers["x-server-seal"]), (b"made", "s"))
-                    elif got == 503:
+                    elif received_status == 503:
                         self.assertGreater(float(headers["retry-after"]), 0.0)
 
         run(test)
 
-    def test_what_the_endpoint_gets(self) -> None:
+    def test_the_request_that_the_endpoint_receives(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                body = bytes(range(256)) * 1200  # in several pieces over the hop
-                got, _, _ = await m.ask(
+                body = bytes(range(256)) * 1200  # forwarded in several chunks
+                status, _, _ = await m.ask(
                     "/one/unsafe/x?a=%20b&c",
                     "PUT",
                     1,
@@ -96,10 +98,10 @@
                     Connection="X-Hop",
                     X_Hop="dropped",
                 )
-                self.assertEqual(got, 200)
-                start, headers, came = m.apps[0].seen[0]
+                self.assertEqual(status, 200)
+                start, headers, received_body = m.apps[0].seen[0]
                 self.assertEqual(start, "PUT /one/unsafe/x?a=%20b&c HTTP/1.1")
-                self.assertEqual(came, body)
+                self.assertEqual(received_body, body)
                 self.assertEqual(headers["x-caller-service"], "two")
                 self.assertEqual(headers["x-expected-endpoint"], m.apps[0].id)
                 self.assertEqual((headers["x-other"], headers.get("x-hop")), ("kept", None))
@@ -107,13 +109,13 @@
 
         run(test)
 
-    def test_a_large_answer(self) -> None:
+    def test_a_large_response(self) -> None:
         async def test() -> None:
-            made = b"0123456789" * 50_000
-            async with Mesh(["one", "two"], {0: lambda h: good(h, made)}) as m:
+            response_body = b"0123456789" * 50_000
+            async with Mesh(["one", "two"], {0: lambda headers: good(headers, response_body)}) as m:
                 await m.serve()
                 for at in (0, 1):
-                    self.assertEqual((await m.ask("/one/safe/x", at=at))[2], made)
+                    self.assertEqual((await m.ask("/one/safe/x", at=at))[2], response_body)
 
         run(test)
 
@@ -124,7 +126,7 @@
         ("/one/safe/x", {"Host": "b"}, 404),
         ("/one/safe/x", {"X_Attempt_Id": ""}, 400),
     )
-    def test_routes(self, path: str, headers: dict[str, Any], status: int) -> None:
+    def test_status_by_route_and_headers(self, path: str, headers: dict[str, Any], status: int) -> None:
         async def test() -> None:
             async with Mesh(["one"]) as m:
                 await m.serve()
@@ -135,134 +137,136 @@
 
 class TwoEndpoints(unittest.TestCase):
     @params(
-        ("safe", silence, 200, 2),
-        ("unsafe", silence, 502, 1),
-        ("safe", failed, 200, 2),
-        ("unsafe", failed, 500, 1),
+        ("safe", closed_connection, 200, 2),
+        ("unsafe", closed_connection, 502, 1),
+        ("safe", server_error, 200, 2),
+        ("unsafe", server_error, 500, 1),
         ("safe", not_executed, 200, 2),
         ("unsafe", not_executed, 200, 2),
-        ("unsafe", other_id, 502, 1),
-        ("safe", other_id, 200, 2),
+        ("unsafe", other_request_id, 502, 1),
+        ("safe", other_request_id, 200, 2),
     )
-    def test_goes_on_only_where_it_may(self, kind: str, first: Responder, status: int, seen: int) -> None:
-        """The first that has it does harm, the other is well."""
+    def test_a_request_is_retried_only_if_that_is_safe(
+        self, kind: str, first_responder: Responder, status: int, attempts: int
+    ) -> None:
+        """The first endpoint that receives the request fails, the other one succeeds."""
 
         async def test() -> None:
-            had: list[str] = []
+            received: list[str] = []
 
-            def plan(headers: dict[str, str]) -> bytes | None:
-                had.append(headers["x-attempt-id"])
-                return first(headers) if len(had) == 1 else good(headers)
+            def responder(headers: dict[str, str]) -> bytes | None:
+                received.append(headers["x-attempt-id"])
+                return first_responder(headers) if len(received) == 1 else good(headers)
 
             for body in (b"body", b"body" * 1000):
-                had.clear()
-                async with Mesh(["one", "one", "two"], {0: plan, 1: plan}) as m:
+                received.clear()
+                async with Mesh(["one", "one", "two"], {0: responder, 1: responder}) as m:
                     await m.serve()
-                    got, _, _ = await m.ask(f"/one/{kind}/x", "POST", 2, body)
-                    self.assertEqual((got, len(had)), (status, seen))
+                    received_status, _, _ = await m.ask(f"/one/{kind}/x", "POST", 2, body)
+                    self.assertEqual((received_status, len(received)), (status, attempts))
 
         run(test)
 
 
-class Returned(unittest.TestCase):
-    def test_one_that_was_refused_before_waits_for_nobody(self) -> None:
-        """At a keeper whose turns are all taken for a moment a first try waits, a further one is told at once."""
+class RetriedRequests(unittest.TestCase):
+    def test_a_retried_request_does_not_queue(self) -> None:
+        """At a sidecar without a free slot a first attempt queues, and a further attempt is refused at once."""
 
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
                 queue = m.sidecars[0].ingress.queue
                 queue.mean_service_time, queue.busy = 0.05, queue.slots
-                first = asyncio.ensure_future(m.ask("/one/unsafe/x", "POST", 1))
+                queued = asyncio.ensure_future(m.ask("/one/unsafe/x", "POST", 1))
                 await until(lambda: queue.waiting)
-                got, headers, _ = await m.ask("/one/unsafe/x", "POST", 1, X_Deadline_Ms="2500")
-                self.assertEqual((got, len(queue.waiting)), (503, 1))
+                status, headers, _ = await m.ask("/one/unsafe/x", "POST", 1, X_Deadline_Ms="2500")
+                self.assertEqual((status, len(queue.waiting)), (503, 1))
                 self.assertGreater(float(headers["retry-after"]), 0.1)
                 queue.busy = 0
                 m.sidecars[0].ingress.begin_waiting()
-                self.assertEqual((await first)[0], 200)
+                self.assertEqual((await queued)[0], 200)
 
         run(test)
 
 
-class Forgotten(unittest.TestCase):
+class HalfOpenConnections(unittest.TestCase):
     @params("safe", "unsafe")
-    def test_an_idle_connection_that_the_endpoint_has_forgotten(self, kind: str) -> None:
-        """Its reset comes before the last byte goes out: the request goes on at once on another connection."""
+    def test_an_idle_connection_that_the_endpoint_resets(self, kind: str) -> None:
+        """The reset arrives before the last byte is sent, so the request is sent again on another connection."""
 
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                app, keeper = m.apps[0], m.sidecars[0].ingress
+                app, ingress = m.apps[0], m.sidecars[0].ingress
                 for at in (0, 1, 0, 1):
                     self.assertEqual((await m.ask(f"/one/{kind}/x", "POST", at, b"body"))[0], 200)
                     app.half_open |= app.writers
-                    for connection in keeper.pools.idle:
-                        connection.heard_at -= 1.0  # it has been quiet for a while
+                    for connection in ingress.pools.idle:
+                        connection.heard_at -= 1.0  # idle for a second
                 self.assertEqual((len(app.seen), app.resets), (4, 3))
-                self.assertEqual(keeper.counts["dropped"], 3)
+                self.assertEqual(ingress.counts["dropped"], 3)
 
         run(test)
 
 
-class Knocks(unittest.TestCase):
-    """A body is sent once its keeper has room; until it is there its request can't run."""
+class Reservations(unittest.TestCase):
+    """A body is sent after the endpoint's sidecar has granted a reservation; the request cannot run before."""
 
     BODY = b"b" * 4000
 
-    def test_nothing_of_it_goes_to_a_keeper_without_room(self) -> None:
+    def test_no_body_is_sent_without_a_reservation(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
                 m.sidecars[0].ingress.queue.busy = 400
                 with mock.patch.object(Channel, "send_on_call", autospec=True) as sent:
-                    got, headers, _ = await m.ask("/one/unsafe/x", "POST", 1, self.BODY)
-                self.assertEqual((got, m.executed_requests(), sent.call_count), (503, 0, 0))
+                    status, headers, _ = await m.ask("/one/unsafe/x", "POST", 1, self.BODY)
+                self.assertEqual((status, m.executed_requests(), sent.call_count), (503, 0, 0))
                 self.assertGreater(float(headers["retry-after"]), 0.0)
                 self.assertFalse(m.sidecars[0].forward_server.open)
 
         run(test)
 
-    @params(("before it may come", "on_request", 200, 1), ("behind its last byte", "submit", 502, 0))
-    def test_the_link_is_lost(self, name: str, at: str, status: int, ran: int) -> None:
-        """An unsafe request goes on to the other endpoint only where it can't have run at the first."""
+    @params(("before the reservation", "on_request", 200, 1), ("after the last byte", "submit", 502, 0))
+    def test_a_lost_link(self, name: str, method: str, status: int, executions: int) -> None:
+        """An unsafe request is retried at the other endpoint only if it cannot have been executed at the first."""
 
         async def test() -> None:
             async with Mesh(["one", "one", "two"]) as m:
                 await m.serve()
-                lost: list[FramedConnection] = []
+                aborted: list[FramedConnection] = []
 
-                def lose(self: ForwardServer, *told: Any) -> None:
-                    """The first link that has come so far ends; all others go on."""
-                    link = told[0] if at == "on_request" else told[1].connection
-                    if lost:
-                        whole(self, *told)
+                def abort_first(self: ForwardServer, *args: Any) -> None:
+                    """Abort the first connection that reaches this method; the others continue."""
+                    connection = args[0] if method == "on_request" else args[1].connection
+                    if aborted:
+                        original(self, *args)
                     else:
-                        lost.append(link)
-                        link.abort()
+                        aborted.append(connection)
+                        connection.abort()
 
-                whole = getattr(ForwardServer, at)
-                with mock.patch.object(ForwardServer, at, lose):
-                    for f in m.sidecars:  # handlers are bound at the start
-                        f.node.frame_handlers["forward_request"] = f.forward_server.on_request
-                    got, _, _ = await m.ask("/one/unsafe/x", "POST", 2, self.BODY)
-                self.assertEqual((got, m.executed_requests()), (status, ran))
+                original = getattr(ForwardServer, method)
+                with mock.patch.object(ForwardServer, method, abort_first):
+                    for sidecar in m.sidecars:  # the handlers were bound at the start
+                        sidecar.node.frame_handlers["forward_request"] = sidecar.forward_server.on_request
+                    received_status, _, _ = await m.ask("/one/unsafe/x", "POST", 2, self.BODY)
+                self.assertEqual((received_status, m.executed_requests()), (status, executions))
 
         run(test)
 
-    def test_bodies_on_their_way_in_are_bounded_in_sum(self) -> None:
+    def test_incoming_bodies_are_limited_in_total(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                keeping = m.sidecars[0]
-                coming = ForwardRequest(endpoint=m.apps[0].id, length=60 << 20, reserve_first=True, deadline_ms=1000)
-                keeping.forward_server.open[(mock.Mock(), 1)] = InboundForward(mock.Mock(), coming, 0.0)
+                sidecar = m.sidecars[0]
+                incoming = ForwardRequest(endpoint=m.apps[0].id, length=60 << 20, reserve_first=True, deadline_ms=1000)
+                sidecar.forward_server.open[(mock.Mock(), 1)] = InboundForward(mock.Mock(), incoming, 0.0)
                 self.assertEqual((await m.ask("/one/unsafe/x", "POST", 1, b"b" * (8 << 20)))[0], 503)
                 self.assertEqual((await m.ask("/one/unsafe/x", "POST", 1, self.BODY))[0], 200)
 
         run(test)
 
-    def test_a_keeper_of_the_version_before_gets_bodies_as_it_did(self) -> None:
+    def test_a_sidecar_of_an_earlier_version_gets_bodies_without_a_reservation(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
--- a/tests/mesh/test_mesh_operators.py
+++ b/tests/mesh/test_mesh_operators.py
@@ -1,4 +1,4 @@
-"""Operators at a whole mesh: configurations, and the commands that look at it."""
+"""Configuration changes and inspection calls of operators on a running mesh."""
 
 from __future__ import annotations
 
@@ -12,42 +12,42 @@
 from zinclever.mesh.operator_cli.control_client import ControlRequest, call
 
 
-class Operators(unittest.TestCase):
-    def test_changes(self) -> None:
+class ConfigurationChanges(unittest.TestCase):
+    def test_valid_changes_are_accepted_and_others_refused(self) -> None:
         async def test() -> None:
             async with Mesh(["one"]) as m:
                 await m.serve()
-                bad = config("one", generation=2)
-                bad["Routes"]["one-safe"]["Target"] = "nobody"
+                invalid = config("one", generation=2)
+                invalid["Routes"]["one-safe"]["Target"] = "nobody"
                 cases: list[tuple[Any, int, int]] = [
-                    (config("one", generation=1), 0, 200),  # the same again
+                    (config("one", generation=1), 0, 200),  # repeated unchanged
                     (config("one", generation=2), 0, 412),
                     (config("one", generation=1), 1, 400),
-                    (bad, 1, 400),
+                    (invalid, 1, 400),
                     (b'{"Generation"', 1, 400),
                     (config("one", generation=9), 1, 200),
                     (config("one", generation=3), 1, 412),
                 ]
-                for told, base, want in cases:
-                    self.assertEqual((await m.put(told, base))[0], want, (told, base))
-                status, _, text = await m.call(f"{m.core}:{m.port + 2}", "GET", "/v1/config/read")
+                for text, base, expected in cases:
+                    self.assertEqual((await m.put(text, base))[0], expected, (text, base))
+                status, _, body = await m.call(f"{m.core}:{m.port + 2}", "GET", "/v1/config/read")
                 self.assertEqual(status, 200)
-                self.assertIn(b'"Generation":9', text)
+                self.assertIn(b'"Generation":9', body)
                 await until(lambda: m.sidecars[0].node.active.generation == 9)
 
         run(test)
 
-    def test_what_was_acknowledged_is_on_the_disk(self) -> None:
+    def test_an_acknowledged_change_is_stored_on_disk(self) -> None:
         async def test() -> None:
             async with Mesh(["one"]) as m:
                 await m.serve()
-                kept = m.control.store.entry_file.load()
-                assert kept is not None
-                self.assertIn(b'"Generation":1', kept[b"change"])
+                stored = m.control.store.entry_file.load()
+                assert stored is not None
+                self.assertIn(b'"Generation":1', stored[b"change"])
 
         run(test)
 
-    def test_removed_routes(self) -> None:
+    def test_requests_to_removed_routes_are_answered_404(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
@@ -59,24 +59,24 @@
         run(test)
 
 
-class Scouts(unittest.TestCase):
-    """What operators ask, over the command line's own calls."""
+class InspectionCalls(unittest.TestCase):
+    """Calls of the control API through the client of the operator commands."""
 
-    def test_who_view_endpoints_and_the_disk(self) -> None:
+    def test_nodes_endpoints_view_and_disk(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                core, loop = [f"{m.core}:{m.port + 2}"], m.control.loop
+                hosts, loop = [f"{m.core}:{m.port + 2}"], m.control.loop
 
-                async def ask(path: str) -> Any:
-                    response = await loop.run_in_executor(None, call, core, ControlRequest("GET", path))
+                async def get(path: str) -> Any:
+                    response = await loop.run_in_executor(None, call, hosts, ControlRequest("GET", path))
                     self.assertEqual(response.status, 200)
                     return response.json()
 
-                nodes = (await ask("/v1/mesh/who"))["Nodes"]
-                self.assertEqual([b["Standing"] for b in nodes], ["live"] * 3)
-                self.assertEqual([e["Phase"] for e in (await ask("/v1/mesh/endpoints"))["Endpoints"]], ["ready"] * 2)
-                view = await ask("/v1/mesh/view")
+                nodes = (await get("/v1/mesh/who"))["Nodes"]
+                self.assertEqual([node["Standing"] for node in nodes], ["live"] * 3)
+                self.assertEqual([e["Phase"] for e in (await get("/v1/mesh/endpoints"))["Endpoints"]], ["ready"] * 2)
+                view = await get("/v1/mesh/view")
                 self.assertEqual((view["Role"], view["Generation"], len(view["Voters"])), ("LEADER", 1, 1))
                 self.assertEqual((view["Disk"]["repaired"], view["Disk"]["refused"]), (0, 0))
                 self.assertEqual((view["Disk"]["unmarked"], view["Texts"]["given_up"]), (0, 0))
@@ -86,24 +86,24 @@
 
         run(test)
 
-    def test_why_a_request_was_refused(self) -> None:
+    def test_explain_names_the_attempts_of_a_refused_request(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"], {0: not_executed}) as m:
                 await m.serve()
                 self.assertEqual((await m.ask("/one/unsafe/x", "POST", 1, X_Attempt_Id="r-asked"))[0], 503)
-                core, loop = [f"{m.core}:{m.port + 2}"], m.control.loop
+                hosts, loop = [f"{m.core}:{m.port + 2}"], m.control.loop
                 request = ControlRequest("GET", "/v1/mesh/requests/r-asked")
-                response = await loop.run_in_executor(None, call, core, request)
+                response = await loop.run_in_executor(None, call, hosts, request)
                 self.assertEqual(response.status, 200)
                 (found,) = response.json()["Requests"]
                 self.assertEqual((found["Status"], found["Target"]), (503, "one"))
                 self.assertIn(f"{m.apps[0].id}: turned away", found["Tries"])
-                response = await loop.run_in_executor(None, call, core, ControlRequest("GET", "/v1/mesh/requests/r-0"))
+                response = await loop.run_in_executor(None, call, hosts, ControlRequest("GET", "/v1/mesh/requests/r-0"))
                 self.assertEqual((response.status, response.json()["Error"]["Code"]), (404, "REQUEST_UNKNOWN"))
 
         run(test)
 
-    def test_nobody_answers(self) -> None:
+    def test_unreachable_control_nodes_are_listed_in_the_error(self) -> None:
         with self.assertRaises(MeshError) as caught:
             call(["127.0.0.1:1", "127.0.0.2:1"], ControlRequest("GET", "/v1/mesh/who"))
         self.assertEqual(caught.exception.code, "NOBODY_ANSWERS")
