--- a/tests/mesh/test_mesh.py
+++ b/tests/mesh/test_mesh.py
@@ -52,8 +52,8 @@
     """The response of the endpoint, the status that the client receives, and the number of executions."""
 
     @params(
-        ("a valid response", good, "unsafe", 200, 1),
-        ("a valid response", good, "safe", 200, 1),
+        ("good", good, "unsafe", 200, 1),
+        ("good", good, "safe", 200, 1),
         ("a response to another request", other_request_id, "unsafe", 502, 1),
         ("an extra response", extra_response, "unsafe", 200, 1),
         ("a missing seal", missing_seal, "unsafe", 502, 1),
