--- a/zinclever/mesh/membership/failure_detector.py
+++ b/zinclever/mesh/membership/failure_detector.py
@@ -74,7 +74,8 @@
             self.probe_next(now)
 
     def on_stall(self, now: float) -> None:
-        """Restart all probes and suspicion timeouts, as answers may have been missed while this process was stalled."""
+        """Drop open probes and restart suspicion timeouts, as this process may have missed answers during a stall."""
+
         self.probes.clear()
         self.relayed_probes.clear()
         self.suspected_since = dict.fromkeys(self.suspected_since, now)
