--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -15,8 +15,8 @@
 
 from zinclever import Balancer, Settings, interface
 from zinclever.core.descriptors import Descriptors
+from zinclever.core.dispatcher import Dispatcher
 from zinclever.core.host import Host
-from zinclever.core.ledger import Ledger
 from zinclever.discovery.catalog import Discovery
 from zinclever.http1.front import Front
 from zinclever.http1.wire import HttpWire
@@ -25,7 +25,7 @@
 
 SYSTEM = System()
 CLOSED = itertools.count(1)  # ports that nothing listens on in simulated time
-PATIENCE = 20.0  # s: far more than any wait here takes
+TEST_TIMEOUT = 20.0  # s: far more than any wait here takes
 CLASSES = (
     interface.RequestClass(aim=5000.0, deadline=9000.0, repeat="idempotent", name="read"),
     interface.RequestClass(aim=5000.0, deadline=9000.0, repeat="deduplicated", window=9000.0, name="unlock"),
@@ -42,7 +42,7 @@
     """Run one test on real sockets, on the loop that is used in service; guards against a test that hangs."""
 
     async def bounded() -> None:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             await test()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -169,7 +169,7 @@
     def __init__(self, told: Settings, react: Reaction) -> None:
         super().__init__(told, 1)
         self.react = react
-        self.told: list[tuple[float, interface.Event]] = []
+        self.received_events: list[tuple[float, interface.Event]] = []
         self.changed = asyncio.Event()
         self.inside = False
 
@@ -177,14 +177,14 @@
         assert not self.inside, "entered again"
         self.inside = True
         try:
-            self.told.append((now, event))
+            self.received_events.append((now, event))
             self.changed.set()
             return list(self.react(event))
         finally:
             self.inside = False
 
     def ends(self) -> list[interface.AttemptEnded]:
-        return [e for _, e in self.told if isinstance(e, interface.AttemptEnded)]
+        return [e for _, e in self.received_events if isinstance(e, interface.AttemptEnded)]
 
     async def until(self, met: Callable[[], bool]) -> None:
         """Wait until what was told meets a condition."""
@@ -193,16 +193,16 @@
             await self.changed.wait()
 
 
-def script(ledger: Ledger, balancer: Scripted) -> None:
+def script(dispatcher: Dispatcher, balancer: Scripted) -> None:
     """Have a scripted balancer decide, however slow the machine is.
 
     A stall of this process for more than a second would put a real balancer in its place, and a dial that takes longer
     than the settings allow would end an attempt that the test waits for.
     """
-    ledger.balancer = balancer
-    ledger.renewed_at = math.inf
+    dispatcher.balancer = balancer
+    dispatcher.renewed_at = math.inf
     limits = balancer.settings.limits
-    ledger.wire.configure(1000.0 * PATIENCE, limits.connection_idle, ledger.connections)
+    dispatcher.wire.configure(1000.0 * TEST_TIMEOUT, limits.connection_idle, dispatcher.connections)
 
 
 def host(name: str, dial: str, health: str = "in_service", **more: Any) -> dict[str, Any]:
@@ -240,7 +240,7 @@
 class Setup:
     """A sidecar in this process round a scripted balancer."""
 
-    def __init__(self, sidecar: Ledger, balancer: Scripted, front: Front, address: tuple[str, int]) -> None:
+    def __init__(self, sidecar: Dispatcher, balancer: Scripted, front: Front, address: tuple[str, int]) -> None:
         self.sidecar, self.balancer, self.front, self.address = sidecar, balancer, front, address
         assert isinstance(sidecar.wire, HttpWire) and isinstance(sidecar.source, Discovery)
         self.wire, self.discovery = sidecar.wire, sidecar.source
@@ -266,7 +266,7 @@
     balancer = Scripted(Settings(**(given | more)), react)
     where, _, port = (discovery or closed_port()).partition(":")
     descriptors, here = Descriptors(sockets), host_here()
-    made = Ledger(
+    made = Dispatcher(
         balancer,
         HttpWire(descriptors, here),
         lambda on_list: Discovery((where, int(port)), balancer.settings, ["a", "b"], hosts or {}, on_list, here),
--- a/tests/mesh/cluster.py
+++ b/tests/mesh/cluster.py
@@ -61,7 +61,7 @@
     def __init__(self, address: str, service: str, responder: Responder = good) -> None:
         self.address, self.service, self.responder = address, service, responder
         self.id = f"i-{address}"
-        self.seen: list[tuple[str, dict[str, str], bytes]] = []
+        self.received_requests: list[tuple[str, dict[str, str], bytes]] = []
         self.seq = 0
         self.response_gate: asyncio.Event | None = None
         """If set, responses wait for this event."""
@@ -83,7 +83,7 @@
                     self.resets += 1
                     break
                 start, headers, body = await read_message(reader, first_byte)
-                self.seen.append((start, headers, body))
+                self.received_requests.append((start, headers, body))
                 if self.response_gate is not None:
                     await self.response_gate.wait()
                 response = self.responder(headers)
@@ -102,7 +102,7 @@
             writer.transport.abort()
         await until(lambda: not self.writers)
 
-    def beat(self, phase: str = "ready") -> bytes:
+    def heartbeat_body(self, phase: str = "ready") -> bytes:
         self.seq += 1
         return json.dumps(
             {
@@ -118,20 +118,20 @@
 
     def __init__(self, services: list[str], responders: dict[int, Responder] | None = None) -> None:
         network = next(_network_numbers)
-        self.core = f"127.77.{network}.1"
+        self.control_ip = f"127.77.{network}.1"
         with socket.socket() as s:
-            s.bind((self.core, 0))
+            s.bind((self.control_ip, 0))
             port = s.getsockname()[1]
         self.port = min(port, 65000)
         self.folder = tempfile.TemporaryDirectory()
         self.ips = [f"127.77.{network}.{10 + n}" for n in range(len(services))]
-        self.apps = [
+        self.stub_endpoints = [
             App(f"{ip}:{self.port + 6}", s, (responders or {}).get(n, good))
             for n, (ip, s) in enumerate(zip(self.ips, services, strict=True))
         ]
         self.ids = itertools.count(1)
 
-    def boot(self, ip: str, role: str, **overrides: Any) -> node_settings.NodeSettings:
+    def make_settings(self, ip: str, role: str, **overrides: Any) -> node_settings.NodeSettings:
         names = ("Egress", "Readiness", "ControlPlane") if role == "forager" else ("ControlPlane",)
         bind = {name: f"{ip}:{self.port + 2 + offset}" for offset, name in enumerate(names)}
         defaults = {
@@ -142,7 +142,7 @@
             "Serves": [],
             "Bind": bind,
             "EphemeralPorts": [self.port, self.port + 1],
-            "SeedNodes": [f"{self.core}:{self.port + 2}"],
+            "SeedNodes": [f"{self.control_ip}:{self.port + 2}"],
             "Bootstrap": True,
             "Limits": {"MaxFds": 1024},
             "FaultModel": {"HostLosses": 0},
@@ -151,12 +151,14 @@
         return node_settings.parse(json.dumps({**defaults, **overrides}).encode())
 
     async def __aenter__(self) -> Mesh:
-        self.control = ControlNode(self.boot(self.core, "comb", StateDir=str(Path(self.folder.name) / "disk")))
+        self.control = ControlNode(
+            self.make_settings(self.control_ip, "comb", StateDir=str(Path(self.folder.name) / "disk"))
+        )
         await self.control.start()
         self.sidecars: list[Sidecar] = []
-        for ip, app in zip(self.ips, self.apps, strict=True):
+        for ip, app in zip(self.ips, self.stub_endpoints, strict=True):
             await app.start()
-            sidecar = Sidecar(self.boot(ip, "forager", AppAddr=app.address, Target=app.service))
+            sidecar = Sidecar(self.make_settings(ip, "forager", AppAddr=app.address, Target=app.service))
             await sidecar.start()
             self.sidecars.append(sidecar)
         return self
@@ -166,7 +168,7 @@
             for server in sidecar.servers:
                 server.close()
             sidecar.node.stop()
-        for app in self.apps:
+        for app in self.stub_endpoints:
             await app.stop()
         self.control.node.stop()
         if self.control.server is not None:
@@ -203,24 +205,24 @@
         """Replace the configuration of generation ``base``, and return the control node's response."""
         text = config if isinstance(config, bytes) else json.dumps(config).encode()
         return await self.call(
-            f"{self.core}:{self.port + 2}", "POST", "/v1/config/replace", text, X_Base_Version=str(base)
+            f"{self.control_ip}:{self.port + 2}", "POST", "/v1/config/replace", text, X_Base_Version=str(base)
         )
 
     async def beat(self, index: int, phase: str = "ready") -> int:
         """Send a heartbeat of an endpoint to its sidecar, and return the status."""
-        app = self.apps[index]
+        app = self.stub_endpoints[index]
         status, _, _ = await self.call(
-            f"{self.ips[index]}:{self.port + 4}", "POST", f"/v1/endpoints/{app.id}/heartbeat", app.beat(phase)
+            f"{self.ips[index]}:{self.port + 4}", "POST", f"/v1/endpoints/{app.id}/heartbeat", app.heartbeat_body(phase)
         )
         return status
 
     async def serve(self) -> None:
         """Activate a configuration, and wait until all sidecars use it and know all endpoints."""
-        for index in range(len(self.apps)):
+        for index in range(len(self.stub_endpoints)):
             assert await self.beat(index) == 200
-        await self.put_until_definite(config(*{app.service for app in self.apps}), 0)
+        await self.put_until_definite(config(*{app.service for app in self.stub_endpoints}), 0)
         await until(lambda: all(sidecar.node.active.generation == 1 for sidecar in self.sidecars))
-        await until(lambda: all(self.known_endpoints(sidecar) == len(self.apps) for sidecar in self.sidecars))
+        await until(lambda: all(self.known_endpoints(sidecar) == len(self.stub_endpoints) for sidecar in self.sidecars))
 
     async def put_until_definite(self, text: dict[str, Any], base: int) -> None:
         """Replace the configuration, repeating the call while the status is 503, after which its result is unknown."""
@@ -236,7 +238,7 @@
 
     def executed_requests(self) -> int:
         """Return how many requests all endpoints have received."""
-        return sum(len(app.seen) for app in self.apps)
+        return sum(len(app.received_requests) for app in self.stub_endpoints)
 
 
 def config(*services: str, generation: int = 1) -> dict[str, Any]:
--- a/tests/mesh/processes.py
+++ b/tests/mesh/processes.py
@@ -338,16 +338,16 @@
         """Ids of the requests that were request during the warm-up; they are not audited."""
 
     def settings(self, ip: str, **overrides: Any) -> dict[str, Any]:
-        names = ("ControlPlane",) if ip == self.core else ("Egress", "Readiness", "ControlPlane")
+        names = ("ControlPlane",) if ip == self.control_ip else ("Egress", "Readiness", "ControlPlane")
         return {
             "NodeName": ip,
-            "Role": "control" if ip == self.core else "sidecar",
+            "Role": "control" if ip == self.control_ip else "sidecar",
             "Ip": ip,
             "Zone": "z",
             "Serves": [],
             "Bind": {name: f"{ip}:{self.port + 2 + offset}" for offset, name in enumerate(names)},
             "EphemeralPorts": [self.port, self.port + 1],
-            "SeedNodes": [f"{self.core}:{self.port + 2}"],
+            "SeedNodes": [f"{self.control_ip}:{self.port + 2}"],
             "Bootstrap": True,
             "Limits": {"MaxFds": 1024},
             "FaultModel": {"HostLosses": 0},
@@ -367,7 +367,7 @@
 
     async def start(self) -> None:
         folder = Path(self.folder.name)
-        control_settings = self.settings(self.core, StateDir=str(folder / "disk"))
+        control_settings = self.settings(self.control_ip, StateDir=str(folder / "disk"))
         self.processes.append(Process("control", folder, control_settings))
         for ip, endpoint in zip(self.ips, self.endpoints, strict=True):
             await endpoint.start()
--- a/tests/mesh/test_configuration_handout.py
+++ b/tests/mesh/test_configuration_handout.py
@@ -134,14 +134,14 @@
             async with Mesh(["one"]) as m:
                 await m.serve()
                 active = m.control.node.active
-                channel = m.sidecars[0].node.channel_to((m.core, m.port + 1))
+                channel = m.sidecars[0].node.channel_to((m.control_ip, m.port + 1))
                 answers: list[Frame | None] = []
                 for _ in range(30):
                     channel.call(Frame(fetch=Fetch(index=active.index + 1)), answers.append)
                 completed: list[Frame | None] = []
                 channel.call(Frame(fetch=Fetch(index=1)), completed.append)
                 await until(lambda: completed)  # the earlier fetches have been received as well
-                m.control.node.put_in_force(
+                m.control.node.activate_configuration(
                     active.index + 1, 2, active.text.replace(b'"Generation":1', b'"Generation":2')
                 )
                 completed.clear()
@@ -177,7 +177,9 @@
                 stopped.node.stop()
                 unreachable = [f"127.77.0.9:{m.port + 2}"]
                 new = Sidecar(
-                    m.boot(m.ips[1], "forager", AppAddr=m.apps[1].address, Target="two", SeedNodes=unreachable)
+                    m.make_settings(
+                        m.ips[1], "forager", AppAddr=m.stub_endpoints[1].address, Target="two", SeedNodes=unreachable
+                    )
                 )
                 await new.start()
                 m.sidecars.append(new)
@@ -196,12 +198,14 @@
                 control = m.control.node
                 drop_datagrams(control, set(m.ips))
                 control.frame_handlers["fetch"] = lambda connection, frame: None
-                drop_datagrams(m.sidecars[0].node, {m.core})
+                drop_datagrams(m.sidecars[0].node, {m.control_ip})
                 self.assertEqual((await m.put(config("one", "two", generation=2), 1))[0], 200)
                 await crash(m.sidecars[1])
-                new = m.sidecars[1] = Sidecar(m.boot(m.ips[1], "forager", AppAddr=m.apps[1].address, Target="two"))
+                new = m.sidecars[1] = Sidecar(
+                    m.make_settings(m.ips[1], "forager", AppAddr=m.stub_endpoints[1].address, Target="two")
+                )
                 await new.start()
-                drop_datagrams(new.node, {m.core})
+                drop_datagrams(new.node, {m.control_ip})
                 await until(lambda: new.ready())
                 self.assertEqual([sidecar.node.active.generation for sidecar in m.sidecars], [1, 1])
                 self.assertEqual((await m.ask("/one/safe/x", at=1))[0], 200)
@@ -226,7 +230,7 @@
                 await until(lambda: all(sidecar.node.active.generation == 2 for sidecar in m.sidecars))
                 node = m.sidecars[0].node
                 record = node.gossip.records.get(RecordKind.VERSION, "config")
-                node.put_in_force(old_index, 1, old_text)
+                node.activate_configuration(old_index, 1, old_text)
                 self.assertEqual(node.active.generation, 2)
                 self.assertEqual(node.gossip.records.get(RecordKind.VERSION, "config"), record)
 
--- a/tests/mesh/test_gossip_messages.py
+++ b/tests/mesh/test_gossip_messages.py
@@ -52,7 +52,7 @@
         node.receive(sim.now, GossipMessage.FromString(data), ("10.9.9.9", 9))
         sim.run(2.0)
         self.assertEqual(len(node.members.others()), 2)
-        self.assertNotIn("x", node.failure_detector.last_heard)
+        self.assertNotIn("x", node.failure_detector.last_contact)
 
     def test_a_record_is_resent_until_its_receipt_arrives(self) -> None:
         sim = joined_simulation(4)
@@ -60,10 +60,10 @@
         broadcast_id = sim.gossips["b0"].broadcast_confirmed(sim.now, endpoint(rank=1), ["b1", "b2"])
         sim.flush("b0")
         sim.run(0.5)
-        self.assertEqual(sim.gossips["b0"].broadcasts.confirmed[broadcast_id].confirmed_by, {"b2"})
+        self.assertEqual(sim.gossips["b0"].broadcasts.awaiting_receipts[broadcast_id].confirmed_by, {"b2"})
         sim.cut.clear()
         sim.run(0.5)
-        self.assertEqual(sim.gossips["b0"].broadcasts.confirmed[broadcast_id].confirmed_by, {"b1", "b2"})
+        self.assertEqual(sim.gossips["b0"].broadcasts.awaiting_receipts[broadcast_id].confirmed_by, {"b1", "b2"})
 
     def test_no_receipt_for_a_record_that_is_superseded(self) -> None:
         """The sender gets the superseding record instead."""
@@ -74,7 +74,7 @@
         broadcast_id = sim.gossips["b0"].broadcast_confirmed(sim.now, endpoint(seq=3, rank=1), ["b1", "b2"])
         sim.flush("b0")
         sim.run(0.1)
-        self.assertEqual(sim.gossips["b0"].broadcasts.confirmed[broadcast_id].confirmed_by, {"b1"})
+        self.assertEqual(sim.gossips["b0"].broadcasts.awaiting_receipts[broadcast_id].confirmed_by, {"b1"})
         self.assertEqual(sim.gossips["b0"].records.by_key[RecordKey(RecordKind.ENDPOINT, "e1")].incarnation, 1)
 
     def test_no_receipt_for_a_record_that_a_full_store_rejects(self) -> None:
@@ -83,7 +83,7 @@
             broadcast_id = sim.gossips["b0"].broadcast_confirmed(sim.now, endpoint(rank=1), ["b1", "b2"])
             sim.flush("b0")
             sim.run(0.5)
-        self.assertEqual(sim.gossips["b0"].broadcasts.confirmed[broadcast_id].confirmed_by, set())
+        self.assertEqual(sim.gossips["b0"].broadcasts.awaiting_receipts[broadcast_id].confirmed_by, set())
 
     def test_a_confirmed_drain_spreads_after_its_sender_fails(self) -> None:
         """Once two other nodes have confirmed it, all nodes know of it within the bound."""
@@ -92,7 +92,7 @@
             sender, drain = sim.names[n], endpoint(f"e{n}", rank=1)
             broadcast_id = sim.gossips[sender].broadcast_confirmed(sim.now, drain, sim.names[10:13])
             sim.flush(sender)
-            broadcast = sim.gossips[sender].broadcasts.confirmed[broadcast_id]
+            broadcast = sim.gossips[sender].broadcasts.awaiting_receipts[broadcast_id]
             while len(broadcast.confirmed_by) < 2:
                 sim.run(0.005)
             del sim.gossips[sender]
--- a/tests/mesh/test_signals.py
+++ b/tests/mesh/test_signals.py
@@ -143,7 +143,7 @@
     """Reload both sidecars several times, each time with a different list of seeds."""
     for n in range(RELOADS):
         for process in (mesh.egress_sidecar, mesh.ingress_sidecar):
-            process.settings["SeedNodes"] = [f"{ip}:{mesh.port + 2}" for ip in (mesh.core, *mesh.ips[: n % 2])]
+            process.settings["SeedNodes"] = [f"{ip}:{mesh.port + 2}" for ip in (mesh.control_ip, *mesh.ips[: n % 2])]
             process.write_settings()
             process.send_signal(signal.SIGHUP)
         await asyncio.sleep(RELOAD_INTERVAL_S)
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -44,8 +44,9 @@
     balancer = Balancer(interface.Settings(classes=[interface.RequestClass(aim=100.0, deadline=500.0)]), 1)
     balancer.handle(
         0.0,
-        interface.MembershipNews(
-            "whole", [interface.Listed("a"), interface.Listed("b", "draining"), interface.Listed("c")]
+        interface.MembershipUpdate(
+            "whole",
+            [interface.ListedEndpoint("a"), interface.ListedEndpoint("b", "draining"), interface.ListedEndpoint("c")],
         ),
     )
     assert avoided(balancer, 1.0) == 1
@@ -79,10 +80,14 @@
             assert (replies.served, replies.refused, replies.failed, s.wire.dispatches) == (1, 1, 1, 1)
             assert counts.concurrent == 0
             c.send(Req_Id="r4")
-            await s.balancer.until(lambda: any(getattr(e, "request", "") == "r4" for _, e in s.balancer.told))
+            await s.balancer.until(
+                lambda: any(getattr(e, "request", "") == "r4" for _, e in s.balancer.received_events)
+            )
             assert counts.concurrent == 1
             c.writer.transport.abort()
-            await s.balancer.until(lambda: any(isinstance(e, interface.RequestClosed) for _, e in s.balancer.told))
+            await s.balancer.until(
+                lambda: any(isinstance(e, interface.RequestClosed) for _, e in s.balancer.received_events)
+            )
             assert counts.concurrent == 0
             assert (replies.served, replies.refused, replies.failed) == (1, 1, 1)
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -19,7 +19,7 @@
 
 
 def watch(event: interface.Event) -> Iterable[interface.Action]:
-    if isinstance(event, interface.MembershipNews) and event.kind == "remembered":
+    if isinstance(event, interface.MembershipUpdate) and event.kind == "remembered":
         yield interface.WatchMembership(True)
 
 
@@ -41,8 +41,8 @@
         return answer
 
 
-def news(s: Any) -> list[interface.MembershipNews]:
-    return [e for _, e in s.balancer.told if isinstance(e, interface.MembershipNews)]
+def news(s: Any) -> list[interface.MembershipUpdate]:
+    return [e for _, e in s.balancer.told if isinstance(e, interface.MembershipUpdate)]
 
 
 def queries(peer: Peer) -> list[str]:
@@ -62,7 +62,7 @@
             await s.balancer.until(lambda: len(news(s)) == 4)
             assert [n.kind for n in news(s)] == ["remembered", "changes", "changes", "whole"]
             assert news(s)[1].entries == []
-            assert news(s)[2].entries == [interface.Listed("b", "draining", 2.0, 1, 3, 1234.0)]
+            assert news(s)[2].entries == [interface.ListedEndpoint("b", "draining", 2.0, 1, 3, 1234.0)]
             assert set(s.wire.pools) == {"a"}
             while len(peer.requests) < 4:
                 await peer.arrived.get()
@@ -81,7 +81,7 @@
         async with serving(Script(told(7, True, host("a", a)))) as (peer, at), sidecar(watch, {}, at) as s:
             await s.balancer.until(lambda: len(news(s)) == 2)
             assert queries(peer)[0] == "/catalog/members"
-            assert news(s)[1] == interface.MembershipNews("whole", [interface.Listed("a")])
+            assert news(s)[1] == interface.MembershipUpdate("whole", [interface.ListedEndpoint("a")])
 
     run(test)
 
@@ -92,7 +92,7 @@
 
     async def test() -> None:
         def react(event: interface.Event) -> Iterable[interface.Action]:
-            if isinstance(event, interface.MembershipNews) and event.kind == "refused":
+            if isinstance(event, interface.MembershipUpdate) and event.kind == "refused":
                 yield interface.SetTimer(0.0, "again")
             elif isinstance(event, interface.TimerFired):
                 asked.append(len(script.at))
@@ -125,7 +125,7 @@
         async with serving(script) as (peer, at), sidecar(watch, {}, at) as s:
             await peer.arrived.get()
             s.balancer.react = lambda event: [interface.WatchMembership(True)] if news(s)[-1].kind == "changes" else []
-            s.discovery.tell("changes", [])
+            s.discovery.apply_update("changes", [])
             await s.balancer.until(lambda: news(s)[-1].kind == "whole")
             assert peer.connections == 2 and await peer.ended.get() == 0
 
@@ -172,7 +172,7 @@
         first, second = closed_port(), closed_port()
         async with sidecar(lambda event: (), {"seq": 1, "hosts": [host("a", first)]}, rules=RULES) as s:
             old = s.wire.pools["a"]
-            s.discovery.tell("changes", [host("a", second)])
+            s.discovery.apply_update("changes", [host("a", second)])
             assert s.wire.pools["a"].address[1] == int(second.rpartition(":")[2])
             assert old.left
 
@@ -184,8 +184,8 @@
     sidecars, that share what it can answer, ask less often."""
 
     async def test() -> None:
-        for sharing, wait in ((2, 3000.0), (50, 10000.0), (400, 20000.0)):
-            async with sidecar(watch, {}, group_size=sharing) as s:
+        for balancers_per_endpoint, wait in ((2, 3000.0), (50, 10000.0), (400, 20000.0)):
+            async with sidecar(watch, {}, group_size=balancers_per_endpoint) as s:
                 assert s.discovery.wait == wait
 
     run(test)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -194,18 +194,18 @@
     """Guards against two processes that hold more together than the one sidecar may."""
     from zinclever.assembly import Platform
     from zinclever.configuration.load import read
-    from zinclever.core.descriptors import RESERVED, Descriptors
+    from zinclever.core.descriptors import DESCRIPTOR_RESERVE, Descriptors
 
     async def test() -> None:
         told, _ = read(config(tmp_path, limits={"sockets": 256}))
         assert told is not None
         platform = Platform(told, Descriptors(told.sockets), System())
         platform.share_with(1)
-        assert platform.descriptors.most == 128 - RESERVED and platform.front.most == 64
-        platform.adopt(await changed(tmp_path))
-        assert platform.descriptors.most == 150 - RESERVED  # a reload meanwhile divides what it brings
+        assert platform.descriptors.most == 128 - DESCRIPTOR_RESERVE and platform.front.most == 64
+        platform.reconfigure(await changed(tmp_path))
+        assert platform.descriptors.most == 150 - DESCRIPTOR_RESERVE  # a reload meanwhile divides what it brings
         platform.share_with(0)
-        assert platform.descriptors.most == 300 - RESERVED
+        assert platform.descriptors.most == 300 - DESCRIPTOR_RESERVE
 
     async def changed(tmp_path: Path) -> Any:
         told, _ = read(config(tmp_path, limits={"sockets": 300}))
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -13,23 +13,23 @@
 from rpc import service
 
 from zinclever import interface
-from zinclever.core.standstill import LATE, QUIET, WATCHED, Standstill, news_first
+from zinclever.core.stall_detector import QUIET, STALL_THRESHOLD_MS, WATCHED, StallDetector, news_first
 from zinclever.http1.connection import dial
 from zinclever.standins import always
 from zinclever.system import System
 
 
 def test_noticed_once_until_what_was_kept_back_goes_on() -> None:
-    s = Standstill(10.0)
-    assert not s.has(LATE - 1.0)
-    assert s.has(LATE) and not s.has(10 * LATE)
+    s = StallDetector(10.0)
+    assert not s.has(STALL_THRESHOLD_MS - 1.0)
+    assert s.has(STALL_THRESHOLD_MS) and not s.has(10 * STALL_THRESHOLD_MS)
     s.held = False
-    assert s.has(LATE)
+    assert s.has(STALL_THRESHOLD_MS)
 
 
 @pytest.mark.parametrize("gap", [QUIET / 2, 2 * QUIET])
 def test_what_is_read_after_a_pause_may_have_waited(gap: float) -> None:
-    s = Standstill(10.0)
+    s = StallDetector(10.0)
     s.ran(10.0 + gap)
     s.ran(10.0 + gap)  # others of the same turn of the loop
     assert s.may_have() is (gap > QUIET)
@@ -39,7 +39,7 @@
 
 def test_for_a_while_all_that_is_read_is_asked_for_its_age() -> None:
     """Connections that stood in the listener's queue come one after another."""
-    s = Standstill(10.0)
+    s = StallDetector(10.0)
     s.ran(15.0)
     assert s.has(5000.0)
     s.held = False
@@ -51,9 +51,9 @@
 
 
 def test_what_was_told_comes_before_what_was_kept_back() -> None:
-    news = interface.MembershipNews("changes", [])
+    news = interface.MembershipUpdate("changes", [])
     fired, closed = interface.TimerFired("t"), interface.RequestClosed("r")
-    assert news_first([("b", fired), ("b", news), ("a", closed)], interface.MembershipNews) == deque(
+    assert news_first([("b", fired), ("b", news), ("a", closed)], interface.MembershipUpdate) == deque(
         [("b", news), ("b", fired), ("a", closed)]
     )
 
@@ -64,11 +64,11 @@
         there, _ = server.accept()
         with there:
             before = time.monotonic()
-            while System().waited(there) < 20.0:
+            while System().ms_since_received(there) < 20.0:
                 time.sleep(0.005)
             assert time.monotonic() - before < 10.0
     with socket.socketpair()[0] as other:
-        assert System().waited(other) == 0.0
+        assert System().ms_since_received(other) == 0.0
 
 
 def test_a_request_that_waited_longer_than_its_client_is_refused_unsent() -> None:
@@ -80,8 +80,10 @@
             assert (await client.ask("/_health", Req_Deadline="")).status == 200
             client.send("/read/x", Req_Id="late", Req_Deadline="0.2")
             time.sleep(0.4)
-            await s.balancer.until(lambda: any(isinstance(e, interface.RequestArrived) for _, e in s.balancer.told))
-            at, arrived = next((t, e) for t, e in s.balancer.told if isinstance(e, interface.RequestArrived))
+            await s.balancer.until(
+                lambda: any(isinstance(e, interface.RequestArrived) for _, e in s.balancer.received_events)
+            )
+            at, arrived = next((t, e) for t, e in s.balancer.received_events if isinstance(e, interface.RequestArrived))
             assert arrived.deadline <= at
 
     run_real(test)
@@ -102,7 +104,7 @@
 
             made.request(b"GET / HTTP/1.1\r\n\r\n", lambda result: None, hold=0.002)
             loop.call_later(0.002, client_left)  # due with the last byte, and after it
-            time.sleep(4 * LATE / 1000.0)
+            time.sleep(4 * STALL_THRESHOLD_MS / 1000.0)
             await over.wait()
             await peer.ended.get()
             assert peer.requests == []
@@ -113,13 +115,16 @@
 def test_news_that_came_meanwhile_is_told_first() -> None:
     async def test() -> None:
         async with sidecar(lambda event: (), known(e="127.0.0.1:9")) as s:
-            s.balancer.told.clear()
-            s.sidecar.notice(LATE)
+            s.balancer.received_events.clear()
+            s.sidecar.notice(STALL_THRESHOLD_MS)
             s.sidecar.feed(interface.TimerFired("t"))
-            s.sidecar.feed(interface.MembershipNews("changes", []))
-            assert s.balancer.told == []
-            await s.balancer.until(lambda: len(s.balancer.told) == 2)
-            assert [type(e) for _, e in s.balancer.told] == [interface.MembershipNews, interface.TimerFired]
+            s.sidecar.feed(interface.MembershipUpdate("changes", []))
+            assert s.balancer.received_events == []
+            await s.balancer.until(lambda: len(s.balancer.received_events) == 2)
+            assert [type(e) for _, e in s.balancer.received_events] == [
+                interface.MembershipUpdate,
+                interface.TimerFired,
+            ]
 
     run_real(test)
 
@@ -131,8 +136,10 @@
             with socket.create_connection((where, int(port))) as client:
                 client.sendall(b'{"jsonrpc":"2.0","method":"page.get","params":{},"id":1}\n')
                 time.sleep(0.3)
-                await s.balancer.until(lambda: any(isinstance(e, interface.RequestArrived) for _, e in s.balancer.told))
-            at, arrived = next((t, e) for t, e in s.balancer.told if isinstance(e, interface.RequestArrived))
+                await s.balancer.until(
+                    lambda: any(isinstance(e, interface.RequestArrived) for _, e in s.balancer.received_events)
+                )
+            at, arrived = next((t, e) for t, e in s.balancer.received_events if isinstance(e, interface.RequestArrived))
             assert arrived.deadline - at < 2000.0 - 290.0
 
     run_real(test)
--- a/tests/test_swallowed.py
+++ b/tests/test_swallowed.py
@@ -10,12 +10,12 @@
 from dataclasses import replace
 
 import pytest
-from helpers import KEYED, LIMITS, RULES, SAFE, UNSAFE, Sidecar, fleet, settings
+from helpers import KEYED, LIMITS, RULES, SAFE, UNSAFE, BalancerHarness, fleet, settings
 from loopback import CLASSES, Message, Peer, Reaction, always, host_here, known, response, run, serving, sidecar
 from test_sidecar import send_to
 
 from zinclever import Balancer, Settings, interface
-from zinclever.core.ledger import make_clock
+from zinclever.core.dispatcher import make_clock
 from zinclever.http1 import wire
 
 RESETS = struct.pack("ii", 1, 0)  # SO_LINGER of 0 s: a close that resets
@@ -159,9 +159,9 @@
     run(test)
 
 
-def silent(n: int, told: interface.RequestClass = SAFE, work: float = 0.0) -> Sidecar:
+def silent(n: int, told: interface.RequestClass = SAFE, work: float = 0.0) -> BalancerHarness:
     """So many unanswered requests of a class after as many unsafe ones and plain traffic."""
-    s = Sidecar(settings(told, UNSAFE), fleet(4))
+    s = BalancerHarness(settings(told, UNSAFE), fleet(4))
     s.serve(40, took=20.0, gap=30.0)
     for _ in range(20):
         quick = s.ask(1)
--- a/zinclever/assembly.py
+++ b/zinclever/assembly.py
@@ -10,12 +10,12 @@
 from .admin.server import Page, Pages
 from .configuration.platform import Config
 from .core.descriptors import Descriptors
+from .core.dispatcher import EARLY, Dispatcher
 from .core.host import Host
-from .core.ledger import EARLY, Ledger
 from .core.protocol import OnList, Source
 from .core.service import Service
 from .discovery.catalog import Discovery
-from .discovery.fixed import Fixed
+from .discovery.fixed import StaticEndpoints
 from .http1.bodies import room_for
 from .http1.front import Front
 from .http1.wire import HttpWire
@@ -35,22 +35,22 @@
     def __init__(self, config: Config, descriptors: Descriptors, host: Host) -> None:
         self.config, self.descriptors = config, descriptors
         balancer = Balancer(config.settings, config.seed)
-        self.ledger = Ledger(
+        self.dispatcher = Dispatcher(
             balancer,
             HttpWire(descriptors, host),
             lambda on_list: Discovery(config.discovery, config.settings, config.zones, config.known, on_list, host),
             descriptors,
             host,
         )
-        assert isinstance(self.ledger.source, Discovery)
-        self.discovery = self.ledger.source
-        self.front = Front(self.ledger)
+        assert isinstance(self.dispatcher.source, Discovery)
+        self.discovery = self.dispatcher.source
+        self.front = Front(self.dispatcher)
         self.processes = 1
         """Of this sidecar, that share what it may hold: more than one while one takes over from another."""
         self.divide()
-        self.service = Service(PLATFORM, config.listen, self.ledger, self.front)
+        self.service = Service(PLATFORM, config.listen, self.dispatcher, self.front)
 
-    def adopt(self, config: Config) -> None:
+    def reconfigure(self, config: Config) -> None:
         """Put into service what differs from the configuration before."""
         before, self.config = self.config, config
         if config.listen != before.listen:
@@ -59,7 +59,7 @@
         if (config.settings, config.zones, config.sockets, config.memory) != kept:
             self.divide()
             self.discovery.configure(config.settings, config.zones)
-            self.ledger.adopt(Balancer(config.settings, config.seed))
+            self.dispatcher.reconfigure(Balancer(config.settings, config.seed))
             self.front.configure()
         if config.discovery != self.discovery.address:
             self.discovery.move(config.discovery)
@@ -79,20 +79,20 @@
 
     def levels(self) -> Levels:
         """What operators are told of this moment."""
-        ledger, wire = self.ledger, self.ledger.wire
+        dispatcher, wire = self.dispatcher, self.dispatcher.wire
         assert isinstance(wire, HttpWire)
         return Levels(
             wire.dispatches,
-            ledger.counts.concurrent,
+            dispatcher.counts.concurrent,
             len(self.discovery.hosts),
-            avoided(ledger.balancer, ledger.clock()),
+            avoided(dispatcher.balancer, dispatcher.clock()),
         )
 
     def pages(self) -> Pages:
         """Where operators call."""
         return {
             "/status": lambda: Page(200 if self.service.takes() else 503),
-            "/status/metrics": lambda: Page(200, text(self.ledger.counts, self.front.classes, self.levels())),
+            "/status/metrics": lambda: Page(200, text(self.dispatcher.counts, self.front.classes, self.levels())),
         }
 
 
@@ -103,22 +103,22 @@
         from .jsonrpc.front import Front as JsonRpcFront
         from .jsonrpc.wire import JsonRpcWire
 
-        self.told, self.seed, self.host = told, seed, host
+        self.spec, self.seed, self.host = told, seed, host
         self.wire = JsonRpcWire(told.rules.framing, told.proofs, descriptors, host)
-        self.ledger = Ledger(Balancer(told.settings, seed), self.wire, self.source, descriptors, host)
-        self.front = JsonRpcFront(self.ledger, told.rules)
+        self.dispatcher = Dispatcher(Balancer(told.settings, seed), self.wire, self.source, descriptors, host)
+        self.front = JsonRpcFront(self.dispatcher, told.rules)
         longest = max(c.deadline for c in told.settings.classes)
-        self.service = Service(told.name, told.listen, self.ledger, self.front, (longest + EARLY) / 1000.0)
+        self.service = Service(told.name, told.listen, self.dispatcher, self.front, (longest + EARLY) / 1000.0)
 
     def source(self, on_list: OnList) -> Source:
-        told = self.told
+        told = self.spec
         if told.discovery is None:
-            return Fixed(told.endpoints, on_list)
+            return StaticEndpoints(told.endpoints, on_list)
         return Discovery(told.discovery, told.settings, told.zones, {}, on_list, self.host)
 
-    def adopt(self, told: JsonRpcService) -> None:
+    def reconfigure(self, told: JsonRpcService) -> None:
         """Put into service what differs from the file before, but for what a connection is made with."""
-        before, self.told = self.told, told
+        before, self.spec = self.spec, told
         moved = (told.discovery is None) != (before.discovery is None)
         if moved or (told.listen, told.rules.framing) != (before.listen, before.rules.framing):
             log.warning(
@@ -127,13 +127,13 @@
                 told.name,
             )
         self.wire.proofs = told.proofs
-        source = self.ledger.source
+        source = self.dispatcher.source
         if isinstance(source, Discovery):
             source.configure(told.settings, told.zones)
         if told.settings != before.settings:
-            self.ledger.adopt(Balancer(told.settings, self.seed))
-        self.front.adopt(told.rules._replace(framing=self.wire.framing))
-        if isinstance(source, Fixed) and told.endpoints != before.endpoints:
+            self.dispatcher.reconfigure(Balancer(told.settings, self.seed))
+        self.front.reconfigure(told.rules._replace(framing=self.wire.framing))
+        if isinstance(source, StaticEndpoints) and told.endpoints != before.endpoints:
             source.replace(told.endpoints)
         elif isinstance(source, Discovery) and told.discovery not in (None, source.address):
             source.move(told.discovery)
@@ -167,13 +167,13 @@
         first = [self.platform.service] if self.platform is not None else []
         return first + [other.service for other in self.others.values()]
 
-    def adopt(self, config: Config | None, operator: Operator | None) -> None:
+    def reconfigure(self, config: Config | None, operator: Operator | None) -> None:
         """Put into service what differs from before. Services come and go at the next start only."""
         if config is not None and self.platform is not None:
-            self.platform.adopt(config)
+            self.platform.reconfigure(config)
         services = told_services(operator)
         for name, told in services.items():
             if name in self.others:
-                self.others[name].adopt(told)
+                self.others[name].reconfigure(told)
         if services.keys() != self.others.keys():
             log.warning("services that are new or left out take effect at the next start only")
--- a/zinclever/core/counts.py
+++ b/zinclever/core/counts.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Replies:
+class ReplyCounts:
     """Final answers to requests of one class."""
 
     __slots__ = ("failed", "refused", "served")
@@ -11,7 +11,7 @@
     def __init__(self) -> None:
         self.served = self.refused = self.failed = 0
 
-    def broke_off(self) -> None:
+    def mark_failed(self) -> None:
         """What was counted as served when its answer began has failed."""
         self.served -= 1
         self.failed += 1
@@ -25,11 +25,11 @@
     def __init__(self) -> None:
         self.concurrent = 0
         """Requests taken and not yet ended."""
-        self.replies: dict[str, Replies] = {}
+        self.replies: dict[str, ReplyCounts] = {}
 
-    def of(self, name: str) -> Replies:
+    def of(self, name: str) -> ReplyCounts:
         """Those of a class by its name."""
         replies = self.replies.get(name)
         if replies is None:
-            replies = self.replies[name] = Replies()
+            replies = self.replies[name] = ReplyCounts()
         return replies
--- a/zinclever/core/descriptors.py
+++ b/zinclever/core/descriptors.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-RESERVED = 40  # descriptors for the listener, discovery, the loop, the runtime and those being closed
+DESCRIPTOR_RESERVE = 40  # descriptors for the listener, discovery, the loop, the runtime and those being closed
 
 
 class Descriptors:
@@ -24,7 +24,7 @@
     def configure(self, limit: int) -> None:
         """``limit``: descriptors that the process may hold."""
         self.limit = limit
-        self.most = limit - RESERVED
+        self.most = limit - DESCRIPTOR_RESERVE
 
     def full(self) -> bool:
         return self.open + self.clients >= self.most
--- a/zinclever/core/ledger.py
+++ b/zinclever/core/dispatcher.py
@@ -11,13 +11,25 @@
 from typing import Any
 
 from .. import interface
-from ..fleet.limits import Connections
+from ..fleet.limits import ConnectionLimiter
 from ..policy import Balancer
 from .counts import Counts
 from .descriptors import Descriptors
 from .host import Host
-from .protocol import Ended, Entry, Exchange, Failed, Final, Incoming, OnList, Refused, Served, Source, Wire
-from .standstill import FADED, LATE, SETTLE, Standstill, news_first
+from .protocol import (
+    Entry,
+    Exchange,
+    Failed,
+    FinalAnswer,
+    IncomingRequest,
+    OnEnded,
+    OnList,
+    Refused,
+    Served,
+    Source,
+    Wire,
+)
+from .stall_detector import FADED, SETTLE_TIME, STALL_THRESHOLD_MS, StallDetector, news_first
 from .view import View
 
 log = logging.getLogger(__name__)
@@ -50,11 +62,13 @@
 
     __slots__ = ("answer", "attempts", "balancer", "deadline", "guard", "live", "reply", "told", "uploading")
 
-    def __init__(self, told: Incoming, deadline: float, balancer: Balancer, answer: Callable[[Final], None]) -> None:
+    def __init__(
+        self, told: IncomingRequest, deadline: float, balancer: Balancer, answer: Callable[[FinalAnswer], None]
+    ) -> None:
         self.told, self.deadline, self.uploading = told, deadline, told.uploading
         self.balancer = balancer
         """That of its arrival: what its settings allowed then holds to its end."""
-        self.answer: Callable[[Final], None] | None = answer
+        self.answer: Callable[[FinalAnswer], None] | None = answer
         self.attempts: list[Attempt] = []
         self.live = 0
         self.reply: Any = None
@@ -62,7 +76,7 @@
         self.guard: asyncio.TimerHandle | None = None
 
 
-class Ledger:
+class Dispatcher:
     """The requests of one service: one balancer, and those before it as long as requests of theirs are open.
 
     Owns every request until it is answered and each of its attempts has its outcome, and with it the
@@ -76,7 +90,7 @@
         self.wire, self.descriptors, self.host = wire, descriptors, host
         self.loop = asyncio.get_running_loop()
         self.clock = make_clock(host)
-        self.connections = Connections(host.random())
+        self.connections = ConnectionLimiter(host.random())
         self.view = self.make_view()
         self.configure_wire()
         self.requests: dict[str, Request] = {}
@@ -85,7 +99,7 @@
         self.acting = balancer  # whose actions are carried out
         self.settled: list[Request] = []  # looked at after each event: they may be through
         self.busy = False
-        self.standstill = Standstill(self.loop.time())
+        self.stall_detector = StallDetector(self.loop.time())
         self.renewed_at = self.loop.time()  # when a balancer began after a long standstill
         self.ready = False
         self.source = source(self.on_list)
@@ -98,7 +112,7 @@
             interface.WatchMembership: self.watch,
             interface.FetchMembership: lambda a: self.source.fetch(),
             interface.CloseIdle: lambda a: self.wire.close_idle(a.endpoint),
-            interface.Note: lambda a: log.info("%s", a.text),
+            interface.LogMessage: lambda a: log.info("%s", a.text),
         }
 
     def configure_wire(self) -> None:
@@ -116,7 +130,7 @@
         """Begin with the list as it was last held."""
         self.source.start()
 
-    def adopt(self, balancer: Balancer) -> None:
+    def reconfigure(self, balancer: Balancer) -> None:
         """Serve by other settings from now on; what has been taken is finished by those it came under."""
         self.balancer, self.settings = balancer, balancer.settings
         self.configure_wire()
@@ -128,8 +142,8 @@
     def feed(self, event: interface.Event, balancer: Balancer | None = None) -> None:
         """Let a balancer take in an event, after those whose actions are still being carried out."""
         self.events.append((balancer or self.balancer, event))
-        self.standstill.ran(self.loop.time())
-        if not self.busy and not self.standstill.held:
+        self.stall_detector.ran(self.loop.time())
+        if not self.busy and not self.stall_detector.held:
             self.work()
 
     def work(self) -> None:
@@ -146,31 +160,31 @@
     def waited(self, transport: asyncio.BaseTransport, first: bool) -> float:
         """ms that what is read from a connection right now has waited for this process. The kernel is asked only where
         nothing ran for a while, and for the first bytes of a connection: it may have stood in the listener's queue."""
-        self.standstill.ran(self.loop.time())
-        if not first and not self.standstill.may_have():
+        self.stall_detector.ran(self.loop.time())
+        if not first and not self.stall_detector.may_have():
             return 0.0
-        span = self.host.waited(transport.get_extra_info("socket"))
+        span = self.host.ms_since_received(transport.get_extra_info("socket"))
         self.notice(span)
-        return span if span >= LATE else 0.0
+        return span if span >= STALL_THRESHOLD_MS else 0.0
 
     def notice(self, late: float) -> None:
         """Something comes so many ms late. Where the process stood still, all that the kernel holds is read before
         anything goes out."""
-        self.standstill.ran(self.loop.time())
-        if self.standstill.has(late):
+        self.stall_detector.ran(self.loop.time())
+        if self.stall_detector.has(late):
             anew = late > FADED and self.loop.time() - self.renewed_at > FADED / 1000.0
             if anew:
                 log.warning("stood still for %.0f ms or more", late)
                 self.renewed_at = self.loop.time()
-            self.loop.call_later(SETTLE, self.settle, anew)
+            self.loop.call_later(SETTLE_TIME, self.resume_after_stall, anew)
 
-    def settle(self, anew: bool) -> None:
+    def resume_after_stall(self, anew: bool) -> None:
         """All is read. ``anew``: it was long, what was learnt has faded, and what ends now would teach that the servers
         are crowded. A new balancer begins; the one before finishes what it has."""
-        self.standstill.held = False
+        self.stall_detector.held = False
         if anew:
-            self.adopt(Balancer(self.settings, self.host.random().getrandbits(64)))
-        self.events = news_first(self.events, interface.MembershipNews)
+            self.reconfigure(Balancer(self.settings, self.host.random().getrandbits(64)))
+        self.events = news_first(self.events, interface.MembershipUpdate)
         self.work()
 
     def step(self, balancer: Balancer, event: interface.Event) -> None:
@@ -220,14 +234,14 @@
             if listed.phase == "gone":
                 self.wire.forget(listed.endpoint)
             else:
-                self.wire.place(listed.endpoint, address)
+                self.wire.set_address(listed.endpoint, address)
         if kind in ("whole", "remembered"):
             present = {listed.endpoint for listed, _ in entries if listed.phase != "gone"}
             for endpoint in self.wire.listed():
                 if endpoint not in present:
                     self.wire.forget(endpoint)
         of = len(self.view) if self.view is not None else 0
-        news = interface.MembershipNews(kind, [listed for listed, _ in entries], of)
+        news = interface.MembershipUpdate(kind, [listed for listed, _ in entries], of)
         for balancer in dict.fromkeys(r.balancer for r in self.requests.values()):
             if balancer is not self.balancer:
                 self.feed(news, balancer)
@@ -239,11 +253,11 @@
 
     def watch(self, action: interface.WatchMembership) -> None:
         if self.acting is self.balancer:
-            self.source.watch(action.on)
+            self.source.watch(action.subscribe)
 
     # --- requests ---
 
-    def take(self, told: Incoming, answer: Callable[[Final], None]) -> None:
+    def take(self, told: IncomingRequest, answer: Callable[[FinalAnswer], None]) -> None:
         """A request of a client; ``answer`` is called once, unless the client leaves before."""
         now = self.clock()
         request = Request(told, now + (UPLOAD_FOR if told.uploading else told.wait), self.balancer, answer)
@@ -314,7 +328,7 @@
         if request is not None:
             self.finish(action.request, Failed(request.reply))
 
-    def finish(self, request_id: str, final: Final) -> None:
+    def finish(self, request_id: str, final: FinalAnswer) -> None:
         """The final answer, where none has been given."""
         request = self.requests.get(request_id)
         if request is not None and request.answer is not None:
@@ -327,7 +341,7 @@
                 # Guards the events that follow: an attempt whose end is not told counts in flight for ever.
                 log.exception("answer not written")
 
-    def count(self, request: Request, final: Final) -> None:
+    def count(self, request: Request, final: FinalAnswer) -> None:
         replies = self.counts.of(request.balancer.settings.classes[request.told.klass].name)
         if isinstance(final, Served):
             replies.served += 1
@@ -377,7 +391,7 @@
             left = request.told.wait / 1000.0  # from the body's end on: then it has its timer
         else:
             attempt.timer = self.loop.call_later(left, self.expire, attempt)
-        ended: Ended = partial(self.ended, attempt)
+        ended: OnEnded = partial(self.ended, attempt)
         attempt.exchange = self.wire.start(action.endpoint, request.told.payload, left, ended, repeat == "at_most_once")
 
     def expire(self, attempt: Attempt) -> None:
@@ -429,7 +443,7 @@
         if outcome == "served":
             view.subset.served(endpoint)
         elif outcome == "full":
-            self.connections.refused(1000.0 * self.loop.time())
+            self.connections.on_server_refused(1000.0 * self.loop.time())
         elif outcome == "connect_failed" and view.subset.failed(self.clock(), endpoint):
             self.move(view)
 
--- a/zinclever/core/host.py
+++ b/zinclever/core/host.py
@@ -60,7 +60,7 @@
     def unread(self, sock: Any) -> bool:
         """Whether the kernel holds bytes, or an end, that nobody has read from a connection."""
 
-    def waited(self, sock: Any) -> float:
+    def ms_since_received(self, sock: Any) -> float:
         """ms since the latest bytes of a connection came; 0 where the kernel doesn't tell."""
 
     def read_file(self, path: str) -> bytes:
@@ -69,7 +69,7 @@
     def inherited(self, descriptor: int) -> Any:
         """The socket behind a descriptor that was handed over. OSError where it is none that listens on TCP."""
 
-    def hear_reloads(self) -> None:
+    def unblock_reload_signal(self) -> None:
         """There is a handler for SIGHUP from now on: one that came before is told now."""
 
     def presence(self, address: Address) -> Presence:
--- a/zinclever/core/pools.py
+++ b/zinclever/core/pools.py
@@ -8,7 +8,7 @@
 from typing import Generic, Protocol, TypeVar
 
 from .. import interface
-from ..fleet.limits import Connections
+from ..fleet.limits import ConnectionLimiter
 from .descriptors import Descriptors
 from .protocol import Address
 
@@ -74,14 +74,14 @@
         """Of this wire's, as a pool counts its own."""
         self.reaper: asyncio.TimerHandle | None = None
 
-    def configure(self, connect_timeout: float, idle_limit: float, connections: Connections) -> None:
+    def configure(self, connect_timeout: float, idle_limit: float, connections: ConnectionLimiter) -> None:
         self.connections = connections
         self.connect_timeout = connect_timeout / 1000.0
         self.idle_for = IDLE_SHARE * idle_limit / 1000.0
 
     # --- where endpoints are ---
 
-    def place(self, endpoint: str, address: Address) -> None:
+    def set_address(self, endpoint: str, address: Address) -> None:
         """An endpoint is found at this address from now on."""
         pool = self.pools.get(endpoint)
         if pool is None:
@@ -104,7 +104,7 @@
 
     # --- attempts ---
 
-    def carry(self, endpoint: str, attempt: Carried[C]) -> None:
+    def send_attempt(self, endpoint: str, attempt: Carried[C]) -> None:
         """Find a connection for an attempt: one that is idle, or a new one."""
         pool = self.pools.get(endpoint)
         if pool is None:
@@ -118,7 +118,7 @@
                 return
             connection.abort()
         now = 1000.0 * self.loop.time()
-        spare = 1 if self.connections.lacks(now, self.open) and self.evict() else 0  # it is closing
+        spare = 1 if self.connections.is_exhausted(now, self.open) and self.evict() else 0  # it is closing
         if not self.connections.may_open(now, pool.open, self.open - spare):
             self.loop.call_soon(attempt.end, "barred")
             return
@@ -138,7 +138,7 @@
             )
         except OSError:
             self.count(pool, -1)
-            self.connections.not_connected(1000.0 * self.loop.time(), pool.answered_at)
+            self.connections.on_connect_failed(1000.0 * self.loop.time(), pool.answered_at)
             attempt.end("connect_failed")
             return
         if attempt.waiting():
--- a/zinclever/core/protocol.py
+++ b/zinclever/core/protocol.py
@@ -6,11 +6,11 @@
 from typing import Any, NamedTuple, Protocol
 
 from .. import interface
-from ..fleet.limits import Connections
+from ..fleet.limits import ConnectionLimiter
 
 Address = tuple[str, int]
 #: An endpoint as its source lists it, and where it is found.
-Entry = tuple[interface.Listed, Address]
+Entry = tuple[interface.ListedEndpoint, Address]
 #: Takes news of the list of endpoints: a whole one, changes, or (``refused``) that there is none.
 OnList = Callable[[interface.ListKind, Sequence[Entry]], None]
 
@@ -23,7 +23,7 @@
     return host, int(port)
 
 
-class Incoming(NamedTuple):
+class IncomingRequest(NamedTuple):
     """A request as a front read it."""
 
     id: str
@@ -38,7 +38,7 @@
     payload: Any
     """What the wire of the same protocol sends; the core doesn't look into it."""
     uploading: bool = False
-    """The payload is still coming in: :meth:`~zinclever.core.ledger.Ledger.uploaded` tells of its end."""
+    """The payload is still coming in: :meth:`~zinclever.core.dispatcher.Dispatcher.uploaded` tells of its end."""
 
 
 class Served(NamedTuple):
@@ -60,10 +60,10 @@
     reply: Any = None
 
 
-Final = Served | Refused | Failed
+FinalAnswer = Served | Refused | Failed
 
 
-class Ended(Protocol):
+class OnEnded(Protocol):
     """Told once how an attempt ended, unless it is cancelled before."""
 
     def __call__(self, outcome: interface.Outcome, reply: Any = None, report: Mapping[str, float] = {}) -> None: ...
@@ -85,10 +85,10 @@
 class Wire(Protocol):
     """Attempts on endpoints, and the connections that carry them."""
 
-    def configure(self, connect_timeout: float, idle_limit: float, connections: Connections) -> None:
+    def configure(self, connect_timeout: float, idle_limit: float, connections: ConnectionLimiter) -> None:
         """Take new limits, in ms, and who says whether one more connection may be opened."""
 
-    def place(self, endpoint: str, address: Address) -> None:
+    def set_address(self, endpoint: str, address: Address) -> None:
         """An endpoint is found at this address from now on."""
 
     def drain(self, endpoint: str) -> None:
@@ -100,7 +100,7 @@
     def listed(self) -> Sequence[str]:
         """The endpoints that have a place."""
 
-    def start(self, endpoint: str, payload: Any, left: float, ended: Ended, unsafe: bool) -> Exchange:
+    def start(self, endpoint: str, payload: Any, left: float, ended: OnEnded, unsafe: bool) -> Exchange:
         """Begin an attempt that is waited for ``left`` seconds; ``ended`` is never called from within."""
 
     def close_idle(self, endpoint: str) -> None: ...
--- a/zinclever/core/service.py
+++ b/zinclever/core/service.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from .ledger import Ledger
+from .dispatcher import Dispatcher
 from .protocol import Address
 
 KEEP_FOR = 0.45  # s after SIGTERM for which idle connections stay open; clients hear of it within 0.4 s
@@ -32,7 +32,7 @@
     def close_idle(self) -> None:
         """Close all connections between requests, at the end."""
 
-    async def all_left(self) -> None:
+    async def wait_disconnected(self) -> None:
         """Wait until no client is connected."""
 
     def stop(self) -> None: ...
@@ -44,7 +44,7 @@
 
     name: str
     address: Address
-    ledger: Ledger
+    dispatcher: Dispatcher
     front: Front
     held_for: float = HELD_FOR
     """s for which what is held may go on at the end."""
@@ -52,7 +52,7 @@
 
     def start(self) -> None:
         """Learn of the endpoints; requests come once it listens."""
-        self.ledger.start()
+        self.dispatcher.start()
 
     async def listen(self, inherited: Any = None) -> None:
         """Begin to take requests, from a socket that listens already where one is given. OSError where the address
@@ -65,7 +65,7 @@
 
     def takes(self) -> bool:
         """Whether a request that comes now is served, as far as is known."""
-        return self.server is not None and self.ledger.ready
+        return self.server is not None and self.dispatcher.ready
 
     def close(self) -> None:
         if self.server is not None:
@@ -100,6 +100,6 @@
     """Wait for what a service holds, within its bound."""
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(service.held_for):
-            await service.front.all_left()
+            await service.front.wait_disconnected()
     service.front.stop()
-    service.ledger.stop()
+    service.dispatcher.stop()
--- a/zinclever/core/shared.py
+++ b/zinclever/core/shared.py
@@ -9,7 +9,7 @@
 from typing import Generic, Protocol, TypeVar
 
 from .. import interface
-from ..fleet.limits import Connections
+from ..fleet.limits import ConnectionLimiter
 from .descriptors import Descriptors
 from .pools import IDLE_SHARE, Carried
 from .protocol import Address
@@ -28,7 +28,7 @@
     def sound(self) -> bool:
         """Whether more may be put on it: asked of the kernel where nothing is pending."""
 
-    def turn_back(self) -> None:
+    def drop_unsent(self) -> None:
         """End what has not begun to go out, as never run."""
 
     def finish(self) -> None:
@@ -83,21 +83,21 @@
         descriptors.evictors.append(self.evict)
         self.loop = asyncio.get_running_loop()
         self.pools: dict[str, Pool[C]] = {}
-        self.homes: dict[C, Pool[C]] = {}
+        self.pool_by_connection: dict[C, Pool[C]] = {}
         """Every open connection, and the pool that it belongs to."""
         self.resting: dict[C, float] = {}
         """Those with nothing pending, longest so first: when each is to be closed."""
         self.dials: set[asyncio.Task[None]] = set()
         self.reaper: asyncio.TimerHandle | None = None
 
-    def configure(self, connect_timeout: float, idle_limit: float, connections: Connections) -> None:
+    def configure(self, connect_timeout: float, idle_limit: float, connections: ConnectionLimiter) -> None:
         self.connections = connections
         self.connect_timeout = connect_timeout / 1000.0
         self.idle_for = IDLE_SHARE * idle_limit / 1000.0
 
     # --- where endpoints are ---
 
-    def place(self, endpoint: str, address: Address) -> None:
+    def set_address(self, endpoint: str, address: Address) -> None:
         pool = self.pools.get(endpoint)
         if pool is not None and pool.address != address:
             self.forget(endpoint)
@@ -109,20 +109,20 @@
         """What has not begun to go out is turned back; what is out finishes."""
         pool = self.pools.get(endpoint)
         if pool is not None:
-            self.turn_back(pool)
+            self.drop_unsent(pool)
 
-    def turn_back(self, pool: Pool[C]) -> None:
+    def drop_unsent(self, pool: Pool[C]) -> None:
         waiting, pool.waiting = pool.waiting, deque()
         for attempt in waiting:
             attempt.end("dropped")
         for connection in list(pool.connections):
-            connection.turn_back()
+            connection.drop_unsent()
 
     def forget(self, endpoint: str) -> None:
         pool = self.pools.pop(endpoint, None)
         if pool is not None:
             pool.left = True
-            self.turn_back(pool)
+            self.drop_unsent(pool)
             for connection in list(pool.connections):
                 connection.finish()
 
@@ -131,7 +131,7 @@
 
     # --- attempts ---
 
-    def carry(self, endpoint: str, attempt: Carried[C]) -> None:
+    def send_attempt(self, endpoint: str, attempt: Carried[C]) -> None:
         """Put an attempt on the connection with the fewest pending, or on a new one where all have many."""
         pool = self.pools.get(endpoint)
         if pool is None:
@@ -165,7 +165,7 @@
         """Dial one more; or how an attempt ends that can't go out without."""
         if len(pool.connections) >= MOST_CONNECTIONS:
             return "connect_failed"
-        in_all = len(self.homes) + len(self.dials)
+        in_all = len(self.pool_by_connection) + len(self.dials)
         if not self.connections.may_open(1000.0 * self.loop.time(), len(pool.connections), in_all):
             return "barred"
         if self.descriptors.full() and not self.descriptors.evict():
@@ -185,14 +185,14 @@
             self.descriptors.open -= 1
             now = 1000.0 * self.loop.time()
             # Where another connection is up the endpoint lives, and has no room for one more.
-            self.connections.not_connected(now, now if pool.connections else -math.inf)
+            self.connections.on_connect_failed(now, now if pool.connections else -math.inf)
             pool.dialling = False
             waiting, pool.waiting = pool.waiting, deque()
             for attempt in waiting:
                 attempt.end("connect_failed")
             return
         pool.dialling = False
-        self.homes[connection] = pool
+        self.pool_by_connection[connection] = pool
         pool.connections.append(connection)
         waiting, pool.waiting = pool.waiting, deque()
         for attempt in waiting:
@@ -206,21 +206,21 @@
     # --- what connections tell ---
 
     def idle(self, connection: C) -> None:
-        if connection not in self.homes or connection in self.resting:
+        if connection not in self.pool_by_connection or connection in self.resting:
             return
         self.resting[connection] = self.loop.time() + self.idle_for
         if self.reaper is None:
             self.reaper = self.loop.call_later(self.idle_for, self.reap)
 
     def retired(self, connection: C) -> None:
-        pool = self.homes.get(connection)
+        pool = self.pool_by_connection.get(connection)
         if pool is not None and connection in pool.connections:
             pool.connections.remove(connection)
 
     def lost(self, connection: C) -> None:
         self.retired(connection)
         self.resting.pop(connection, None)
-        if self.homes.pop(connection, None) is not None:
+        if self.pool_by_connection.pop(connection, None) is not None:
             self.descriptors.open -= 1
 
     # --- idle connections ---
@@ -254,5 +254,5 @@
             self.reaper.cancel()
         for task in self.dials:
             task.cancel()
-        for connection in list(self.homes):
+        for connection in list(self.pool_by_connection):
             connection.abort()
--- a/zinclever/core/standstill.py
+++ b/zinclever/core/stall_detector.py
@@ -12,8 +12,12 @@
 from typing import TypeVar
 
 QUIET = 0.05  # s without a word from anything: what is read then may have waited; else the loop was there to read it
-LATE = 50.0  # ms that a timer is late, or bytes have waited, from which on it stood still; else 2 ms are lost
-SETTLE = 0.002  # s for which nothing goes out: a turn of the loop, which counts ms, reads all that the kernel holds
+STALL_THRESHOLD_MS = (
+    50.0  # ms that a timer is late, or bytes have waited, from which on it stood still; else 2 ms are lost
+)
+SETTLE_TIME = (
+    0.002  # s for which nothing goes out: a turn of the loop, which counts ms, reads all that the kernel holds
+)
 WATCHED = 1.0  # s after that for which everything read is asked for its age: a queue of new connections takes its time
 FADED = 1000.0  # ms of standing still from which on it is no use to learn from it: payoffs forget in 2.5 s
 
@@ -21,7 +25,7 @@
 E = TypeVar("E")
 
 
-class Standstill:
+class StallDetector:
     """What one loop knows of itself. Pure: s of the loop's clock are handed in."""
 
     __slots__ = ("gap", "held", "noticed_at", "ran_at")
@@ -46,7 +50,7 @@
 
     def has(self, late: float) -> bool:
         """Whether what comes so many ms late shows that it stood still, and what is kept back is not yet."""
-        if late < LATE or self.held:
+        if late < STALL_THRESHOLD_MS or self.held:
             return False
         self.held, self.noticed_at = True, self.ran_at
         return True
--- a/zinclever/core/view.py
+++ b/zinclever/core/view.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from .. import interface
-from ..fleet.subset import Shape, Subset
+from ..fleet.subset import Subset, SubsetSpec
 from .protocol import Address, Entry
 
 MINDED = 0.05  # price of crossing zones from which on home is preferred, as the decision module has it
@@ -13,10 +13,10 @@
 NOWHERE: Address = ("", 0)  # of one that is gone
 
 
-def shape_of(settings: interface.Settings) -> Shape:
+def shape_of(settings: interface.Settings) -> SubsetSpec:
     """What a subset has to hold under these settings."""
     minded = settings.prices.cross_zone >= MINDED
-    return Shape(
+    return SubsetSpec(
         settings.shares.subset or EVERY,
         settings.me,
         settings.group_size,
@@ -43,10 +43,10 @@
             return []
         listed = [x for x, _ in entries]
         if kind == "changes":
-            self.subset.change(listed)
+            self.subset.apply_changes(listed)
         else:
             self.addresses.clear()
-            self.subset.whole(listed)
+            self.subset.replace_list(listed)
         for x, address in entries:
             if x.phase == "ready":
                 self.addresses[x.endpoint] = address
@@ -61,5 +61,5 @@
         self.subset.changes(now)
         return [self.entry(x) for x in self.subset.members.values()]
 
-    def entry(self, x: interface.Listed) -> Entry:
+    def entry(self, x: interface.ListedEndpoint) -> Entry:
         return x, self.addresses.get(x.endpoint, NOWHERE)
--- a/zinclever/discovery/catalog.py
+++ b/zinclever/discovery/catalog.py
@@ -13,7 +13,7 @@
 from .. import interface
 from ..core.host import Host
 from ..core.protocol import Address, Entry, OnList, read_address
-from ..fleet.limits import Calls
+from ..fleet.limits import DiscoveryCallPacer
 from ..http1.connection import Broken, ClientConnection, Reply, dial
 
 log = logging.getLogger(__name__)
@@ -34,7 +34,7 @@
     """
     return [
         (
-            interface.Listed(
+            interface.ListedEndpoint(
                 endpoint=h["host"],
                 phase=PHASES[h["health"]],
                 size=h.get("share") or 1.0,
@@ -154,8 +154,8 @@
         self.pushed, self.zones = settings.discovery == "pushed", zones
         least = min(max(WATCH_EACH * settings.group_size, WATCH_LEAST), WATCH_MOST)
         calls = settings.shares.list_calls_per_s
-        self.calls = Calls(calls, settings.group_size, settings.rules.ask_within, self.rng)
-        self.wait = self.calls.watch_for(least) if calls else least
+        self.calls = DiscoveryCallPacer(calls, settings.group_size, settings.rules.ask_within, self.rng)
+        self.wait = self.calls.watch_timeout(least) if calls else least
 
     def connect(self, address: Address) -> None:
         self.address = address
@@ -187,7 +187,7 @@
             for (listed, address), site in self.hosts.values()
         ]
 
-    def tell(self, kind: interface.ListKind, hosts: list[dict[str, Any]]) -> None:
+    def apply_update(self, kind: interface.ListKind, hosts: list[dict[str, Any]]) -> None:
         """Hand on what discovery has answered."""
         self.on_list(*self.read(kind, hosts))
 
@@ -234,16 +234,18 @@
             self.watching = False
             self.refusals += 1
             if self.pushed:
-                self.later(self.calls.again(self.refusals) if self.calls.span else AGAIN, lambda: self.watch(True))
+                self.later(
+                    self.calls.retry_delay(self.refusals) if self.calls.span else AGAIN, lambda: self.watch(True)
+                )
                 return
         else:
             self.refusals = 0
             self.version = version
             if hosts and self.calls.span:
-                self.later(self.calls.gap(), lambda: self.next_call(self.wait))
+                self.later(self.calls.watch_pause(), lambda: self.next_call(self.wait))
             else:
                 self.next_call(self.wait)
-        self.tell(kind, hosts)
+        self.apply_update(kind, hosts)
 
     def later(self, pause: float, act: Callable[[], None]) -> None:
         """Call again after a pause in ms, unless something else is done before."""
@@ -266,7 +268,7 @@
             if self.version is not None and version < self.version:
                 return  # overtaken by the watch
             self.version = version
-        self.tell(kind, hosts)
+        self.apply_update(kind, hosts)
 
     def stop(self) -> None:
         self.watching = False
--- a/zinclever/discovery/fixed.py
+++ b/zinclever/discovery/fixed.py
@@ -7,7 +7,7 @@
 from ..core.protocol import Entry, OnList
 
 
-class Fixed:
+class StaticEndpoints:
     """Keeps to the list that it was given, until it is given another."""
 
     def __init__(self, entries: Sequence[Entry], on_list: OnList) -> None:
--- a/zinclever/mesh/configuration/document.py
+++ b/zinclever/mesh/configuration/document.py
@@ -94,7 +94,7 @@
     host: str
     """In lower case."""
     prefix: str
-    safe: bool
+    is_idempotent: bool
     """Whether its requests are idempotent and may be executed more than once."""
     deadline: float
     """Maximum duration of a request in seconds."""
@@ -141,7 +141,7 @@
         return None
 
 
-def parse(text: bytes, is_checked: bool = False) -> Configuration:
+def parse(text: bytes, already_validated: bool = False) -> Configuration:
     """Parse and validate a configuration.
 
     Args:
@@ -160,11 +160,11 @@
         raise MeshError("CONFIG_UNREADABLE", str(error)) from None
     if not isinstance(document, dict):
         raise MeshError("CONFIG_INVALID", "must be a JSON object")
-    if not is_checked:
+    if not already_validated:
         validate(WHOLE_NUMBER, document.get("Generation"), "Generation")
     raw_routes, raw_services = require_table(document, "Routes"), require_table(document, "Services")
     limits = document.get("Limits", {})
-    if not is_checked:
+    if not already_validated:
         validate_fields(raw_routes, raw_services, limits)
     services = {name: parse_service(name, raw) for name, raw in raw_services.items()}
     routes = {name: parse_route(name, raw, services) for name, raw in raw_routes.items()}
@@ -270,7 +270,7 @@
         name=name,
         host=raw["Authority"].lower(),
         prefix=raw["PathPrefix"],
-        safe=raw["RouteClass"] == IDEMPOTENT,
+        is_idempotent=raw["RouteClass"] == IDEMPOTENT,
         deadline=deadline,
         latency_target=float(raw.get("TargetLatencyS", 0.0)) or deadline,
         priority=float(raw.get("Priority", 0)),
--- a/zinclever/mesh/membership/broadcasts.py
+++ b/zinclever/mesh/membership/broadcasts.py
@@ -40,7 +40,7 @@
         self.started_at = self.ticked_at = now
         self.retransmits: dict[RecordKey, int] = {}
         """Remaining retransmissions of each record."""
-        self.confirmed: dict[int, ConfirmedBroadcast] = {}
+        self.awaiting_receipts: dict[int, ConfirmedBroadcast] = {}
         """Confirmed broadcasts by id. The caller that began a broadcast removes it."""
 
     def enqueue(self, key: RecordKey) -> None:
@@ -73,13 +73,13 @@
             The id of the broadcast in :attr:`confirmed`.
         """
         broadcast_id = next(self.ids)
-        self.confirmed[broadcast_id] = ConfirmedBroadcast(record, set(recipients) - {self.members.name})
+        self.awaiting_receipts[broadcast_id] = ConfirmedBroadcast(record, set(recipients) - {self.members.name})
         self.resend_unconfirmed(now)
         return broadcast_id
 
     def resend_unconfirmed(self, now: float) -> None:
         """Resend records whose receipts are overdue."""
-        for broadcast_id, broadcast in self.confirmed.items():
+        for broadcast_id, broadcast in self.awaiting_receipts.items():
             if now - broadcast.sent_at >= RECEIPT_RETRY_INTERVAL:
                 broadcast.sent_at = now
                 for name in broadcast.recipients - broadcast.confirmed_by:
@@ -88,8 +88,8 @@
 
     def on_receipt(self, broadcast_id: int, name: str) -> None:
         """Record that a recipient has confirmed a broadcast."""
-        if broadcast_id in self.confirmed:
-            self.confirmed[broadcast_id].confirmed_by.add(name)
+        if broadcast_id in self.awaiting_receipts:
+            self.awaiting_receipts[broadcast_id].confirmed_by.add(name)
 
     def answer_receipt_request(self, name: str, message: GossipMessage) -> None:
         """Confirm the records of a message, or send back the records held here that take precedence over them."""
--- a/zinclever/mesh/membership/failure_detector.py
+++ b/zinclever/mesh/membership/failure_detector.py
@@ -62,7 +62,7 @@
         self.probes: dict[int, Probe] = {}
         self.relayed_probes: dict[int, RelayedProbe] = {}
         self.suspected_since: dict[str, float] = {}
-        self.last_heard: dict[str, float] = {}
+        self.last_contact: dict[str, float] = {}
         self.probed_at = now
 
     def tick(self, now: float) -> None:
@@ -100,7 +100,7 @@
         for probe_id, probe in list(self.probes.items()):
             timeout_factor = 1 + self.health_score
             waited = now - probe.sent_at
-            if self.last_heard.get(probe.target, -math.inf) >= probe.sent_at:
+            if self.last_contact.get(probe.target, -math.inf) >= probe.sent_at:
                 del self.probes[probe_id]
                 self.health_score = max(0, self.health_score - 1)
             elif not probe.is_indirect and waited >= PROBE_TIMEOUT * timeout_factor:
@@ -135,7 +135,7 @@
     def on_message(self, now: float, name: str) -> None:
         """Note that a datagram of a node was received. Nodes without a record are ignored."""
         if self.members.records.get(RecordKind.NODE, name) is not None:
-            self.last_heard[name] = now
+            self.last_contact[name] = now
 
     def on_node_record(self, now: float, record: Record) -> None:
         """Start the suspicion timeout if the changed record of a node declares it suspect."""
@@ -160,4 +160,4 @@
             self.transmitter.send(relayed.requester, GossipMessage(ack=relayed.probe_id, target=name))
         probe = self.probes.pop(ping_id, None)
         if probe is not None and probe.target != name:
-            self.last_heard[probe.target] = now
+            self.last_contact[probe.target] = now
--- a/zinclever/program.py
+++ b/zinclever/program.py
@@ -37,7 +37,7 @@
     except ConfigError as wrong:
         log.error("configuration not reloaded: %s", wrong)
         return
-    assembly.adopt(config, operator)
+    assembly.reconfigure(config, operator)
 
 
 async def serve(config: Config | None, operator: Operator | None, host: Host) -> None:
@@ -48,7 +48,7 @@
         loop.add_signal_handler(number, stopped.set)
     assembly = Assembly(config, operator, host)
     loop.add_signal_handler(signal.SIGHUP, reload, assembly, host)
-    host.hear_reloads()
+    host.unblock_reload_signal()
     admin = await answer_operators(assembly)
     overlap = take_over(assembly, host)
     for service in assembly.services():
@@ -96,7 +96,7 @@
     await asyncio.sleep(NOTICED)
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(LEARN_FOR):
-            while not platform.ledger.ready:
+            while not platform.dispatcher.ready:
                 await asyncio.sleep(LOOK)
 
 
--- a/zinclever/system.py
+++ b/zinclever/system.py
@@ -43,18 +43,18 @@
         poll.register(sock, select.POLLIN)
         return bool(poll.poll(0))
 
-    def waited(self, sock: sockets.socket) -> float:
+    def ms_since_received(self, sock: sockets.socket) -> float:
         try:
             told = sock.getsockopt(sockets.IPPROTO_TCP, sockets.TCP_INFO, LAST_RECEIVED + 4)
         except OSError:
             return 0.0
         return float(int.from_bytes(told[LAST_RECEIVED:], sys.byteorder))
 
-    def hold_reloads(self) -> None:
-        """A SIGHUP is kept from now on until :meth:`hear_reloads`: without a handler it would end the process."""
+    def block_reload_signal(self) -> None:
+        """A SIGHUP is kept from now on until :meth:`unblock_reload_signal`: without a handler it would end the process."""
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
 
-    def hear_reloads(self) -> None:
+    def unblock_reload_signal(self) -> None:
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
 
     def presence(self, address: Address) -> Presence:
