--- a/tests/mesh/processes.py
+++ b/tests/mesh/processes.py
@@ -330,12 +330,12 @@
 
     def __init__(self, make_endpoint: Callable[[str, str], RecordingEndpoint] = RecordingEndpoint) -> None:
         super().__init__([SERVICE] * 2)
-        self.endpoints = [make_endpoint(app.address, app.service) for app in self.apps]
-        self.apps = [*self.endpoints]
+        self.endpoints = [make_endpoint(app.address, app.service) for app in self.stub_endpoints]
+        self.stub_endpoints = [*self.endpoints]
         self.processes: list[Process] = []
         self.heartbeat_task: asyncio.Task[None] | None = None
         self.warm_up_ids: set[str] = set()
-        """Ids of the requests that were request during the warm-up; they are not audited."""
+        """Ids of the requests that were sent during the warm-up; they are not audited."""
 
     def settings(self, ip: str, **overrides: Any) -> dict[str, Any]:
         names = ("ControlPlane",) if ip == self.control_ip else ("Egress", "Readiness", "ControlPlane")
--- a/tests/mesh/test_leaving.py
+++ b/tests/mesh/test_leaving.py
@@ -138,14 +138,14 @@
                 for other in m.sidecars:  # as after a start of the whole mesh: the endpoint is unknown
                     other.node.gossip.records.by_key.pop(RecordKey(RecordKind.ENDPOINT, app.id))
                 body = app.heartbeat_body()
-                records = m.control.node.gossip.records
-                records.by_key.pop(RecordKey(RecordKind.ENDPOINT, app.id))
+                control_records = m.control.node.gossip.records
+                control_records.by_key.pop(RecordKey(RecordKind.ENDPOINT, app.id))
                 m.control.endpoint_api.sidecar_at = lambda address: ""  # type: ignore[method-assign]
                 await m.call(f"{m.control_ip}:{m.port + 2}", "POST", f"/v1/endpoints/{app.id}/heartbeat", body)
                 self.assertEqual(await m.beat(0), 200)
                 await until(
                     lambda: (
-                        (r := records.get(RecordKind.ENDPOINT, app.id)) is not None
+                        (r := control_records.get(RecordKind.ENDPOINT, app.id)) is not None
                         and m.sidecars[0].node.name.encode() in r.body
                     )
                 )
--- a/zinclever/mesh/membership/broadcasts.py
+++ b/zinclever/mesh/membership/broadcasts.py
@@ -70,7 +70,7 @@
         """Send a record until each recipient has confirmed it.
 
         Returns:
-            The id of the broadcast in :attr:`confirmed`.
+            The id of the broadcast in :attr:`awaiting_receipts`.
         """
         broadcast_id = next(self.ids)
         self.awaiting_receipts[broadcast_id] = ConfirmedBroadcast(record, set(recipients) - {self.members.name})
--- a/zinclever/mesh/membership/gossip.py
+++ b/zinclever/mesh/membership/gossip.py
@@ -99,7 +99,7 @@
         """Broadcast a record, and resend it to ``recipients`` until each has confirmed it.
 
         Returns:
-            The id of the entry in ``broadcasts.confirmed``, which the caller has to remove.
+            The id of the entry in ``broadcasts.awaiting_receipts``, which the caller has to remove.
         """
         self.broadcast(now, record)
         return self.broadcasts.begin_confirmed(now, record, recipients)
