--- a/tests/mesh/cluster.py
+++ b/tests/mesh/cluster.py
@@ -222,7 +222,7 @@
             assert await self.beat(index) == 200
         await self.put_until_definite(config(*{app.service for app in self.stub_endpoints}), 0)
         await until(lambda: all(sidecar.node.active.generation == 1 for sidecar in self.sidecars))
-        await until(lambda: all(self.known_endpoints(sidecar) == len(self.stub_endpoints) for sidecar in self.sidecars))
+        await until(lambda: all(self.known_endpoints(s) == len(self.stub_endpoints) for s in self.sidecars))
 
     async def put_until_definite(self, text: dict[str, Any], base: int) -> None:
         """Replace the configuration, repeating the call while the status is 503, after which its result is unknown."""
--- a/zinclever/mesh/membership/broadcasts.py
+++ b/zinclever/mesh/membership/broadcasts.py
@@ -41,7 +41,7 @@
         self.retransmits: dict[RecordKey, int] = {}
         """Remaining retransmissions of each record."""
         self.awaiting_receipts: dict[int, ConfirmedBroadcast] = {}
-        """Confirmed broadcasts by id. The caller that began a broadcast removes it."""
+        """Broadcasts that wait for receipts, by id. The caller that began a broadcast removes it."""
 
     def enqueue(self, key: RecordKey) -> None:
         """Queue a new record for retransmission."""
--- a/zinclever/mesh/membership/receipt_quorum.py
+++ b/zinclever/mesh/membership/receipt_quorum.py
@@ -11,9 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-SIDECAR_PREFERENCE_PERIOD = (
-    0.4  # s to wait for the endpoint's own sidecar before a receipt of another sidecar is accepted
-)
+SIDECAR_PREFERENCE_PERIOD = 0.4  # s to wait for the endpoint's own sidecar before another sidecar's receipt suffices
 
 
 @dataclass(frozen=True, slots=True)
