--- a/tests/mesh/cluster.py
+++ b/tests/mesh/cluster.py
@@ -26,6 +26,7 @@
 
 
 def good(headers: dict[str, str], body: bytes = b"made") -> bytes:
+    """Return a valid response to a request with the given headers."""
     return b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %b\r\nX-Server-Seal: s\r\nContent-Length: %d\r\n\r\n%b" % (
         headers["x-attempt-id"].encode(),
         len(body),
@@ -34,6 +35,7 @@
 
 
 def not_executed(headers: dict[str, str]) -> bytes:
+    """Return a 503 response that states that the request was not executed."""
     return (
         b"HTTP/1.1 503 Busy\r\nX-Attempt-Id: %b\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
         % headers["x-attempt-id"].encode()
--- a/zinclever/mesh/membership/record_store.py
+++ b/zinclever/mesh/membership/record_store.py
@@ -22,7 +22,7 @@
     record_key,
 )
 
-TOMBSTONE_GOSSIP_PERIOD = 10.0  # s after which a tombstone is excluded from digests and no longer replicated
+TOMBSTONE_GOSSIP_PERIOD = 10.0  # s after which a tombstone is excluded from digests, so that it stops spreading
 TOMBSTONE_RETENTION = 60.0  # s for which a tombstone rejects older records; far longer than any datagram is delayed
 
 
