--- a/tests/mesh/cluster.py
+++ b/tests/mesh/cluster.py
@@ -223,7 +223,7 @@
         for index in range(len(self.stub_endpoints)):
             assert await self.beat(index) == 200
         await self.put_until_definite(config(*{app.service for app in self.stub_endpoints}), 0)
-        await until(lambda: all(sidecar.node.active.generation == 1 for sidecar in self.sidecars))
+        await until(lambda: all(s.node.active.generation == 1 for s in self.sidecars))
         await until(lambda: all(self.known_endpoints(s) == len(self.stub_endpoints) for s in self.sidecars))
 
     async def put_until_definite(self, text: dict[str, Any], base: int) -> None:
