--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -200,7 +200,7 @@
     than the settings allow would end an attempt that the test waits for.
     """
     ledger.balancer = balancer
-    ledger.renewed_at = math.inf
+    ledger.balancer_replaced_at = math.inf
     limits = balancer.settings.limits
     ledger.wire.configure(1000.0 * PATIENCE, limits.connection_idle, ledger.connections)
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -12,7 +12,7 @@
 
 from zinclever import interface
 from zinclever.admin import server
-from zinclever.admin.figures import Levels, avoided, text
+from zinclever.admin.figures import Gauges, count_disabled, render
 from zinclever.admin.server import Admin, Page
 from zinclever.core.counts import Counts
 from zinclever.policy import Balancer
@@ -32,7 +32,7 @@
     otherwise."""
     counts = Counts()
     counts.of("read").served += 812
-    told = text(counts, {"read": 0, "a.b|c:d": 1}, Levels(7, 14, 3, 1)).decode().splitlines()
+    told = render(counts, {"read": 0, "a.b|c:d": 1}, Gauges(7, 14, 3, 1)).decode().splitlines()
     assert "lb.replies.read.success:812|c" in told and "lb.replies.read.overload:0|c" in told
     assert "lb.replies.a_b_c_d.error:0|c" in told
     assert told[-4:] == ["lb.dispatches:7|c", "lb.concurrent:14|g", "lb.targets:3|g", "lb.targets_disabled:1|g"]
@@ -48,10 +48,10 @@
             "whole", [interface.Listed("a"), interface.Listed("b", "draining"), interface.Listed("c")]
         ),
     )
-    assert avoided(balancer, 1.0) == 1
+    assert count_disabled(balancer, 1.0) == 1
     balancer.endpoint_list.endpoints["a"].down_until = 50.0
-    assert avoided(balancer, 49.0) == 2
-    assert avoided(balancer, 51.0) == 1
+    assert count_disabled(balancer, 49.0) == 2
+    assert count_disabled(balancer, 51.0) == 1
 
 
 def test_outcomes_are_counted_once() -> None:
@@ -121,12 +121,12 @@
 
     async def test() -> None:
         made, address = await admin()
-        silent = [await asyncio.open_connection(*address) for _ in range(3 * server.MOST_CALLERS)]
+        silent = [await asyncio.open_connection(*address) for _ in range(3 * server.MAX_CALLERS)]
         for _, writer in silent[::2]:
             writer.write(b"GET /sta")
         client = Client(*await asyncio.open_connection(*address))
         assert (await client.ask("/status")).status == 200
-        assert len(made.callers) <= server.MOST_CALLERS
+        assert len(made.callers) <= server.MAX_CALLERS
         for reader, _ in silent:
             try:
                 assert await reader.read() == b""
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -174,7 +174,7 @@
             old = s.wire.pools["a"]
             s.discovery.tell("changes", [host("a", second)])
             assert s.wire.pools["a"].address[1] == int(second.rpartition(":")[2])
-            assert old.left
+            assert old.removed
 
     run(test)
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -18,7 +18,7 @@
 from test_program import COMMAND, ROOT, config, connect
 
 from zinclever.handover.listener import inherited
-from zinclever.handover.presence import Overlap, Presence
+from zinclever.handover.presence import Presence, PresenceMonitor
 from zinclever.system import System
 
 HOLD = """
@@ -85,14 +85,14 @@
 def test_changes_are_told(tmp_path: Path) -> None:
     async def test() -> None:
         told: asyncio.Queue[int] = asyncio.Queue()
-        overlap = Overlap(Presence(tmp_path, ("127.0.0.1", 1)), told.put_nowait)
-        overlap.begin()
+        monitor = PresenceMonitor(Presence(tmp_path, ("127.0.0.1", 1)), told.put_nowait)
+        monitor.start()
         other = holder(tmp_path)
         assert await told.get() == 1
         other.terminate()
         assert await told.get() == 0
         other.communicate()
-        overlap.end()
+        monitor.stop()
 
     run_real(test)
 
@@ -200,12 +200,12 @@
         told, _ = read(config(tmp_path, limits={"sockets": 256}))
         assert told is not None
         platform = Platform(told, Descriptors(told.sockets), System())
-        platform.share_with(1)
-        assert platform.descriptors.most == 128 - RESERVED and platform.front.most == 64
+        platform.share_limits(1)
+        assert platform.descriptors.max_connections == 128 - RESERVED and platform.front.most == 64
         platform.adopt(await changed(tmp_path))
-        assert platform.descriptors.most == 150 - RESERVED  # a reload meanwhile divides what it brings
-        platform.share_with(0)
-        assert platform.descriptors.most == 300 - RESERVED
+        assert platform.descriptors.max_connections == 150 - RESERVED  # a reload meanwhile divides what it brings
+        platform.share_limits(0)
+        assert platform.descriptors.max_connections == 300 - RESERVED
 
     async def changed(tmp_path: Path) -> Any:
         told, _ = read(config(tmp_path, limits={"sockets": 300}))
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -139,10 +139,10 @@
     """Guards against sidecars, and the build itself, that crash as what they have loaded changes under them."""
     folder, made = tmp_path / "native", tmp_path / "lib.so"
     made.write_bytes(b"old")
-    compile.put({made: "lib.so"}, "1", folder)
+    compile.replace_directory({made: "lib.so"}, "1", folder)
     made.write_bytes(b"new")
     with (folder / "lib.so").open("rb") as loaded:
-        compile.put({made: "lib.so"}, "2", folder)
+        compile.replace_directory({made: "lib.so"}, "2", folder)
         assert loaded.read() == b"old" and (folder / "lib.so").read_bytes() == b"new"
     assert sorted(p.name for p in tmp_path.iterdir()) == ["lib.so", "native"]
     assert (folder / native.STAMP).read_text() == "2"
@@ -162,4 +162,4 @@
     monkeypatch.setattr(compile, "libraries", lambda folder: {})
     monkeypatch.setattr(compile.subprocess, "run", run)  # type: ignore[attr-defined]
     assert compile.main() == 0
-    assert "runs as it is written: no mypyc here" in capsys.readouterr().out
+    assert "the Python sources are used: no mypyc here" in capsys.readouterr().out
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -13,7 +13,7 @@
 from rpc import service
 
 from zinclever import interface
-from zinclever.core.standstill import LATE, QUIET, WATCHED, Standstill, news_first
+from zinclever.core.standstill import IDLE_THRESHOLD, LATE, RECHECK_TIME, Standstill, move_to_front
 from zinclever.http1.connection import dial
 from zinclever.standins import always
 from zinclever.system import System
@@ -21,39 +21,39 @@
 
 def test_noticed_once_until_what_was_kept_back_goes_on() -> None:
     s = Standstill(10.0)
-    assert not s.has(LATE - 1.0)
-    assert s.has(LATE) and not s.has(10 * LATE)
-    s.held = False
-    assert s.has(LATE)
+    assert not s.detect(LATE - 1.0)
+    assert s.detect(LATE) and not s.detect(10 * LATE)
+    s.holding = False
+    assert s.detect(LATE)
 
 
-@pytest.mark.parametrize("gap", [QUIET / 2, 2 * QUIET])
+@pytest.mark.parametrize("gap", [IDLE_THRESHOLD / 2, 2 * IDLE_THRESHOLD])
 def test_what_is_read_after_a_pause_may_have_waited(gap: float) -> None:
     s = Standstill(10.0)
-    s.ran(10.0 + gap)
-    s.ran(10.0 + gap)  # others of the same turn of the loop
-    assert s.may_have() is (gap > QUIET)
-    s.ran(10.001 + gap)
-    assert not s.may_have()
+    s.record_activity(10.0 + gap)
+    s.record_activity(10.0 + gap)  # others of the same turn of the loop
+    assert s.may_have_stalled() is (gap > IDLE_THRESHOLD)
+    s.record_activity(10.001 + gap)
+    assert not s.may_have_stalled()
 
 
 def test_for_a_while_all_that_is_read_is_asked_for_its_age() -> None:
     """Connections that stood in the listener's queue come one after another."""
     s = Standstill(10.0)
-    s.ran(15.0)
-    assert s.has(5000.0)
-    s.held = False
+    s.record_activity(15.0)
+    assert s.detect(5000.0)
+    s.holding = False
     for n in range(1, 1000):
-        s.ran(15.0 + n * WATCHED / 1000)
-        assert s.may_have()
-    s.ran(15.0 + WATCHED)
-    assert not s.may_have()
+        s.record_activity(15.0 + n * RECHECK_TIME / 1000)
+        assert s.may_have_stalled()
+    s.record_activity(15.0 + RECHECK_TIME)
+    assert not s.may_have_stalled()
 
 
 def test_what_was_told_comes_before_what_was_kept_back() -> None:
     news = interface.MembershipNews("changes", [])
     fired, closed = interface.TimerFired("t"), interface.RequestClosed("r")
-    assert news_first([("b", fired), ("b", news), ("a", closed)], interface.MembershipNews) == deque(
+    assert move_to_front([("b", fired), ("b", news), ("a", closed)], interface.MembershipNews) == deque(
         [("b", news), ("b", fired), ("a", closed)]
     )
 
@@ -114,7 +114,7 @@
     async def test() -> None:
         async with sidecar(lambda event: (), known(e="127.0.0.1:9")) as s:
             s.balancer.told.clear()
-            s.sidecar.notice(LATE)
+            s.sidecar.check_delay(LATE)
             s.sidecar.feed(interface.TimerFired("t"))
             s.sidecar.feed(interface.MembershipNews("changes", []))
             assert s.balancer.told == []
--- a/zinclever/__init__.py
+++ b/zinclever/__init__.py
@@ -1,8 +1,8 @@
-"""Decisions of a client-side load balancer: speculative copies over a latency-payoff draw."""
+"""A client-side load balancer: latency-aware endpoint selection with speculative (hedged) requests."""
 
 from . import native
 
-native.install()  # before the first of the modules that may be compiled is imported
+native.install()  # before any module that may be compiled is imported
 
 from . import interface  # noqa: E402
 from .interface import Settings  # noqa: E402
--- a/zinclever/__main__.py
+++ b/zinclever/__main__.py
@@ -1,4 +1,4 @@
-"""The sidecar program: configuration, loop, exit code."""
+"""Entry point of the sidecar program."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 def main() -> int:
-    """Run the sidecar; 2 after a configuration that it can't start with, 1 if it can't listen.
+    """Runs the sidecar; returns 2 if the configuration is unusable and 1 if an address can't be bound.
 
-    With the argument ``config`` it is the configuration tool; with ``sim`` it plays days in simulated time, with
-    ``rig`` on processes of its own.
+    The argument ``config`` runs the configuration tool instead, ``sim`` simulates days of operation and ``rig`` runs
+    them on real processes.
     """
-    # Loaded here only: a running sidecar needs none of them.
+    # Imported only on demand: the sidecar itself needs none of these.
     if sys.argv[1:2] == ["config"]:
         from .configtool.cli import config as tool
 
@@ -40,14 +40,14 @@
     host.hold_reloads()
     try:
         config, operator = read(host.environ, host.read_file)
-    except ConfigError as wrong:
-        print(f"zinclever: {wrong}", file=sys.stderr)
+    except ConfigError as error:
+        print(f"zinclever: {error}", file=sys.stderr)
         return 2
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(serve(config, operator, host))
-    except OSError as wrong:
-        print(f"zinclever: {wrong}", file=sys.stderr)
+    except OSError as error:
+        print(f"zinclever: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/zinclever/admin/__init__.py
+++ b/zinclever/admin/__init__.py
@@ -1,4 +1,4 @@
-"""Where operators call: whether this process takes clients, and its figures.
+"""The admin server: health status and metrics of this process for operators.
 
-:mod:`~zinclever.admin.figures` words what is counted and does no I/O; :mod:`~zinclever.admin.server` answers calls.
+:mod:`~zinclever.admin.figures` renders the metrics and does no I/O; :mod:`~zinclever.admin.server` answers HTTP calls.
 """
--- a/zinclever/assembly.py
+++ b/zinclever/assembly.py
@@ -1,4 +1,4 @@
-"""Which protocol, source of endpoints and balancer make up each service."""
+"""Builds each service from its protocol, endpoint source and balancer, and applies new configurations."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
-from .admin.figures import Levels, avoided, text
+from .admin.figures import Gauges, count_disabled, render
 from .admin.server import Page, Pages
 from .configuration.platform import Config
 from .core.descriptors import Descriptors
 from .core.host import Host
-from .core.ledger import EARLY, Ledger
+from .core.ledger import DEADLINE_MARGIN, Ledger
 from .core.protocol import OnList, Source
 from .core.service import Service
 from .discovery.catalog import Discovery
@@ -21,7 +21,7 @@
 from .http1.wire import HttpWire
 from .policy import Balancer
 
-if TYPE_CHECKING:  # loaded where there is an operator file: the platform's sidecar lives in little memory
+if TYPE_CHECKING:  # imported at runtime only if there is an operator file, to save memory
     from .configuration.operator import JsonRpcService, Operator
 
 log = logging.getLogger(__name__)
@@ -30,7 +30,7 @@
 
 
 class Platform:
-    """The platform's HTTP service, as its configuration words it."""
+    """The platform's HTTP service, built from the platform configuration."""
 
     def __init__(self, config: Config, descriptors: Descriptors, host: Host) -> None:
         self.config, self.descriptors = config, descriptors
@@ -46,134 +46,143 @@
         self.discovery = self.ledger.source
         self.front = Front(self.ledger)
         self.processes = 1
-        """Of this sidecar, that share what it may hold: more than one while one takes over from another."""
-        self.divide()
+        """Processes of this sidecar that share its limits: more than one during a takeover."""
+        self.apply_limits()
         self.service = Service(PLATFORM, config.listen, self.ledger, self.front)
 
     def adopt(self, config: Config) -> None:
-        """Put into service what differs from the configuration before."""
-        before, self.config = self.config, config
-        if config.listen != before.listen:
-            log.warning("configuration: listen takes effect at the next start only")
-        kept = (before.settings, before.zones, before.sockets, before.memory)
-        if (config.settings, config.zones, config.sockets, config.memory) != kept:
-            self.divide()
+        """Applies the differences between a new configuration and the current one."""
+        previous, self.config = self.config, config
+        if config.listen != previous.listen:
+            log.warning("configuration: a change of listen takes effect only after a restart")
+        previous_values = (previous.settings, previous.zones, previous.sockets, previous.memory)
+        if (config.settings, config.zones, config.sockets, config.memory) != previous_values:
+            self.apply_limits()
             self.discovery.configure(config.settings, config.zones)
             self.ledger.adopt(Balancer(config.settings, config.seed))
             self.front.configure()
         if config.discovery != self.discovery.address:
             self.discovery.move(config.discovery)
 
-    def share_with(self, others: int) -> None:
-        """So many other processes of this sidecar are alive: descriptors are divided evenly among all."""
+    def share_limits(self, others: int) -> None:
+        """Divides descriptors and memory evenly with ``others``, the number of other live processes of this sidecar."""
         self.processes = 1 + others
-        self.divide()
+        self.apply_limits()
         while self.descriptors.full() and self.descriptors.evict():
             pass
 
-    def divide(self) -> None:
+    def apply_limits(self) -> None:
+        """Sets this process's equal part of the descriptors and of the memory."""
         self.descriptors.configure(self.config.sockets // self.processes)
         memory = self.config.memory
         self.front.room.limit = room_for(memory / self.processes if memory is not None else None)
         self.front.configure()
 
-    def levels(self) -> Levels:
-        """What operators are told of this moment."""
+    def gauges(self) -> Gauges:
+        """Returns the current gauges for operators."""
         ledger, wire = self.ledger, self.ledger.wire
         assert isinstance(wire, HttpWire)
-        return Levels(
+        return Gauges(
             wire.dispatches,
             ledger.counts.concurrent,
             len(self.discovery.hosts),
-            avoided(ledger.balancer, ledger.clock()),
+            count_disabled(ledger.balancer, ledger.clock()),
         )
 
     def pages(self) -> Pages:
-        """Where operators call."""
+        """Returns the pages of the admin server."""
         return {
-            "/status": lambda: Page(200 if self.service.takes() else 503),
-            "/status/metrics": lambda: Page(200, text(self.ledger.counts, self.front.classes, self.levels())),
+            "/status": lambda: Page(200 if self.service.is_ready() else 503),
+            "/status/metrics": lambda: Page(200, render(self.ledger.counts, self.front.classes, self.gauges())),
         }
 
 
 class JsonRpc:
-    """A JSON-RPC service, as the operator file words it."""
+    """A JSON-RPC service, built from the operator file."""
 
-    def __init__(self, told: JsonRpcService, seed: int, descriptors: Descriptors, host: Host) -> None:
+    def __init__(self, spec: JsonRpcService, seed: int, descriptors: Descriptors, host: Host) -> None:
         from .jsonrpc.front import Front as JsonRpcFront
         from .jsonrpc.wire import JsonRpcWire
 
-        self.told, self.seed, self.host = told, seed, host
-        self.wire = JsonRpcWire(told.rules.framing, told.proofs, descriptors, host)
-        self.ledger = Ledger(Balancer(told.settings, seed), self.wire, self.source, descriptors, host)
-        self.front = JsonRpcFront(self.ledger, told.rules)
-        longest = max(c.deadline for c in told.settings.classes)
-        self.service = Service(told.name, told.listen, self.ledger, self.front, (longest + EARLY) / 1000.0)
-
-    def source(self, on_list: OnList) -> Source:
-        told = self.told
-        if told.discovery is None:
-            return Fixed(told.endpoints, on_list)
-        return Discovery(told.discovery, told.settings, told.zones, {}, on_list, self.host)
-
-    def adopt(self, told: JsonRpcService) -> None:
-        """Put into service what differs from the file before, but for what a connection is made with."""
-        before, self.told = self.told, told
-        moved = (told.discovery is None) != (before.discovery is None)
-        if moved or (told.listen, told.rules.framing) != (before.listen, before.rules.framing):
+        self.told, self.seed, self.host = spec, seed, host
+        self.wire = JsonRpcWire(spec.rules.framing, spec.proofs, descriptors, host)
+        self.ledger = Ledger(Balancer(spec.settings, seed), self.wire, self.make_source, descriptors, host)
+        self.front = JsonRpcFront(self.ledger, spec.rules)
+        max_deadline = max(c.deadline for c in spec.settings.classes)
+        self.service = Service(
+            spec.name, spec.listen, self.ledger, self.front, (max_deadline + DEADLINE_MARGIN) / 1000.0
+        )
+
+    def make_source(self, on_list: OnList) -> Source:
+        """Creates the endpoint source: discovery, or the fixed list of the operator file."""
+        spec = self.told
+        if spec.discovery is None:
+            return Fixed(spec.endpoints, on_list)
+        return Discovery(spec.discovery, spec.settings, spec.zones, {}, on_list, self.host)
+
+    def adopt(self, spec: JsonRpcService) -> None:
+        """Applies the differences between a new service definition and the current one.
+
+        The address, the framing and the kind of endpoint source change only after a restart.
+        """
+        previous, self.told = self.told, spec
+        source_changed = (spec.discovery is None) != (previous.discovery is None)
+        if source_changed or (spec.listen, spec.rules.framing) != (previous.listen, previous.rules.framing):
             log.warning(
-                "services.%s: listen, framing, and a change between endpoints and discovery take "
-                "effect at the next start only",
-                told.name,
+                "services.%s: changes of listen and framing, or between endpoints and discovery, take "
+                "effect only after a restart",
+                spec.name,
             )
-        self.wire.proofs = told.proofs
+        self.wire.proofs = spec.proofs
         source = self.ledger.source
         if isinstance(source, Discovery):
-            source.configure(told.settings, told.zones)
-        if told.settings != before.settings:
-            self.ledger.adopt(Balancer(told.settings, self.seed))
-        self.front.adopt(told.rules._replace(framing=self.wire.framing))
-        if isinstance(source, Fixed) and told.endpoints != before.endpoints:
-            source.replace(told.endpoints)
-        elif isinstance(source, Discovery) and told.discovery not in (None, source.address):
-            source.move(told.discovery)
-
-
-def sockets(config: Config | None, operator: Operator | None) -> int:
-    """Descriptors that the process may hold: the platform's figure comes first."""
+            source.configure(spec.settings, spec.zones)
+        if spec.settings != previous.settings:
+            self.ledger.adopt(Balancer(spec.settings, self.seed))
+        self.front.adopt(spec.rules._replace(framing=self.wire.framing))
+        if isinstance(source, Fixed) and spec.endpoints != previous.endpoints:
+            source.replace(spec.endpoints)
+        elif isinstance(source, Discovery) and spec.discovery not in (None, source.address):
+            source.move(spec.discovery)
+
+
+def descriptor_limit(config: Config | None, operator: Operator | None) -> int:
+    """Returns the descriptor limit of the process: the platform's, else the operator file's."""
     if config is not None:
         return config.sockets
     assert operator is not None
     return operator.sockets
 
 
-def told_services(operator: Operator | None) -> Mapping[str, JsonRpcService]:
+def service_specs(operator: Operator | None) -> Mapping[str, JsonRpcService]:
+    """Returns the services of the operator file, by name."""
     return operator.services if operator is not None else {}
 
 
 class Assembly:
-    """Every service of the process."""
+    """All services of the process."""
 
     def __init__(self, config: Config | None, operator: Operator | None, host: Host) -> None:
-        self.descriptors = Descriptors(sockets(config, operator))
+        self.descriptors = Descriptors(descriptor_limit(config, operator))
         seed = config.seed if config is not None else host.random().getrandbits(64)
         self.platform = Platform(config, self.descriptors, host) if config is not None else None
-        self.others = {
-            name: JsonRpc(told, seed + n, self.descriptors, host)
-            for n, (name, told) in enumerate(told_services(operator).items(), 1)
+        self.json_rpc_services = {
+            name: JsonRpc(spec, seed + n, self.descriptors, host)
+            for n, (name, spec) in enumerate(service_specs(operator).items(), 1)
         }
 
     def services(self) -> list[Service]:
+        """Returns all services, the platform's first."""
         first = [self.platform.service] if self.platform is not None else []
-        return first + [other.service for other in self.others.values()]
+        return first + [service.service for service in self.json_rpc_services.values()]
 
     def adopt(self, config: Config | None, operator: Operator | None) -> None:
-        """Put into service what differs from before. Services come and go at the next start only."""
+        """Applies a new configuration. Services are added and removed only by a restart."""
         if config is not None and self.platform is not None:
             self.platform.adopt(config)
-        services = told_services(operator)
-        for name, told in services.items():
-            if name in self.others:
-                self.others[name].adopt(told)
-        if services.keys() != self.others.keys():
-            log.warning("services that are new or left out take effect at the next start only")
+        specs = service_specs(operator)
+        for name, spec in specs.items():
+            if name in self.json_rpc_services:
+                self.json_rpc_services[name].adopt(spec)
+        if specs.keys() != self.json_rpc_services.keys():
+            log.warning("added or removed services take effect only after a restart")
--- a/zinclever/compile.py
+++ b/zinclever/compile.py
@@ -1,4 +1,4 @@
-"""The build step that compiles the hot modules (mypyc); without a compiler everything runs as it is written.
+"""Build step that compiles the hot modules with mypyc; without a compiler the Python sources are used.
 
 python -m zinclever.compile
 """
@@ -14,53 +14,57 @@
 
 from .native import FOLDER, MODULES, PACKAGE, STAMP, SUFFIX, checksum, libraries, path_of
 
-PATIENCE = 420.0  # s: it takes some fifty on one core
+COMPILE_TIMEOUT = 420.0  # s; a build takes some fifty seconds on one core
 
 
-def compile_to(folder: Path) -> str:
-    """Make the folder anew; what went wrong, or an empty text."""
+def compile_to(directory: Path) -> str:
+    """Builds the libraries into a directory; returns an error message, empty on success."""
     with tempfile.TemporaryDirectory() as name:
         root = Path(name)
         shutil.copytree(PACKAGE, root / PACKAGE.name, ignore=shutil.ignore_patterns("__pycache__", "*.so", FOLDER))
-        made_of = checksum()
-        texts = [str(path_of(m).relative_to(PACKAGE.parent)) for m in MODULES]
-        command = [str(Path(sys.executable).with_name("mypyc")), *texts]
+        source_checksum = checksum()
+        sources = [str(path_of(m).relative_to(PACKAGE.parent)) for m in MODULES]
+        command = [str(Path(sys.executable).with_name("mypyc")), *sources]
         try:
-            done = subprocess.run(command, cwd=root, capture_output=True, text=True, timeout=PATIENCE)
-        except (OSError, subprocess.TimeoutExpired) as wrong:
-            return str(wrong)
+            result = subprocess.run(command, cwd=root, capture_output=True, text=True, timeout=COMPILE_TIMEOUT)
+        except (OSError, subprocess.TimeoutExpired) as error:
+            return str(error)
         shared = list(root.glob(f"*{SUFFIX}"))
-        made = {root / t.removesuffix(".py"): m for t, m in zip(texts, MODULES, strict=True)}
-        files = {Path(f"{at}{SUFFIX}"): f"{module}{SUFFIX}" for at, module in made.items()}
-        if done.returncode or not shared or not all(f.exists() for f in files):
-            return (done.stdout + done.stderr)[-2000:] or "nothing was made"
-        put({**files, **{f: f.name for f in shared}}, made_of, folder)
+        modules = {root / s.removesuffix(".py"): m for s, m in zip(sources, MODULES, strict=True)}
+        files = {Path(f"{path}{SUFFIX}"): f"{module}{SUFFIX}" for path, module in modules.items()}
+        if result.returncode or not shared or not all(f.exists() for f in files):
+            return (result.stdout + result.stderr)[-2000:] or "mypyc produced no libraries"
+        replace_directory({**files, **{f: f.name for f in shared}}, source_checksum, directory)
     return ""
 
 
-def put(files: dict[Path, str], made_of: str, folder: Path) -> None:
-    """Put a folder in the place of another by renames: a process that has the old libraries loaded, this one among
-    them, keeps them. Written over in place they would crash it."""
-    new, old = folder.with_name(f"{folder.name}.new"), folder.with_name(f"{folder.name}.old")
-    for left in (new, old):
-        shutil.rmtree(left, ignore_errors=True)
+def replace_directory(files: dict[Path, str], source_checksum: str, directory: Path) -> None:
+    """Replaces a directory by renames.
+
+    Processes that have the old libraries loaded, such as this one, keep them; overwriting files in place would crash
+    these processes.
+    """
+    new, old = directory.with_name(f"{directory.name}.new"), directory.with_name(f"{directory.name}.old")
+    for leftover in (new, old):
+        shutil.rmtree(leftover, ignore_errors=True)
     new.mkdir(parents=True)
     for file, name in files.items():
         shutil.copy2(file, new / name)
-    (new / STAMP).write_text(made_of)
-    if folder.exists():
-        os.rename(folder, old)
-    os.rename(new, folder)
+    (new / STAMP).write_text(source_checksum)
+    if directory.exists():
+        os.rename(directory, old)
+    os.rename(new, directory)
     shutil.rmtree(old, ignore_errors=True)
 
 
 def main() -> int:
+    """Compiles the modules, unless the libraries are up to date; always returns 0."""
     if set(MODULES) <= libraries(PACKAGE / FOLDER).keys():
-        print("compiled already, of this very text")
+        print("libraries are up to date")
         return 0
-    wrong = compile_to(PACKAGE / FOLDER)
-    done = f"{len(MODULES)} modules are compiled"
-    print(f"nothing is compiled, and all runs as it is written: {wrong}" if wrong else done)
+    error = compile_to(PACKAGE / FOLDER)
+    success = f"{len(MODULES)} modules are compiled"
+    print(f"not compiled, the Python sources are used: {error}" if error else success)
     return 0
 
 
--- a/zinclever/core/__init__.py
+++ b/zinclever/core/__init__.py
@@ -1,5 +1,5 @@
-"""The protocol-neutral part of the sidecar: the ledger of requests, timers, pools, descriptors.
+"""The protocol-neutral part of the sidecar: request dispatching, timers, connection pools and descriptor limits.
 
-Nothing here names a protocol. Data flows one way: a front reads requests and hands them to the
-:class:`~zinclever.core.ledger.Ledger`, which asks its balancer and starts attempts on a wire.
+Nothing here depends on a protocol. A front parses requests and passes them to the
+:class:`~zinclever.core.ledger.Ledger`, which consults its balancer and starts attempts on a wire.
 """
--- a/zinclever/core/counts.py
+++ b/zinclever/core/counts.py
@@ -1,10 +1,10 @@
-"""What a process counts for its operators. Counts only grow."""
+"""Counters of a process, shown to operators."""
 
 from __future__ import annotations
 
 
 class Replies:
-    """Final answers to requests of one class."""
+    """Counts of final answers to requests of one class."""
 
     __slots__ = ("failed", "refused", "served")
 
@@ -12,23 +12,24 @@
         self.served = self.refused = self.failed = 0
 
     def broke_off(self) -> None:
-        """What was counted as served when its answer began has failed."""
+        """Counts an answer as failed that was counted as served when its transfer began."""
         self.served -= 1
         self.failed += 1
 
 
 class Counts:
-    """Of one service, from the start of the process on; settings that come with a reload don't begin them anew."""
+    """Counters of one service since the start of the process; a reload of the settings doesn't reset them."""
 
     __slots__ = ("concurrent", "replies")
 
     def __init__(self) -> None:
         self.concurrent = 0
-        """Requests taken and not yet ended."""
+        """Requests in progress."""
         self.replies: dict[str, Replies] = {}
+        """Reply counts by the name of the class."""
 
     def of(self, name: str) -> Replies:
-        """Those of a class by its name."""
+        """Returns the reply counts of a class, by its name; creates them on first use."""
         replies = self.replies.get(name)
         if replies is None:
             replies = self.replies[name] = Replies()
--- a/zinclever/core/descriptors.py
+++ b/zinclever/core/descriptors.py
@@ -1,35 +1,38 @@
-"""The descriptors of the process, shared by every service's clients and endpoints."""
+"""The limit on file descriptors of the process, shared by the connections of all services."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-RESERVED = 40  # descriptors for the listener, discovery, the loop, the runtime and those being closed
+RESERVED = 40  # descriptors for the listener, discovery, the loop, the runtime and connections being closed
 
 
 class Descriptors:
-    """Counts connections against one bound; makes room by closing idle ones to endpoints."""
+    """Counts connections against one limit and closes idle connections to endpoints to stay within it."""
 
-    __slots__ = ("clients", "evictors", "limit", "most", "open")
+    __slots__ = ("clients", "evictors", "limit", "max_connections", "open")
 
     def __init__(self, limit: int) -> None:
         self.clients = 0
         """Connections of clients."""
         self.open = 0
-        """Connections to endpoints, those being dialled among them."""
+        """Connections to endpoints, including those being dialled."""
         self.evictors: list[Callable[[], bool]] = []
-        """Of each wire: closes its connection that has been idle for longest; False if there is none."""
+        """One function per wire: closes its connection that has been idle longest; False if none is idle."""
         self.configure(limit)
 
     def configure(self, limit: int) -> None:
-        """``limit``: descriptors that the process may hold."""
+        """Sets the number of descriptors that the process may use."""
         self.limit = limit
-        self.most = limit - RESERVED
+        self.max_connections = limit - RESERVED
 
     def full(self) -> bool:
-        return self.open + self.clients >= self.most
+        """Returns whether all descriptors available for connections are in use."""
+        return self.open + self.clients >= self.max_connections
 
     def evict(self) -> bool:
-        """Close an idle connection to an endpoint; its descriptor is free in the loop's next round, before
-        a new one is connected."""
+        """Closes an idle connection to an endpoint; returns False if none is idle.
+
+        Its descriptor is released in the next iteration of the loop, before a new connection is made.
+        """
         return any(evict() for evict in self.evictors)
--- a/zinclever/core/host.py
+++ b/zinclever/core/host.py
@@ -1,5 +1,8 @@
-"""What a process reads of the machine that it runs on. Handed in, so that no module knows which machine that is: the
-one of the operating system (:class:`~zinclever.system.System`) or a simulated one."""
+"""Interfaces to the machine that a process runs on.
+
+They are passed in, so that modules run unchanged on the operating system (:class:`~zinclever.system.System`) and on a
+simulated machine.
+"""
 
 from __future__ import annotations
 
@@ -11,33 +14,41 @@
 
 
 class Socket(Protocol):
-    """A TCP socket that doesn't block; what a call raises is as :mod:`socket` has it."""
+    """A non-blocking TCP socket; its methods behave and raise as those of :mod:`socket`."""
 
-    def fileno(self) -> int: ...
+    def fileno(self) -> int:
+        """Returns the file descriptor."""
 
-    def send(self, data: bytes | memoryview, /) -> int: ...
+    def send(self, data: bytes | memoryview, /) -> int:
+        """Sends data and returns the number of bytes accepted by the kernel."""
 
-    def recv(self, most: int, flags: int = 0, /) -> bytes: ...
+    def recv(self, max_bytes: int, flags: int = 0, /) -> bytes:
+        """Receives up to ``max_bytes``; empty at the end of the stream."""
 
-    def shutdown(self, how: int, /) -> None: ...
+    def shutdown(self, how: int, /) -> None:
+        """Shuts down one or both directions."""
 
-    def getsockname(self) -> Address: ...
+    def getsockname(self) -> Address:
+        """Returns the local address."""
 
-    def setsockopt(self, level: int, option: int, value: int, /) -> None: ...
+    def setsockopt(self, level: int, option: int, value: int, /) -> None:
+        """Sets a socket option."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Closes the socket."""
 
 
 class Presence(Protocol):
-    """This process among those of one sidecar."""
+    """Registration of this process among the processes of one sidecar."""
 
     def enter(self) -> None:
-        """Be seen by the others. OSError where that can't be."""
+        """Registers this process, visible to the others. Raises OSError on failure."""
 
     def others(self) -> int:
-        """The other processes that are alive. OSError where that can't be told."""
+        """Returns the number of other live processes. Raises OSError if it can't be determined."""
 
-    def leave(self) -> None: ...
+    def leave(self) -> None:
+        """Removes the registration."""
 
 
 class Host(Protocol):
@@ -46,31 +57,31 @@
     environ: Mapping[str, str]
 
     def time_ns(self) -> int:
-        """Unix time; it may be set back."""
+        """Returns Unix time in ns; it may go back."""
 
     def monotonic_ns(self) -> int:
-        """From an instant that doesn't matter; it never goes back."""
+        """Returns ns since an arbitrary instant; never goes back."""
 
     def random(self) -> Random:
-        """A generator whose seed nobody else has."""
+        """Returns a generator with a seed of its own."""
 
     def socket(self) -> Any:
-        """A :class:`Socket` of TCP over IPv4, not connected. OSError where there is no descriptor."""
+        """Returns an unconnected :class:`Socket` for TCP over IPv4. Raises OSError if there is no descriptor left."""
 
     def unread(self, sock: Any) -> bool:
-        """Whether the kernel holds bytes, or an end, that nobody has read from a connection."""
+        """Returns whether the kernel holds data, or an end of stream, of a connection that has not been read."""
 
     def waited(self, sock: Any) -> float:
-        """ms since the latest bytes of a connection came; 0 where the kernel doesn't tell."""
+        """Returns the ms since data was last received on a connection; 0 where the kernel doesn't report it."""
 
     def read_file(self, path: str) -> bytes:
-        """:exc:`~zinclever.configuration.reading.Unreadable` where there is no ordinary file."""
+        """Returns a file's content. Raises :exc:`~zinclever.configuration.reading.Unreadable` unless it is regular."""
 
     def inherited(self, descriptor: int) -> Any:
-        """The socket behind a descriptor that was handed over. OSError where it is none that listens on TCP."""
+        """Returns the socket of an inherited descriptor. Raises OSError unless it is a listening TCP socket."""
 
     def hear_reloads(self) -> None:
-        """There is a handler for SIGHUP from now on: one that came before is told now."""
+        """Unblocks SIGHUP, once a handler is installed; a signal that is pending is delivered now."""
 
     def presence(self, address: Address) -> Presence:
-        """Of this process among those that serve this address."""
+        """Returns the registration of this process among those that serve an address."""
--- a/zinclever/core/ledger.py
+++ b/zinclever/core/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger of requests and attempts around one balancer: events go in, actions are carried out."""
+"""Dispatches client requests: feeds events to a balancer and executes the actions that it returns."""
 
 from __future__ import annotations
 
@@ -17,25 +17,30 @@
 from .descriptors import Descriptors
 from .host import Host
 from .protocol import Ended, Entry, Exchange, Failed, Final, Incoming, OnList, Refused, Served, Source, Wire
-from .standstill import FADED, LATE, SETTLE, Standstill, news_first
+from .standstill import LATE, SETTLE, STALE_AFTER_MS, Standstill, move_to_front
 from .view import View
 
 log = logging.getLogger(__name__)
 
-EARLY = 15.0  # ms before the client's deadline at which the balancer takes it to pass
-UPLOAD_FOR = 600_000.0  # ms that a body may come in for: its front ends what is too slow long before
-GUARD = 8.0  # ms before the deadline at which a request is answered whatever happens
-NO_REPORT: Mapping[str, float] = MappingProxyType({})
+DEADLINE_MARGIN = 15.0  # ms before the client's deadline: the balancer works with this earlier deadline
+UPLOAD_TIMEOUT = 600_000.0  # ms allowed for uploading a request body; the front closes slow uploads much earlier
+GUARD_MARGIN = 8.0  # ms before the deadline at which an unanswered request gets its last-resort answer
+EMPTY_REPORT: Mapping[str, float] = MappingProxyType({})
 
 
 def make_clock(host: Host) -> Callable[[], float]:
-    """Unix time in ms, read once: from then on it moves as the monotonic clock does, never back."""
+    """Returns a clock that reads Unix time in ms and never goes back.
+
+    The system time is read once; afterwards the clock advances with the monotonic one.
+    """
     monotonic_ns = host.monotonic_ns
     anchor = (host.time_ns() - monotonic_ns()) / 1e6
     return lambda: monotonic_ns() / 1e6 + anchor
 
 
 class Attempt:
+    """One attempt of a request at one endpoint, from its send to its outcome."""
+
     __slots__ = ("endpoint", "exchange", "number", "outcome", "request", "sent_at", "timer")
 
     def __init__(self, request: Request, number: int, endpoint: str, sent_at: float) -> None:
@@ -46,27 +51,41 @@
 
 
 class Request:
-    """Kept until it is answered and each of its attempts has its outcome."""
-
-    __slots__ = ("answer", "attempts", "balancer", "deadline", "guard", "live", "reply", "told", "uploading")
+    """A client request, kept until it is answered and each of its attempts has an outcome."""
+
+    __slots__ = (
+        "answer",
+        "attempts",
+        "balancer",
+        "deadline",
+        "failure_reply",
+        "guard",
+        "incoming",
+        "open_attempts",
+        "uploading",
+    )
 
-    def __init__(self, told: Incoming, deadline: float, balancer: Balancer, answer: Callable[[Final], None]) -> None:
-        self.told, self.deadline, self.uploading = told, deadline, told.uploading
+    def __init__(
+        self, incoming: Incoming, deadline: float, balancer: Balancer, answer: Callable[[Final], None]
+    ) -> None:
+        self.incoming, self.deadline, self.uploading = incoming, deadline, incoming.uploading
         self.balancer = balancer
-        """That of its arrival: what its settings allowed then holds to its end."""
+        """The balancer in use when the request arrived; its settings apply until the request ends."""
         self.answer: Callable[[Final], None] | None = answer
         self.attempts: list[Attempt] = []
-        self.live = 0
-        self.reply: Any = None
-        """The latest failure that an endpoint worded."""
+        self.open_attempts = 0
+        """Attempts without an outcome."""
+        self.failure_reply: Any = None
+        """The latest failure reply that an endpoint sent."""
         self.guard: asyncio.TimerHandle | None = None
 
 
 class Ledger:
-    """The requests of one service: one balancer, and those before it as long as requests of theirs are open.
+    """Dispatches the requests of one service.
 
-    Owns every request until it is answered and each of its attempts has its outcome, and with it the
-    exchanges on the wire and the timers. Runs on one loop; nothing here waits.
+    It uses one balancer, and keeps replaced ones for as long as requests that they handle are open. It owns every
+    request until it is answered and each of its attempts has an outcome, together with the request's exchanges on the
+    wire and its timers. Runs on one event loop; no method blocks.
     """
 
     def __init__(
@@ -82,42 +101,43 @@
         self.requests: dict[str, Request] = {}
         self.counts = Counts()
         self.events: deque[tuple[Balancer, interface.Event]] = deque()
-        self.acting = balancer  # whose actions are carried out
-        self.settled: list[Request] = []  # looked at after each event: they may be through
-        self.busy = False
+        self.acting_balancer = balancer  # the balancer whose actions are being executed
+        self.cleanup_candidates: list[Request] = []  # checked after each event: they may be complete
+        self.processing = False
         self.standstill = Standstill(self.loop.time())
-        self.renewed_at = self.loop.time()  # when a balancer began after a long standstill
+        self.balancer_replaced_at = self.loop.time()  # when the balancer was last replaced after a long stall
         self.ready = False
         self.source = source(self.on_list)
-        self.perform: dict[type, Callable[[Any], None]] = {
+        self.action_handlers: dict[type, Callable[[Any], None]] = {
             interface.Send: self.send,
             interface.Cancel: self.cancel,
             interface.Refuse: self.refuse,
             interface.Fail: self.fail,
             interface.SetTimer: self.set_timer,
-            interface.WatchMembership: self.watch,
+            interface.WatchMembership: self.set_watch,
             interface.FetchMembership: lambda a: self.source.fetch(),
             interface.CloseIdle: lambda a: self.wire.close_idle(a.endpoint),
             interface.Note: lambda a: log.info("%s", a.text),
         }
 
     def configure_wire(self) -> None:
+        """Applies the limits of the settings in use to the wire."""
         limits = self.settings.limits
         self.wire.configure(limits.connect_timeout, limits.connection_idle, self.connections)
 
     def make_view(self) -> View | None:
-        """None where nothing is shared out: the whole list is used then, and nothing counts it."""
+        """Returns the view of the list; None without shared limits: the whole list is used then, without subsetting."""
         if self.settings.shares == interface.Shares():
             self.connections.configure(self.settings.shares, 1, 0, 0)
             return None
         return View(self.settings)
 
     def start(self) -> None:
-        """Begin with the list as it was last held."""
+        """Starts the source, which begins with the last known endpoint list."""
         self.source.start()
 
     def adopt(self, balancer: Balancer) -> None:
-        """Serve by other settings from now on; what has been taken is finished by those it came under."""
+        """Uses a new balancer and its settings; open requests finish under those they arrived with."""
         self.balancer, self.settings = balancer, balancer.settings
         self.configure_wire()
         self.view = self.make_view()
@@ -126,96 +146,115 @@
     # --- events ---
 
     def feed(self, event: interface.Event, balancer: Balancer | None = None) -> None:
-        """Let a balancer take in an event, after those whose actions are still being carried out."""
+        """Queues an event for a balancer and processes the queue, unless that is already under way or on hold.
+
+        Events that arrive while actions are being executed are processed afterwards, in order.
+        """
         self.events.append((balancer or self.balancer, event))
-        self.standstill.ran(self.loop.time())
-        if not self.busy and not self.standstill.held:
-            self.work()
+        self.standstill.record_activity(self.loop.time())
+        if not self.processing and not self.standstill.holding:
+            self.process_events()
 
-    def work(self) -> None:
-        """All events that have come, and those that they bring."""
-        self.busy = True
+    def process_events(self) -> None:
+        """Processes all queued events, including those that their actions add."""
+        self.processing = True
         try:
             while self.events:
-                self.step(*self.events.popleft())
-                while self.settled:
-                    self.forget(self.settled.pop())
+                self.process_event(*self.events.popleft())
+                while self.cleanup_candidates:
+                    self.remove_completed(self.cleanup_candidates.pop())
         finally:
-            self.busy = False
+            self.processing = False
 
     def waited(self, transport: asyncio.BaseTransport, first: bool) -> float:
-        """ms that what is read from a connection right now has waited for this process. The kernel is asked only where
-        nothing ran for a while, and for the first bytes of a connection: it may have stood in the listener's queue."""
-        self.standstill.ran(self.loop.time())
-        if not first and not self.standstill.may_have():
+        """Returns the ms for which the data now read from a connection has waited for this process.
+
+        The kernel is queried only after the process was idle for a while, and for the first bytes of a connection,
+        which may have waited in the listener's queue.
+        """
+        self.standstill.record_activity(self.loop.time())
+        if not first and not self.standstill.may_have_stalled():
             return 0.0
-        span = self.host.waited(transport.get_extra_info("socket"))
-        self.notice(span)
-        return span if span >= LATE else 0.0
-
-    def notice(self, late: float) -> None:
-        """Something comes so many ms late. Where the process stood still, all that the kernel holds is read before
-        anything goes out."""
-        self.standstill.ran(self.loop.time())
-        if self.standstill.has(late):
-            anew = late > FADED and self.loop.time() - self.renewed_at > FADED / 1000.0
-            if anew:
-                log.warning("stood still for %.0f ms or more", late)
-                self.renewed_at = self.loop.time()
-            self.loop.call_later(SETTLE, self.settle, anew)
-
-    def settle(self, anew: bool) -> None:
-        """All is read. ``anew``: it was long, what was learnt has faded, and what ends now would teach that the servers
-        are crowded. A new balancer begins; the one before finishes what it has."""
-        self.standstill.held = False
-        if anew:
+        delay = self.host.waited(transport.get_extra_info("socket"))
+        self.check_delay(delay)
+        return delay if delay >= LATE else 0.0
+
+    def check_delay(self, delay: float) -> None:
+        """Checks whether an event that is ``delay`` ms late shows a stall of this process.
+
+        After a stall, everything that the kernel has buffered is read before anything is sent.
+        """
+        self.standstill.record_activity(self.loop.time())
+        if self.standstill.detect(delay):
+            replace_balancer = (
+                delay > STALE_AFTER_MS and self.loop.time() - self.balancer_replaced_at > STALE_AFTER_MS / 1000.0
+            )
+            if replace_balancer:
+                log.warning("stood still for %.0f ms or more", delay)
+                self.balancer_replaced_at = self.loop.time()
+            self.loop.call_later(SETTLE, self.settle, replace_balancer)
+
+    def settle(self, replace_balancer: bool) -> None:
+        """Resumes after a stall, once the kernel's buffers have been read.
+
+        After a long stall (``replace_balancer``) what the balancer has learned is stale, and attempts that end now
+        would make it take the servers for overloaded. A new balancer takes over; the old one finishes its requests.
+        """
+        self.standstill.holding = False
+        if replace_balancer:
             self.adopt(Balancer(self.settings, self.host.random().getrandbits(64)))
-        self.events = news_first(self.events, interface.MembershipNews)
-        self.work()
+        self.events = move_to_front(self.events, interface.MembershipNews)
+        self.process_events()
 
-    def step(self, balancer: Balancer, event: interface.Event) -> None:
-        """One event and its actions."""
-        self.acting = balancer
+    def process_event(self, balancer: Balancer, event: interface.Event) -> None:
+        """Passes one event to its balancer and executes the resulting actions."""
+        self.acting_balancer = balancer
         try:
             actions = balancer.handle(self.clock(), event)
         except Exception:
-            self.failed(event)
+            self.on_error(event)
             return
         for action in actions:
             try:
-                self.perform[type(action)](action)
+                self.action_handlers[type(action)](action)
             except Exception:
-                self.failed(action)
+                self.on_error(action)
+
+    def on_error(self, failed: interface.Event | interface.Action) -> None:
+        """Logs an exception raised by the balancer or an action.
 
-    def failed(self, about: interface.Event | interface.Action) -> None:
-        """Code failed: say so. The request still gets its answer, by an attempt or from here."""
-        log.exception("%s", type(about).__name__)
-        request = self.requests.get(getattr(about, "request", ""))
-        if request is not None and not request.live:
+        The request is still answered: by an open attempt, else right here.
+        """
+        log.exception("%s", type(failed).__name__)
+        request = self.requests.get(getattr(failed, "request", ""))
+        if request is not None and not request.open_attempts:
             self.give_up(request)
 
     def on_list(self, kind: interface.ListKind, entries: Sequence[Entry]) -> None:
-        """News of the list, as far as this instance uses it."""
+        """Handles an update of the endpoint list, reduced to the part that this instance uses."""
         self.ready = self.ready or bool(entries)
         if self.view is None:
             self.tell(kind, entries)
         else:
-            self.tell(kind, self.view.news(self.clock(), kind, entries))
-            self.share_out(self.view)
+            self.tell(kind, self.view.update(self.clock(), kind, entries))
+            self.configure_connections(self.view)
 
-    def share_out(self, view: View) -> None:
-        """Take this instance's part of what all may use, by the list and the subset at hand."""
+    def configure_connections(self, view: View) -> None:
+        """Sets this instance's part of the shared connection limits, from the current list and subset."""
         settings = self.settings
         self.connections.configure(settings.shares, settings.group_size, len(view), len(view.subset.members))
 
-    def move(self, view: View) -> None:
-        """The subset is to change for other reasons than news of the list: the module must not take it for an answer
-        of discovery, or it would give up asking a discovery that is refusing."""
-        self.tell("remembered", view.moved(self.clock()))
-        self.share_out(view)
+    def update_subset(self, view: View) -> None:
+        """Publishes a subset that changed for another reason than an update of the list.
+
+        The kind "remembered" keeps the balancer from taking it for an answer of discovery: it would stop retrying a
+        discovery service that refuses calls.
+        """
+        self.tell("remembered", view.snapshot(self.clock()))
+        self.configure_connections(view)
 
     def tell(self, kind: interface.ListKind, entries: Sequence[Entry]) -> None:
-        """Addresses for the wire, the rest for the balancers."""
+        """Passes an update on: addresses to the wire, endpoints to all balancers in use."""
         for listed, address in entries:
             if listed.phase == "gone":
                 self.wire.forget(listed.endpoint)
@@ -226,109 +265,117 @@
             for endpoint in self.wire.listed():
                 if endpoint not in present:
                     self.wire.forget(endpoint)
-        of = len(self.view) if self.view is not None else 0
-        news = interface.MembershipNews(kind, [listed for listed, _ in entries], of)
+        total = len(self.view) if self.view is not None else 0
+        news = interface.MembershipNews(kind, [listed for listed, _ in entries], total)
         for balancer in dict.fromkeys(r.balancer for r in self.requests.values()):
             if balancer is not self.balancer:
                 self.feed(news, balancer)
         self.feed(news)
         for listed, _ in entries:
             if listed.phase == "draining":
-                # After the balancers have heard: what is turned back here is sent elsewhere.
+                # Only after the balancers know: what is dropped here is sent to another endpoint.
                 self.wire.drain(listed.endpoint)
 
-    def watch(self, action: interface.WatchMembership) -> None:
-        if self.acting is self.balancer:
+    def set_watch(self, action: interface.WatchMembership) -> None:
+        """Starts or stops watching the endpoint list; only the current balancer may."""
+        if self.acting_balancer is self.balancer:
             self.source.watch(action.on)
 
     # --- requests ---
 
-    def take(self, told: Incoming, answer: Callable[[Final], None]) -> None:
-        """A request of a client; ``answer`` is called once, unless the client leaves before."""
+    def take(self, incoming: Incoming, answer: Callable[[Final], None]) -> None:
+        """Accepts a client request. ``answer`` is called exactly once, unless the client disconnects first."""
         now = self.clock()
-        request = Request(told, now + (UPLOAD_FOR if told.uploading else told.wait), self.balancer, answer)
-        self.requests[told.id] = request
-        if not told.uploading:
-            self.count_taken(request, told.wait)
+        request = Request(
+            incoming, now + (UPLOAD_TIMEOUT if incoming.uploading else incoming.wait), self.balancer, answer
+        )
+        self.requests[incoming.id] = request
+        if not incoming.uploading:
+            self.start_waiting(request, incoming.wait)
         if self.view is not None and self.view.subset.load(now, len(self.requests)):
-            self.move(self.view)
+            self.update_subset(self.view)
         self.feed(
             interface.RequestArrived(
-                told.id,
-                told.klass,
-                request.deadline - EARLY,
-                told.tenant,
-                told.key,
-                told.work,
-                told.retry,
-                told.uploading,
+                incoming.id,
+                incoming.klass,
+                request.deadline - DEADLINE_MARGIN,
+                incoming.tenant,
+                incoming.key,
+                incoming.work,
+                incoming.retry,
+                incoming.uploading,
             )
         )
 
-    def count_taken(self, request: Request, wait: float) -> None:
-        """Its client waits from now on."""
+    def start_waiting(self, request: Request, wait: float) -> None:
+        """Counts a request as in progress and starts its guard timer: the client waits from now on."""
         self.counts.concurrent += 1
-        request.guard = self.loop.call_later(max(0.0, wait - GUARD) / 1000.0, self.give_up, request)
+        request.guard = self.loop.call_later(max(0.0, wait - GUARD_MARGIN) / 1000.0, self.give_up, request)
 
     def uploaded(self, request_id: str) -> None:
-        """The last byte of a request's body has come: its time begins, and that of the attempts that have had the
-        body as it came."""
+        """Handles the end of a request body that was uploaded while attempts received it.
+
+        The client's waiting time starts now, and so do the timeouts of these attempts.
+        """
         request = self.requests.get(request_id)
         if request is None or request.answer is None or not request.uploading:
             return
-        now, wait = self.clock(), request.told.wait
+        now, wait = self.clock(), request.incoming.wait
         request.uploading, request.deadline = False, now + wait
-        self.count_taken(request, wait)
+        self.start_waiting(request, wait)
         for attempt in request.attempts:
             if attempt.outcome is None:
                 attempt.sent_at = now
-                attempt.timer = self.loop.call_later(max(0.0, wait - EARLY) / 1000.0, self.expire, attempt)
-        self.feed(interface.UploadEnded(request_id, request.deadline - EARLY), request.balancer)
+                attempt.timer = self.loop.call_later(max(0.0, wait - DEADLINE_MARGIN) / 1000.0, self.expire, attempt)
+        self.feed(interface.UploadEnded(request_id, request.deadline - DEADLINE_MARGIN), request.balancer)
 
     def leave(self, request_id: str) -> None:
-        """The client has gone away."""
+        """Handles a client that disconnected before its answer."""
         request = self.requests.get(request_id)
         if request is not None and request.answer is not None:
-            self.close(request)
+            self.close_request(request)
             self.feed(interface.RequestClosed(request_id), request.balancer)
 
     def give_up(self, request: Request) -> None:
-        """The last resort: an answer of the sidecar's own, refused only if a repeat is harmless."""
+        """Answers a request as a last resort: refused only where a repeat is harmless, otherwise failed."""
         if request.answer is None:
             return
-        log.warning("a request was answered by the guard")
-        proved = all(a.outcome in interface.NEVER_RAN for a in request.attempts)
-        repeat = request.balancer.settings.classes[request.told.klass].repeat
-        harmless = proved or repeat == "idempotent"
-        final = Refused(0.0, request.reply) if harmless else Failed(request.reply)
-        self.finish(request.told.id, final)
-        self.feed(interface.RequestClosed(request.told.id), request.balancer)
+        log.warning("guard timer answered a request that had no final answer")
+        never_ran = all(a.outcome in interface.NEVER_RAN for a in request.attempts)
+        repeat = request.balancer.settings.classes[request.incoming.klass].repeat
+        harmless = never_ran or repeat == "idempotent"
+        final = Refused(0.0, request.failure_reply) if harmless else Failed(request.failure_reply)
+        self.finish(request.incoming.id, final)
+        self.feed(interface.RequestClosed(request.incoming.id), request.balancer)
 
     def refuse(self, action: interface.Refuse) -> None:
+        """Executes the balancer's decision to refuse a request."""
         request = self.requests.get(action.request)
         if request is not None:
-            self.finish(action.request, Refused(action.retry_after, request.reply))
+            self.finish(action.request, Refused(action.retry_after, request.failure_reply))
 
     def fail(self, action: interface.Fail) -> None:
+        """Executes the balancer's decision to fail a request."""
         request = self.requests.get(action.request)
         if request is not None:
-            self.finish(action.request, Failed(request.reply))
+            self.finish(action.request, Failed(request.failure_reply))
 
     def finish(self, request_id: str, final: Final) -> None:
-        """The final answer, where none has been given."""
+        """Gives the final answer, unless the request has one."""
         request = self.requests.get(request_id)
         if request is not None and request.answer is not None:
             answer = request.answer
-            self.close(request)
-            self.count(request, final)
+            self.close_request(request)
+            self.count_reply(request, final)
             try:
                 answer(final)
             except Exception:
-                # Guards the events that follow: an attempt whose end is not told counts in flight for ever.
-                log.exception("answer not written")
+                # Must not prevent the event that follows: an attempt whose end is not reported stays in flight forever.
+                log.exception("answer could not be written to the client")
 
-    def count(self, request: Request, final: Final) -> None:
-        replies = self.counts.of(request.balancer.settings.classes[request.told.klass].name)
+    def count_reply(self, request: Request, final: Final) -> None:
+        """Counts a final answer under the request's class."""
+        replies = self.counts.of(request.balancer.settings.classes[request.incoming.klass].name)
         if isinstance(final, Served):
             replies.served += 1
         elif isinstance(final, Refused):
@@ -336,7 +383,8 @@
         else:
             replies.failed += 1
 
-    def close(self, request: Request) -> None:
+    def close_request(self, request: Request) -> None:
+        """Ends the client's part of a request; attempts that have been sent run on."""
         request.answer = None
         if not request.uploading:
             self.counts.concurrent -= 1
@@ -344,109 +392,123 @@
             request.guard.cancel()
         for attempt in request.attempts:
             if attempt.exchange is not None and not attempt.exchange.begun():
-                # Still dialling or held back: guards against a request that goes out after its final answer.
+                # Still dialling or queued: must not go out after the final answer.
                 self.withdraw(attempt, "not_sent")
-        self.settled.append(request)
+        self.cleanup_candidates.append(request)
+
+    def remove_completed(self, request: Request) -> None:
+        """Removes a request that is answered and has no open attempts.
 
-    def forget(self, request: Request) -> None:
-        """Drop a request that is through, once the actions at hand are carried out: a send among them that
-        comes too late still gets its outcome."""
-        if request.answer is None and not request.live:
-            self.requests.pop(request.told.id, None)
-            request.attempts.clear()  # they refer back: a body of megabytes would wait for the collector
+        Called only after the pending actions are executed: a send among them that comes too late still gets its
+        outcome.
+        """
+        if request.answer is None and not request.open_attempts:
+            self.requests.pop(request.incoming.id, None)
+            request.attempts.clear()  # breaks the reference cycle: a large body must not wait for the garbage collector
 
     # --- attempts ---
 
     def send(self, action: interface.Send) -> None:
+        """Starts an attempt; one that is too late or beyond the limit ends at once as not sent."""
         request = self.requests.get(action.request)
         if request is None:
             return
         now = self.clock()
         attempt = Attempt(request, len(request.attempts), action.endpoint, now)
         request.attempts.append(attempt)
-        request.live += 1
-        last = request.deadline - EARLY
-        expires = min(action.expires_at or last, last)
+        request.open_attempts += 1
+        latest = request.deadline - DEADLINE_MARGIN
+        expires = min(action.expires_at or latest, latest)
         settings = request.balancer.settings
-        repeat = settings.classes[request.told.klass].repeat
+        repeat = settings.classes[request.incoming.klass].repeat
         if request.answer is None or expires <= now or attempt.number >= settings.limits.max_attempts:
-            self.ended(attempt, "not_sent")
+            self.on_attempt_ended(attempt, "not_sent")
             return
-        left = (expires - now) / 1000.0
+        time_left = (expires - now) / 1000.0
         if request.uploading:
-            left = request.told.wait / 1000.0  # from the body's end on: then it has its timer
+            time_left = request.incoming.wait / 1000.0  # counted from the end of the body, when its timer is set
         else:
-            attempt.timer = self.loop.call_later(left, self.expire, attempt)
-        ended: Ended = partial(self.ended, attempt)
-        attempt.exchange = self.wire.start(action.endpoint, request.told.payload, left, ended, repeat == "at_most_once")
+            attempt.timer = self.loop.call_later(time_left, self.expire, attempt)
+        on_ended: Ended = partial(self.on_attempt_ended, attempt)
+        attempt.exchange = self.wire.start(
+            action.endpoint, request.incoming.payload, time_left, on_ended, repeat == "at_most_once"
+        )
 
     def expire(self, attempt: Attempt) -> None:
+        """Ends an attempt whose time is up."""
         if attempt.timer is not None:
-            self.notice(1000.0 * (self.loop.time() - attempt.timer.when()))
+            self.check_delay(1000.0 * (self.loop.time() - attempt.timer.when()))
         self.withdraw(attempt, "timeout")
 
     def cancel(self, action: interface.Cancel) -> None:
+        """Executes the balancer's decision to cancel an attempt."""
         request = self.requests.get(action.request)
         if request is not None and action.attempt < len(request.attempts):
             self.withdraw(request.attempts[action.attempt], "cancelled")
 
     def withdraw(self, attempt: Attempt, outcome: interface.Outcome) -> None:
-        """Stop waiting for an attempt."""
+        """Stops waiting for an attempt and gives it this outcome, unless it has one."""
         if attempt.outcome is None:
             if attempt.exchange is not None:
                 attempt.exchange.cancel(outcome == "timeout")
-            self.ended(attempt, outcome)
-
-    def ended(
-        self, attempt: Attempt, outcome: interface.Outcome, reply: Any = None, report: Mapping[str, float] = NO_REPORT
+            self.on_attempt_ended(attempt, outcome)
+
+    def on_attempt_ended(
+        self,
+        attempt: Attempt,
+        outcome: interface.Outcome,
+        reply: Any = None,
+        report: Mapping[str, float] = EMPTY_REPORT,
     ) -> None:
-        """An attempt has its outcome; the first answer served goes to the client."""
+        """Records the outcome of an attempt; the first served reply goes to the client."""
         request = attempt.request
         elapsed = self.clock() - attempt.sent_at
         attempt.outcome = outcome
         attempt.exchange = None
         if attempt.timer is not None:
             attempt.timer.cancel()
-        request.live -= 1
+        request.open_attempts -= 1
         if self.view is not None:
-            self.judge(self.view, attempt.endpoint, outcome)
+            self.record_outcome(self.view, attempt.endpoint, outcome)
         if reply is not None and request.answer is not None:
             if outcome == "served":
-                self.finish(request.told.id, Served(reply))
+                self.finish(request.incoming.id, Served(reply))
             else:
-                request.reply = reply
+                request.failure_reply = reply
         complete = request.answer is None
-        self.settled.append(request)
+        self.cleanup_candidates.append(request)
         self.feed(
             interface.AttemptEnded(
-                request.told.id, attempt.number, attempt.endpoint, outcome, elapsed, complete, report
+                request.incoming.id, attempt.number, attempt.endpoint, outcome, elapsed, complete, report
             ),
             request.balancer,
         )
 
-    def judge(self, view: View, endpoint: str, outcome: interface.Outcome) -> None:
-        """What an outcome tells of whom to know, and of how much all instances use."""
+    def record_outcome(self, view: View, endpoint: str, outcome: interface.Outcome) -> None:
+        """Updates the subset and the shared connection limits from the outcome of an attempt."""
         if outcome == "served":
             view.subset.served(endpoint)
         elif outcome == "full":
             self.connections.refused(1000.0 * self.loop.time())
         elif outcome == "connect_failed" and view.subset.failed(self.clock(), endpoint):
-            self.move(view)
+            self.update_subset(view)
 
     # --- time ---
 
     def set_timer(self, action: interface.SetTimer) -> None:
-        self.loop.call_later(max(0.0, action.at - self.clock()) / 1000.0, self.fire, action, self.acting)
-
-    def fire(self, action: interface.SetTimer, balancer: Balancer) -> None:
-        """A timer is due; the loop counts whole milliseconds and may call a little early."""
-        left = action.at - self.clock()
-        self.notice(-left)
-        if left > 0.0:
-            self.loop.call_later(max(left, 1.0) / 1000.0, self.fire, action, balancer)
+        """Executes the balancer's request for a timer."""
+        self.loop.call_later(max(0.0, action.at - self.clock()) / 1000.0, self.on_timer, action, self.acting_balancer)
+
+    def on_timer(self, action: interface.SetTimer, balancer: Balancer) -> None:
+        """Passes a due timer to its balancer. The loop counts whole milliseconds and may call slightly early."""
+        remaining = action.at - self.clock()
+        self.check_delay(-remaining)
+        if remaining > 0.0:
+            self.loop.call_later(max(remaining, 1.0) / 1000.0, self.on_timer, action, balancer)
         elif balancer is self.balancer or any(r.balancer is balancer for r in self.requests.values()):
             self.feed(interface.TimerFired(action.token), balancer)
 
     def stop(self) -> None:
+        """Stops the source and closes idle connections."""
         self.source.stop()
         self.wire.close()
--- a/zinclever/core/pools.py
+++ b/zinclever/core/pools.py
@@ -12,55 +12,63 @@
 from .descriptors import Descriptors
 from .protocol import Address
 
-IDLE_SHARE = 0.9  # of the time after which an endpoint closes an idle connection: ours has to go before
+IDLE_SHARE = (
+    0.9  # part of the endpoint's idle timeout after which connections are closed here, before the endpoint does
+)
 
 
-class Exclusive(Protocol):
+class ExclusiveConnection(Protocol):
     """A connection that carries one request at a time."""
 
     def reusable(self) -> bool:
-        """Whether it is sound and nothing has come since the last answer."""
+        """Returns whether it is open and nothing was received since the last answer."""
 
-    def abort(self) -> None: ...
+    def abort(self) -> None:
+        """Closes the connection at once."""
 
 
-C = TypeVar("C", bound=Exclusive)
+C = TypeVar("C", bound=ExclusiveConnection)
 C_contra = TypeVar("C_contra", contravariant=True)
 
 
-class Carried(Protocol[C_contra]):
-    """An attempt that waits for its connection."""
+class PendingAttempt(Protocol[C_contra]):
+    """An attempt that waits for a connection."""
 
     def waiting(self) -> bool:
-        """False once it has been cancelled."""
+        """Returns whether it still needs a connection; False once it is cancelled."""
 
-    def run(self, connection: C_contra) -> None: ...
+    def run(self, connection: C_contra) -> None:
+        """Sends the request on a connection."""
 
-    def end(self, outcome: interface.Outcome) -> None: ...
+    def end(self, outcome: interface.Outcome) -> None:
+        """Ends the attempt without a connection."""
 
 
-#: Dials an address within so many seconds; told of the connection's being free, and of its end.
+#: Dials an address with a timeout in seconds; the callbacks report that the connection is free, or has ended.
 Dial = Callable[[Address, float, Callable[[C], None], Callable[[C], None]], Awaitable[C]]
 
 
 class Pool(Generic[C]):
-    """The connections to one endpoint that are free, oldest first."""
+    """The idle connections to one endpoint, oldest first."""
 
-    __slots__ = ("address", "answered_at", "idle", "left", "open")
+    __slots__ = ("address", "answered_at", "idle", "open", "removed")
 
     def __init__(self, address: Address) -> None:
         self.address = address
         self.open = 0
-        """Connections to it, those in use and those being dialled among them."""
-        self.left = False
-        """The endpoint is gone from there: connections are not kept."""
+        """Connections to the endpoint, including those in use and those being dialled."""
+        self.removed = False
+        """The endpoint has been removed or has moved: connections are no longer kept."""
         self.idle: list[C] = []
         self.answered_at = -math.inf
-        """ms on the loop's clock: when a connection to it last became free by an answer."""
+        """When a connection last became free after an answer, in ms on the loop's clock."""
 
 
 class ExclusivePools(Generic[C]):
-    """All connections of one wire, within the bound on descriptors. Owns them while they are idle."""
+    """All connections of one wire that carry one request at a time, within the limit on descriptors.
+
+    Owns connections while they are idle.
+    """
 
     def __init__(self, dial: Dial[C], descriptors: Descriptors) -> None:
         self.dial, self.descriptors = dial, descriptors
@@ -68,21 +76,22 @@
         self.loop = asyncio.get_running_loop()
         self.pools: dict[str, Pool[C]] = {}
         self.idle: dict[C, tuple[float, Pool[C]]] = {}
-        """Those free, longest idle first: when each is to be closed, and its pool."""
+        """Idle connections, longest idle first, each with the time at which to close it and its pool."""
         self.dials: set[asyncio.Task[None]] = set()
         self.open = 0
-        """Of this wire's, as a pool counts its own."""
+        """Connections of this wire, including those in use and those being dialled."""
         self.reaper: asyncio.TimerHandle | None = None
 
     def configure(self, connect_timeout: float, idle_limit: float, connections: Connections) -> None:
+        """Sets the timeouts, in ms, and the limits on opening connections."""
         self.connections = connections
         self.connect_timeout = connect_timeout / 1000.0
-        self.idle_for = IDLE_SHARE * idle_limit / 1000.0
+        self.idle_timeout = IDLE_SHARE * idle_limit / 1000.0
 
-    # --- where endpoints are ---
+    # --- endpoints ---
 
     def place(self, endpoint: str, address: Address) -> None:
-        """An endpoint is found at this address from now on."""
+        """Adds an endpoint, or changes its address."""
         pool = self.pools.get(endpoint)
         if pool is None:
             self.pools[endpoint] = Pool(address)
@@ -91,21 +100,22 @@
             self.pools[endpoint] = Pool(address)
 
     def forget(self, endpoint: str) -> None:
-        """An endpoint is gone; what is out on it ends by itself."""
+        """Removes an endpoint; attempts that have been sent to it run on."""
         self.close_idle(endpoint)
         if pool := self.pools.pop(endpoint, None):
-            pool.left = True
+            pool.removed = True
 
     def drain(self, endpoint: str) -> None:
-        """Nothing waits here but for a dial, whose time is bounded."""
+        """Does nothing: attempts wait only for a dial, which has a timeout."""
 
     def listed(self) -> Sequence[str]:
+        """Returns the endpoints that have an address."""
         return list(self.pools)
 
     # --- attempts ---
 
-    def carry(self, endpoint: str, attempt: Carried[C]) -> None:
-        """Find a connection for an attempt: one that is idle, or a new one."""
+    def carry(self, endpoint: str, attempt: PendingAttempt[C]) -> None:
+        """Runs an attempt on an idle connection, or dials a new one for it."""
         pool = self.pools.get(endpoint)
         if pool is None:
             self.loop.call_soon(attempt.end, "connect_failed")
@@ -118,7 +128,7 @@
                 return
             connection.abort()
         now = 1000.0 * self.loop.time()
-        spare = 1 if self.connections.lacks(now, self.open) and self.evict() else 0  # it is closing
+        spare = 1 if self.connections.lacks(now, self.open) and self.evict() else 0  # its eviction is under way
         if not self.connections.may_open(now, pool.open, self.open - spare):
             self.loop.call_soon(attempt.end, "barred")
             return
@@ -130,8 +140,8 @@
         self.dials.add(task)
         task.add_done_callback(self.dials.discard)
 
-    async def connect(self, pool: Pool[C], attempt: Carried[C]) -> None:
-        """Dial for one attempt; if that is cancelled meanwhile, the connection is kept for the next."""
+    async def connect(self, pool: Pool[C], attempt: PendingAttempt[C]) -> None:
+        """Dials for one attempt; if it is cancelled meanwhile, the connection is kept for the next one."""
         try:
             connection = await self.dial(
                 pool.address, self.connect_timeout, lambda c: self.free(pool, c), lambda c: self.lost(pool, c)
@@ -144,10 +154,10 @@
         if attempt.waiting():
             attempt.run(connection)
         else:
-            self.free(pool, connection)  # it has come up, which tells as much as an answer
+            self.free(pool, connection)  # a successful dial counts as a sign of life, as an answer does
 
     def count(self, pool: Pool[C], by: int) -> None:
-        """One connection more, or less."""
+        """Adds ``by`` to the counts of open connections."""
         pool.open += by
         self.open += by
         self.descriptors.open += by
@@ -155,30 +165,32 @@
     # --- idle connections ---
 
     def evict(self) -> bool:
-        """Close the connection that has been idle for longest; False if there is none."""
+        """Closes the connection that has been idle longest; returns False if there is none."""
         for connection in self.idle:
             self.drop(connection)
             return True
         return False
 
     def drop(self, connection: C) -> None:
+        """Closes an idle connection."""
         _, pool = self.idle.pop(connection)
         pool.idle.remove(connection)
         connection.abort()
 
     def free(self, pool: Pool[C], connection: C) -> None:
-        if pool.left:
+        """Takes back a connection that can carry another request."""
+        if pool.removed:
             connection.abort()
             return
         now = self.loop.time()
         pool.answered_at = 1000.0 * now
         pool.idle.append(connection)
-        self.idle[connection] = (now + self.idle_for, pool)
+        self.idle[connection] = (now + self.idle_timeout, pool)
         if self.reaper is None:
-            self.reaper = self.loop.call_later(self.idle_for, self.reap)
+            self.reaper = self.loop.call_later(self.idle_timeout, self.reap)
 
     def reap(self) -> None:
-        """Close what has been idle long enough, before its endpoint does."""
+        """Closes connections whose idle timeout has passed, before the endpoint does."""
         self.reaper = None
         now = self.loop.time()
         while self.idle:
@@ -189,17 +201,19 @@
             self.drop(connection)
 
     def close_idle(self, endpoint: str) -> None:
+        """Closes the idle connections to an endpoint."""
         pool = self.pools.get(endpoint)
         for connection in list(pool.idle) if pool else ():
             self.drop(connection)
 
     def lost(self, pool: Pool[C], connection: C) -> None:
+        """Handles the end of a connection."""
         self.count(pool, -1)
         if self.idle.pop(connection, None) is not None:
             pool.idle.remove(connection)
 
     def close(self) -> None:
-        """Close all that is idle, at the end."""
+        """Closes idle connections at shutdown."""
         if self.reaper is not None:
             self.reaper.cancel()
         while self.evict():
--- a/zinclever/core/protocol.py
+++ b/zinclever/core/protocol.py
@@ -1,4 +1,4 @@
-"""What a protocol brings to the core, and what it gets from there: fronts, wires, sources of endpoints."""
+"""Interfaces between the core and the protocols: requests, answers, attempts, wires and sources of endpoints."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from ..fleet.limits import Connections
 
 Address = tuple[str, int]
-#: An endpoint as its source lists it, and where it is found.
+#: An endpoint as its source lists it, and its address.
 Entry = tuple[interface.Listed, Address]
-#: Takes news of the list of endpoints: a whole one, changes, or (``refused``) that there is none.
+#: Receives an update of the endpoint list: a whole list, changes, or (``refused``) a failed call.
 OnList = Callable[[interface.ListKind, Sequence[Entry]], None]
 
 
 def read_address(text: str) -> Address:
-    """``host:port`` in two parts. ValueError where it is neither."""
+    """Splits ``host:port``. Raises ValueError for any other text."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal():
         raise ValueError(f"not host:port: {text!r}")
@@ -24,38 +24,41 @@
 
 
 class Incoming(NamedTuple):
-    """A request as a front read it."""
+    """A client request as parsed by a front."""
 
     id: str
-    """Unlike that of any other open request of the service."""
+    """Unique among the open requests of the service."""
     klass: int
     tenant: int
     key: str
     wait: float
-    """How long the client waits, in ms."""
+    """ms that the client waits for the answer."""
     work: float
     retry: bool
     payload: Any
-    """What the wire of the same protocol sends; the core doesn't look into it."""
+    """What the wire of the same protocol sends; opaque to the core."""
     uploading: bool = False
-    """The payload is still coming in: :meth:`~zinclever.core.ledger.Ledger.uploaded` tells of its end."""
+    """The payload is still being received; :meth:`~zinclever.core.ledger.Ledger.uploaded` is called at its end."""
 
 
 class Served(NamedTuple):
-    """Final answer: what an endpoint made for this request, as its wire read it."""
+    """Final answer: the reply of an endpoint, as parsed by its wire."""
 
     reply: Any
 
 
 class Refused(NamedTuple):
-    """Final answer: a repeat is harmless, after so many ms (0: no advice). ``reply``: as for ``Failed``."""
+    """Final answer: nothing ran and a repeat is harmless.
+
+    ``retry_after`` is the advised delay in ms, 0 for none. ``reply`` is as in :class:`Failed`.
+    """
 
     retry_after: float = 0.0
     reply: Any = None
 
 
 class Failed(NamedTuple):
-    """Final answer: it may have run. ``reply``: the last failure that an endpoint worded, if any."""
+    """Final answer: the request may have run. ``reply`` is the last failure reply of an endpoint, if any."""
 
     reply: Any = None
 
@@ -64,63 +67,70 @@
 
 
 class Ended(Protocol):
-    """Told once how an attempt ended, unless it is cancelled before."""
+    """Callback for the end of an attempt: called exactly once, unless the attempt is cancelled first."""
 
-    def __call__(self, outcome: interface.Outcome, reply: Any = None, report: Mapping[str, float] = {}) -> None: ...
+    def __call__(self, outcome: interface.Outcome, reply: Any = None, report: Mapping[str, float] = {}) -> None:
+        """Reports the outcome, the endpoint's reply and its load report, where there is one."""
 
 
 class Exchange(Protocol):
-    """One attempt on a wire. Whoever started it owns it until it has ended or been cancelled."""
+    """One attempt on a wire, owned by its caller until it has ended or been cancelled."""
 
     def begun(self) -> bool:
-        """Whether the endpoint may have, or may yet get, the whole request."""
+        """Returns whether the endpoint may have received the whole request, or may still receive it."""
 
     def cancel(self, silent: bool) -> None:
-        """Stop waiting: what has not gone out yet never does. Nothing is reported.
+        """Stops waiting for the reply; what has not been sent yet never is. No outcome is reported.
 
-        ``silent``: its time is up without a word from the endpoint.
+        ``silent``: the attempt timed out without any reply from the endpoint.
         """
 
 
 class Wire(Protocol):
-    """Attempts on endpoints, and the connections that carry them."""
+    """Sends attempts to endpoints and manages the connections for them."""
 
     def configure(self, connect_timeout: float, idle_limit: float, connections: Connections) -> None:
-        """Take new limits, in ms, and who says whether one more connection may be opened."""
+        """Sets the timeouts, in ms, and the limits on opening connections."""
 
     def place(self, endpoint: str, address: Address) -> None:
-        """An endpoint is found at this address from now on."""
+        """Adds an endpoint, or changes its address."""
 
     def drain(self, endpoint: str) -> None:
-        """An endpoint wants nothing new: what has not begun to go out to it ends as never run."""
+        """Stops sending to a draining endpoint: attempts that have not started to be sent end as never run."""
 
     def forget(self, endpoint: str) -> None:
-        """An endpoint is gone; what is out on it ends by itself."""
+        """Removes an endpoint; attempts that have been sent to it run on."""
 
     def listed(self) -> Sequence[str]:
-        """The endpoints that have a place."""
+        """Returns the endpoints that have an address."""
+
+    def start(self, endpoint: str, payload: Any, time_left: float, on_ended: Ended, unsafe: bool) -> Exchange:
+        """Starts an attempt that times out after ``time_left`` seconds.
 
-    def start(self, endpoint: str, payload: Any, left: float, ended: Ended, unsafe: bool) -> Exchange:
-        """Begin an attempt that is waited for ``left`` seconds; ``ended`` is never called from within."""
+        ``on_ended`` is never called before this returns. ``unsafe``: the request must not be repeated.
+        """
 
-    def close_idle(self, endpoint: str) -> None: ...
+    def close_idle(self, endpoint: str) -> None:
+        """Closes the idle connections to an endpoint."""
 
     def close(self) -> None:
-        """Close all that is idle, at the end."""
+        """Closes idle connections at shutdown."""
 
 
 class Source(Protocol):
-    """Where the list of endpoints comes from."""
+    """A source of endpoint lists, such as discovery or a fixed list."""
 
     def start(self) -> None:
-        """Tell the list as it was last held, and begin to keep up with it."""
+        """Reports the last known list and starts to keep it up to date."""
 
     def remembered(self) -> Sequence[Entry]:
-        """The list as it is held now."""
+        """Returns the last known list."""
 
-    def watch(self, on: bool) -> None: ...
+    def watch(self, on: bool) -> None:
+        """Starts or stops watching for changes."""
 
     def fetch(self) -> None:
-        """Ask for the whole list, once."""
+        """Requests the whole list once."""
 
-    def stop(self) -> None: ...
+    def stop(self) -> None:
+        """Stops all calls."""
--- a/zinclever/core/service.py
+++ b/zinclever/core/service.py
@@ -1,4 +1,4 @@
-"""A service: a front, a ledger with a balancer of its own, and the address that its clients connect to."""
+"""A service: a front, a dispatcher with its own balancer, and the address that clients connect to."""
 
 from __future__ import annotations
 
@@ -11,95 +11,100 @@
 from .ledger import Ledger
 from .protocol import Address
 
-KEEP_FOR = 0.45  # s after SIGTERM for which idle connections stay open; clients hear of it within 0.4 s
-RESEND_FOR = 0.2  # s more in which a request that crossed the end of its connection may come on a new one
-HELD_FOR = 3.0  # s more for what is held; no client of the platform waits longer
+IDLE_GRACE = 0.45  # s after SIGTERM for which idle connections stay open; clients learn of it within 0.4 s
+RECONNECT_GRACE = 0.2  # s more to accept requests that were sent on a connection as it was closed
+DRAIN_TIMEOUT = 3.0  # s more for open requests; no client of the platform waits longer
 BACKLOG = 1024
 
 
 class Front(Protocol):
-    """A protocol's side towards the clients."""
+    """The client side of a protocol."""
 
     def configure(self) -> None:
-        """Take names and limits from the ledger's settings."""
+        """Applies names and limits from the dispatcher's settings."""
 
     def connection(self) -> asyncio.BaseProtocol:
-        """For a client that connects."""
+        """Returns the protocol instance for a new client connection."""
 
     def begin_drain(self) -> None:
-        """The end is near: connections end with their next answer."""
+        """Starts draining: connections close after their next answer."""
 
     def close_idle(self) -> None:
-        """Close all connections between requests, at the end."""
+        """Closes all connections without an open request."""
 
     async def all_left(self) -> None:
-        """Wait until no client is connected."""
+        """Waits until no client is connected."""
 
-    def stop(self) -> None: ...
+    def stop(self) -> None:
+        """Closes all remaining connections."""
 
 
 @dataclass(slots=True)
 class Service:
-    """Owns its listener from :meth:`listen` to the end of :func:`drain`."""
+    """One service of the process. Owns its listener from :meth:`listen` to the end of :func:`drain`."""
 
     name: str
     address: Address
     ledger: Ledger
     front: Front
-    held_for: float = HELD_FOR
-    """s for which what is held may go on at the end."""
+    drain_timeout: float = DRAIN_TIMEOUT
+    """s that open requests may take to finish at shutdown."""
     server: asyncio.Server | None = field(default=None, init=False)
 
     def start(self) -> None:
-        """Learn of the endpoints; requests come once it listens."""
+        """Starts to track endpoints; requests are accepted after :meth:`listen`."""
         self.ledger.start()
 
     async def listen(self, inherited: Any = None) -> None:
-        """Begin to take requests, from a socket that listens already where one is given. OSError where the address
-        can't be had."""
+        """Starts to accept requests, on the ``inherited`` listening socket if there is one.
+
+        Raises OSError if the address can't be bound.
+        """
         loop = asyncio.get_running_loop()
         if inherited is not None:
             self.server = await loop.create_server(self.front.connection, sock=inherited, backlog=BACKLOG)
         else:
             self.server = await loop.create_server(self.front.connection, *self.address, backlog=BACKLOG)
 
-    def takes(self) -> bool:
-        """Whether a request that comes now is served, as far as is known."""
+    def is_ready(self) -> bool:
+        """Returns whether the service listens and has received a non-empty endpoint list."""
         return self.server is not None and self.ledger.ready
 
     def close(self) -> None:
+        """Closes the listener."""
         if self.server is not None:
             self.server.close()
             self.server = None
 
 
-def each(services: Sequence[Service], act: Callable[[Service], None]) -> None:
+def for_each(services: Sequence[Service], action: Callable[[Service], None]) -> None:
+    """Calls ``action`` with each service."""
     for service in services:
-        act(service)
+        action(service)
 
 
 async def drain(services: Sequence[Service], succeeded: bool = False) -> None:
-    """Go on answering while clients still come, then end with the last answer.
+    """Drains all services: serves clients for a grace period, then waits for open requests to finish.
 
-    Clients learn late of a planned restart: whoever connects in the meantime has to be served, and kept
-    connections end with their next answer. With ``succeeded`` another process accepts from the same sockets
-    already: all that is new is left to it from now on.
+    Clients learn late of a planned restart, so new connections are still served for a while, and open ones close after
+    their next answer. With ``succeeded`` another process already accepts on the same sockets: new connections are left
+    to it at once.
     """
-    each(services, lambda s: s.front.begin_drain())
+    for_each(services, lambda s: s.front.begin_drain())
     if succeeded:
-        each(services, Service.close)
-    await asyncio.sleep(KEEP_FOR)
-    each(services, lambda s: s.front.close_idle())
-    await asyncio.sleep(RESEND_FOR)
-    each(services, Service.close)
-    each(services, lambda s: s.front.close_idle())
+        for_each(services, Service.close)
+    await asyncio.sleep(IDLE_GRACE)
+    for_each(services, lambda s: s.front.close_idle())
+    await asyncio.sleep(RECONNECT_GRACE)
+    for_each(services, Service.close)
+    for_each(services, lambda s: s.front.close_idle())
     await asyncio.gather(*(finish(s) for s in services))
 
 
 async def finish(service: Service) -> None:
-    """Wait for what a service holds, within its bound."""
+    """Waits for the open requests of a service, up to its drain timeout, then stops it."""
     with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(service.held_for):
+        async with asyncio.timeout(service.drain_timeout):
             await service.front.all_left()
     service.front.stop()
     service.ledger.stop()
--- a/zinclever/core/shared.py
+++ b/zinclever/core/shared.py
@@ -1,4 +1,4 @@
-"""Pools of connections that carry many requests at once."""
+"""Pools of connections that carry many requests at once (multiplexing)."""
 
 from __future__ import annotations
 
@@ -11,72 +11,78 @@
 from .. import interface
 from ..fleet.limits import Connections
 from .descriptors import Descriptors
-from .pools import IDLE_SHARE, Carried
+from .pools import IDLE_SHARE, PendingAttempt
 from .protocol import Address
 
-EASY = 64  # requests pending on each connection from which on another one is opened
-MOST_CONNECTIONS = 4  # to an endpoint: beyond that they share, so that a slow one isn't buried in sockets
-MOST_PENDING = 8192  # on a connection, and waiting for one: what is beyond never goes out
+EASY = 64  # pending requests on every connection from which on another one is opened
+MOST_CONNECTIONS = (
+    4  # to one endpoint; beyond that requests share them, so that a slow endpoint is not flooded with sockets
+)
+MOST_PENDING = 8192  # requests on one connection, and waiting for one; further attempts fail at once
 
 
-class Shared(Protocol):
+class SharedConnection(Protocol):
     """A connection that carries many requests at once."""
 
     def pending(self) -> int:
-        """Requests that are out on it or wait to go out."""
+        """Returns the number of requests that are sent or queued on it."""
 
     def sound(self) -> bool:
-        """Whether more may be put on it: asked of the kernel where nothing is pending."""
+        """Returns whether it can take more requests; checks the socket if nothing is pending."""
 
     def turn_back(self) -> None:
-        """End what has not begun to go out, as never run."""
+        """Ends the requests that have not started to be sent, as never run."""
 
     def finish(self) -> None:
-        """Take nothing new, and end with the last that is pending."""
+        """Accepts no new requests and closes after the last pending one."""
 
     def abort(self) -> None:
-        """End at once; what is pending ends with it."""
+        """Closes at once; pending requests end with it."""
 
 
-C = TypeVar("C", bound=Shared)
+C = TypeVar("C", bound=SharedConnection)
 C_contra = TypeVar("C_contra", contravariant=True)
 
 
 class Watcher(Protocol[C_contra]):
-    """What a connection tells its owner."""
+    """Receives the events of a connection."""
 
     def idle(self, connection: C_contra) -> None:
-        """Nothing is pending any more."""
+        """Called when no request is pending any more."""
 
     def retired(self, connection: C_contra) -> None:
-        """It takes nothing new from now on."""
+        """Called when the connection accepts no new requests."""
 
     def lost(self, connection: C_contra) -> None:
-        """It has ended, and so has all that was pending."""
+        """Called when the connection and all its pending requests have ended."""
 
 
 Dial = Callable[[Address, float, Watcher[C]], Awaitable[C]]
 
 
 class Pool(Generic[C]):
-    """The connections to one endpoint that take requests, and who waits for the next one."""
+    """The connections to one endpoint that accept requests, and the attempts that wait for a new one."""
 
-    __slots__ = ("address", "connections", "dialling", "left", "waiting")
+    __slots__ = ("address", "connections", "dialling", "removed", "waiting")
 
     def __init__(self, address: Address) -> None:
         self.address = address
-        self.left = False
+        self.removed = False
+        """The endpoint has been removed or has moved: connections are no longer kept."""
         self.connections: list[C] = []
-        self.waiting: deque[Carried[C]] = deque()
+        self.waiting: deque[PendingAttempt[C]] = deque()
         self.dialling = False
 
-    def least(self) -> C | None:
-        """The connection with the fewest requests pending."""
+    def least_loaded(self) -> C | None:
+        """Returns the connection with the fewest pending requests."""
         return min(self.connections, key=lambda c: c.pending(), default=None)
 
 
 class SharedPools(Generic[C]):
-    """All connections of one wire, within the bound on descriptors. Owns them from dialling to their end."""
+    """All multiplexed connections of one wire, within the limit on descriptors.
+
+    Owns connections from dialling to their end.
+    """
 
     def __init__(self, dial: Dial[C], descriptors: Descriptors) -> None:
         self.dial, self.descriptors = dial, descriptors
@@ -84,20 +90,22 @@
         self.loop = asyncio.get_running_loop()
         self.pools: dict[str, Pool[C]] = {}
         self.homes: dict[C, Pool[C]] = {}
-        """Every open connection, and the pool that it belongs to."""
-        self.resting: dict[C, float] = {}
-        """Those with nothing pending, longest so first: when each is to be closed."""
+        """The pool of each open connection."""
+        self.idle_until: dict[C, float] = {}
+        """Connections without pending requests, longest idle first, each with the time at which to close it."""
         self.dials: set[asyncio.Task[None]] = set()
         self.reaper: asyncio.TimerHandle | None = None
 
     def configure(self, connect_timeout: float, idle_limit: float, connections: Connections) -> None:
+        """Sets the timeouts, in ms, and the limits on opening connections."""
         self.connections = connections
         self.connect_timeout = connect_timeout / 1000.0
-        self.idle_for = IDLE_SHARE * idle_limit / 1000.0
+        self.idle_timeout = IDLE_SHARE * idle_limit / 1000.0
 
-    # --- where endpoints are ---
+    # --- endpoints ---
 
     def place(self, endpoint: str, address: Address) -> None:
+        """Adds an endpoint, or changes its address."""
         pool = self.pools.get(endpoint)
         if pool is not None and pool.address != address:
             self.forget(endpoint)
@@ -106,12 +114,13 @@
             self.pools[endpoint] = Pool(address)
 
     def drain(self, endpoint: str) -> None:
-        """What has not begun to go out is turned back; what is out finishes."""
+        """Ends the attempts that have not started to be sent to an endpoint; those in flight finish."""
         pool = self.pools.get(endpoint)
         if pool is not None:
             self.turn_back(pool)
 
     def turn_back(self, pool: Pool[C]) -> None:
+        """Ends the attempts of one pool that have not started to be sent."""
         waiting, pool.waiting = pool.waiting, deque()
         for attempt in waiting:
             attempt.end("dropped")
@@ -119,54 +128,56 @@
             connection.turn_back()
 
     def forget(self, endpoint: str) -> None:
+        """Removes an endpoint; attempts that have been sent to it run on."""
         pool = self.pools.pop(endpoint, None)
         if pool is not None:
-            pool.left = True
+            pool.removed = True
             self.turn_back(pool)
             for connection in list(pool.connections):
                 connection.finish()
 
     def listed(self) -> Sequence[str]:
+        """Returns the endpoints that have an address."""
         return list(self.pools)
 
     # --- attempts ---
 
-    def carry(self, endpoint: str, attempt: Carried[C]) -> None:
-        """Put an attempt on the connection with the fewest pending, or on a new one where all have many."""
+    def carry(self, endpoint: str, attempt: PendingAttempt[C]) -> None:
+        """Runs an attempt on the least loaded connection, or lets it wait for a new one."""
         pool = self.pools.get(endpoint)
         if pool is None:
             self.loop.call_soon(attempt.end, "connect_failed")
             return
         connection = self.pick(pool)
         if connection is not None and connection.pending() < MOST_PENDING:
-            self.resting.pop(connection, None)
+            self.idle_until.pop(connection, None)
             attempt.run(connection)
             return
-        why: interface.Outcome | None = "connect_failed" if len(pool.waiting) >= MOST_PENDING else None
-        if why is None and not pool.dialling:
-            why = self.open_one(pool)
-        if why is None:
+        failure: interface.Outcome | None = "connect_failed" if len(pool.waiting) >= MOST_PENDING else None
+        if failure is None and not pool.dialling:
+            failure = self.open_connection(pool)
+        if failure is None:
             pool.waiting.append(attempt)
         else:
-            self.loop.call_soon(attempt.end, why)
+            self.loop.call_soon(attempt.end, failure)
 
     def pick(self, pool: Pool[C]) -> C | None:
-        """A connection to share. Where all have many pending, another one is opened beside."""
-        connection = pool.least()
+        """Returns the least loaded usable connection; opens another one if all have many pending requests."""
+        connection = pool.least_loaded()
         while connection is not None and not connection.sound():
             connection.finish()
-            connection = pool.least()
+            connection = pool.least_loaded()
         crowded = connection is not None and connection.pending() >= EASY
         if crowded and not pool.dialling:
-            self.open_one(pool)
+            self.open_connection(pool)
         return connection
 
-    def open_one(self, pool: Pool[C]) -> interface.Outcome | None:
-        """Dial one more; or how an attempt ends that can't go out without."""
+    def open_connection(self, pool: Pool[C]) -> interface.Outcome | None:
+        """Starts to dial one more connection; returns an outcome if that isn't possible."""
         if len(pool.connections) >= MOST_CONNECTIONS:
             return "connect_failed"
-        in_all = len(self.homes) + len(self.dials)
-        if not self.connections.may_open(1000.0 * self.loop.time(), len(pool.connections), in_all):
+        total = len(self.homes) + len(self.dials)
+        if not self.connections.may_open(1000.0 * self.loop.time(), len(pool.connections), total):
             return "barred"
         if self.descriptors.full() and not self.descriptors.evict():
             return "connect_failed"
@@ -178,13 +189,13 @@
         return None
 
     async def connect(self, pool: Pool[C]) -> None:
-        """Dial; who has waited for it shares the connection, or fails with it."""
+        """Dials; the waiting attempts share the new connection, or fail with it."""
         try:
             connection = await self.dial(pool.address, self.connect_timeout, self)
         except OSError:
             self.descriptors.open -= 1
             now = 1000.0 * self.loop.time()
-            # Where another connection is up the endpoint lives, and has no room for one more.
+            # If another connection is open the endpoint is alive, and refuses further connections.
             self.connections.not_connected(now, now if pool.connections else -math.inf)
             pool.dialling = False
             waiting, pool.waiting = pool.waiting, deque()
@@ -198,58 +209,63 @@
         for attempt in waiting:
             if attempt.waiting():
                 attempt.run(connection)
-        if pool.left:
+        if pool.removed:
             connection.finish()
         elif not connection.pending():
             self.idle(connection)
 
-    # --- what connections tell ---
+    # --- connection events ---
 
     def idle(self, connection: C) -> None:
-        if connection not in self.homes or connection in self.resting:
+        """See :meth:`Watcher.idle`."""
+        if connection not in self.homes or connection in self.idle_until:
             return
-        self.resting[connection] = self.loop.time() + self.idle_for
+        self.idle_until[connection] = self.loop.time() + self.idle_timeout
         if self.reaper is None:
-            self.reaper = self.loop.call_later(self.idle_for, self.reap)
+            self.reaper = self.loop.call_later(self.idle_timeout, self.reap)
 
     def retired(self, connection: C) -> None:
+        """See :meth:`Watcher.retired`."""
         pool = self.homes.get(connection)
         if pool is not None and connection in pool.connections:
             pool.connections.remove(connection)
 
     def lost(self, connection: C) -> None:
+        """See :meth:`Watcher.lost`."""
         self.retired(connection)
-        self.resting.pop(connection, None)
+        self.idle_until.pop(connection, None)
         if self.homes.pop(connection, None) is not None:
             self.descriptors.open -= 1
 
     # --- idle connections ---
 
     def evict(self) -> bool:
-        """Close the connection that has been idle for longest; False if there is none."""
-        for connection in self.resting:
+        """Closes the connection that has been idle longest; returns False if there is none."""
+        for connection in self.idle_until:
             connection.abort()
             return True
         return False
 
     def reap(self) -> None:
+        """Closes connections whose idle timeout has passed, before the endpoint does."""
         self.reaper = None
         now = self.loop.time()
-        while self.resting:
-            connection, due = next(iter(self.resting.items()))
+        while self.idle_until:
+            connection, due = next(iter(self.idle_until.items()))
             if due > now:
                 self.reaper = self.loop.call_later(due - now, self.reap)
                 return
             connection.abort()
 
     def close_idle(self, endpoint: str) -> None:
+        """Closes the idle connections to an endpoint."""
         pool = self.pools.get(endpoint)
         for connection in list(pool.connections) if pool else ():
-            if connection in self.resting:
+            if connection in self.idle_until:
                 connection.abort()
 
     def close(self) -> None:
-        """Close every connection, at the end."""
+        """Closes all connections at shutdown."""
         if self.reaper is not None:
             self.reaper.cancel()
         for task in self.dials:
--- a/zinclever/core/standstill.py
+++ b/zinclever/core/standstill.py
@@ -1,7 +1,8 @@
-"""Whether this process stood still a moment ago (SIGSTOP, a machine that slept or swapped), and what comes first then.
+"""Detection of stalls of this process (SIGSTOP, a suspended or swapping machine), and the order of events after one.
 
-What resumes believes that no time has passed: the kernel has kept requests whose clients have given up, and news of
-servers that are told to drain, behind timers that are long due. Nothing may go out before all of that is read.
+A process that resumes has not noticed that time has passed. The kernel may hold requests whose clients have given up,
+and list updates that servers are draining, while overdue timers fire first. Nothing may be sent before all of that has
+been read.
 """
 
 from __future__ import annotations
@@ -11,49 +12,54 @@
 from collections.abc import Iterable
 from typing import TypeVar
 
-QUIET = 0.05  # s without a word from anything: what is read then may have waited; else the loop was there to read it
-LATE = 50.0  # ms that a timer is late, or bytes have waited, from which on it stood still; else 2 ms are lost
-SETTLE = 0.002  # s for which nothing goes out: a turn of the loop, which counts ms, reads all that the kernel holds
-WATCHED = 1.0  # s after that for which everything read is asked for its age: a queue of new connections takes its time
-FADED = 1000.0  # ms of standing still from which on it is no use to learn from it: payoffs forget in 2.5 s
+IDLE_THRESHOLD = 0.05  # s without any activity, after which data may have waited in the kernel before it is read
+LATE = 50.0  # ms by which a timer or data has to be late to count as a stall; a false alarm costs 2 ms
+SETTLE = 0.002  # s for which sending pauses: one turn of the loop, which counts ms, reads all that the kernel holds
+RECHECK_TIME = 1.0  # s after a stall in which the age of all data is checked: the accept queue takes a while to empty
+STALE_AFTER_MS = 1000.0  # ms of a stall after which learned state is stale: payoff estimates decay within 2.5 s
 
-Of = TypeVar("Of")
+Owner = TypeVar("Owner")
 E = TypeVar("E")
 
 
 class Standstill:
-    """What one loop knows of itself. Pure: s of the loop's clock are handed in."""
+    """Detects stalls from the activity of one event loop.
 
-    __slots__ = ("gap", "held", "noticed_at", "ran_at")
+    Does no I/O: callers pass in the loop's clock, in s.
+    """
+
+    __slots__ = ("detected_at", "holding", "idle_time", "last_activity")
 
     def __init__(self, now: float) -> None:
-        self.ran_at = now
-        self.gap = 0.0
-        """s for which nothing ran, before what runs now."""
-        self.noticed_at = -math.inf
-        """When it was seen last that it had stood still."""
-        self.held = False
-        """Nothing goes out: what the kernel holds is to be read first."""
-
-    def ran(self, now: float) -> None:
-        """Something runs."""
-        if now > self.ran_at:
-            self.gap, self.ran_at = now - self.ran_at, now
-
-    def may_have(self) -> bool:
-        """Whether what is read now may have waited for this process."""
-        return self.gap > QUIET or self.ran_at - self.noticed_at < WATCHED
-
-    def has(self, late: float) -> bool:
-        """Whether what comes so many ms late shows that it stood still, and what is kept back is not yet."""
-        if late < LATE or self.held:
+        self.last_activity = now
+        self.idle_time = 0.0
+        """s without any activity before the current callbacks."""
+        self.detected_at = -math.inf
+        """When a stall was last detected."""
+        self.holding = False
+        """Sending is on hold until the kernel's buffers have been read."""
+
+    def record_activity(self, now: float) -> None:
+        """Records that a callback of the loop is running."""
+        if now > self.last_activity:
+            self.idle_time, self.last_activity = now - self.last_activity, now
+
+    def may_have_stalled(self) -> bool:
+        """Returns whether data read now may have waited for this process."""
+        return self.idle_time > IDLE_THRESHOLD or self.last_activity - self.detected_at < RECHECK_TIME
+
+    def detect(self, delay: float) -> bool:
+        """Starts to hold back sending if a delay in ms shows a stall; False also while it is already on hold."""
+        if delay < LATE or self.holding:
             return False
-        self.held, self.noticed_at = True, self.ran_at
+        self.holding, self.detected_at = True, self.last_activity
         return True
 
 
-def news_first(events: Iterable[tuple[Of, E]], news: type) -> deque[tuple[Of, E]]:
-    """Events that were kept back, each with whose it is: what was told comes before all that might be decided without
-    it."""
+def move_to_front(events: Iterable[tuple[Owner, E]], first: type) -> deque[tuple[Owner, E]]:
+    """Returns held events, each with its owner, with those of type ``first`` ahead of the others.
+
+    Otherwise decisions would be made without what these events report.
+    """
     kept = list(events)
-    return deque([e for e in kept if isinstance(e[1], news)] + [e for e in kept if not isinstance(e[1], news)])
+    return deque([e for e in kept if isinstance(e[1], first)] + [e for e in kept if not isinstance(e[1], first)])
--- a/zinclever/core/view.py
+++ b/zinclever/core/view.py
@@ -1,4 +1,4 @@
-"""What a service makes of the list of a large fleet: whom its module and its wire are told of."""
+"""The part of a large endpoint list that one instance uses."""
 
 from __future__ import annotations
 
@@ -8,37 +8,40 @@
 from ..fleet.subset import Shape, Subset
 from .protocol import Address, Entry
 
-MINDED = 0.05  # price of crossing zones from which on home is preferred, as the decision module has it
-EVERY = 2**31  # servers: all there are
-NOWHERE: Address = ("", 0)  # of one that is gone
+ZONE_PRICE_THRESHOLD = 0.05  # cross-zone price from which on the home zone is preferred, as in the policy package
+ALL_SERVERS = 2**31  # a subset size that no list exceeds
+NO_ADDRESS: Address = ("", 0)  # of an endpoint that is gone
 
 
 def shape_of(settings: interface.Settings) -> Shape:
-    """What a subset has to hold under these settings."""
-    minded = settings.prices.cross_zone >= MINDED
+    """Returns the requirements on a subset under these settings."""
+    prefers_home = settings.prices.cross_zone >= ZONE_PRICE_THRESHOLD
     return Shape(
-        settings.shares.subset or EVERY,
+        settings.shares.subset or ALL_SERVERS,
         settings.me,
         settings.group_size,
-        settings.zone if minded else None,
+        settings.zone if prefers_home else None,
         settings.shares.connections if settings.shares.subset else 0.0,
         any(c.repeat == "deduplicated" and c.group == "cell" for c in settings.classes),
     )
 
 
 class View:
-    """The whole list, and the subset of it that is in use. Costs the width for each change, not the fleet."""
+    """The whole endpoint list and the subset in use.
+
+    A change costs time in proportion to the size of the subset, not of the list.
+    """
 
     def __init__(self, settings: interface.Settings) -> None:
         self.subset = Subset(shape_of(settings))
         self.addresses: dict[str, Address] = {}
 
     def __len__(self) -> int:
-        """Endpoints in all that may be sent to."""
+        """Number of ready endpoints in the whole list."""
         return len(self.subset.home) + len(self.subset.away)
 
-    def news(self, now: float, kind: interface.ListKind, entries: Sequence[Entry]) -> list[Entry]:
-        """What of the news the module and the wire are to hear, in the same kind."""
+    def update(self, now: float, kind: interface.ListKind, entries: Sequence[Entry]) -> list[Entry]:
+        """Applies an update of the list and returns its effect on the subset, as an update of the same kind."""
         if kind == "refused":
             return []
         listed = [x for x, _ in entries]
@@ -54,12 +57,13 @@
                 self.addresses.pop(x.endpoint, None)
         if kind == "changes":
             return [self.entry(x) for x in self.subset.changes(now)]
-        return self.moved(now)
+        return self.snapshot(now)
 
-    def moved(self, now: float) -> list[Entry]:
-        """The whole subset, with what has come of load and failures since."""
+    def snapshot(self, now: float) -> list[Entry]:
+        """Returns the whole subset, after applying changes due to load and failures."""
         self.subset.changes(now)
         return [self.entry(x) for x in self.subset.members.values()]
 
     def entry(self, x: interface.Listed) -> Entry:
-        return x, self.addresses.get(x.endpoint, NOWHERE)
+        """Returns an endpoint with its address."""
+        return x, self.addresses.get(x.endpoint, NO_ADDRESS)
--- a/zinclever/discovery/__init__.py
+++ b/zinclever/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Where lists of endpoints come from: the platform's discovery, or the operator file."""
+"""Sources of endpoint lists: the platform's discovery service, or the operator file."""
--- a/zinclever/discovery/catalog.py
+++ b/zinclever/discovery/catalog.py
@@ -1,4 +1,4 @@
-"""The platform's discovery: its list of endpoints is asked for, watched, and told to the ledger."""
+"""Client of the platform's discovery service: fetches and watches the endpoint list for the dispatcher."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 log = logging.getLogger(__name__)
 
 PATH = "/catalog/members"
-WATCH_EACH = 200.0  # ms that a watch waits for changes, for each sidecar that shares the service
-WATCH_LEAST, WATCH_MOST = 3000.0, 20000.0  # a service that has gone silent is noticed no sooner than this
-CALL = 3000.0  # ms to wait for an answer beyond what the call itself may wait
-MOST_LIST = 4 << 20  # bytes: some ten thousand entries
-AGAIN = 500.0  # ms between two tries where lists are pushed and the balancer doesn't ask
+WATCH_PER_SIDECAR = 200.0  # ms that a watch waits for changes, per sidecar that shares the service
+MIN_WATCH, MAX_WATCH = 3000.0, 20000.0  # bounds of that wait in ms; a silent service is noticed no sooner
+CALL_TIMEOUT = 3000.0  # ms to wait for an answer, in addition to the wait that the call asks for
+MAX_LIST_SIZE = 4 << 20  # bytes of a list, for some ten thousand entries
+RETRY_DELAY = 500.0  # ms between two attempts in pushed mode, where the balancer requests no fetches
 PHASES: dict[str, interface.Phase] = {"in_service": "ready", "terminating": "draining", "terminated": "gone"}
 
 
 def read_hosts(hosts: Sequence[dict[str, Any]], zones: Sequence[str]) -> list[Entry]:
-    """Entries of the list, each with the address that it has at this sidecar.
+    """Parses the entries of a list, each with the address to connect to.
 
-    The balancer's clock reads Unix time in milliseconds, as ``born_ms`` does.
+    ``born_ms`` is Unix time in ms, as is the balancer's clock.
     """
     return [
         (
@@ -49,38 +49,39 @@
 
 
 def zone_of(site: object, zones: Sequence[str]) -> int:
-    """The number of a zone; what isn't named is in the first one."""
+    """Returns the index of a zone; unknown zones count as the first one."""
     return zones.index(site) if isinstance(site, str) and site in zones else 0
 
 
-#: What came of a call: kind, version, entries.
-News = tuple[interface.ListKind, int, list[dict[str, Any]]]
+#: The result of a call: kind, version, entries.
+ListUpdate = tuple[interface.ListKind, int, list[dict[str, Any]]]
 
 
 class Call:
-    """One call at a time on a connection of its own, kept for the next."""
+    """Makes one call at a time on its own connection, which is kept for the next call."""
 
-    def __init__(self, host: Host, address: Address, timeout: float, on_news: Callable[[News], None]) -> None:
-        self.host, self.address, self.timeout, self.on_news = host, address, timeout / 1000.0, on_news
+    def __init__(self, host: Host, address: Address, timeout: float, on_update: Callable[[ListUpdate], None]) -> None:
+        self.host, self.address, self.timeout, self.on_update = host, address, timeout / 1000.0, on_update
         self.loop = asyncio.get_running_loop()
         self.connection: ClientConnection | None = None
         self.task: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
 
-    def ask(self, query: str, wait: float) -> None:
-        """Start a call; one that is still out is given up for it."""
+    def start(self, query: str, wait: float) -> None:
+        """Starts a call with a wait in ms; aborts the previous one if it is still in progress."""
         if self.timer is not None or (self.connection and not self.connection.reusable()):
             self.stop()
         head = f"GET {PATH}{query} HTTP/1.1\r\nHost: {self.address[0]}:{self.address[1]}\r\n\r\n"
-        self.timer = self.loop.call_later((wait + CALL) / 1000.0, self.end, None)
+        self.timer = self.loop.call_later((wait + CALL_TIMEOUT) / 1000.0, self.end, None)
         if self.connection is not None:
             self.connection.request(head.encode(), self.end)
         else:
             self.task = self.loop.create_task(self.connect(head.encode()))
 
     async def connect(self, data: bytes) -> None:
+        """Dials the service and sends a call."""
         try:
-            connection = await dial(self.host, self.address, self.timeout, lambda c: None, self.lost, MOST_LIST)
+            connection = await dial(self.host, self.address, self.timeout, lambda c: None, self.lost, MAX_LIST_SIZE)
         except OSError:
             self.task = None
             self.end(None)
@@ -90,11 +91,12 @@
         connection.request(data, self.end)
 
     def lost(self, connection: ClientConnection) -> None:
+        """Handles the end of a connection."""
         if connection is self.connection:
             self.connection = None
 
     def stop(self) -> None:
-        """Give up the call that is out, if any, and the connection."""
+        """Aborts the call in progress, if any, and the connection."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -106,26 +108,26 @@
             self.connection = None
 
     def end(self, result: Reply | Broken | None) -> None:
-        """An answer, a broken connection or, with None, no answer in time."""
+        """Reports the result of a call: an answer, a broken connection or, with None, a timeout."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
         if isinstance(result, Reply) and result.status == 200:
             try:
-                told = orjson.loads(result.body)
-                news: News = "whole" if told["whole"] else "changes", int(told["seq"]), told["hosts"]
-            except (ValueError, LookupError, TypeError) as wrong:
-                log.error("discovery: %s: %s", type(wrong).__name__, wrong)
+                answer = orjson.loads(result.body)
+                update: ListUpdate = "whole" if answer["whole"] else "changes", int(answer["seq"]), answer["hosts"]
+            except (ValueError, LookupError, TypeError) as error:
+                log.error("discovery: malformed answer: %s: %s", type(error).__name__, error)
             else:
-                self.on_news(news)
+                self.on_update(update)
                 return
         elif not isinstance(result, Reply):
             self.stop()
-        self.on_news(("refused", 0, []))
+        self.on_update(("refused", 0, []))
 
 
 class Discovery:
-    """Keeps up with the list, as far as the balancer asks for it."""
+    """Keeps the endpoint list up to date by watches and fetches, as the balancer requests them."""
 
     def __init__(
         self,
@@ -138,34 +140,37 @@
     ) -> None:
         self.on_list, self.known, self.host, self.rng = on_list, known, host, host.random()
         self.refusals = 0
-        self.pause: asyncio.TimerHandle | None = None
-        """Before the next call."""
+        self.retry_timer: asyncio.TimerHandle | None = None
+        """The delay before the next watch call."""
         self.connect_timeout = settings.limits.connect_timeout
         self.configure(settings, zones)
         self.hosts: dict[str, tuple[Entry, str]] = {}
-        """The list, and each endpoint's zone by its name: a reload may number zones otherwise. Kept small, as the list
-        may be long where memory is little."""
+        """The list: each endpoint's entry and the name of its zone, as a reload may change the numbers of zones.
+
+        It stays compact, as the list may be long and memory scarce.
+        """
         self.version: int | None = None
         self.watching = False
         self.connect(address)
 
     def configure(self, settings: interface.Settings, zones: Sequence[str]) -> None:
-        """Read the list by these names from now on."""
+        """Sets the zones and the timing of watches."""
         self.pushed, self.zones = settings.discovery == "pushed", zones
-        least = min(max(WATCH_EACH * settings.group_size, WATCH_LEAST), WATCH_MOST)
+        min_wait = min(max(WATCH_PER_SIDECAR * settings.group_size, MIN_WATCH), MAX_WATCH)
         calls = settings.shares.list_calls_per_s
         self.calls = Calls(calls, settings.group_size, settings.rules.ask_within, self.rng)
-        self.wait = self.calls.watch_for(least) if calls else least
+        self.wait = self.calls.watch_for(min_wait) if calls else min_wait
 
     def connect(self, address: Address) -> None:
+        """Sets up the calls to a discovery service; connections are made on demand."""
         self.address = address
-        self.watch_call = Call(self.host, address, self.connect_timeout, self.watched)
-        self.fetch_call = Call(self.host, address, self.connect_timeout, self.fetched)
+        self.watch_call = Call(self.host, address, self.connect_timeout, self.on_watched)
+        self.fetch_call = Call(self.host, address, self.connect_timeout, self.on_fetched)
 
     def move(self, address: Address) -> None:
-        """Ask another service from now on: the whole list at once, as its versions are its own.
+        """Switches to another discovery service and requests its whole list, as it has its own version numbers.
 
-        What the old one may still answer is not heard: its calls are given up with their connections.
+        Late answers of the old service are ignored: its calls and connections are aborted.
         """
         self.stop()
         self.connect(address)
@@ -173,8 +178,8 @@
         self.watch(True)
 
     def start(self) -> None:
-        """Begin from a list that is known already, if any."""
-        # The text of the list takes more memory than the list: it is let go before others make theirs of it.
+        """Starts from the list that was saved before, if any."""
+        # Release the parsed text before the list is passed on: it takes more memory than the list itself.
         kind, entries = self.read("remembered", self.known.pop("hosts", None) or [])
         self.version = self.known.get("seq") if entries else None
         if self.pushed:
@@ -182,22 +187,23 @@
         self.on_list(kind, entries)
 
     def remembered(self) -> list[Entry]:
+        """Returns the last known list, with the current zone numbers."""
         return [
             (listed._replace(zone=zone_of(site, self.zones)), address)
             for (listed, address), site in self.hosts.values()
         ]
 
     def tell(self, kind: interface.ListKind, hosts: list[dict[str, Any]]) -> None:
-        """Hand on what discovery has answered."""
+        """Applies an answer of discovery and reports it."""
         self.on_list(*self.read(kind, hosts))
 
     def read(self, kind: interface.ListKind, hosts: list[dict[str, Any]]) -> tuple[interface.ListKind, list[Entry]]:
-        """Take news into the list; those that can't be read are none."""
+        """Applies an update to the list and returns it; a malformed one counts as refused."""
         entries: list[Entry] = []
         try:
             entries = read_hosts(hosts, self.zones)
-        except (LookupError, TypeError, ValueError, AttributeError) as wrong:
-            log.error("list of endpoints: %s: %s", type(wrong).__name__, wrong)
+        except (LookupError, TypeError, ValueError, AttributeError) as error:
+            log.error("malformed list of endpoints: %s: %s", type(error).__name__, error)
             kind = "refused"
         if kind in ("whole", "remembered"):
             self.hosts.clear()
@@ -210,66 +216,73 @@
         return kind, entries
 
     def watch(self, on: bool) -> None:
-        """Begin a watch anew, or leave it.
+        """Starts a new watch, or stops watching.
 
-        The first call doesn't wait: it tells what was missed and that the watch is on, even if nothing has
-        changed. Those that follow at once wait for changes.
+        The first call returns at once: it reports missed changes and confirms the watch even if nothing has changed.
+        The following calls wait for changes.
         """
         self.watching = on
-        self.unpause()
+        self.cancel_retry()
         if on:
             self.next_call(0.0)
         else:
             self.watch_call.stop()
 
     def next_call(self, wait: float) -> None:
+        """Starts the next watch call, which waits up to ``wait`` ms for changes."""
         query = "" if self.version is None else f"?index={self.version}&wait={wait:.0f}"
-        self.watch_call.ask(query, wait)
+        self.watch_call.start(query, wait)
 
-    def watched(self, news: News) -> None:
+    def on_watched(self, update: ListUpdate) -> None:
+        """Handles the result of a watch call."""
         if not self.watching:
             return
-        kind, version, hosts = news
+        kind, version, hosts = update
         if kind == "refused":
             self.watching = False
             self.refusals += 1
             if self.pushed:
-                self.later(self.calls.again(self.refusals) if self.calls.span else AGAIN, lambda: self.watch(True))
+                self.schedule(
+                    self.calls.again(self.refusals) if self.calls.span else RETRY_DELAY, lambda: self.watch(True)
+                )
                 return
         else:
             self.refusals = 0
             self.version = version
             if hosts and self.calls.span:
-                self.later(self.calls.gap(), lambda: self.next_call(self.wait))
+                self.schedule(self.calls.gap(), lambda: self.next_call(self.wait))
             else:
                 self.next_call(self.wait)
         self.tell(kind, hosts)
 
-    def later(self, pause: float, act: Callable[[], None]) -> None:
-        """Call again after a pause in ms, unless something else is done before."""
-        self.unpause()
-        self.pause = self.watch_call.loop.call_later(pause / 1000.0, act)
+    def schedule(self, delay: float, action: Callable[[], None]) -> None:
+        """Calls ``action`` after a delay in ms, unless another call is started before."""
+        self.cancel_retry()
+        self.retry_timer = self.watch_call.loop.call_later(delay / 1000.0, action)
 
-    def unpause(self) -> None:
-        if self.pause is not None:
-            self.pause.cancel()
-            self.pause = None
+    def cancel_retry(self) -> None:
+        """Cancels the delayed call, if any."""
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
+            self.retry_timer = None
 
     def fetch(self) -> None:
-        """The whole list, once."""
-        self.fetch_call.ask("", 0.0)
+        """Requests the whole list once."""
+        self.fetch_call.start("", 0.0)
 
-    def fetched(self, news: News) -> None:
+    def on_fetched(self, update: ListUpdate) -> None:
+        """Handles the result of a fetch."""
         self.fetch_call.stop()
-        kind, version, hosts = news
+        kind, version, hosts = update
         if kind != "refused":
             if self.version is not None and version < self.version:
-                return  # overtaken by the watch
+                return  # the watch has delivered a newer version
             self.version = version
         self.tell(kind, hosts)
 
     def stop(self) -> None:
+        """Stops all calls."""
         self.watching = False
-        self.unpause()
+        self.cancel_retry()
         self.watch_call.stop()
         self.fetch_call.stop()
--- a/zinclever/handover/__init__.py
+++ b/zinclever/handover/__init__.py
@@ -1,5 +1,5 @@
-"""A process that takes over from another under load: the socket that both accept from, and who else is there.
+"""Takeover by a new process under load: the inherited listening socket, and detection of the other processes.
 
-:mod:`~zinclever.handover.listener` takes the socket that the platform keeps, :mod:`~zinclever.handover.presence` tells
-how many processes of one sidecar are alive.
+:mod:`~zinclever.handover.listener` opens the listening socket that the platform keeps,
+:mod:`~zinclever.handover.presence` counts the live processes of a sidecar.
 """
--- a/zinclever/handover/listener.py
+++ b/zinclever/handover/listener.py
@@ -1,4 +1,4 @@
-"""The clients' listening socket where the platform keeps it and every process inherits it."""
+"""The listening socket for clients, where the platform keeps it and each process inherits it."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 def inherited(descriptor: int) -> socket.socket:
-    """The socket behind a descriptor. OSError, with a reason, where it is none that listens on TCP.
+    """Returns the socket of an inherited descriptor. Raises OSError unless it is a listening TCP socket.
 
-    Connections that nobody has accepted stay in it when a process closes its own descriptor: the next one that
+    Connections that have not been accepted stay queued when a process closes its descriptor; the next process that
     accepts gets them.
     """
     try:
         sock = socket.socket(fileno=descriptor)
-    except OSError as wrong:
-        raise OSError(wrong.errno, f"inherited descriptor {descriptor} is no socket: {wrong.strerror}") from wrong
+    except OSError as error:
+        raise OSError(error.errno, f"inherited descriptor {descriptor} is no socket: {error.strerror}") from error
     listens = sock.type == socket.SOCK_STREAM and sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
     if not listens:
-        sock.detach()  # it isn't ours to close
+        sock.detach()  # the descriptor belongs to someone else: leave it open
         raise OSError(f"inherited descriptor {descriptor} doesn't listen")
     sock.setblocking(False)
     return sock
--- a/zinclever/handover/presence.py
+++ b/zinclever/handover/presence.py
@@ -1,7 +1,6 @@
-"""How many processes of one sidecar are alive: each holds a lock on a file of its own in a folder that they share.
+"""Counts the live processes of one sidecar: each holds a lock on its own file in a shared directory.
 
-The kernel gives a lock back when its process ends, however it ends, so that nothing has to be cleaned up in time and no
-process has to be trusted to say goodbye.
+The kernel releases a lock when its process ends, for whatever reason, so that no process has to deregister itself.
 """
 
 from __future__ import annotations
@@ -16,53 +15,57 @@
 from ..core import host
 from ..core.protocol import Address
 
-LOOK = 0.1  # s between two looks: a newcomer waits for several before it takes clients
-NOTICED = 0.35  # s after which those that were there have seen a newcomer
+POLL_INTERVAL = 0.1  # s; a new process waits for several polls before it accepts clients
+DETECTION_TIME = 0.35  # s after which the running processes have detected a new one
 
 
 class Presence:
-    """This process among those that share a folder and an address. Owns its file until :meth:`leave`."""
+    """Registration of this process among those that share a directory and an address.
 
-    def __init__(self, folder: Path, address: Address) -> None:
-        self.folder, self.stem = folder, f"zinclever-{address[0]}-{address[1]}."
-        self.path = folder / f"{self.stem}{os.getpid()}"
+    Owns its file until :meth:`leave`.
+    """
+
+    def __init__(self, directory: Path, address: Address) -> None:
+        self.directory, self.stem = directory, f"zinclever-{address[0]}-{address[1]}."
+        self.path = directory / f"{self.stem}{os.getpid()}"
         self.descriptor: int | None = None
 
     def enter(self) -> None:
-        """Be seen by the others. OSError where the folder can't be written.
+        """Registers this process. Raises OSError if the directory can't be written.
 
-        The file is locked before it has its name: one that others could open between its making and its lock would be
-        taken for what a dead process left, and removed.
+        The file is locked before it gets its final name: otherwise another process could open it before it is locked,
+        take it for that of a dead process, and remove it.
         """
         flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NOFOLLOW
-        unnamed = self.folder / f".{self.path.name}"
-        made = os.open(unnamed, flags, 0o600)
+        temporary = self.directory / f".{self.path.name}"
+        descriptor = os.open(temporary, flags, 0o600)
         try:
-            fcntl.flock(made, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            os.rename(unnamed, self.path)
+            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            os.rename(temporary, self.path)
         except OSError:
-            os.close(made)
+            os.close(descriptor)
             raise
         if self.descriptor is not None:
             os.close(self.descriptor)
-        self.descriptor = made
+        self.descriptor = descriptor
 
     def others(self) -> int:
-        """The other processes that are alive; what a dead one left is removed.
+        """Returns the number of other live processes; removes the files of dead ones.
 
-        Where this one's own file has been removed, by who cleans such folders, it is made again.
+        If this process's own file was removed, as by a cleanup of temporary files, it is created again.
         """
-        names = {entry.name for entry in os.scandir(self.folder) if entry.name.startswith(self.stem)}
+        names = {entry.name for entry in os.scandir(self.directory) if entry.name.startswith(self.stem)}
         if self.descriptor is not None and self.path.name not in names:
             self.enter()
         names.discard(self.path.name)
-        return sum(self.alive(str(self.folder / name)) for name in names)
+        return sum(self.alive(str(self.directory / name)) for name in names)
 
     def alive(self, path: str) -> bool:
+        """Returns whether the process that created a file is alive; removes the file if it isn't."""
         try:
             descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC | os.O_NOFOLLOW)
         except OSError:
-            return False  # it has left in between
+            return False  # removed in the meantime
         try:
             fcntl.flock(descriptor, fcntl.LOCK_SH | fcntl.LOCK_NB)
         except OSError:
@@ -74,6 +77,7 @@
         return False
 
     def leave(self) -> None:
+        """Removes the registration."""
         if self.descriptor is not None:
             with contextlib.suppress(OSError):
                 os.unlink(self.path)
@@ -81,8 +85,8 @@
             self.descriptor = None
 
 
-class Overlap:
-    """Looks time and again who else is there, and tells of each change."""
+class PresenceMonitor:
+    """Polls the number of other live processes and reports each change."""
 
     def __init__(self, presence: host.Presence, on_change: Callable[[int], None]) -> None:
         self.presence, self.on_change = presence, on_change
@@ -90,22 +94,24 @@
         self.loop = asyncio.get_running_loop()
         self.timer: asyncio.TimerHandle | None = None
 
-    def begin(self) -> None:
-        """OSError where the folder can't be written."""
+    def start(self) -> None:
+        """Registers this process and starts to poll. Raises OSError if the directory can't be written."""
         self.presence.enter()
-        self.look()
+        self.poll()
 
-    def look(self) -> None:
-        self.timer = self.loop.call_later(LOOK, self.look)
+    def poll(self) -> None:
+        """Counts the other processes and schedules the next poll."""
+        self.timer = self.loop.call_later(POLL_INTERVAL, self.poll)
         try:
             others = self.presence.others()
         except OSError:
-            return  # the folder has gone: what was seen last holds
+            return  # the directory is gone: keep the last result
         if others != self.others:
             self.others = others
             self.on_change(others)
 
-    def end(self) -> None:
+    def stop(self) -> None:
+        """Stops polling and removes the registration."""
         if self.timer is not None:
             self.timer.cancel()
         self.presence.leave()
--- a/zinclever/native.py
+++ b/zinclever/native.py
@@ -1,8 +1,7 @@
-"""The modules that every request passes through, as they run in service: compiled, where the build step has made that
-of this very text, else as they are written.
+"""Loads the modules on the request path from compiled libraries, if these match the sources.
 
-:mod:`zinclever.compile` leaves libraries and the checksum of the text that they were made of in a folder. Here the
-import system is told to take them for these modules, under their own names, unless the text has changed since.
+:mod:`zinclever.compile` writes the libraries and a checksum of their sources to a directory. The import hook in this
+module loads them under the modules' own names; if the sources have changed since, they are imported as Python.
 """
 
 from __future__ import annotations
@@ -53,59 +52,63 @@
     "zinclever.http1.front",
 )
 VARIABLE = "ZINCLEVER_NATIVE"
-"""Names another folder, or is ``text``: everything runs as it is written."""
+"""Environment variable: another directory for the libraries, or ``text`` to import the Python sources."""
 TEXT = "text"
 FOLDER, STAMP = "_native", "checksum"
 SUFFIX = EXTENSION_SUFFIXES[0]
-SHARED = "__mypyc"  # ends the name of the library that holds the code of all
+SHARED = "__mypyc"  # suffix of the library that holds the code of all modules
 
 
 def path_of(module: str) -> Path:
-    """A module's text."""
+    """Returns the path of a module's source."""
     return PACKAGE.joinpath(*module.split(".")[1:]).with_suffix(".py")
 
 
 def checksum() -> str:
-    """Of the texts that are compiled."""
+    """Returns the checksum of the sources of all compiled modules."""
     total = 0
     for module in MODULES:
         total = zlib.crc32(path_of(module).read_bytes(), total)
     return str(total)
 
 
-def folder() -> Path | None:
-    """Where the libraries are looked for."""
-    named = os.environ.get(VARIABLE)
-    if named == TEXT:
+def library_directory() -> Path | None:
+    """Returns the directory of the libraries; None if the Python sources are to be used."""
+    value = os.environ.get(VARIABLE)
+    if value == TEXT:
         return None
-    return Path(named) if named else PACKAGE / FOLDER
+    return Path(value) if value else PACKAGE / FOLDER
 
 
-def libraries(where: Path) -> Mapping[str, Path]:
-    """By module: empty where there are none, or of another text."""
+def libraries(directory: Path) -> Mapping[str, Path]:
+    """Returns the libraries by module; empty if there are none or if they don't match the sources."""
     try:
-        if (where / STAMP).read_text() != checksum():
+        if (directory / STAMP).read_text() != checksum():
             return {}
     except OSError:
         return {}
-    return {p.name.removesuffix(SUFFIX): p for p in where.iterdir() if p.name.endswith(SUFFIX)}
+    return {p.name.removesuffix(SUFFIX): p for p in directory.iterdir() if p.name.endswith(SUFFIX)}
 
 
 class Finder(MetaPathFinder):
-    """Finds the compiled modules before their texts are."""
+    """Import hook that finds compiled modules before their sources."""
 
     def __init__(self, files: Mapping[str, Path]) -> None:
         self.files = files
 
     def find_spec(self, name: str, path: Sequence[str] | None, target: ModuleType | None = None) -> ModuleSpec | None:
+        """See :class:`importlib.abc.MetaPathFinder`."""
         file = self.files.get(name)
         return spec_from_file_location(name, file) if file is not None else None
 
 
 def install() -> bool:
-    """Take the compiled modules from now on; whether there are any. Called before one of them is imported."""
-    where = folder()
-    files = libraries(where) if where is not None else {}
+    """Installs the import hook; returns whether compiled modules are used.
+
+    Must be called before the first of these modules is imported.
+    """
+    directory = library_directory()
+    files = libraries(directory) if directory is not None else {}
     shared = next((name for name in files if name.endswith(SHARED)), None)
     if shared is None or not set(MODULES) <= files.keys():
         return False
@@ -113,7 +116,7 @@
     sys.meta_path.insert(0, finder)
     try:
         importlib.import_module(shared)
-    except ImportError:  # made for another interpreter, or half removed
+    except ImportError:  # built for another interpreter, or incomplete
         sys.meta_path.remove(finder)
         return False
     return True
--- a/zinclever/program.py
+++ b/zinclever/program.py
@@ -1,5 +1,7 @@
-"""The program's life: start, signals, reload, takeover, the end in order. It runs on whatever loop and machine it is
-handed."""
+"""Lifecycle of the program: start, signals, reload, takeover and orderly shutdown.
+
+It runs on the event loop and the host that it is given.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +16,7 @@
 from .configuration.load import ConfigError, read
 from .configuration.platform import Config
 from .core.service import Service, drain
-from .handover.presence import LOOK, NOTICED, Overlap
+from .handover.presence import DETECTION_TIME, POLL_INTERVAL, PresenceMonitor
 
 if TYPE_CHECKING:
     from .configuration.operator import Operator
@@ -22,26 +24,26 @@
 
 log = logging.getLogger("zinclever")
 
-LEARN_FOR = 4.0  # s for which a newcomer without a list leaves clients to the process that is there
+LIST_TIMEOUT = 4.0  # s that a new process waits for an endpoint list while the old one still serves clients
 
 
 def reload(assembly: Assembly, host: Host) -> None:
-    """What a SIGHUP does: the files are read again, and what differs from before is put into service.
+    """Handles SIGHUP: reads the configuration files again and applies what has changed.
 
-    Where one can't be read or used this is logged, and what holds goes on. The environment is that of the
-    start and can't have changed since: for discovery the file holds.
+    An unusable file is logged, and the current configuration stays in use. The environment can't change after the
+    start, so that the discovery address is taken from the file.
     """
     env = {k: v for k, v in host.environ.items() if k != "LB_DISCOVERY"}
     try:
         config, operator = read(env, host.read_file)
-    except ConfigError as wrong:
-        log.error("configuration not reloaded: %s", wrong)
+    except ConfigError as error:
+        log.error("configuration not reloaded: %s", error)
         return
     assembly.adopt(config, operator)
 
 
 async def serve(config: Config | None, operator: Operator | None, host: Host) -> None:
-    """Serve until SIGTERM or SIGINT, then finish what is held."""
+    """Serves until SIGTERM or SIGINT, then finishes open requests."""
     loop = asyncio.get_running_loop()
     stopped = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -49,24 +51,24 @@
     assembly = Assembly(config, operator, host)
     loop.add_signal_handler(signal.SIGHUP, reload, assembly, host)
     host.hear_reloads()
-    admin = await answer_operators(assembly)
-    overlap = take_over(assembly, host)
+    admin = await start_admin(assembly)
+    monitor = monitor_processes(assembly, host)
     for service in assembly.services():
         service.start()
-    if overlap is not None and overlap.others:
-        await let_make_room(assembly)
+    if monitor is not None and monitor.others:
+        await await_takeover(assembly)
     for service in assembly.services():
         await service.listen(listener(assembly, service, host))
     await stopped.wait()
-    await drain(assembly.services(), overlap is not None and overlap.others > 0)
-    if overlap is not None:
-        overlap.end()
+    await drain(assembly.services(), monitor is not None and monitor.others > 0)
+    if monitor is not None:
+        monitor.stop()
     if admin is not None:
         admin.close()
 
 
-async def answer_operators(assembly: Assembly) -> Admin | None:
-    """Begin to answer on the operators' address, if there is one. OSError where it can't be had."""
+async def start_admin(assembly: Assembly) -> Admin | None:
+    """Starts the admin server, if an address is configured. Raises OSError if it can't be bound."""
     platform = assembly.platform
     if platform is None or platform.config.admin is None:
         return None
@@ -75,33 +77,33 @@
     return admin
 
 
-def take_over(assembly: Assembly, host: Host) -> Overlap | None:
-    """Look out for other processes of this sidecar, where the platform lets one take over from another."""
+def monitor_processes(assembly: Assembly, host: Host) -> PresenceMonitor | None:
+    """Starts to monitor other processes of this sidecar, if the platform provides an inherited socket."""
     platform = assembly.platform
     if platform is None or platform.config.inherited is None:
         return None
-    overlap = Overlap(host.presence(platform.config.listen), platform.share_with)
+    monitor = PresenceMonitor(host.presence(platform.config.listen), platform.share_limits)
     try:
-        overlap.begin()
-    except OSError as wrong:
-        log.error("other processes of this sidecar are not seen: %s", wrong)
+        monitor.start()
+    except OSError as error:
+        log.error("can't monitor other processes of this sidecar: %s", error)
         return None
-    return overlap
+    return monitor
 
 
-async def let_make_room(assembly: Assembly) -> None:
-    """Another process serves: let it give up its part of the descriptors, and learn of the endpoints meanwhile."""
+async def await_takeover(assembly: Assembly) -> None:
+    """Waits until the running process has released its part of the descriptors and an endpoint list is known."""
     platform = assembly.platform
     assert platform is not None
-    await asyncio.sleep(NOTICED)
+    await asyncio.sleep(DETECTION_TIME)
     with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(LEARN_FOR):
+        async with asyncio.timeout(LIST_TIMEOUT):
             while not platform.ledger.ready:
-                await asyncio.sleep(LOOK)
+                await asyncio.sleep(POLL_INTERVAL)
 
 
 def listener(assembly: Assembly, service: Service, host: Host) -> Any:
-    """The socket that a service finds listening, if any. OSError where it is none."""
+    """Returns the inherited listening socket of a service, if any. Raises OSError if it isn't one."""
     platform = assembly.platform
     if platform is None or service is not platform.service or platform.config.inherited is None:
         return None
--- a/zinclever/system.py
+++ b/zinclever/system.py
@@ -1,4 +1,4 @@
-"""The machine of the operating system, as the program's modules are handed it."""
+"""The operating system's implementation of :class:`~zinclever.core.host.Host`."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from .handover.listener import inherited
 from .handover.presence import Presence
 
-LAST_RECEIVED = 52  # bytes into struct tcp_info (linux/tcp.h) at which tcpi_last_data_recv is: 32 bits, ms
+LAST_RECEIVED = 52  # byte offset of tcpi_last_data_recv (32 bits, ms) in struct tcp_info (linux/tcp.h)
 
 
 class System:
-    """A :class:`~zinclever.core.host.Host`."""
+    """The machine that the process runs on; see :class:`~zinclever.core.host.Host`."""
 
     time_ns = staticmethod(time.time_ns)
     monotonic_ns = staticmethod(time.monotonic_ns)
@@ -33,29 +33,35 @@
         self.environ: Mapping[str, str] = os.environ
 
     def random(self) -> Random:
+        """See :meth:`~zinclever.core.host.Host.random`."""
         return Random()
 
     def socket(self) -> sockets.socket:
+        """See :meth:`~zinclever.core.host.Host.socket`."""
         return sockets.socket(sockets.AF_INET, sockets.SOCK_STREAM | sockets.SOCK_NONBLOCK)
 
     def unread(self, sock: sockets.socket) -> bool:
+        """See :meth:`~zinclever.core.host.Host.unread`."""
         poll = select.poll()
         poll.register(sock, select.POLLIN)
         return bool(poll.poll(0))
 
     def waited(self, sock: sockets.socket) -> float:
+        """See :meth:`~zinclever.core.host.Host.waited`."""
         try:
-            told = sock.getsockopt(sockets.IPPROTO_TCP, sockets.TCP_INFO, LAST_RECEIVED + 4)
+            info = sock.getsockopt(sockets.IPPROTO_TCP, sockets.TCP_INFO, LAST_RECEIVED + 4)
         except OSError:
             return 0.0
-        return float(int.from_bytes(told[LAST_RECEIVED:], sys.byteorder))
+        return float(int.from_bytes(info[LAST_RECEIVED:], sys.byteorder))
 
     def hold_reloads(self) -> None:
-        """A SIGHUP is kept from now on until :meth:`hear_reloads`: without a handler it would end the process."""
+        """Blocks SIGHUP until :meth:`hear_reloads`: without a handler it would end the process."""
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
 
     def hear_reloads(self) -> None:
+        """See :meth:`~zinclever.core.host.Host.hear_reloads`."""
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
 
     def presence(self, address: Address) -> Presence:
+        """See :meth:`~zinclever.core.host.Host.presence`."""
         return Presence(Path(tempfile.gettempdir()), address)
