--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,9 +1,9 @@
-"""Tests that are known to fail: KNOWN-RED.txt, and what a run by pytest or by nose2 makes of the tests listed there.
+"""Known failing tests: KNOWN-RED.txt, and how runs of pytest and nose2 treat the tests listed there.
 
 Each line of the file is ``test | cause | issue``: the test's full id (``tests/test_x.py::test_y`` for pytest,
-``mesh.test_x.Case.test_y`` for nose2, with ``:2`` for the second of a table of cases), why it fails, and the issue that
-is to mend it (``#12``). A listed test runs and its failure is passed over and printed. Everything else fails the run:
-another test's failure, a listed test that passes or that gives no result, a line that names no test, a malformed line,
+``mesh.test_x.Case.test_y`` for nose2, with ``:2`` for the second case of a parametrized test), why it fails, and the
+issue for its fix (``#12``). A listed test runs; its failure is printed and ignored. Anything else fails the run: the
+failure of another test, a listed test that passes or has no result, a line without a matching test, a malformed line,
 and more than three lines.
 """
 
@@ -19,22 +19,22 @@
 import pytest
 
 FILE_NAME = "KNOWN-RED.txt"
-MOST_LINES = 3
+MAX_LINES = 3
 SEPARATOR = " | "
 ISSUE = re.compile(r"#[1-9][0-9]*")
-PYTEST_MARK = "::"  # stands in each id of pytest's, and in none of nose2's
+PYTEST_MARK = "::"  # part of every pytest id and of no nose2 id
 
 FAILED = "failed"
 PASSED = "passed"
 
 
 class KnownRedError(Exception):
-    """KNOWN-RED.txt can't be read as a list of at most ``MOST_LINES`` tests."""
+    """KNOWN-RED.txt is not a valid list of at most ``MAX_LINES`` tests."""
 
 
 @dataclass(frozen=True)
 class KnownRed:
-    """One test that is known to fail."""
+    """One known failing test."""
 
     test: str
     cause: str
@@ -45,12 +45,12 @@
 
 
 def parse(text: str) -> tuple[KnownRed, ...]:
-    """The tests that ``text`` lists; raises ``KnownRedError`` where it isn't such a list."""
+    """Parses a list of tests; raises ``KnownRedError`` if it is malformed."""
     if not text.strip():
         return ()
     lines = text.rstrip("\n").split("\n")
-    if len(lines) > MOST_LINES:
-        raise KnownRedError(f"{len(lines)} lines, where {MOST_LINES} are allowed")
+    if len(lines) > MAX_LINES:
+        raise KnownRedError(f"{len(lines)} lines, where {MAX_LINES} are allowed")
     known = tuple(_parse_line(number, line) for number, line in enumerate(lines, 1))
     if len({red.test for red in known}) < len(known):
         raise KnownRedError("a test is listed twice")
@@ -68,57 +68,59 @@
 
 
 def load(root: Path) -> tuple[KnownRed, ...]:
-    """What KNOWN-RED.txt in ``root`` lists; nothing where there is no such file."""
+    """Reads KNOWN-RED.txt in ``root``; an absent file is an empty list."""
     path = root / FILE_NAME
     return parse(path.read_text(encoding="utf-8")) if path.exists() else ()
 
 
 def of_pytest(known: Iterable[KnownRed]) -> tuple[KnownRed, ...]:
-    """Those that pytest runs."""
+    """Returns the tests that pytest runs."""
     return tuple(red for red in known if PYTEST_MARK in red.test)
 
 
 def of_nose2(known: Iterable[KnownRed]) -> tuple[KnownRed, ...]:
-    """Those that nose2 runs."""
+    """Returns the tests that nose2 runs."""
     return tuple(red for red in known if PYTEST_MARK not in red.test)
 
 
 class Verdict:
-    """What became of the listed tests in one run."""
+    """The results of the listed tests in one run."""
 
-    def __init__(self, known: Iterable[KnownRed], whole: bool) -> None:
-        """``whole``: the run takes in all tests, so that a line whose test isn't among them names none."""
+    def __init__(self, known: Iterable[KnownRed], complete: bool) -> None:
+        """``complete``: the run includes all tests, so that a line whose test isn't among them is an error."""
         self._known = {red.test: red for red in known}
-        self._whole = whole
+        self._complete = complete
         self._found: set[str] = set()
         self._outcomes: dict[str, str] = {}
 
     def lists(self, test: str) -> bool:
+        """Returns whether a test is listed."""
         return test in self._known
 
     def red(self, test: str) -> KnownRed:
+        """Returns the entry of a listed test."""
         return self._known[test]
 
     def collected(self, tests: Iterable[str]) -> None:
-        """The ids of the tests that the run found."""
+        """Records the ids of the collected tests."""
         self._found.update(test for test in tests if test in self._known)
 
     def ended(self, test: str, outcome: str) -> None:
-        """One part of a test ended so; a failure in any part is the outcome of the whole."""
+        """Records the outcome of a part of a test; a failure of any part is the outcome of the test."""
         if self.lists(test) and self._outcomes.get(test) != FAILED:
             self._outcomes[test] = outcome
 
-    def passed_over(self) -> list[str]:
-        """A line for each listed test that failed, as was known."""
+    def expected_failures(self) -> list[str]:
+        """Returns a line for each listed test that failed."""
         return [f"known red: {red}" for red in self._known.values() if self._outcomes.get(red.test) == FAILED]
 
     def problems(self) -> list[str]:
-        """A line for each listed test for which the run can't be passed."""
+        """Returns a line for each listed test that fails the run."""
         return [problem for red in self._known.values() for problem in self._problem(red)]
 
     def _problem(self, red: KnownRed) -> Iterator[str]:
         if red.test not in self._found:
-            if self._whole:
+            if self._complete:
                 yield f"{FILE_NAME} names no test: {red}"
             return
         outcome = self._outcomes.get(red.test)
@@ -128,12 +130,12 @@
             yield f"{FILE_NAME} lists a test that gave no result: {red}"
 
     def lines(self) -> list[str]:
-        """All that a run has to print at its end."""
-        return [*self.passed_over(), *self.problems()]
+        """Returns the lines to print at the end of a run."""
+        return [*self.expected_failures(), *self.problems()]
 
 
 class PytestKnownRed:
-    """Plugin of pytest: listed tests are expected to fail, each by its exact id."""
+    """Pytest plugin that expects the listed tests to fail, each by its exact id."""
 
     def __init__(self, verdict: Verdict) -> None:
         self._verdict = verdict
@@ -163,7 +165,7 @@
 
 
 class Nose2KnownRed:
-    """Hooks of nose2: listed tests are expected to fail, each by its exact id."""
+    """Nose2 hooks that expect the listed tests to fail, each by its exact id."""
 
     HOOKS = ("startTestRun", "setTestOutcome", "wasSuccessful", "afterSummaryReport")
 
@@ -174,7 +176,7 @@
         self._verdict.collected(_id_of(test) for test in _cases(event.suite))
 
     def setTestOutcome(self, event: Any) -> None:
-        test = _id_of(getattr(event.test, "test_case", event.test))  # a subtest belongs to its test
+        test = _id_of(getattr(event.test, "test_case", event.test))  # a subtest counts for its test
         if not self._verdict.lists(test):
             return
         if event.exc_info is not None and event.outcome != "skipped":
@@ -193,7 +195,7 @@
 
 
 def _id_of(test: TestCase) -> str:
-    """The id without the arguments that nose2 writes on further lines of one with a table of cases."""
+    """Returns a test's id without the arguments that nose2 appends on further lines for parametrized tests."""
     return test.id().partition("\n")[0]
 
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Small servers and clients on 127.0.0.1, and a balancer that does as a test says."""
+"""Test servers, clients and sidecars on loopback addresses, and a scripted balancer."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 from zinclever.system import System
 
 SYSTEM = System()
-CLOSED = itertools.count(1)  # ports that nothing listens on in simulated time
-PATIENCE = 20.0  # s: far more than any wait here takes
+CLOSED = itertools.count(1)  # ports without a listener, in simulated time
+PATIENCE = 20.0  # s, far more than any test takes
 CLASSES = (
     interface.RequestClass(aim=5000.0, deadline=9000.0, repeat="idempotent", name="read"),
     interface.RequestClass(aim=5000.0, deadline=9000.0, repeat="deduplicated", window=9000.0, name="unlock"),
@@ -34,12 +34,12 @@
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
-    """Run one test in simulated time; guards against a test that hangs."""
+    """Runs a test in simulated time; fails it if it hangs."""
     runner.run(test)
 
 
 def run_real(test: Callable[[], Awaitable[None]]) -> None:
-    """Run one test on real sockets, on the loop that is used in service; guards against a test that hangs."""
+    """Runs a test on real sockets and the event loop used in production; fails it if it hangs."""
 
     async def bounded() -> None:
         async with asyncio.timeout(PATIENCE):
@@ -50,7 +50,7 @@
 
 
 class Message:
-    """A request or an answer as it came over the wire."""
+    """A received request or answer."""
 
     def __init__(self, start: str, headers: dict[str, str], body: bytes) -> None:
         self.start, self.headers, self.body = start, headers, body
@@ -61,7 +61,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message | None:
-    """The next message; None once the other side has ended the connection."""
+    """Reads the next message; None once the other side has closed the connection."""
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode()
         start, *lines = head.strip().split("\r\n")
@@ -80,12 +80,12 @@
 
 
 class Peer:
-    """A server whose answers are scripted; no bytes from the script end the connection."""
+    """A server with scripted answers; it closes the connection if the script returns None."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
         self.requests: list[tuple[int, Message]] = []
-        """Each with the number of the connection that it came on."""
+        """Received requests, each with the number of its connection."""
         self.connections = 0
         self.ended: asyncio.Queue[int] = asyncio.Queue()
         self.arrived: asyncio.Queue[Message] = asyncio.Queue()
@@ -98,33 +98,36 @@
         while (message := await read_message(reader)) is not None:
             self.requests.append((number, message))
             self.arrived.put_nowait(message)
-            answer = await self.until_left(reader, self.script(message, self))
+            answer = await self.or_disconnect(reader, self.script(message, self))
             if answer is None:
                 break
             writer.write(answer)
         writer.close()
         self.ended.put_nowait(number)
 
-    async def until_left(self, reader: asyncio.StreamReader, answer: Awaitable[bytes | None]) -> bytes | None:
-        """The script's answer, or None if the client goes before."""
+    async def or_disconnect(self, reader: asyncio.StreamReader, answer: Awaitable[bytes | None]) -> bytes | None:
+        """Returns the script's answer, or None if the client disconnects first."""
         task = asyncio.ensure_future(answer)
-        left = asyncio.ensure_future(reader.read(1))
-        await asyncio.wait({task, left}, return_when=asyncio.FIRST_COMPLETED)
+        disconnect = asyncio.ensure_future(reader.read(1))
+        await asyncio.wait({task, disconnect}, return_when=asyncio.FIRST_COMPLETED)
         if task.done():
-            left.cancel()
+            disconnect.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await left
+                await disconnect
             return task.result()
         task.cancel()
         return None
 
 
 async def silence(message: Message, peer: Peer) -> bytes | None:
+    """Script that never answers."""
     await asyncio.Event().wait()
     return None
 
 
 def always(answer: bytes | None) -> Script:
+    """Script that gives the same answer to every request."""
+
     async def script(message: Message, peer: Peer) -> bytes | None:
         return answer
 
@@ -133,7 +136,7 @@
 
 @contextlib.asynccontextmanager
 async def serving(script: Script) -> AsyncIterator[tuple[Peer, str]]:
-    """A peer and its address."""
+    """Starts a server and yields it with its address."""
     peer = Peer(script)
     server = await asyncio.start_server(peer.on_connection, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
@@ -146,12 +149,12 @@
 
 
 def host_here() -> Host:
-    """The machine that a test runs on."""
+    """Returns the host of the running test: simulated or real."""
     return runner.host() if runner.simulated() else SYSTEM
 
 
 def closed_port() -> str:
-    """An address where nothing listens."""
+    """Returns an address without a listener."""
     with contextlib.suppress(RuntimeError):
         if runner.simulated():
             return f"{runner.HOME}:{next(CLOSED)}"
@@ -164,17 +167,17 @@
 
 
 class Scripted(Balancer):
-    """Does as the test says, and keeps what it was told."""
+    """A balancer whose decisions are scripted by ``react``; it records the events that it receives."""
 
-    def __init__(self, told: Settings, react: Reaction) -> None:
-        super().__init__(told, 1)
+    def __init__(self, settings: Settings, react: Reaction) -> None:
+        super().__init__(settings, 1)
         self.react = react
         self.told: list[tuple[float, interface.Event]] = []
         self.changed = asyncio.Event()
         self.inside = False
 
     def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
-        assert not self.inside, "entered again"
+        assert not self.inside, "handle was called recursively"
         self.inside = True
         try:
             self.told.append((now, event))
@@ -184,20 +187,21 @@
             self.inside = False
 
     def ends(self) -> list[interface.AttemptEnded]:
+        """Returns the ends of attempts so far."""
         return [e for _, e in self.told if isinstance(e, interface.AttemptEnded)]
 
-    async def until(self, met: Callable[[], bool]) -> None:
-        """Wait until what was told meets a condition."""
-        while not met():
+    async def until(self, condition: Callable[[], bool]) -> None:
+        """Waits until a condition holds; it is checked after each event."""
+        while not condition():
             self.changed.clear()
             await self.changed.wait()
 
 
 def script(ledger: Ledger, balancer: Scripted) -> None:
-    """Have a scripted balancer decide, however slow the machine is.
+    """Installs a scripted balancer that stays in use on a slow machine.
 
-    A stall of this process for more than a second would put a real balancer in its place, and a dial that takes longer
-    than the settings allow would end an attempt that the test waits for.
+    Otherwise a stall of more than a second would replace it by a real balancer, and a slow dial would time out and end
+    an attempt that the test waits for.
     """
     ledger.balancer = balancer
     ledger.balancer_replaced_at = math.inf
@@ -206,23 +210,25 @@
 
 
 def host(name: str, dial: str, health: str = "in_service", **more: Any) -> dict[str, Any]:
+    """An entry of discovery's list."""
     entry = {"host": name, "dial": dial, "site": "a", "class": "m", "block": 0, "share": 1.0, "born_ms": 0}
     return entry | {"health": health} | more
 
 
 def known(**hosts: str) -> dict[str, Any]:
+    """A saved endpoint list: addresses by name."""
     return {"seq": 1, "whole": True, "hosts": [host(k, v) for k, v in hosts.items()]}
 
 
 class Client:
-    """A connection of the application."""
+    """A client connection to the sidecar."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
     def send(self, target: str = "/read/x?y=1", method: str = "GET", body: bytes = b"", **headers: str) -> None:
-        named = {"Req_Id": "r1", "Req_Deadline": "9.0"} | headers
-        lines = "".join(f"{k.replace('_', '-')}: {v}\r\n" for k, v in named.items() if v)
+        defaults = {"Req_Id": "r1", "Req_Deadline": "9.0"} | headers
+        lines = "".join(f"{k.replace('_', '-')}: {v}\r\n" for k, v in defaults.items() if v)
         length = f"Content-Length: {len(body)}\r\n" if body or method == "POST" else ""
         head = f"{method} {target} HTTP/1.1\r\nHost: backend.local\r\n{lines}{length}\r\n"
         self.writer.write(head.encode() + body)
@@ -238,7 +244,7 @@
 
 
 class Setup:
-    """A sidecar in this process round a scripted balancer."""
+    """A sidecar in this process with a scripted balancer."""
 
     def __init__(self, sidecar: Ledger, balancer: Scripted, front: Front, address: tuple[str, int]) -> None:
         self.sidecar, self.balancer, self.front, self.address = sidecar, balancer, front, address
@@ -261,27 +267,28 @@
     discovery_mode: str = "on_request",
     **more: Any,
 ) -> AsyncIterator[Setup]:
-    given: dict[str, Any] = {"classes": CLASSES, "limits": LIMITS, "rules": RULES}
-    given["discovery"] = discovery_mode
-    balancer = Scripted(Settings(**(given | more)), react)
-    where, _, port = (discovery or closed_port()).partition(":")
-    descriptors, here = Descriptors(sockets), host_here()
-    made = Ledger(
+    """Starts a sidecar with a scripted balancer and stops it at the end."""
+    options: dict[str, Any] = {"classes": CLASSES, "limits": LIMITS, "rules": RULES}
+    options["discovery"] = discovery_mode
+    balancer = Scripted(Settings(**(options | more)), react)
+    address, _, port = (discovery or closed_port()).partition(":")
+    descriptors, machine = Descriptors(sockets), host_here()
+    ledger = Ledger(
         balancer,
-        HttpWire(descriptors, here),
-        lambda on_list: Discovery((where, int(port)), balancer.settings, ["a", "b"], hosts or {}, on_list, here),
+        HttpWire(descriptors, machine),
+        lambda on_list: Discovery((address, int(port)), balancer.settings, ["a", "b"], hosts or {}, on_list, machine),
         descriptors,
-        here,
+        machine,
     )
-    front = Front(made)
+    front = Front(ledger)
     loop = asyncio.get_running_loop()
     server = await loop.create_server(front.connection, "127.0.0.1", 0)
-    made.start()
-    setup = Setup(made, balancer, front, server.sockets[0].getsockname())
+    ledger.start()
+    setup = Setup(ledger, balancer, front, server.sockets[0].getsockname())
     try:
         yield setup
     finally:
         for client in setup.clients:
             client.writer.transport.abort()
         server.close()
-        made.stop()
+        ledger.stop()
--- a/tests/run.py
+++ b/tests/run.py
@@ -1,8 +1,8 @@
-"""The tests: those of the sidecar in service by pytest, those of the mesh by nose2. Ends with 0 where all pass.
+"""Runs the tests: those of the sidecar with pytest, those of the mesh with nose2. Exits with 0 if all pass.
 
 ``python tests/run.py`` runs all of them; ``python tests/run.py nose2`` those of the mesh; ``python tests/run.py pytest
-[FILE ...]`` those of the sidecar, or the named files of them. The tests that KNOWN-RED.txt lists may fail and nothing
-else, see ``known_red``; it is looked for in the folder that the run starts in.
+[FILE ...]`` those of the sidecar, or only the named files. Only the tests listed in KNOWN-RED.txt, in the working
+directory, may fail; see ``known_red``.
 """
 
 from __future__ import annotations
@@ -21,25 +21,25 @@
 
 
 def run_pytest(files: list[str]) -> int:
-    """Runs ``files``, or all tests of pytest's where none is named."""
-    verdict = Verdict(of_pytest(load(Path.cwd())), whole=not files)
+    """Runs the named files, or all pytest tests if none are named."""
+    verdict = Verdict(of_pytest(load(Path.cwd())), complete=not files)
     return int(pytest.main(files, plugins=[PytestKnownRed(verdict)]))
 
 
 def run_nose2() -> int:
-    """Runs all tests of the mesh."""
-    hooks = Nose2KnownRed(Verdict(of_nose2(load(Path.cwd())), whole=True))
+    """Runs all nose2 tests."""
+    hooks = Nose2KnownRed(Verdict(of_nose2(load(Path.cwd())), complete=True))
     registered = [(name, hooks) for name in hooks.HOOKS]
     program = PluggableTestProgram(module=None, argv=["nose2", *MESH_TESTS], exit=False, extraHooks=registered)
     return 0 if program.result.wasSuccessful() else 1
 
 
 def run_all() -> int:
-    """Runs each part in a process of its own; all parts run, also after one that failed."""
-    load(ROOT)  # a list that can't be read ends the run here, once
+    """Runs both parts, each in its own process, also if the first one fails."""
+    load(ROOT)  # fails here once if the list is malformed
     program = [sys.executable, "tests/run.py"]
-    as_written = {**os.environ, "ZINCLEVER_NATIVE": "text", "PYTHONPATH": os.fspath(ROOT)}  # as meshd.py has it
-    runs = (([*program, "nose2"], as_written), ([*program, "pytest"], dict(os.environ)))
+    from_sources = {**os.environ, "ZINCLEVER_NATIVE": "text", "PYTHONPATH": os.fspath(ROOT)}  # as in meshd.py
+    runs = (([*program, "nose2"], from_sources), ([*program, "pytest"], dict(os.environ)))
     failed = [c for c, env in runs if subprocess.run(c, cwd=ROOT, env=env).returncode]
     for command in failed:
         print("failed:", *command, file=sys.stderr)
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' address: what is counted, and calls that are no proper ones."""
+"""The admin server: metrics, and malformed calls."""
 
 from __future__ import annotations
 
@@ -20,27 +20,25 @@
 LINE = re.compile(r"lb(\.[A-Za-z0-9_-]+)+:[0-9]+\|[cg]")
 
 
-async def admin() -> tuple[Admin, tuple[str, int]]:
-    made = Admin({"/status": lambda: Page(200), "/status/metrics": lambda: Page(200, b"lb.x:1|c\n")})
-    await made.listen(("127.0.0.1", 0))
-    assert made.server is not None
-    return made, made.server.sockets[0].getsockname()
+async def start_admin() -> tuple[Admin, tuple[str, int]]:
+    admin = Admin({"/status": lambda: Page(200), "/status/metrics": lambda: Page(200, b"lb.x:1|c\n")})
+    await admin.listen(("127.0.0.1", 0))
+    assert admin.server is not None
+    return admin, admin.server.sockets[0].getsockname()
 
 
-def test_every_class_has_its_lines_from_the_start() -> None:
-    """Guards against a figure that is missing until its first request, and against names that the format would read
-    otherwise."""
+def test_metrics_include_classes_without_requests() -> None:
+    """Guards against metrics that are missing until the first request, and against unescaped names."""
     counts = Counts()
     counts.of("read").served += 812
-    told = render(counts, {"read": 0, "a.b|c:d": 1}, Gauges(7, 14, 3, 1)).decode().splitlines()
-    assert "lb.replies.read.success:812|c" in told and "lb.replies.read.overload:0|c" in told
-    assert "lb.replies.a_b_c_d.error:0|c" in told
-    assert told[-4:] == ["lb.dispatches:7|c", "lb.concurrent:14|g", "lb.targets:3|g", "lb.targets_disabled:1|g"]
-    assert all(LINE.fullmatch(line) for line in told)
+    lines = render(counts, {"read": 0, "a.b|c:d": 1}, Gauges(7, 14, 3, 1)).decode().splitlines()
+    assert "lb.replies.read.success:812|c" in lines and "lb.replies.read.overload:0|c" in lines
+    assert "lb.replies.a_b_c_d.error:0|c" in lines
+    assert lines[-4:] == ["lb.dispatches:7|c", "lb.concurrent:14|g", "lb.targets:3|g", "lb.targets_disabled:1|g"]
+    assert all(LINE.fullmatch(line) for line in lines)
 
 
-def test_what_is_avoided() -> None:
-    """Draining endpoints, and those taken to be down for as long as they are."""
+def test_draining_and_down_endpoints_count_as_disabled() -> None:
     balancer = Balancer(interface.Settings(classes=[interface.RequestClass(aim=100.0, deadline=500.0)]), 1)
     balancer.handle(
         0.0,
@@ -54,8 +52,8 @@
     assert count_disabled(balancer, 51.0) == 1
 
 
-def test_outcomes_are_counted_once() -> None:
-    """Served, refused, failed; an attempt counts once its last byte is written; what is open is no count."""
+def test_each_outcome_is_counted_once() -> None:
+    """Guards against counting open requests, and attempts whose last byte was not written."""
 
     def react(event: interface.Event) -> Iterable[interface.Action]:
         if isinstance(event, interface.RequestArrived):
@@ -101,46 +99,46 @@
         (b"GET /status HTTP/1.1\r\nX: " + b"x" * 9000, 431),
     ],
 )
-def test_one_call_one_answer_one_end(data: bytes, status: int) -> None:
+def test_each_call_is_answered_and_its_connection_closed(data: bytes, status: int) -> None:
     async def test() -> None:
-        made, address = await admin()
+        admin, address = await start_admin()
         reader, writer = await asyncio.open_connection(*address)
         writer.write(data)
-        got = await read_message(reader)
-        assert got is not None and got.status == status and got.headers["connection"] == "close"
+        answer = await read_message(reader)
+        assert answer is not None and answer.status == status and answer.headers["connection"] == "close"
         assert await reader.read() == b""
         writer.close()
-        made.close()
+        admin.close()
 
     run_real(test)
 
 
-def test_silent_callers_keep_nobody_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against callers that send nothing, or half a call, and stay: they are few, and they end."""
-    monkeypatch.setattr(server, "READ_FOR", 0.2)
+def test_silent_callers_do_not_block_others(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against idle callers, or callers that send half a call, that use up all connections."""
+    monkeypatch.setattr(server, "READ_TIMEOUT", 0.2)
 
     async def test() -> None:
-        made, address = await admin()
+        admin, address = await start_admin()
         silent = [await asyncio.open_connection(*address) for _ in range(3 * server.MAX_CALLERS)]
         for _, writer in silent[::2]:
             writer.write(b"GET /sta")
         client = Client(*await asyncio.open_connection(*address))
         assert (await client.ask("/status")).status == 200
-        assert len(made.callers) <= server.MAX_CALLERS
+        assert len(admin.callers) <= server.MAX_CALLERS
         for reader, _ in silent:
             try:
                 assert await reader.read() == b""
             except ConnectionError:
                 continue
-        while made.callers:
+        while admin.callers:
             await asyncio.sleep(0)
-        made.close()
+        admin.close()
 
     run_real(test)
 
 
-def test_a_send_that_never_was_is_no_dispatch() -> None:
-    """Guards against counting what a closed port never took."""
+def test_failed_connection_attempt_is_not_a_dispatch() -> None:
+    """Guards against counting attempts that were never sent."""
 
     async def test() -> None:
         async with sidecar(send_to("gone"), known(gone=closed_port())) as s:
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,8 +1,8 @@
-"""What the deploy file starts: one process, linked dynamically, that asks for nothing that full-size days refuse.
+"""The process that the deploy file starts: single, dynamically linked, and without resources that the platform denies.
 
-Which system calls a process makes could only be told by tracing it or by a filter in it; what they leave behind (other
-processes, rings, Unix sockets, a program that isn't ours) is seen from beside it, and is what is held here. splice and
-sendfile leave nothing behind: nothing here would see them.
+System calls themselves could only be observed by tracing or a filter. These tests check what they leave behind: child
+processes, io_uring instances, bound Unix sockets, another executable. splice and sendfile leave nothing and are not
+covered.
 """
 
 from __future__ import annotations
@@ -22,66 +22,69 @@
 
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 SOCKETS = 256
-THREADS = 8  # the loop's and those that it keeps for files and names
-RINGS = 1  # the loop's library tries one at its start, whatever it is told, and does without where it is refused
+THREADS = 8  # the event loop and its worker threads for files and name resolution
+RINGS = 1  # the event loop library always tries to create one at its start, and works without it
 
 
 def command() -> str:
-    """``run``, with the interpreter of these tests in the place of the build's."""
-    told: str = DEPLOY["run"]
-    assert told.count(".venv/bin/python") == 1
-    return told.replace(".venv/bin/python", sys.executable)
+    """Returns the deploy file's ``run`` command with the interpreter of these tests."""
+    run_command: str = DEPLOY["run"]
+    assert run_command.count(".venv/bin/python") == 1
+    return run_command.replace(".venv/bin/python", sys.executable)
 
 
 def interpreter(program: Path) -> str:
-    """The loader that an ELF file asks for; empty where it is linked statically."""
+    """Returns the dynamic loader of an ELF file; empty if it is linked statically."""
     data = program.read_bytes()
     found = re.search(rb"/lib[^\x00]{0,40}/ld-[^\x00]{1,40}\.so[^\x00]{0,8}", data)
     return found.group().decode() if found and data.startswith(b"\x7fELF") else ""
 
 
 def descriptors(process: Path) -> list[str]:
-    found = []
+    """Returns the targets of a process's open descriptors."""
+    targets = []
     for fd in (process / "fd").iterdir():
         with contextlib.suppress(FileNotFoundError):  # closed meanwhile
-            found.append(os.readlink(fd))
-    return found
+            targets.append(os.readlink(fd))
+    return targets
 
 
-def offered_unix_sockets(process: Path) -> list[str]:
-    """Those of its Unix sockets that somebody could come to: they are bound to a name."""
-    own = {told[len("socket:[") : -1] for told in descriptors(process) if told.startswith("socket:[")}
+def bound_unix_sockets(process: Path) -> list[str]:
+    """Returns the names of a process's bound Unix sockets, which others could connect to."""
+    own = {target[len("socket:[") : -1] for target in descriptors(process) if target.startswith("socket:[")}
     rows = [row.split() for row in (process / "net" / "unix").read_text().splitlines()[1:]]
     return [row[7] for row in rows if row[6] in own and len(row) > 7]
 
 
 def children(process: Path) -> str:
+    """Returns the process ids of a process's children."""
     return " ".join((task / "children").read_text() for task in (process / "task").iterdir()).strip()
 
 
-def look(pid: int) -> None:
+def check_process(pid: int) -> None:
+    """Checks the executable, children, threads and descriptors of a process."""
     process = Path(f"/proc/{pid}")
     assert (process / "exe").resolve() == Path(sys.executable).resolve(), "the shell is still there"
     assert not children(process)
     assert len(list((process / "task").iterdir())) <= THREADS
-    held = descriptors(process)
-    assert len(held) <= SOCKETS
-    assert sum("io_uring" in told for told in held) <= RINGS, held
-    assert not offered_unix_sockets(process)
+    open_targets = descriptors(process)
+    assert len(open_targets) <= SOCKETS
+    assert sum("io_uring" in target for target in open_targets) <= RINGS, open_targets
+    assert not bound_unix_sockets(process)
 
 
-def test_run_ends_in_one_process_that_asks_for_nothing_refused(tmp_path: Path) -> None:
-    """Before its first request and after some, with a server reached and discovery called in vain."""
+def test_run_command_starts_a_single_process_without_denied_resources(tmp_path: Path) -> None:
+    """Checked before the first request and after some, with a reachable server and unreachable discovery."""
 
     async def test() -> None:
         async with serving(always(response(200, b"page"))) as (_, at):
             env = config(tmp_path, known=known(e=at))
             async with started(env, command()) as program:
-                look(program.pid)
+                check_process(program.pid)
                 client = await connect(env["LB_LISTEN"])
                 for n in range(5):
                     assert (await client.ask(Req_Id=f"r{n}")).status == 200
-                look(program.pid)
+                check_process(program.pid)
                 program.terminate()
                 client.writer.close()
                 assert await program.wait() == 0
@@ -93,12 +96,12 @@
     assert interpreter(Path(sys.executable).resolve())
 
 
-def test_what_is_refused_is_seen(tmp_path: Path) -> None:
-    """The checks find a child, a Unix socket with a name, and a file that names no loader."""
-    with socket.socket(socket.AF_UNIX) as offered:
-        offered.bind(str(tmp_path / "here"))
-        offered.listen()
-        assert offered_unix_sockets(Path("/proc/self")) == [str(tmp_path / "here")]
+def test_checks_detect_denied_resources(tmp_path: Path) -> None:
+    """Guards against checks that miss a child process, a bound Unix socket or a statically linked program."""
+    with socket.socket(socket.AF_UNIX) as bound:
+        bound.bind(str(tmp_path / "here"))
+        bound.listen()
+        assert bound_unix_sockets(Path("/proc/self")) == [str(tmp_path / "here")]
     (tmp_path / "static").write_bytes(b"\x7fELF" + bytes(64))
     assert not interpreter(tmp_path / "static")
 
@@ -107,7 +110,7 @@
         try:
             assert str(sleeper.pid) in children(Path("/proc/self")).split()
             with pytest.raises(AssertionError, match="shell"):
-                look(sleeper.pid)
+                check_process(sleeper.pid)
         finally:
             sleeper.kill()
             await sleeper.wait()
@@ -115,11 +118,11 @@
     run_real(test)
 
 
-def test_what_the_deploy_file_names_is_there() -> None:
+def test_files_in_the_deploy_file_exist() -> None:
     missing = [name for name in DEPLOY["policy"] + DEPLOY["node"] if not (ROOT / name).exists()]
     assert not missing
 
 
-def test_the_deploy_file_lists_the_whole_decision_module() -> None:
+def test_deploy_file_lists_the_whole_policy_package() -> None:
     package = {str(path.relative_to(ROOT)) for path in (ROOT / "zinclever" / "policy").glob("*.py")}
     assert sorted(DEPLOY["policy"]) == sorted(package)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The list of endpoints, asked for over loopback sockets."""
+"""The discovery client: watches and fetches of the endpoint list."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 from zinclever.discovery.catalog import Discovery
 
 
-def told(seq: int, whole: bool, *hosts: dict[str, Any]) -> bytes:
+def list_response(seq: int, whole: bool, *hosts: dict[str, Any]) -> bytes:
+    """An answer of the discovery service."""
     return response(200, json.dumps({"seq": seq, "whole": whole, "hosts": hosts}).encode())
 
 
@@ -27,21 +28,21 @@
 
 
 class Script:
-    """Answers in turn, then silence."""
+    """Sends the given answers in turn, then none."""
 
     def __init__(self, *answers: bytes | None) -> None:
         self.answers = list(answers)
-        self.at: list[float] = []
+        self.asked_at: list[float] = []
 
     async def __call__(self, message: Message, peer: Peer) -> bytes | None:
-        self.at.append(asyncio.get_running_loop().time())
+        self.asked_at.append(asyncio.get_running_loop().time())
         answer = self.answers.pop(0) if self.answers else HANG
         if answer == HANG:
             await asyncio.Event().wait()
         return answer
 
 
-def news(s: Any) -> list[interface.MembershipNews]:
+def updates(s: Any) -> list[interface.MembershipNews]:
     return [e for _, e in s.balancer.told if isinstance(e, interface.MembershipNews)]
 
 
@@ -49,20 +50,19 @@
     return [m.start.split()[1] for _, m in peer.requests]
 
 
-def test_watch_goes_on_from_the_known_list() -> None:
-    """Guards against a new watch for each change, news that are missed, and an endpoint that is gone from
-    the whole list but kept."""
+def test_watch_continues_from_the_known_list() -> None:
+    """Guards against a new watch for each change, missed updates, and endpoints that a whole list no longer has."""
     a, b = closed_port(), closed_port()
     changed = host("b", b, "terminating", site="b", block=3, share=2.0, born_ms=1234)
-    script = Script(told(41, False), told(43, False, changed), told(44, True, host("a", a)))
+    script = Script(list_response(41, False), list_response(43, False, changed), list_response(44, True, host("a", a)))
 
     async def test() -> None:
         known = {"seq": 41, "whole": True, "hosts": [host("a", a), host("b", b)]}
         async with serving(script) as (peer, at), sidecar(watch, known, at) as s:
-            await s.balancer.until(lambda: len(news(s)) == 4)
-            assert [n.kind for n in news(s)] == ["remembered", "changes", "changes", "whole"]
-            assert news(s)[1].entries == []
-            assert news(s)[2].entries == [interface.Listed("b", "draining", 2.0, 1, 3, 1234.0)]
+            await s.balancer.until(lambda: len(updates(s)) == 4)
+            assert [n.kind for n in updates(s)] == ["remembered", "changes", "changes", "whole"]
+            assert updates(s)[1].entries == []
+            assert updates(s)[2].entries == [interface.Listed("b", "draining", 2.0, 1, 3, 1234.0)]
             assert set(s.wire.pools) == {"a"}
             while len(peer.requests) < 4:
                 await peer.arrived.get()
@@ -74,67 +74,69 @@
     run(test)
 
 
-def test_nothing_known_asks_for_the_whole_list() -> None:
+def test_without_a_known_list_the_whole_list_is_requested() -> None:
     a = closed_port()
 
     async def test() -> None:
-        async with serving(Script(told(7, True, host("a", a)))) as (peer, at), sidecar(watch, {}, at) as s:
-            await s.balancer.until(lambda: len(news(s)) == 2)
+        async with serving(Script(list_response(7, True, host("a", a)))) as (peer, at), sidecar(watch, {}, at) as s:
+            await s.balancer.until(lambda: len(updates(s)) == 2)
             assert queries(peer)[0] == "/catalog/members"
-            assert news(s)[1] == interface.MembershipNews("whole", [interface.Listed("a")])
+            assert updates(s)[1] == interface.MembershipNews("whole", [interface.Listed("a")])
 
     run(test)
 
 
-def test_failures_are_told_and_not_repeated_unasked() -> None:
-    """Guards against a crowd of sidecars that all ask a discovery again which is overloaded."""
-    script = Script(response(503), None, b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno", told(1, False))
+def test_failed_calls_are_reported_and_not_retried_by_themselves() -> None:
+    """Guards against sidecars that overload a failing discovery service by retries."""
+    script = Script(response(503), None, b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno", list_response(1, False))
 
     async def test() -> None:
         def react(event: interface.Event) -> Iterable[interface.Action]:
             if isinstance(event, interface.MembershipNews) and event.kind == "refused":
                 yield interface.SetTimer(0.0, "again")
             elif isinstance(event, interface.TimerFired):
-                asked.append(len(script.at))
+                calls_made.append(len(script.asked_at))
                 yield interface.WatchMembership(True)
             yield from watch(event)
 
-        asked: list[int] = []
+        calls_made: list[int] = []
         async with serving(script) as (_, at), sidecar(react, {}, at) as s:
-            await s.balancer.until(lambda: len(news(s)) == 5)
-            assert [n.kind for n in news(s)] == ["remembered", "refused", "refused", "refused", "changes"]
-            assert asked == [1, 2, 3]
+            await s.balancer.until(lambda: len(updates(s)) == 5)
+            assert [n.kind for n in updates(s)] == ["remembered", "refused", "refused", "refused", "changes"]
+            assert calls_made == [1, 2, 3]
 
     run(test)
 
 
-def test_no_discovery_is_a_failed_call() -> None:
+def test_unreachable_discovery_is_a_failed_call() -> None:
     async def test() -> None:
         async with sidecar(watch, {}, closed_port()) as s:
-            await s.balancer.until(lambda: len(news(s)) == 2)
-            assert news(s)[1].kind == "refused"
+            await s.balancer.until(lambda: len(updates(s)) == 2)
+            assert updates(s)[1].kind == "refused"
 
     run(test)
 
 
-def test_asked_again_while_a_call_hangs() -> None:
-    """Guards against waiting for ever on a call that discovery has forgotten."""
+def test_new_watch_replaces_a_hanging_call() -> None:
+    """Guards against waiting forever for a call that discovery has lost."""
 
     async def test() -> None:
-        script = Script(HANG, told(5, True))
+        script = Script(HANG, list_response(5, True))
         async with serving(script) as (peer, at), sidecar(watch, {}, at) as s:
             await peer.arrived.get()
-            s.balancer.react = lambda event: [interface.WatchMembership(True)] if news(s)[-1].kind == "changes" else []
+            s.balancer.react = lambda event: (
+                [interface.WatchMembership(True)] if updates(s)[-1].kind == "changes" else []
+            )
             s.discovery.tell("changes", [])
-            await s.balancer.until(lambda: news(s)[-1].kind == "whole")
+            await s.balancer.until(lambda: updates(s)[-1].kind == "whole")
             assert peer.connections == 2 and await peer.ended.get() == 0
 
     run(test)
 
 
-def test_fetch_and_leaving_the_watch() -> None:
+def test_fetch_after_the_watch_is_stopped() -> None:
     async def test() -> None:
-        script = Script(told(5, True), HANG, told(6, True, host("a", closed_port())))
+        script = Script(list_response(5, True), HANG, list_response(6, True, host("a", closed_port())))
         async with serving(script) as (peer, at), sidecar(watch, {}, at) as s:
             while len(peer.requests) < 2:
                 await peer.arrived.get()
@@ -144,29 +146,29 @@
                 else []
             )
             s.sidecar.feed(interface.TimerFired("x"))
-            await s.balancer.until(lambda: len(news(s)) == 3)
-            assert news(s)[2].kind == "whole" and [e.endpoint for e in news(s)[2].entries] == ["a"]
+            await s.balancer.until(lambda: len(updates(s)) == 3)
+            assert updates(s)[2].kind == "whole" and [e.endpoint for e in updates(s)[2].entries] == ["a"]
             assert queries(peer)[-1] == "/catalog/members"
             assert await peer.ended.get() == 0
 
     run(test)
 
 
-def test_pushed_lists_are_followed_unasked() -> None:
+def test_pushed_mode_watches_without_a_request_of_the_balancer() -> None:
     async def test() -> None:
-        script = Script(None, told(2, True, host("a", closed_port())))
+        script = Script(None, list_response(2, True, host("a", closed_port())))
         async with (
             serving(script) as (_, at),
             sidecar(lambda event: (), {}, at, discovery_mode="pushed") as s,
         ):
-            await s.balancer.until(lambda: len(news(s)) == 2)
-            assert [n.kind for n in news(s)] == ["remembered", "whole"]
+            await s.balancer.until(lambda: len(updates(s)) == 2)
+            assert [n.kind for n in updates(s)] == ["remembered", "whole"]
 
     run(test)
 
 
-def test_same_name_at_a_new_address() -> None:
-    """Guards against an endpoint that is looked for where it was: ``host`` tells who, ``dial`` where."""
+def test_endpoint_moves_to_a_new_address() -> None:
+    """Guards against connections to an old address: ``host`` identifies an endpoint, ``dial`` is its address."""
 
     async def test() -> None:
         first, second = closed_port(), closed_port()
@@ -179,34 +181,33 @@
     run(test)
 
 
-def test_few_sidecars_watch_for_a_short_while() -> None:
-    """Guards against a discovery that has gone silent and is waited for while the fleet is replaced; many
-    sidecars, that share what it can answer, ask less often."""
+def test_watch_duration_grows_with_the_group_size() -> None:
+    """A small group notices a silent discovery service soon; a large one calls it less often."""
 
     async def test() -> None:
-        for sharing, wait in ((2, 3000.0), (50, 10000.0), (400, 20000.0)):
-            async with sidecar(watch, {}, group_size=sharing) as s:
+        for group_size, wait in ((2, 3000.0), (50, 10000.0), (400, 20000.0)):
+            async with sidecar(watch, {}, group_size=group_size) as s:
                 assert s.discovery.wait == wait
 
     run(test)
 
 
-def test_zones_that_a_reload_numbers_otherwise() -> None:
-    """The list is kept as it was read; zones are told by their names."""
+def test_reload_may_change_the_zone_numbers() -> None:
+    """Guards against zone numbers of an earlier configuration: the list is stored with the zones' names."""
 
     async def test() -> None:
         sites = {"x": "a", "y": "b", "z": "?"}
         hosts = [host(name, "127.0.0.1:1", site=site) for name, site in sites.items()]
-        told = {"seq": 1, "hosts": hosts}
-        heard: list[Any] = []
+        saved = {"seq": 1, "hosts": hosts}
+        reported: list[Any] = []
         settings = Settings(classes=CLASSES, discovery="on_request")
-        made = Discovery(
-            ("127.0.0.1", 1), settings, ["a", "b"], told, lambda kind, entries: heard.append(entries), SYSTEM
+        discovery = Discovery(
+            ("127.0.0.1", 1), settings, ["a", "b"], saved, lambda kind, entries: reported.append(entries), SYSTEM
         )
-        made.start()
-        assert [x.zone for x, _ in heard[0]] == [0, 1, 0] and heard[0] == made.remembered()
-        assert "hosts" not in told  # the text of a long list is let go
-        made.configure(settings, ["b", "a"])
-        assert [(x.endpoint, x.zone) for x, _ in made.remembered()] == [("x", 1), ("y", 0), ("z", 0)]
+        discovery.start()
+        assert [x.zone for x, _ in reported[0]] == [0, 1, 0] and reported[0] == discovery.remembered()
+        assert "hosts" not in saved  # the parsed text of a long list is released
+        discovery.configure(settings, ["b", "a"])
+        assert [(x.endpoint, x.zone) for x, _ in discovery.remembered()] == [("x", 1), ("y", 0), ("z", 0)]
 
     run(test)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""A process that takes over from another: the socket that both accept from, and what they share meanwhile."""
+"""Takeover between two processes: the inherited listening socket and the limits that both share meanwhile."""
 
 from __future__ import annotations
 
@@ -31,27 +31,26 @@
 """
 
 
-def holder(folder: Path) -> subprocess.Popen[bytes]:
-    """Another process that is there."""
-    made = subprocess.Popen(
-        [sys.executable, "-c", HOLD, str(folder)],
+def start_other(directory: Path) -> subprocess.Popen[bytes]:
+    """Starts another process that has registered."""
+    process = subprocess.Popen(
+        [sys.executable, "-c", HOLD, str(directory)],
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
         env=os.environ | {"PYTHONPATH": str(ROOT)},
     )
-    assert made.stdout is not None and made.stdout.readline() == b"there\n"
-    return made
+    assert process.stdout is not None and process.stdout.readline() == b"there\n"
+    return process
 
 
-def test_a_killed_process_is_not_there(tmp_path: Path) -> None:
-    """Guards against half of the descriptors lying idle for a process that was killed, and against other sidecars,
-    or files that are none of ours, in a shared folder."""
+def test_killed_process_is_not_counted(tmp_path: Path) -> None:
+    """Guards against limits reserved for a killed process, and against touching the files of other sidecars."""
     me = Presence(tmp_path, ("127.0.0.1", 1))
     me.enter()
-    (tmp_path / "zinclever-127.0.0.1-1.999999").touch()  # left behind
+    (tmp_path / "zinclever-127.0.0.1-1.999999").touch()  # of a dead process
     (tmp_path / "zinclever-127.0.0.1-12.5").touch()
     assert me.others() == 0
-    other = holder(tmp_path)
+    other = start_other(tmp_path)
     assert me.others() == 1
     other.kill()
     other.communicate()
@@ -60,45 +59,45 @@
     assert sorted(p.name for p in tmp_path.iterdir()) == ["zinclever-127.0.0.1-12.5"]
 
 
-def test_a_newcomer_is_counted_whenever_others_look(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a newcomer whose file is opened between its making and its lock, and removed as a dead one's."""
+def test_new_process_is_counted_while_it_registers(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a race: a file that is opened before it is locked is taken for a dead process's and removed."""
     me, newcomer = Presence(tmp_path, ("127.0.0.1", 1)), Presence(tmp_path, ("127.0.0.1", 1))
     newcomer.path = newcomer.path.with_name(f"{newcomer.stem}1")  # as another process would name it
     me.enter()
     lock = fcntl.flock
-    looks: list[int] = []
+    counts: list[int] = []
 
-    def looked_at(descriptor: int, operation: int) -> None:
+    def counting_flock(descriptor: int, operation: int) -> None:
         if operation & fcntl.LOCK_EX:
-            looks.append(me.others())
+            counts.append(me.others())
         lock(descriptor, operation)
 
-    monkeypatch.setattr(fcntl, "flock", looked_at)
+    monkeypatch.setattr(fcntl, "flock", counting_flock)
     newcomer.enter()
-    assert looks == [0] and me.others() == newcomer.others() == 1
+    assert counts == [0] and me.others() == newcomer.others() == 1
     monkeypatch.undo()
-    for path in tmp_path.iterdir():  # a cleaner of such folders
+    for path in tmp_path.iterdir():  # as a cleanup of temporary files does
         path.unlink()
     assert me.others() == 0 and newcomer.others() == 1 and me.others() == 1
 
 
-def test_changes_are_told(tmp_path: Path) -> None:
+def test_monitor_reports_changes(tmp_path: Path) -> None:
     async def test() -> None:
-        told: asyncio.Queue[int] = asyncio.Queue()
-        monitor = PresenceMonitor(Presence(tmp_path, ("127.0.0.1", 1)), told.put_nowait)
+        reported: asyncio.Queue[int] = asyncio.Queue()
+        monitor = PresenceMonitor(Presence(tmp_path, ("127.0.0.1", 1)), reported.put_nowait)
         monitor.start()
-        other = holder(tmp_path)
-        assert await told.get() == 1
+        other = start_other(tmp_path)
+        assert await reported.get() == 1
         other.terminate()
-        assert await told.get() == 0
+        assert await reported.get() == 0
         other.communicate()
         monitor.stop()
 
     run_real(test)
 
 
-def test_what_is_no_listener_is_refused() -> None:
-    """Guards against serving from a descriptor that is something else, and against closing it."""
+def test_descriptor_that_is_not_a_listener_is_rejected() -> None:
+    """Guards against serving on another kind of descriptor, and against closing it."""
     with socket.socket() as unbound:
         with pytest.raises(OSError, match="doesn't listen"):
             inherited(unbound.fileno())
@@ -111,7 +110,7 @@
 
 
 async def start(env: dict[str, str], listener: socket.socket, tmp: Path, admin: str) -> asyncio.subprocess.Process:
-    """The program over a socket that the test keeps, once operators hear that it takes clients."""
+    """Starts the program on a socket of the test and waits until its status page reports that it is ready."""
     more = {"LB_INHERITED_FD": str(listener.fileno()), "LB_ADMIN_ADDR": admin, "TMPDIR": str(tmp)}
     program = await asyncio.create_subprocess_exec(
         *COMMAND, cwd=ROOT, env=os.environ | env | more, pass_fds=[listener.fileno()]
@@ -126,14 +125,13 @@
         await asyncio.sleep(0.02)
 
 
-async def figures(admin: str) -> dict[str, int]:
-    told = (await (await connect(admin)).ask("/status/metrics")).body.decode()
-    return {name: int(value.partition("|")[0]) for name, value in (x.split(":") for x in told.splitlines())}
+async def metrics(admin: str) -> dict[str, int]:
+    text = (await (await connect(admin)).ask("/status/metrics")).body.decode()
+    return {name: int(value.partition("|")[0]) for name, value in (x.split(":") for x in text.splitlines())}
 
 
-def test_a_process_takes_over_under_load(tmp_path: Path) -> None:
-    """No client meets a refused or reset connection while one process takes over from another; what the old one holds
-    is finished, and each request runs once."""
+def test_takeover_under_load(tmp_path: Path) -> None:
+    """Guards against refused or reset connections, lost requests and repeated ones while a process takes over."""
 
     async def test() -> None:
         release = asyncio.Event()
@@ -147,15 +145,15 @@
         host, port = listener.getsockname()
         at = f"{host}:{port}"
         stop = asyncio.Event()
-        asked = 0
+        request_count = 0
 
-        async def ask_on(own: int) -> None:
-            nonlocal asked
+        async def send_requests(task: int) -> None:
+            nonlocal request_count
             client = None
             while not stop.is_set():
                 client = client or await connect(at)
-                asked += 1
-                got = await client.ask("/tip", method="POST", Req_Id=f"{own}-{asked}")
+                request_count += 1
+                got = await client.ask("/tip", method="POST", Req_Id=f"{task}-{request_count}")
                 assert got.status == 200 and got.body == b"page"
                 if got.headers.get("connection") == "close":
                     client = None
@@ -168,21 +166,21 @@
             held.send("/tip", method="POST", Req_Id="held")
             while not peer.requests:
                 await peer.arrived.get()
-            load = [asyncio.create_task(ask_on(n)) for n in range(6)]
+            load = [asyncio.create_task(send_requests(n)) for n in range(6)]
             new = await start(env, listener, tmp_path, new_admin)
-            before = (await figures(old_admin))["lb.dispatches"]
+            before = (await metrics(old_admin))["lb.dispatches"]
             old.send_signal(signal.SIGTERM)
-            while (await figures(new_admin))["lb.replies.tip.success"] < 50:
+            while (await metrics(new_admin))["lb.replies.tip.success"] < 50:
                 await asyncio.sleep(0.02)
             release.set()
             assert (await held.answer()).status == 200
             assert await old.wait() == 0
             stop.set()
             await asyncio.gather(*load)
-            counted = await figures(new_admin)
+            counted = await metrics(new_admin)
             assert before >= 1 and counted["lb.targets"] == 1 and counted["lb.concurrent"] == 0
             ran = [m.headers["req-id"] for _, m in peer.requests]
-            assert len(ran) == len(set(ran)) == asked + 1
+            assert len(ran) == len(set(ran)) == request_count + 1
             new.terminate()
             assert await new.wait() == 0
         listener.close()
@@ -190,46 +188,46 @@
     run_real(test)
 
 
-def test_descriptors_are_divided_while_two_are_there(tmp_path: Path) -> None:
-    """Guards against two processes that hold more together than the one sidecar may."""
+def test_limits_are_divided_between_two_processes(tmp_path: Path) -> None:
+    """Guards against two processes that together exceed the sidecar's limits."""
     from zinclever.assembly import Platform
     from zinclever.configuration.load import read
     from zinclever.core.descriptors import RESERVED, Descriptors
 
     async def test() -> None:
-        told, _ = read(config(tmp_path, limits={"sockets": 256}))
-        assert told is not None
-        platform = Platform(told, Descriptors(told.sockets), System())
+        loaded, _ = read(config(tmp_path, limits={"sockets": 256}))
+        assert loaded is not None
+        platform = Platform(loaded, Descriptors(loaded.sockets), System())
         platform.share_limits(1)
         assert platform.descriptors.max_connections == 128 - RESERVED and platform.front.most == 64
         platform.adopt(await changed(tmp_path))
-        assert platform.descriptors.max_connections == 150 - RESERVED  # a reload meanwhile divides what it brings
+        assert platform.descriptors.max_connections == 150 - RESERVED  # a reload divides the new limit as well
         platform.share_limits(0)
         assert platform.descriptors.max_connections == 300 - RESERVED
 
     async def changed(tmp_path: Path) -> Any:
-        told, _ = read(config(tmp_path, limits={"sockets": 300}))
-        return told
+        loaded, _ = read(config(tmp_path, limits={"sockets": 300}))
+        return loaded
 
     run_real(test)
 
 
-@pytest.mark.parametrize(("fd", "said"), [("many", "LB_INHERITED_FD"), ("250", "inherited descriptor 250")])
-def test_a_wrong_descriptor_is_told_in_one_line(tmp_path: Path, fd: str, said: str) -> None:
+@pytest.mark.parametrize(("fd", "message"), [("many", "LB_INHERITED_FD"), ("250", "inherited descriptor 250")])
+def test_unusable_descriptor_is_reported_in_one_line(tmp_path: Path, fd: str, message: str) -> None:
     env = os.environ | config(tmp_path) | {"LB_INHERITED_FD": fd, "TMPDIR": str(tmp_path)}
     ended = subprocess.run(COMMAND, cwd=ROOT, env=env, capture_output=True, text=True, timeout=60)
     (line,) = ended.stderr.splitlines()
-    assert ended.returncode in (1, 2) and said in line
+    assert ended.returncode in (1, 2) and message in line
 
 
-def test_the_address_of_operators_may_stand_in_the_file(tmp_path: Path) -> None:
+def test_admin_address_from_file_and_environment(tmp_path: Path) -> None:
     from zinclever.configuration.load import ConfigError, read
 
     env = config(tmp_path, admin_addr="127.0.0.1:15000")
-    told, _ = read(env)
-    assert told is not None and told.admin == ("127.0.0.1", 15000) and told.inherited is None
-    told, _ = read(env | {"LB_ADMIN_ADDR": "127.0.0.1:15001", "LB_INHERITED_FD": "4"})
-    assert told is not None and told.admin == ("127.0.0.1", 15001) and told.inherited == 4
+    loaded, _ = read(env)
+    assert loaded is not None and loaded.admin == ("127.0.0.1", 15000) and loaded.inherited is None
+    loaded, _ = read(env | {"LB_ADMIN_ADDR": "127.0.0.1:15001", "LB_INHERITED_FD": "4"})
+    assert loaded is not None and loaded.admin == ("127.0.0.1", 15001) and loaded.inherited == 4
     with pytest.raises(ConfigError, match="admin_addr"):
         read(config(tmp_path, admin_addr="nowhere"))
     assert json.loads(Path(env["LB_CONFIG"]).read_text())["admin_addr"] == "nowhere"
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: what a list may hold, and what runs by both programs make of it, on small trees of tests."""
+"""KNOWN-RED.txt: the format of the list, and its effect on runs of pytest and nose2 in small test trees."""
 
 from __future__ import annotations
 
@@ -70,11 +70,12 @@
 
 @dataclass
 class Tree:
-    """A folder with tests for both programs, only some of which are kept."""
+    """A directory with tests for pytest and nose2."""
 
     root: Path
 
     def write(self, pytest_tests: set[str], nose2_tests: set[str]) -> None:
+        """Writes the test files with only the named tests."""
         mesh = self.root / "tests" / "mesh"
         mesh.mkdir(parents=True)
         (self.root / "pyproject.toml").write_text(PYTEST_INI)
@@ -86,7 +87,7 @@
         (self.root / FILE_NAME).write_text("".join(line + "\n" for line in lines))
 
     def run(self, *arguments: str) -> tuple[int, str]:
-        """The status and all output of ``tests/run.py`` as the tree's own."""
+        """Runs a copy of ``tests/run.py`` in the tree and returns its exit status and output."""
         for name in ("run.py", "known_red.py"):
             shutil.copy(TESTS / name, self.root / "tests" / name)
         environment = {k: v for k, v in os.environ.items() if not k.startswith("PYTEST")}
@@ -96,7 +97,7 @@
 
 
 def _kept(source: str, tests: set[str]) -> str:
-    """``source`` with every test renamed that isn't among ``tests``, so that it isn't one."""
+    """Returns ``source`` with all tests that aren't among ``tests`` renamed, so that they aren't collected."""
     names = {word.partition("(")[0] for word in source.split() if word.startswith("test_")}
     for name in sorted(names - tests):
         source = source.replace(f"def {name}(", f"def not_kept_{name}(")
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -1,4 +1,4 @@
-"""The compiled modules: the same decisions, or not used at all."""
+"""The compiled modules: they decide as the Python sources do, and outdated ones are not used."""
 
 from __future__ import annotations
 
@@ -28,36 +28,39 @@
 
 @pytest.fixture(scope="module")
 def compiled(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """A folder of libraries made of the text as it stands."""
+    """A directory of libraries built from the current sources."""
     if libraries(native.PACKAGE / native.FOLDER):
         return native.PACKAGE / native.FOLDER
     if shutil.which("gcc") is None and shutil.which("cc") is None:
-        pytest.skip("no compiler here: everything runs as it is written")
-    folder = tmp_path_factory.mktemp("made") / native.FOLDER
-    assert compile.compile_to(folder) == ""
-    return folder
+        pytest.skip("no compiler: the Python sources are used")
+    directory = tmp_path_factory.mktemp("made") / native.FOLDER
+    assert compile.compile_to(directory) == ""
+    return directory
 
 
-def python(code: str, native_folder: Path | str, given: bytes = b"") -> bytes:
-    """What a program in a process of its own writes."""
-    env = os.environ | {"ZINCLEVER_NATIVE": str(native_folder), "PYTHONPATH": str(native.PACKAGE.parent)}
-    return subprocess.run([sys.executable, "-c", code], input=given, env=env, capture_output=True, check=True).stdout
+def python(code: str, native_directory: Path | str, input_data: bytes = b"") -> bytes:
+    """Runs a program in a separate process and returns its output."""
+    env = os.environ | {"ZINCLEVER_NATIVE": str(native_directory), "PYTHONPATH": str(native.PACKAGE.parent)}
+    return subprocess.run(
+        [sys.executable, "-c", code], input=input_data, env=env, capture_output=True, check=True
+    ).stdout
 
 
 class Recording(Balancer):
-    """Keeps every event and what was done on it."""
+    """Records every event and the resulting actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.taken: list[tuple[float, interface.Event, list[interface.Action]]] = []
+        self.recorded: list[tuple[float, interface.Event, list[interface.Action]]] = []
 
     def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
         actions = super().handle(now, event)
-        self.taken.append((now, event, list(actions)))
+        self.recorded.append((now, event, list(actions)))
         return actions
 
 
 def day(seed: int, size: int) -> tuple[Settings, list[tuple[float, interface.Event, list[interface.Action]]]]:
+    """Simulates random traffic and returns the settings and the recorded events."""
     rng = Random(seed)
     settings = Settings(
         classes=(SAFE, KEYED, UNSAFE),
@@ -74,10 +77,10 @@
         )
         for n in range(size)
     ]
-    played = Simulation(settings, listed, SHARES, seed, Recording)
-    played.run(2500, rng.choice([50.0, 400.0]))
-    assert isinstance(played.balancer, Recording)
-    return settings, played.balancer.taken
+    simulation = Simulation(settings, listed, SHARES, seed, Recording)
+    simulation.run(2500, rng.choice([50.0, 400.0]))
+    assert isinstance(simulation.balancer, Recording)
+    return settings, simulation.balancer.recorded
 
 
 REPLAY = """
@@ -91,75 +94,77 @@
 """
 
 
-def test_the_actions_are_the_same_on_100_000_events(compiled: Path) -> None:
+def test_compiled_modules_decide_the_same_on_100_000_events(compiled: Path) -> None:
     count = seed = 0
     days, expected = [], []
     while count < EVENTS:
         seed += 1
-        settings, taken = day(seed, [3, 8, 60, 300][seed % 4])
-        days.append((seed, repr(settings), [(now, event) for now, event, _ in taken]))
-        expected.append([actions for _, _, actions in taken])
-        count += len(taken)
-    told = io.BytesIO(python(REPLAY, compiled, pickle.dumps(days)))
+        settings, recorded = day(seed, [3, 8, 60, 300][seed % 4])
+        days.append((seed, repr(settings), [(now, event) for now, event, _ in recorded]))
+        expected.append([actions for _, _, actions in recorded])
+        count += len(recorded)
+    output = io.BytesIO(python(REPLAY, compiled, pickle.dumps(days)))
     for (number, _, events), actions in zip(days, expected, strict=True):
-        for event, mine, theirs in zip(events, actions, pickle.load(told), strict=True):
-            assert mine == theirs, (number, event)
+        for event, python_actions, compiled_actions in zip(events, actions, pickle.load(output), strict=True):
+            assert python_actions == compiled_actions, (number, event)
     print(f"{count} events of {seed} days")
 
 
-WHICH = "from zinclever.core import ledger; from zinclever.http1 import server; print(ledger.__file__, server.__file__)"
+PRINT_MODULE_FILES = (
+    "from zinclever.core import ledger; from zinclever.http1 import server; print(ledger.__file__, server.__file__)"
+)
 
 
-def test_it_is_used_only_if_it_is_of_the_same_text(compiled: Path, tmp_path: Path) -> None:
-    """Guards against an older build that goes on deciding after the text has changed."""
-    assert python(WHICH, compiled).count(b".so") == 2
+def test_libraries_are_used_only_if_they_match_the_sources(compiled: Path, tmp_path: Path) -> None:
+    """Guards against an outdated build that is still used after the sources have changed."""
+    assert python(PRINT_MODULE_FILES, compiled).count(b".so") == 2
     copy = tmp_path / "copy"
     shutil.copytree(compiled, copy)
-    assert python(WHICH, copy).count(b".so") == 2
+    assert python(PRINT_MODULE_FILES, copy).count(b".so") == 2
     (copy / native.STAMP).write_text("1")
-    assert python(WHICH, copy).count(b".py") == 2
-    assert python(WHICH, "text").count(b".py") == 2
+    assert python(PRINT_MODULE_FILES, copy).count(b".py") == 2
+    assert python(PRINT_MODULE_FILES, "text").count(b".py") == 2
 
 
-@pytest.mark.parametrize("left", ["nothing", "spoilt", "one missing"])
-def test_a_build_that_cannot_be_loaded_is_none(compiled: Path, tmp_path: Path, left: str) -> None:
-    """Made for another interpreter, or half removed."""
+@pytest.mark.parametrize("state", ["nothing", "corrupt", "one missing"])
+def test_build_that_cannot_be_loaded_is_ignored(compiled: Path, tmp_path: Path, state: str) -> None:
+    """Guards against a failing start with libraries of another interpreter, or with missing ones."""
     copy = tmp_path / "copy"
-    if left != "nothing":
+    if state != "nothing":
         shutil.copytree(compiled, copy)
         shared = next(p for p in copy.iterdir() if native.SHARED in p.name)
-        if left == "spoilt":
+        if state == "corrupt":
             shared.write_bytes(b"no library")
         else:
             next(p for p in copy.iterdir() if "ledger" in p.name).unlink()
-    assert python(WHICH, copy).count(b".py") == 2
-
-
-def test_libraries_that_are_loaded_are_not_written_over(tmp_path: Path) -> None:
-    """Guards against sidecars, and the build itself, that crash as what they have loaded changes under them."""
-    folder, made = tmp_path / "native", tmp_path / "lib.so"
-    made.write_bytes(b"old")
-    compile.replace_directory({made: "lib.so"}, "1", folder)
-    made.write_bytes(b"new")
-    with (folder / "lib.so").open("rb") as loaded:
-        compile.replace_directory({made: "lib.so"}, "2", folder)
-        assert loaded.read() == b"old" and (folder / "lib.so").read_bytes() == b"new"
+    assert python(PRINT_MODULE_FILES, copy).count(b".py") == 2
+
+
+def test_loaded_libraries_are_not_overwritten(tmp_path: Path) -> None:
+    """Guards against crashes of processes, the build among them, whose loaded libraries change on disk."""
+    directory, built = tmp_path / "native", tmp_path / "lib.so"
+    built.write_bytes(b"old")
+    compile.replace_directory({built: "lib.so"}, "1", directory)
+    built.write_bytes(b"new")
+    with (directory / "lib.so").open("rb") as loaded:
+        compile.replace_directory({built: "lib.so"}, "2", directory)
+        assert loaded.read() == b"old" and (directory / "lib.so").read_bytes() == b"new"
     assert sorted(p.name for p in tmp_path.iterdir()) == ["lib.so", "native"]
-    assert (folder / native.STAMP).read_text() == "2"
+    assert (directory / native.STAMP).read_text() == "2"
 
 
-def test_every_module_that_is_compiled_is_there() -> None:
+def test_all_compiled_modules_exist() -> None:
     assert all(native.path_of(m).exists() for m in native.MODULES)
 
 
-def test_a_build_that_fails_says_so_and_goes_on(
+def test_failed_build_is_reported_and_not_fatal(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    def broken(*args: Any, **more: Any) -> Any:
+    def failing_run(*args: Any, **more: Any) -> Any:
         raise OSError("no mypyc here")
 
-    run: Callable[..., Any] = broken
-    monkeypatch.setattr(compile, "libraries", lambda folder: {})
+    run: Callable[..., Any] = failing_run
+    monkeypatch.setattr(compile, "libraries", lambda directory: {})
     monkeypatch.setattr(compile.subprocess, "run", run)  # type: ignore[attr-defined]
     assert compile.main() == 0
     assert "the Python sources are used: no mypyc here" in capsys.readouterr().out
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as it is started in service: configuration, health, signals, exit code."""
+"""The program as started in production: configuration, health, signals and exit codes."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 
 
 def config(tmp_path: Path, **more: Any) -> dict[str, str]:
-    """The environment of a sidecar with this configuration."""
-    told = {
+    """Writes a configuration file and returns the environment of a sidecar that uses it."""
+    content = {
         "listen": closed_port(),
         "discovery": closed_port(),
         "seed": "8c1f30d27a5be964",
@@ -40,8 +40,8 @@
         "settings": SETTINGS,
     }
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(told | more))
-    return {"LB_CONFIG": str(path), "LB_LISTEN": str(told["listen"])}
+    path.write_text(json.dumps(content | more))
+    return {"LB_CONFIG": str(path), "LB_LISTEN": str(content["listen"])}
 
 
 async def connect(address: str) -> Client:
@@ -51,7 +51,7 @@
 
 @contextlib.asynccontextmanager
 async def started(env: dict[str, str], command: str = "") -> AsyncIterator[asyncio.subprocess.Process]:
-    """The program, once it is healthy; by a command for the shell where one is given."""
+    """Starts the program, or a shell command, and waits until it is healthy."""
     argv = ["/bin/sh", "-c", command] if command else COMMAND
     program = await asyncio.create_subprocess_exec(*argv, cwd=ROOT, env=os.environ | env)
     try:
@@ -64,7 +64,7 @@
                 continue
             healthy = (await client.ask("/_health")).status == 200
             client.writer.close()
-            if healthy:  # not yet where the list is still to come from discovery
+            if healthy:  # not before it has an endpoint list
                 break
             await asyncio.sleep(0.02)
         yield program
@@ -74,9 +74,8 @@
             await program.wait()
 
 
-def test_serves_and_ends_on_a_signal(tmp_path: Path) -> None:
-    """Guards against requests that are lost at a planned restart: those held, those on kept connections and
-    those of clients that have not heard of it yet."""
+def test_sigterm_drains_open_requests_and_connections(tmp_path: Path) -> None:
+    """Guards against requests lost at a planned restart, whether open, on idle connections, or of new clients."""
 
     async def test() -> None:
         release = asyncio.Event()
@@ -97,7 +96,7 @@
                 program.send_signal(signal.SIGTERM)
                 late = await connect(env["LB_LISTEN"])
                 got = await late.ask(Req_Id="late")
-                while got.headers.get("connection") != "close":  # the signal may be on its way
+                while got.headers.get("connection") != "close":  # until the signal has been handled
                     got = await late.ask(Req_Id="late")
                     assert got.status == 200
                 assert await read_message(late.reader) is None
@@ -115,10 +114,10 @@
     "broken",
     [{"settings": {}}, {"settings": SETTINGS | {"classes": [{"aim": 1.0}]}}, {"listen": "nowhere"}, None],
 )
-def test_bad_configuration_is_one_clear_line(tmp_path: Path, broken: dict[str, Any] | None) -> None:
-    """Guards against a sidecar that starts half configured, or that ends with a traceback."""
-    told = {"LB_CONFIG": ""} if broken is None else config(tmp_path, **broken) | {"LB_LISTEN": ""}
-    env = os.environ | told
+def test_invalid_configuration_is_reported_in_one_line(tmp_path: Path, broken: dict[str, Any] | None) -> None:
+    """Guards against starting with a partial configuration, and against a traceback."""
+    variables = {"LB_CONFIG": ""} if broken is None else config(tmp_path, **broken) | {"LB_LISTEN": ""}
+    env = os.environ | variables
     ended = subprocess.run(COMMAND, cwd=ROOT, env=env, capture_output=True, text=True, timeout=60)
     assert ended.returncode != 0
     (line,) = ended.stderr.splitlines()
@@ -127,8 +126,8 @@
         assert "listen: 'nowhere' is no address" in line
 
 
-def test_a_reload_before_it_is_up_is_no_end(tmp_path: Path) -> None:
-    """Found on the rig: SIGHUP to a process that had just been started ended it. Its file is read again once it can."""
+def test_reload_during_start_does_not_end_the_program(tmp_path: Path) -> None:
+    """Guards against SIGHUP ending a process that has not installed its handler yet."""
 
     async def test() -> None:
         async with serving(always(response(200, b"page"))) as (_, at):
@@ -139,7 +138,7 @@
             program = await asyncio.create_subprocess_exec("/bin/sh", "-c", command, cwd=ROOT, env=os.environ | env)
             while not Path(f"/proc/{program.pid}/exe").resolve().name.startswith("python"):
                 await asyncio.sleep(0.001)
-            while True:  # all through its start
+            while True:  # throughout its start
                 program.send_signal(signal.SIGHUP)
                 try:
                     client = await connect(env["LB_LISTEN"])
@@ -155,8 +154,8 @@
     run_real(test)
 
 
-def test_a_reload_that_comes_before_its_handler_is_told_after() -> None:
-    text = """
+def test_reload_signal_is_delivered_once_a_handler_is_installed() -> None:
+    code = """
 import os, signal
 from zinclever.system import System
 System().hold_reloads()
@@ -165,18 +164,18 @@
 print("handled")
 System().hear_reloads()
 """
-    ended = subprocess.run([sys.executable, "-c", text], cwd=ROOT, capture_output=True, text=True, timeout=60)
+    ended = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
     assert ended.stdout.split() == ["handled", "told"]
 
 
-def test_address_in_use_is_told(tmp_path: Path) -> None:
+def test_address_in_use_is_reported_in_one_line(tmp_path: Path) -> None:
     async def test() -> None:
         async with serving(lambda message, peer: asyncio.sleep(0, None)) as (_, at):
             env = config(tmp_path) | {"LB_LISTEN": at}
             program = await asyncio.create_subprocess_exec(
                 *COMMAND, cwd=ROOT, env=os.environ | env, stderr=asyncio.subprocess.PIPE
             )
-            _, told = await program.communicate()
-            assert program.returncode == 1 and told.decode().count("\n") == 1
+            _, output = await program.communicate()
+            assert program.returncode == 1 and output.decode().count("\n") == 1
 
     run_real(test)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Days of service: answers that come spoilt, load reports that can't be read, a new configuration."""
+"""The sidecar in operation: malformed answers and load reports, and reloads of the configuration."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import pytest
 from loopback import Message, Peer, Script, always, host, known, response, run_real, serving, sidecar, silence
 from test_discovery import Script as Answers
-from test_discovery import news, told, watch
+from test_discovery import list_response, updates, watch
 from test_program import config, connect, started
 from test_sidecar import send_to
 
@@ -30,8 +30,8 @@
         b"HTTP/1.1 103 Early Hints\r\nLink: x\r\nContent-Length: 7\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n",
     ],
 )
-def test_interim_answers_are_not_the_answer(ahead: bytes) -> None:
-    """Guards against a 1xx answer that is taken for the final one, and its headers with it."""
+def test_interim_responses_are_skipped(ahead: bytes) -> None:
+    """Guards against taking a 1xx answer, or its headers, for the final one."""
 
     async def test() -> None:
         async with serving(always(ahead + OK)) as (peer, at), sidecar(send_to("e"), known(e=at)) as s:
@@ -45,8 +45,8 @@
 
 
 @pytest.mark.parametrize("beyond", [response(503, b"other", Srv_Declined="1"), b"\x00noise", OK])
-def test_bytes_beyond_an_answer_change_nothing(beyond: bytes) -> None:
-    """Guards against the status or body of what follows a good answer, and against its connection's reuse."""
+def test_bytes_after_an_answer_are_ignored(beyond: bytes) -> None:
+    """Guards against using data that follows an answer, and against reusing such a connection."""
 
     async def test() -> None:
         async with serving(always(OK + beyond)) as (peer, at), sidecar(send_to("e"), known(e=at)) as s:
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
         b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nxxxx",
         b"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\npage",
@@ -75,13 +75,15 @@
         b"\x16\x03\x01 noise",
     ],
 )
-def test_spoilt_answer_fails_early_and_the_next_attempt_serves(spoilt: bytes) -> None:
-    """Guards against serving what is no whole answer, and against waiting for the rest until the deadline:
-    the connection stays open and says nothing more."""
+def test_malformed_answer_fails_early_and_the_next_attempt_serves(malformed: bytes) -> None:
+    """Guards against serving an incomplete answer, and against waiting for its rest until the deadline.
+
+    The connection stays open without further data.
+    """
 
     async def test() -> None:
         async def script(message: Message, peer: Peer) -> bytes | None:
-            peer.writers[-1].write(spoilt)
+            peer.writers[-1].write(malformed)
             return await silence(message, peer)
 
         async with (
@@ -116,8 +118,8 @@
         "\x80",
     ],
 )
-def test_report_that_means_nothing_is_none(report: str) -> None:
-    """Guards against an attempt that stays in flight for ever because its report could not be read."""
+def test_malformed_load_report_is_ignored(report: str) -> None:
+    """Guards against an attempt that stays in flight forever because its load report is malformed."""
 
     async def test() -> None:
         load = b"Srv-Load: " + report.encode("latin-1")
@@ -131,8 +133,8 @@
     run_real(test)
 
 
-def test_headers_that_connection_names_end_here() -> None:
-    """Guards against passing on what was meant for one connection only, either way."""
+def test_headers_named_by_connection_are_not_forwarded() -> None:
+    """Guards against forwarding hop-by-hop headers, in both directions."""
 
     async def test() -> None:
         answer = response(200, b"ok", X_Hop="1", X_End="2", Connection="keep-alive, x-hop")
@@ -146,21 +148,20 @@
     run_real(test)
 
 
-def test_discovery_that_moves_is_asked_for_the_whole_list() -> None:
-    """Guards against a new discovery's list that looks older than the old one's, and against late answers
-    of the old one."""
-    one = Answers(told(900, True, host("a", "127.0.0.1:1")))
-    two = Answers(told(7, True, host("b", "127.0.0.1:2")), told(8, False, host("c", "127.0.0.1:3")))
+def test_new_discovery_address_requests_the_whole_list() -> None:
+    """Guards against ignoring the new service's list for its lower version, and against late answers of the old one."""
+    one = Answers(list_response(900, True, host("a", "127.0.0.1:1")))
+    two = Answers(list_response(7, True, host("b", "127.0.0.1:2")), list_response(8, False, host("c", "127.0.0.1:3")))
 
     async def test() -> None:
         async with serving(one) as (old, at), serving(two) as (new, other), sidecar(watch, discovery=at) as s:
-            await s.balancer.until(lambda: len(news(s)) == 2)
+            await s.balancer.until(lambda: len(updates(s)) == 2)
             await old.arrived.get()
             await old.arrived.get()
             where, _, port = other.partition(":")
             s.discovery.move((where, int(port)))
-            await s.balancer.until(lambda: len(news(s)) == 4)
-            assert [n.kind for n in news(s)] == ["remembered", "whole", "whole", "changes"]
+            await s.balancer.until(lambda: len(updates(s)) == 4)
+            assert [n.kind for n in updates(s)] == ["remembered", "whole", "whole", "changes"]
             assert set(s.wire.pools) == {"b", "c"}
             assert [m.start.split()[1] for _, m in new.requests][:2] == [
                 "/catalog/members",
@@ -172,7 +173,7 @@
 
 
 def holding(release: asyncio.Event) -> Script:
-    """Answers at once, but for the request named ``held``, which waits to be released."""
+    """Answers at once, except for the request ``held``, which waits for the event."""
 
     async def script(message: Message, peer: Peer) -> bytes | None:
         if message.headers["req-id"] == "held":
@@ -182,16 +183,16 @@
     return script
 
 
-def test_sighup_moves_discovery_and_keeps_serving(tmp_path: Path) -> None:
-    """Guards against a program that ends on SIGHUP, that loses what it holds, that takes a broken file, or
-    that sticks to the address in its environment."""
+def test_reload_changes_the_discovery_address(tmp_path: Path) -> None:
+    """Guards against SIGHUP that ends the program or loses requests, and against applying a malformed file, or the
+    discovery address of the environment, on a reload."""
 
     async def test() -> None:
         release = asyncio.Event()
         script = holding(release)
         async with serving(script) as (peer, at):
-            one = Answers(told(900, True, host("e", at)))
-            two = Answers(told(3, True, host("f", at)))
+            one = Answers(list_response(900, True, host("e", at)))
+            two = Answers(list_response(3, True, host("f", at)))
             async with serving(one) as (_, first), serving(two) as (second, other):
                 env = config(tmp_path, known=known(e=at), discovery=first)
                 env["LB_DISCOVERY"] = first
@@ -203,12 +204,12 @@
                     good = json.loads(path.read_text())
                     path.write_text("{")
                     program.send_signal(signal.SIGHUP)
-                    asker = await connect(env["LB_LISTEN"])
-                    assert (await asker.ask("/read", Req_Id="r1")).status == 200
+                    other_client = await connect(env["LB_LISTEN"])
+                    assert (await other_client.ask("/read", Req_Id="r1")).status == 200
                     path.write_text(json.dumps(good | {"discovery": other}))
                     program.send_signal(signal.SIGHUP)
                     await second.arrived.get()
-                    assert (await asker.ask("/read", Req_Id="r2")).status == 200
+                    assert (await other_client.ask("/read", Req_Id="r2")).status == 200
                     release.set()
                     assert (await client.answer()).body == b"page"
                     program.send_signal(signal.SIGTERM)
@@ -217,8 +218,8 @@
     run_real(test)
 
 
-def test_sighup_brings_new_settings(tmp_path: Path) -> None:
-    """Guards against settings that wait for a restart, and against what is held being judged by new ones."""
+def test_reload_applies_new_settings(tmp_path: Path) -> None:
+    """Guards against settings that need a restart, and against open requests that are handled by the new ones."""
 
     async def test() -> None:
         release = asyncio.Event()
@@ -238,7 +239,7 @@
                 path.write_text(json.dumps(new))
                 program.send_signal(signal.SIGHUP)
                 status = 404
-                while status == 404:  # the signal may be on its way
+                while status == 404:  # until the signal has been handled
                     client = await connect(env["LB_LISTEN"])
                     status = (await client.ask("/save", Req_Id="new")).status
                 assert status == 200
@@ -250,8 +251,8 @@
     run_real(test)
 
 
-def test_attempt_end_reaches_the_balancer_though_the_answer_fails() -> None:
-    """Guards against an exception between an attempt's end and its event: it would be in flight for ever."""
+def test_attempt_end_reaches_the_balancer_if_the_answer_fails() -> None:
+    """Guards against an attempt that stays in flight forever after an exception while its answer is written."""
 
     def react(event: interface.Event) -> Iterable[interface.Action]:
         if isinstance(event, interface.RequestArrived):
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -1,4 +1,4 @@
-"""Attempts, outcomes and final answers over loopback sockets."""
+"""Attempts, their outcomes and final answers, over HTTP connections."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def send_to(*endpoints: str, expires: float = 0.0) -> Reaction:
-    """Each request goes to the endpoints in turn, to the next after a failure, and fails after the last."""
+    """Sends each request to the endpoints in turn, to the next one after a failure, and fails it after the last."""
 
     def react(event: interface.Event) -> Iterable[interface.Action]:
         if isinstance(event, interface.RequestArrived):
@@ -46,7 +46,7 @@
 
 
 def test_request_and_answer_pass_unchanged() -> None:
-    """Guards against a request that an endpoint can't recognise, and an answer that no endpoint made."""
+    """Guards against altering a request or an answer."""
 
     async def test() -> None:
         answer = response(200, b"\x00page", Content_Type="image/png", Srv_Load='{"queue":3}')
@@ -90,8 +90,8 @@
         (None, "reset"),
     ],
 )
-def test_what_an_answer_proves(answer: bytes | None, outcome: str | None) -> None:
-    """Guards against taking for 'never ran' what may have run, and against serving half an answer."""
+def test_outcome_of_an_answer(answer: bytes | None, outcome: str | None) -> None:
+    """Guards against reporting as never run what may have run, and against serving an incomplete answer."""
 
     async def script(message: Message, peer: Peer) -> bytes | None:
         if outcome is None and answer is not None:
@@ -108,7 +108,7 @@
     run(test)
 
 
-def test_refused_connection_never_ran_and_the_next_serves() -> None:
+def test_refused_connection_is_retried_at_the_next_endpoint() -> None:
     async def test() -> None:
         async with (
             serving(always(response())) as (_, at),
@@ -122,8 +122,8 @@
     run(test)
 
 
-def test_timeout_closes_the_connection_and_tells_the_time_waited() -> None:
-    """Guards against an endpoint that still works for nobody, and a payoff learnt from a false latency."""
+def test_timeout_closes_the_connection_and_reports_the_elapsed_time() -> None:
+    """Guards against endpoints that go on working for nobody, and against a wrong latency in the statistics."""
 
     async def test() -> None:
         async with serving(silence) as (peer, at), sidecar(send_to("e", expires=300.0), known(e=at)) as s:
@@ -136,8 +136,8 @@
     run(test)
 
 
-def test_losers_are_cancelled_and_report_once() -> None:
-    """Guards against a loser that is never told of, told of twice, or that runs on."""
+def test_cancelled_attempts_are_reported_once() -> None:
+    """Guards against a cancelled attempt that is reported never or twice, or that runs on."""
 
     def react(event: interface.Event) -> Iterable[interface.Action]:
         if isinstance(event, interface.RequestArrived):
@@ -171,7 +171,7 @@
     run(test)
 
 
-def test_no_more_attempts_than_allowed() -> None:
+def test_attempts_are_limited() -> None:
     async def test() -> None:
         many = ["e"] * (LIMITS.max_attempts + 1)
         async with serving(always(response(500))) as (peer, at), sidecar(send_to(*many), known(e=at)) as s:
@@ -183,7 +183,7 @@
     run(test)
 
 
-def test_refusal_with_advice_and_failure() -> None:
+def test_refusal_with_retry_after_and_failure() -> None:
     def react(event: interface.Event) -> Iterable[interface.Action]:
         if isinstance(event, interface.RequestArrived):
             yield interface.Refuse(event.request, 1500.0) if event.klass == 0 else interface.Fail(event.request)
@@ -208,7 +208,7 @@
     ],
 )
 def test_guard_answers_before_the_deadline(target: str, endpoint: str, status: int) -> None:
-    """Guards against a balancer that forgets a request, and against a refusal of what may have run."""
+    """Guards against a request that the balancer never answers, and against refusing what may have run."""
 
     def react(event: interface.Event) -> Iterable[interface.Action]:
         if isinstance(event, interface.RequestArrived) and endpoint:
@@ -217,10 +217,10 @@
     async def test() -> None:
         async with serving(silence) as (_, at), sidecar(react, known(hung=at)) as s:
             c = await s.client()
-            begun = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             method = "POST" if target == "/tip" else "GET"
             got = await c.ask(target, method=method, Req_Deadline="1.0")
-            assert got.status == status and asyncio.get_running_loop().time() - begun > 0.8
+            assert got.status == status and asyncio.get_running_loop().time() - started_at > 0.8
             closed = [t for t, e in s.balancer.told if isinstance(e, interface.RequestClosed)]
             asked = [e.deadline for _, e in s.balancer.told if isinstance(e, interface.RequestArrived)]
             assert len(closed) == 1 and not s.sidecar.requests
@@ -229,8 +229,8 @@
     run(test)
 
 
-def test_failed_code_still_answers() -> None:
-    """Guards against an exception that leaves the client waiting for its deadline."""
+def test_exception_in_the_balancer_is_answered() -> None:
+    """Guards against an exception that leaves the client waiting until its deadline."""
 
     def react(event: interface.Event) -> Iterable[interface.Action]:
         if isinstance(event, interface.RequestArrived):
@@ -246,7 +246,7 @@
     run(test)
 
 
-def test_client_that_leaves_stops_the_attempt() -> None:
+def test_client_disconnect_cancels_the_attempt() -> None:
     def react(event: interface.Event) -> Iterable[interface.Action]:
         if isinstance(event, interface.RequestArrived):
             yield interface.Send(event.request, "e", 0.0)
@@ -267,8 +267,8 @@
     run(test)
 
 
-def test_nothing_goes_out_after_the_answer() -> None:
-    """Guards against an attempt that is still dialling when its request is answered."""
+def test_nothing_is_sent_after_the_answer() -> None:
+    """Guards against sending an attempt that is still dialling when its request is answered."""
 
     def react(event: interface.Event) -> Iterable[interface.Action]:
         if isinstance(event, interface.RequestArrived):
@@ -288,8 +288,8 @@
     run(test)
 
 
-def test_timers_fire_in_their_time() -> None:
-    """Guards against a timer that fires before its time, which a balancer would set again and again."""
+def test_timers_fire_when_due() -> None:
+    """Guards against a timer that fires early, which a balancer would set over and over."""
     due: list[float] = []
 
     def react(event: interface.Event) -> Iterable[interface.Action]:
@@ -312,7 +312,7 @@
 
 
 def test_connections_are_reused_newest_first() -> None:
-    """Guards against a handshake for each request, and against two requests on one connection."""
+    """Guards against a handshake for each request, and against two requests at once on one connection."""
 
     async def test() -> None:
         both = asyncio.Event()
@@ -341,8 +341,10 @@
 
 @pytest.mark.parametrize("stray", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"])
 def test_stale_connection_is_not_reused(stray: bytes) -> None:
-    """Guards against a write to a connection that its endpoint has ended, which may have run, and against
-    bytes of an earlier answer. The loop has not read either yet when the next request goes out."""
+    """Guards against reusing a connection that its endpoint has closed, or that has unread data of an earlier answer.
+
+    The loop has not read either yet when the next request is sent.
+    """
 
     async def test() -> None:
         async with serving(always(response())) as (peer, at), sidecar(send_to("e"), known(e=at)) as s:
@@ -358,7 +360,7 @@
                 raw.shutdown(socket.SHUT_WR)
             raw.close()
             assert not connection.reusable()
-            s.wire.start("e", Payload(b"", b""), 1.0, lambda *told: None, False)
+            s.wire.start("e", Payload(b"", b""), 1.0, lambda *args: None, False)
             assert connection not in s.wire.idle
 
     run_real(test)
@@ -380,8 +382,8 @@
     run(test)
 
 
-def test_descriptors_are_bounded() -> None:
-    """Guards against running out of descriptors: idle connections go first, then attempts never start."""
+def test_descriptors_are_limited() -> None:
+    """Guards against running out of descriptors: idle connections are closed first, then attempts fail."""
 
     async def test() -> None:
         async with (
@@ -396,7 +398,7 @@
             await b.arrived.get()
             assert s.sidecar.descriptors.open == 2
             two.send(Req_Id="r3")
-            assert await a.ended.get() == 0  # the idle one made room
+            assert await a.ended.get() == 0  # the idle connection is evicted
             await b.arrived.get()
             three = await s.client()
             assert (await three.ask(Req_Id="r4")).status == 502
@@ -406,8 +408,8 @@
     run(test)
 
 
-def test_connection_that_its_endpoint_ends_is_not_kept() -> None:
-    """Guards against a request on a connection that the endpoint has said it will close."""
+def test_connection_with_connection_close_is_not_reused() -> None:
+    """Guards against a request on a connection that the endpoint is about to close."""
 
     async def test() -> None:
         answer = response(200, b"last", Connection="close")
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -1,4 +1,4 @@
-"""A process that stood still: when it is noticed, what is asked for its age, and what comes first then."""
+"""Stalls of the process: their detection, the age of received data, and the order of events afterwards."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from zinclever.system import System
 
 
-def test_noticed_once_until_what_was_kept_back_goes_on() -> None:
+def test_stall_is_detected_once_until_sending_resumes() -> None:
     s = Standstill(10.0)
     assert not s.detect(LATE - 1.0)
     assert s.detect(LATE) and not s.detect(10 * LATE)
@@ -27,18 +27,18 @@
     assert s.detect(LATE)
 
 
-@pytest.mark.parametrize("gap", [IDLE_THRESHOLD / 2, 2 * IDLE_THRESHOLD])
-def test_what_is_read_after_a_pause_may_have_waited(gap: float) -> None:
+@pytest.mark.parametrize("idle_time", [IDLE_THRESHOLD / 2, 2 * IDLE_THRESHOLD])
+def test_data_read_after_an_idle_time_may_have_waited(idle_time: float) -> None:
     s = Standstill(10.0)
-    s.record_activity(10.0 + gap)
-    s.record_activity(10.0 + gap)  # others of the same turn of the loop
-    assert s.may_have_stalled() is (gap > IDLE_THRESHOLD)
-    s.record_activity(10.001 + gap)
+    s.record_activity(10.0 + idle_time)
+    s.record_activity(10.0 + idle_time)  # another callback in the same iteration of the loop
+    assert s.may_have_stalled() is (idle_time > IDLE_THRESHOLD)
+    s.record_activity(10.001 + idle_time)
     assert not s.may_have_stalled()
 
 
-def test_for_a_while_all_that_is_read_is_asked_for_its_age() -> None:
-    """Connections that stood in the listener's queue come one after another."""
+def test_age_of_data_is_checked_for_a_while_after_a_stall() -> None:
+    """Connections that waited in the listener's queue are accepted one after another."""
     s = Standstill(10.0)
     s.record_activity(15.0)
     assert s.detect(5000.0)
@@ -50,29 +50,29 @@
     assert not s.may_have_stalled()
 
 
-def test_what_was_told_comes_before_what_was_kept_back() -> None:
-    news = interface.MembershipNews("changes", [])
+def test_list_updates_move_ahead_of_held_events() -> None:
+    update = interface.MembershipNews("changes", [])
     fired, closed = interface.TimerFired("t"), interface.RequestClosed("r")
-    assert move_to_front([("b", fired), ("b", news), ("a", closed)], interface.MembershipNews) == deque(
-        [("b", news), ("b", fired), ("a", closed)]
+    assert move_to_front([("b", fired), ("b", update), ("a", closed)], interface.MembershipNews) == deque(
+        [("b", update), ("b", fired), ("a", closed)]
     )
 
 
-def test_the_kernel_tells_how_long_bytes_have_waited() -> None:
+def test_kernel_reports_the_age_of_received_data() -> None:
     with socket.create_server(("127.0.0.1", 0)) as server, socket.create_connection(server.getsockname()) as client:
         client.sendall(b"x")
-        there, _ = server.accept()
-        with there:
+        accepted, _ = server.accept()
+        with accepted:
             before = time.monotonic()
-            while System().waited(there) < 20.0:
+            while System().waited(accepted) < 20.0:
                 time.sleep(0.005)
             assert time.monotonic() - before < 10.0
     with socket.socketpair()[0] as other:
         assert System().waited(other) == 0.0
 
 
-def test_a_request_that_waited_longer_than_its_client_is_refused_unsent() -> None:
-    """The loop is kept busy, as a process that is stopped is: the request lies in the kernel all the while."""
+def test_request_that_waited_past_its_deadline_has_expired_on_arrival() -> None:
+    """Guards against serving a request whose client has given up: it lay in the kernel while the loop was blocked."""
 
     async def test() -> None:
         async with sidecar(lambda event: (), known(e="127.0.0.1:9")) as s:
@@ -87,30 +87,30 @@
     run_real(test)
 
 
-def test_the_last_byte_of_what_may_not_be_repeated_waits_for_what_the_kernel_holds() -> None:
-    """Its timer of 2 ms is the first to fire after a standstill, before anybody has read that the client has gone."""
+def test_last_byte_of_an_unsafe_request_waits_until_the_kernel_buffers_are_read() -> None:
+    """Guards against sending it after a stall although the client is gone: its 2 ms timer fires before that is read."""
 
     async def test() -> None:
         async with serving(always_answer(response())) as (peer, at):
             where, _, port = at.partition(":")
-            over, loop = asyncio.Event(), asyncio.get_running_loop()
-            made = await dial(System(), (where, int(port)), 5.0, lambda c: None, lambda c: over.set())
+            closed, loop = asyncio.Event(), asyncio.get_running_loop()
+            connection = await dial(System(), (where, int(port)), 5.0, lambda c: None, lambda c: closed.set())
 
-            def client_left() -> None:
-                assert made.outstanding(), "the last byte has gone out"
-                made.abort()
+            def on_client_left() -> None:
+                assert connection.outstanding(), "the last byte was sent"
+                connection.abort()
 
-            made.request(b"GET / HTTP/1.1\r\n\r\n", lambda result: None, hold=0.002)
-            loop.call_later(0.002, client_left)  # due with the last byte, and after it
+            connection.request(b"GET / HTTP/1.1\r\n\r\n", lambda result: None, hold=0.002)
+            loop.call_later(0.002, on_client_left)  # due together with the last byte, but runs after it
             time.sleep(4 * LATE / 1000.0)
-            await over.wait()
+            await closed.wait()
             await peer.ended.get()
             assert peer.requests == []
 
     run_real(test)
 
 
-def test_news_that_came_meanwhile_is_told_first() -> None:
+def test_list_update_received_during_a_stall_is_processed_first() -> None:
     async def test() -> None:
         async with sidecar(lambda event: (), known(e="127.0.0.1:9")) as s:
             s.balancer.told.clear()
@@ -124,7 +124,7 @@
     run_real(test)
 
 
-def test_a_call_counts_its_time_from_when_it_came() -> None:
+def test_time_in_the_kernel_counts_against_the_deadline() -> None:
     async def test() -> None:
         async with service(always(), react=lambda event: (), deadline=2000.0) as s:
             where, _, port = s.address.partition(":")
--- a/tests/test_swallowed.py
+++ b/tests/test_swallowed.py
@@ -1,4 +1,4 @@
-"""Requests lost on the way: connections that break early, endpoints that swallow part of their work."""
+"""Lost requests: connections that break early, and endpoints that never answer some requests."""
 
 from __future__ import annotations
 
@@ -18,28 +18,28 @@
 from zinclever.core.ledger import make_clock
 from zinclever.http1 import wire
 
-RESETS = struct.pack("ii", 1, 0)  # SO_LINGER of 0 s: a close that resets
+RESETS = struct.pack("ii", 1, 0)  # SO_LINGER of 0 s: closing resets the connection
 
 
 @pytest.fixture(autouse=True)
 def long_hold(monkeypatch: pytest.MonkeyPatch) -> None:
-    """No test waits for it: what it decides comes before."""
+    """Keeps the hold timer from firing: each test ends before."""
     monkeypatch.setattr(wire, "HOLD", 15.0)
 
 
 class Listener:
-    """A server that keeps the bytes of each connection: the first that come, or all until its end."""
+    """A server that records the data of each connection: the first read, or two reads up to its end."""
 
     def __init__(self, resets: bool) -> None:
         self.resets = resets
-        self.came: asyncio.Queue[bytes] = asyncio.Queue()
+        self.received: asyncio.Queue[bytes] = asyncio.Queue()
 
     async def on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.came.put_nowait(await reader.read(65536))
+        self.received.put_nowait(await reader.read(65536))
         if self.resets:
             writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESETS)
         else:
-            self.came.put_nowait(await reader.read())
+            self.received.put_nowait(await reader.read())
         writer.transport.abort()
 
 
@@ -55,7 +55,7 @@
 
 
 def test_reset_before_the_last_byte_proves_that_an_unsafe_request_never_ran() -> None:
-    """Guards against failing what may be repeated: many resets come with the first bytes of a request."""
+    """Guards against failing requests that may be repeated: many resets follow the first bytes of a request."""
 
     async def test() -> None:
         async with (
@@ -68,13 +68,13 @@
             assert got.status == 502 and not good.requests
             assert [e.outcome for e in s.balancer.ends()] == ["dropped", "dropped"]
             assert {e.outcome for e in s.balancer.ends()} <= interface.NEVER_RAN
-            assert (await bad.came.get()).endswith(b"\r\n\r\n012345678")
+            assert (await bad.received.get()).endswith(b"\r\n\r\n012345678")
 
     run(test)
 
 
-def test_requests_that_may_be_repeated_are_not_held_back() -> None:
-    """Guards against a delay that buys nothing."""
+def test_repeatable_requests_are_sent_without_delay() -> None:
+    """Guards against a useless delay of requests that may be repeated."""
 
     async def test() -> None:
         async with serving(always(response())) as (peer, at), sidecar(send_to("e"), known(e=at)) as s:
@@ -86,8 +86,8 @@
     run(test)
 
 
-def test_held_back_byte_is_not_sent_once_the_request_is_over() -> None:
-    """Guards against a request that runs after its final answer, and against a false 'may have run'."""
+def test_withheld_last_byte_is_not_sent_after_the_request_has_ended() -> None:
+    """Guards against a request that runs after its final answer, and against reporting that it may have run."""
 
     async def test() -> None:
         async with (
@@ -96,16 +96,16 @@
         ):
             client = await s.client()
             client.send("/tip/1", method="POST", body=b"0123456789")
-            assert (await listener.came.get()).endswith(b"\r\n\r\n012345678")
+            assert (await listener.received.get()).endswith(b"\r\n\r\n012345678")
             client.writer.transport.abort()
-            assert await listener.came.get() == b""
+            assert await listener.received.get() == b""
             assert [e.outcome for e in s.balancer.ends()] == ["not_sent"]
 
     run(test)
 
 
-def swallowing(lost: set[str]) -> Callable[[Message, Peer], asyncio.Future[bytes | None]]:
-    """Answers all but the first attempt of the requests named."""
+def never_answering(lost: set[str]) -> Callable[[Message, Peer], asyncio.Future[bytes | None]]:
+    """Answers all requests except the first attempt of each named one."""
 
     async def script(message: Message, peer: Peer) -> bytes | None:
         if message.headers["req-id"] in lost:
@@ -116,10 +116,10 @@
     return lambda message, peer: asyncio.ensure_future(script(message, peer))
 
 
-def test_keyed_requests_that_are_swallowed_are_served_elsewhere_in_time(
+def test_unanswered_keyed_requests_are_served_by_other_endpoints_in_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against endpoints that answer as quickly as ever, but not all that they are sent."""
+    """Guards against endpoints that answer answeredly but lose some requests."""
     monkeypatch.setattr(wire, "HOLD", 0.001)
     aim = 2.0
 
@@ -128,8 +128,8 @@
         classes = [replace(c, aim=aim * 1000.0, deadline=8000.0) for c in CLASSES]
         balancer, clock = Balancer(Settings(classes=classes, limits=LIMITS, rules=RULES), 1), make_clock(host_here())
         async with contextlib.AsyncExitStack() as stack:
-            found = [await stack.enter_async_context(serving(swallowing(lost))) for _ in range(3)]
-            hosts = known(**{f"e{n}": at for n, (_, at) in enumerate(found)})
+            servers = [await stack.enter_async_context(serving(never_answering(lost))) for _ in range(3)]
+            hosts = known(**{f"e{n}": at for n, (_, at) in enumerate(servers)})
             react: Reaction = lambda event: balancer.handle(clock(), event)  # noqa: E731
             s = await stack.enter_async_context(sidecar(react, hosts))
 
@@ -141,10 +141,10 @@
             for n in range(10):
                 assert await ask("tip", f"early{n}") == await ask("unlock", f"first{n}") == 200
             tips: list[asyncio.Task[int]] = []
-            again = 0.0
+            next_burst = 0.0
             while not balancer.stalled_attempts.is_stalling(clock(), balancer.classes[1]):
-                if clock() >= again:  # what a stalled machine let wear off is brought back by more of them
-                    again = clock() + 3000.0
+                if clock() >= next_burst:  # on a slow machine the evidence decays: send more of them
+                    next_burst = clock() + 3000.0
                     names = [f"tip{len(tips) + n}" for n in range(12)]
                     lost.update(names)
                     tips += [asyncio.create_task(ask("tip", name)) for name in names]
@@ -159,44 +159,44 @@
     run(test)
 
 
-def silent(n: int, told: interface.RequestClass = SAFE, work: float = 0.0) -> Sidecar:
-    """So many unanswered requests of a class after as many unsafe ones and plain traffic."""
-    s = Sidecar(settings(told, UNSAFE), fleet(4))
+def unanswered(n: int, request_class: interface.RequestClass = SAFE, work: float = 0.0) -> Sidecar:
+    """A sidecar with ``n`` unanswered requests of a class, after as many unsafe ones and ordinary traffic."""
+    s = Sidecar(settings(request_class, UNSAFE), fleet(4))
     s.serve(40, took=20.0, gap=30.0)
     for _ in range(20):
-        quick = s.ask(1)
+        answered = s.ask(1)
         s.wait(20.0)
-        s.end(quick)
+        s.end(answered)
     for klass in (1, 0):
         for _ in range(n):
             s.ask(klass, work=work if klass == 0 else 0.0)
-        s.wait(1.2 * SAFE.aim if klass else 0.6 * told.aim)
+        s.wait(1.2 * SAFE.aim if klass else 0.6 * request_class.aim)
     return s
 
 
-def test_overdue_attempts_leave_their_place_to_others() -> None:
-    """Guards against a window full of what will never be answered."""
-    s = silent(60)
+def test_overdue_attempts_free_their_window_slots() -> None:
+    """Guards against a concurrency window full of attempts that are never answered."""
+    s = unanswered(60)
     assert s.b.endpoint_list.near.stalled > 0 and s.b.endpoint_list.near.inflight > s.b.endpoint_list.near.window.size
 
 
-def test_a_single_overdue_attempt_is_left_alone() -> None:
-    """Guards against beginning slow requests anew where nothing is swallowed."""
-    s = silent(1, KEYED)
+def test_single_overdue_attempt_is_not_cancelled() -> None:
+    """Guards against restarting slow requests where none are lost."""
+    s = unanswered(1, KEYED)
     assert not s.of(interface.Cancel) and s.b.endpoint_list.near.stalled == 0
 
 
-def test_nothing_is_handed_over_in_a_crowd_with_no_time_left_or_outside_the_rules() -> None:
-    assert silent(12, KEYED).of(interface.Cancel)
-    assert not silent(12, KEYED, work=60.0).of(interface.Cancel)
-    for told in (replace(KEYED, aim=60.0), replace(KEYED, window=1.0), replace(KEYED, repeat="at_most_once")):
-        assert not silent(12, told).of(interface.Cancel)
+def test_no_overdue_attempt_is_replaced_under_load_too_late_or_against_the_repeat_rules() -> None:
+    assert unanswered(12, KEYED).of(interface.Cancel)
+    assert not unanswered(12, KEYED, work=60.0).of(interface.Cancel)
+    for request_class in (replace(KEYED, aim=60.0), replace(KEYED, window=1.0), replace(KEYED, repeat="at_most_once")):
+        assert not unanswered(12, request_class).of(interface.Cancel)
 
 
-def test_given_up_attempt_ends_like_a_time_out() -> None:
-    """Guards against a request that is concluded because its own attempt was cancelled."""
-    s = silent(12, KEYED)
-    gone = s.of(interface.Cancel)[0]
-    before = len(s.sends(gone.request))
-    s.end(gone.request, gone.attempt, "cancelled", complete=False)
-    assert len(s.sends(gone.request)) == before + 1 and not s.finals(gone.request)
+def test_abandoned_attempt_ends_like_a_timeout() -> None:
+    """Guards against ending a request because the balancer cancelled one of its attempts."""
+    s = unanswered(12, KEYED)
+    cancelled = s.of(interface.Cancel)[0]
+    before = len(s.sends(cancelled.request))
+    s.end(cancelled.request, cancelled.attempt, "cancelled", complete=False)
+    assert len(s.sends(cancelled.request)) == before + 1 and not s.finals(cancelled.request)
