--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -159,7 +159,7 @@
             await old.arrived.get()
             await old.arrived.get()
             where, _, port = other.partition(":")
-            s.discovery.move((where, int(port)))
+            s.discovery.change_address((where, int(port)))
             await s.balancer.until(lambda: len(updates(s)) == 4)
             assert [n.kind for n in updates(s)] == ["remembered", "whole", "whole", "changes"]
             assert set(s.wire.pools) == {"b", "c"}
--- a/zinclever/assembly.py
+++ b/zinclever/assembly.py
@@ -62,7 +62,7 @@
             self.ledger.adopt(Balancer(config.settings, config.seed))
             self.front.configure()
         if config.discovery != self.discovery.address:
-            self.discovery.move(config.discovery)
+            self.discovery.change_address(config.discovery)
 
     def share_limits(self, others: int) -> None:
         """Divides descriptors and memory evenly with ``others``, the number of other live processes of this sidecar."""
@@ -143,7 +143,7 @@
         if isinstance(source, Fixed) and spec.endpoints != previous.endpoints:
             source.replace(spec.endpoints)
         elif isinstance(source, Discovery) and spec.discovery not in (None, source.address):
-            source.move(spec.discovery)
+            source.change_address(spec.discovery)
 
 
 def descriptor_limit(config: Config | None, operator: Operator | None) -> int:
--- a/zinclever/core/ledger.py
+++ b/zinclever/core/ledger.py
@@ -126,7 +126,7 @@
         self.wire.configure(limits.connect_timeout, limits.connection_idle, self.connections)
 
     def make_view(self) -> View | None:
-        """Returns the view of the list; None without shared limits: the whole list is used then, without subsetting."""
+        """Returns the view of the list; None without shared limits, where the full list is used without subsetting."""
         if self.settings.shares == interface.Shares():
             self.connections.configure(self.settings.shares, 1, 0, 0)
             return None
@@ -225,7 +225,7 @@
 
         The request is still answered: by an open attempt, else right here.
         """
-        log.exception("%s", type(failed).__name__)
+        log.exception("exception while handling %s", type(failed).__name__)
         request = self.requests.get(getattr(failed, "request", ""))
         if request is not None and not request.open_attempts:
             self.give_up(request)
@@ -266,11 +266,11 @@
                 if endpoint not in present:
                     self.wire.forget(endpoint)
         total = len(self.view) if self.view is not None else 0
-        news = interface.MembershipNews(kind, [listed for listed, _ in entries], total)
+        update = interface.MembershipNews(kind, [listed for listed, _ in entries], total)
         for balancer in dict.fromkeys(r.balancer for r in self.requests.values()):
             if balancer is not self.balancer:
-                self.feed(news, balancer)
-        self.feed(news)
+                self.feed(update, balancer)
+        self.feed(update)
         for listed, _ in entries:
             if listed.phase == "draining":
                 # Only after the balancers know: what is dropped here is sent to another endpoint.
@@ -337,10 +337,13 @@
             self.feed(interface.RequestClosed(request_id), request.balancer)
 
     def give_up(self, request: Request) -> None:
-        """Answers a request as a last resort: refused only where a repeat is harmless, otherwise failed."""
+        """Answers a request as a last resort, when its guard timer fires or the balancer has failed.
+
+        It is refused only where a repeat is harmless, otherwise failed.
+        """
         if request.answer is None:
             return
-        log.warning("guard timer answered a request that had no final answer")
+        log.warning("answered a request without a decision of the balancer")
         never_ran = all(a.outcome in interface.NEVER_RAN for a in request.attempts)
         repeat = request.balancer.settings.classes[request.incoming.klass].repeat
         harmless = never_ran or repeat == "idempotent"
@@ -392,7 +395,7 @@
             request.guard.cancel()
         for attempt in request.attempts:
             if attempt.exchange is not None and not attempt.exchange.begun():
-                # Still dialling or queued: must not go out after the final answer.
+                # Still dialling or queued: must not be sent after the final answer.
                 self.withdraw(attempt, "not_sent")
         self.cleanup_candidates.append(request)
 
@@ -500,7 +503,7 @@
         self.loop.call_later(max(0.0, action.at - self.clock()) / 1000.0, self.on_timer, action, self.acting_balancer)
 
     def on_timer(self, action: interface.SetTimer, balancer: Balancer) -> None:
-        """Passes a due timer to its balancer. The loop counts whole milliseconds and may call slightly early."""
+        """Passes a due timer to its balancer. The loop has a resolution of 1 ms and may call slightly early."""
         remaining = action.at - self.clock()
         self.check_delay(-remaining)
         if remaining > 0.0:
--- a/zinclever/core/protocol.py
+++ b/zinclever/core/protocol.py
@@ -11,7 +11,7 @@
 Address = tuple[str, int]
 #: An endpoint as its source lists it, and its address.
 Entry = tuple[interface.Listed, Address]
-#: Receives an update of the endpoint list: a whole list, changes, or (``refused``) a failed call.
+#: Receives an update of the endpoint list: a full list, changes, or (``refused``) a failed call.
 OnList = Callable[[interface.ListKind, Sequence[Entry]], None]
 
 
@@ -77,7 +77,7 @@
     """One attempt on a wire, owned by its caller until it has ended or been cancelled."""
 
     def begun(self) -> bool:
-        """Returns whether the endpoint may have received the whole request, or may still receive it."""
+        """Returns whether the endpoint may have received the complete request, or may still receive it."""
 
     def cancel(self, silent: bool) -> None:
         """Stops waiting for the reply; what has not been sent yet never is. No outcome is reported.
@@ -130,7 +130,7 @@
         """Starts or stops watching for changes."""
 
     def fetch(self) -> None:
-        """Requests the whole list once."""
+        """Requests the full list once."""
 
     def stop(self) -> None:
         """Stops all calls."""
--- a/zinclever/core/view.py
+++ b/zinclever/core/view.py
@@ -10,7 +10,7 @@
 
 ZONE_PRICE_THRESHOLD = 0.05  # cross-zone price from which on the home zone is preferred, as in the policy package
 ALL_SERVERS = 2**31  # a subset size that no list exceeds
-NO_ADDRESS: Address = ("", 0)  # of an endpoint that is gone
+NO_ADDRESS: Address = ("", 0)  # placeholder for an endpoint that has been removed
 
 
 def shape_of(settings: interface.Settings) -> Shape:
@@ -27,7 +27,7 @@
 
 
 class View:
-    """The whole endpoint list and the subset in use.
+    """The full endpoint list and the subset in use.
 
     A change costs time in proportion to the size of the subset, not of the list.
     """
@@ -37,7 +37,7 @@
         self.addresses: dict[str, Address] = {}
 
     def __len__(self) -> int:
-        """Number of ready endpoints in the whole list."""
+        """Number of ready endpoints in the full list."""
         return len(self.subset.home) + len(self.subset.away)
 
     def update(self, now: float, kind: interface.ListKind, entries: Sequence[Entry]) -> list[Entry]:
@@ -60,7 +60,7 @@
         return self.snapshot(now)
 
     def snapshot(self, now: float) -> list[Entry]:
-        """Returns the whole subset, after applying changes due to load and failures."""
+        """Returns the full subset, after applying changes due to load and failures."""
         self.subset.changes(now)
         return [self.entry(x) for x in self.subset.members.values()]
 
--- a/zinclever/discovery/catalog.py
+++ b/zinclever/discovery/catalog.py
@@ -21,7 +21,7 @@
 PATH = "/catalog/members"
 WATCH_PER_SIDECAR = 200.0  # ms that a watch waits for changes, per sidecar that shares the service
 MIN_WATCH, MAX_WATCH = 3000.0, 20000.0  # bounds of that wait in ms; a silent service is noticed no sooner
-CALL_TIMEOUT = 3000.0  # ms to wait for an answer, in addition to the wait that the call asks for
+CALL_TIMEOUT = 3000.0  # ms to wait for an answer, in addition to the wait requested by the call
 MAX_LIST_SIZE = 4 << 20  # bytes of a list, for some ten thousand entries
 RETRY_DELAY = 500.0  # ms between two attempts in pushed mode, where the balancer requests no fetches
 PHASES: dict[str, interface.Phase] = {"in_service": "ready", "terminating": "draining", "terminated": "gone"}
@@ -134,11 +134,11 @@
         address: Address,
         settings: interface.Settings,
         zones: Sequence[str],
-        known: dict[str, Any],
+        saved_list: dict[str, Any],
         on_list: OnList,
         host: Host,
     ) -> None:
-        self.on_list, self.known, self.host, self.rng = on_list, known, host, host.random()
+        self.on_list, self.saved_list, self.host, self.rng = on_list, saved_list, host, host.random()
         self.refusals = 0
         self.retry_timer: asyncio.TimerHandle | None = None
         """The delay before the next watch call."""
@@ -167,8 +167,8 @@
         self.watch_call = Call(self.host, address, self.connect_timeout, self.on_watched)
         self.fetch_call = Call(self.host, address, self.connect_timeout, self.on_fetched)
 
-    def move(self, address: Address) -> None:
-        """Switches to another discovery service and requests its whole list, as it has its own version numbers.
+    def change_address(self, address: Address) -> None:
+        """Switches to another discovery service and requests its full list, as it has its own version numbers.
 
         Late answers of the old service are ignored: its calls and connections are aborted.
         """
@@ -180,8 +180,8 @@
     def start(self) -> None:
         """Starts from the list that was saved before, if any."""
         # Release the parsed text before the list is passed on: it takes more memory than the list itself.
-        kind, entries = self.read("remembered", self.known.pop("hosts", None) or [])
-        self.version = self.known.get("seq") if entries else None
+        kind, entries = self.read("remembered", self.saved_list.pop("hosts", None) or [])
+        self.version = self.saved_list.get("seq") if entries else None
         if self.pushed:
             self.watch(True)
         self.on_list(kind, entries)
@@ -267,7 +267,7 @@
             self.retry_timer = None
 
     def fetch(self) -> None:
-        """Requests the whole list once."""
+        """Requests the full list once."""
         self.fetch_call.start("", 0.0)
 
     def on_fetched(self, update: ListUpdate) -> None:
--- a/zinclever/handover/presence.py
+++ b/zinclever/handover/presence.py
@@ -105,7 +105,7 @@
         try:
             others = self.presence.others()
         except OSError:
-            return  # the directory is gone: keep the last result
+            return  # the directory was removed: keep the last result
         if others != self.others:
             self.others = others
             self.on_change(others)
