--- a/zinclever/core/pools.py
+++ b/zinclever/core/pools.py
@@ -12,9 +12,7 @@
 from .descriptors import Descriptors
 from .protocol import Address
 
-IDLE_SHARE = (
-    0.9  # part of the endpoint's idle timeout after which connections are closed here, before the endpoint does
-)
+IDLE_SHARE = 0.9  # part of the endpoint's idle timeout after which the sidecar closes a connection first
 
 
 class ExclusiveConnection(Protocol):
@@ -128,7 +126,7 @@
                 return
             connection.abort()
         now = 1000.0 * self.loop.time()
-        spare = 1 if self.connections.lacks(now, self.open) and self.evict() else 0  # its eviction is under way
+        spare = 1 if self.connections.lacks(now, self.open) and self.evict() else 0  # the evicted connection is still counted
         if not self.connections.may_open(now, pool.open, self.open - spare):
             self.loop.call_soon(attempt.end, "barred")
             return
@@ -154,7 +152,7 @@
         if attempt.waiting():
             attempt.run(connection)
         else:
-            self.free(pool, connection)  # a successful dial counts as a sign of life, as an answer does
+            self.free(pool, connection)  # a successful dial shows that the endpoint is alive, as an answer does
 
     def count(self, pool: Pool[C], by: int) -> None:
         """Adds ``by`` to the counts of open connections."""
--- a/zinclever/core/protocol.py
+++ b/zinclever/core/protocol.py
@@ -29,12 +29,17 @@
     id: str
     """Unique among the open requests of the service."""
     klass: int
+    """Index of the request's class in the settings."""
     tenant: int
+    """Index of the tenant in the settings."""
     key: str
+    """The key that the request concerns, for endpoints that serve recent keys faster; empty if it has none."""
     wait: float
     """ms that the client waits for the answer."""
     work: float
+    """Expected work, in ms on a standard core; 0 if unknown."""
     retry: bool
+    """The client has sent this request before."""
     payload: Any
     """What the wire of the same protocol sends; opaque to the core."""
     uploading: bool = False
--- a/zinclever/core/service.py
+++ b/zinclever/core/service.py
@@ -12,7 +12,7 @@
 from .protocol import Address
 
 IDLE_GRACE = 0.45  # s after SIGTERM for which idle connections stay open; clients learn of it within 0.4 s
-RECONNECT_GRACE = 0.2  # s more to accept requests that were sent on a connection as it was closed
+RECONNECT_GRACE = 0.2  # s more in which clients may resend requests that crossed with the end of their connection
 DRAIN_TIMEOUT = 3.0  # s more for open requests; no client of the platform waits longer
 BACKLOG = 1024
 
--- a/zinclever/core/shared.py
+++ b/zinclever/core/shared.py
@@ -14,10 +14,8 @@
 from .pools import IDLE_SHARE, PendingAttempt
 from .protocol import Address
 
-EASY = 64  # pending requests on every connection from which on another one is opened
-MOST_CONNECTIONS = (
-    4  # to one endpoint; beyond that requests share them, so that a slow endpoint is not flooded with sockets
-)
+EASY = 64  # pending requests on each connection of an endpoint, from which on another one is opened
+MOST_CONNECTIONS = 4  # per endpoint, so that a slow one is not flooded with sockets
 MOST_PENDING = 8192  # requests on one connection, and waiting for one; further attempts fail at once
 
 
@@ -173,7 +171,7 @@
         return connection
 
     def open_connection(self, pool: Pool[C]) -> interface.Outcome | None:
-        """Starts to dial one more connection; returns an outcome if that isn't possible."""
+        """Starts to dial one more connection; returns the outcome for the attempt if that isn't possible."""
         if len(pool.connections) >= MOST_CONNECTIONS:
             return "connect_failed"
         total = len(self.homes) + len(self.dials)
