--- a/zinclever/core/pools.py
+++ b/zinclever/core/pools.py
@@ -126,7 +126,7 @@
                 return
             connection.abort()
         now = 1000.0 * self.loop.time()
-        spare = 1 if self.connections.lacks(now, self.open) and self.evict() else 0  # the evicted connection is still counted
+        spare = 1 if self.connections.lacks(now, self.open) and self.evict() else 0  # evicted, but still counted
         if not self.connections.may_open(now, pool.open, self.open - spare):
             self.loop.call_soon(attempt.end, "barred")
             return
