--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -36,8 +36,8 @@
 def interpreter(program: Path) -> str:
     """Returns the dynamic loader of an ELF file; empty if it is linked statically."""
     data = program.read_bytes()
-    found = re.search(rb"/lib[^\x00]{0,40}/ld-[^\x00]{1,40}\.so[^\x00]{0,8}", data)
-    return found.group().decode() if found and data.startswith(b"\x7fELF") else ""
+    match = re.search(rb"/lib[^\x00]{0,40}/ld-[^\x00]{1,40}\.so[^\x00]{0,8}", data)
+    return match.group().decode() if match and data.startswith(b"\x7fELF") else ""
 
 
 def descriptors(process: Path) -> list[str]:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -153,9 +153,9 @@
             while not stop.is_set():
                 client = client or await connect(at)
                 request_count += 1
-                got = await client.ask("/tip", method="POST", Req_Id=f"{task}-{request_count}")
-                assert got.status == 200 and got.body == b"page"
-                if got.headers.get("connection") == "close":
+                received = await client.ask("/tip", method="POST", Req_Id=f"{task}-{request_count}")
+                assert received.status == 200 and received.body == b"page"
+                if received.headers.get("connection") == "close":
                     client = None
 
         async with serving(script) as (peer, endpoint):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -219,8 +219,8 @@
 def test_one_case_of_a_test_is_named_exactly(tree: Tree, program: str, listed: str, status: int) -> None:
     tree.write({"test_some"}, {"test_some"})
     tree.list(f"{listed} | the sum is wrong | #7")
-    found, output = tree.run(program)
-    assert found == status, output
+    exit_status, output = tree.run(program)
+    assert exit_status == status, output
 
 
 @BOTH
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -95,10 +95,10 @@
                     await peer.arrived.get()
                 program.send_signal(signal.SIGTERM)
                 late = await connect(env["LB_LISTEN"])
-                got = await late.ask(Req_Id="late")
-                while got.headers.get("connection") != "close":  # until the signal has been handled
-                    got = await late.ask(Req_Id="late")
-                    assert got.status == 200
+                received = await late.ask(Req_Id="late")
+                while received.headers.get("connection") != "close":  # until the signal has been handled
+                    received = await late.ask(Req_Id="late")
+                    assert received.status == 200
                 assert await read_message(late.reader) is None
                 last = await kept.ask(Req_Id="kept")
                 assert last.status == 200 and last.headers["connection"] == "close"
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -37,8 +37,8 @@
         async with serving(always(ahead + OK)) as (peer, at), sidecar(send_to("e"), known(e=at)) as s:
             c = await s.client()
             for n in range(2):
-                got = await c.ask(Req_Id=f"r{n}")
-                assert (got.status, got.body) == (200, b"page") and "link" not in got.headers
+                received = await c.ask(Req_Id=f"r{n}")
+                assert (received.status, received.body) == (200, b"page") and "link" not in received.headers
             assert peer.connections == 1
 
     run_real(test)
@@ -52,8 +52,8 @@
         async with serving(always(OK + beyond)) as (peer, at), sidecar(send_to("e"), known(e=at)) as s:
             c = await s.client()
             for n in range(2):
-                got = await c.ask(Req_Id=f"r{n}")
-                assert (got.status, got.body) == (200, b"page")
+                received = await c.ask(Req_Id=f"r{n}")
+                assert (received.status, received.body) == (200, b"page")
             assert peer.connections == 2 and not s.wire.idle
 
     run_real(test)
@@ -92,8 +92,8 @@
             sidecar(send_to("bad", "good"), known(bad=a, good=b)) as s,
         ):
             c = await s.client()
-            got = await c.ask()
-            assert (got.status, got.body) == (200, b"page")
+            received = await c.ask()
+            assert (received.status, received.body) == (200, b"page")
             first, second = s.balancer.ends()
             assert (first.outcome, second.outcome) == ("reset", "served")
             assert first.elapsed < 4000.0, "not before its deadline"
@@ -140,8 +140,8 @@
         answer = response(200, b"ok", X_Hop="1", X_End="2", Connection="keep-alive, x-hop")
         async with serving(always(answer)) as (peer, at), sidecar(send_to("e"), known(e=at)) as s:
             c = await s.client()
-            got = await c.ask(Connection="X-Mine", X_Mine="1", X_Other="2")
-            assert "x-hop" not in got.headers and got.headers["x-end"] == "2"
+            received = await c.ask(Connection="X-Mine", X_Mine="1", X_Other="2")
+            assert "x-hop" not in received.headers and received.headers["x-end"] == "2"
             sent = peer.requests[0][1].headers
             assert "x-mine" not in sent and sent["x-other"] == "2"
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -52,7 +52,7 @@
         answer = response(200, b"\x00page", Content_Type="image/png", Srv_Load='{"queue":3}')
         async with serving(always(answer)) as (peer, at), sidecar(send_to("e"), known(e=at)) as s:
             c = await s.client()
-            got = await c.ask(
+            received = await c.ask(
                 "/unlock/7?a=b%20c",
                 method="POST",
                 body=b"\x01\x02",
@@ -61,8 +61,8 @@
                 Req_Cost="1500",
                 Req_Retry="1",
             )
-            assert (got.status, got.body) == (200, b"\x00page")
-            assert got.headers["content-type"] == "image/png" and "srv-load" not in got.headers
+            assert (received.status, received.body) == (200, b"\x00page")
+            assert received.headers["content-type"] == "image/png" and "srv-load" not in received.headers
             sent = peer.requests[0][1]
             assert sent.start == "POST /unlock/7?a=b%20c HTTP/1.1" and sent.body == b"\x01\x02"
             assert sent.headers["req-id"] == "r1" and sent.headers["idempotency-key"] == "k"
@@ -123,7 +123,7 @@
 
 
 def test_timeout_closes_the_connection_and_reports_the_elapsed_time() -> None:
-    """Guards against endpoints that go on working for nobody, and against a wrong latency in the statistics."""
+    """Guards against endpoints that keep working on abandoned requests, and against a wrong latency in the statistics."""
 
     async def test() -> None:
         async with serving(silence) as (peer, at), sidecar(send_to("e", expires=300.0), known(e=at)) as s:
@@ -219,8 +219,8 @@
             c = await s.client()
             started_at = asyncio.get_running_loop().time()
             method = "POST" if target == "/tip" else "GET"
-            got = await c.ask(target, method=method, Req_Deadline="1.0")
-            assert got.status == status and asyncio.get_running_loop().time() - started_at > 0.8
+            received = await c.ask(target, method=method, Req_Deadline="1.0")
+            assert received.status == status and asyncio.get_running_loop().time() - started_at > 0.8
             closed = [t for t, e in s.balancer.told if isinstance(e, interface.RequestClosed)]
             asked = [e.deadline for _, e in s.balancer.told if isinstance(e, interface.RequestArrived)]
             assert len(closed) == 1 and not s.sidecar.requests
--- a/tests/test_swallowed.py
+++ b/tests/test_swallowed.py
@@ -64,8 +64,8 @@
             sidecar(send_to("bad", "bad"), known(bad=at_bad, good=at_good)) as s,
         ):
             client = await s.client()
-            got = await client.ask("/tip/1", method="POST", body=b"0123456789")
-            assert got.status == 502 and not good.requests
+            received = await client.ask("/tip/1", method="POST", body=b"0123456789")
+            assert received.status == 502 and not good.requests
             assert [e.outcome for e in s.balancer.ends()] == ["dropped", "dropped"]
             assert {e.outcome for e in s.balancer.ends()} <= interface.NEVER_RAN
             assert (await bad.received.get()).endswith(b"\r\n\r\n012345678")
@@ -80,8 +80,8 @@
         async with serving(always(response())) as (peer, at), sidecar(send_to("e"), known(e=at)) as s:
             client = await s.client()
             assert (await client.ask("/read/1")).status == 200
-            got = await client.ask("/unlock/1", method="POST", body=b"x", Idempotency_Key="k", Req_Id="r2")
-            assert got.status == 200 and len(peer.requests) == 2
+            received = await client.ask("/unlock/1", method="POST", body=b"x", Idempotency_Key="k", Req_Id="r2")
+            assert received.status == 200 and len(peer.requests) == 2
 
     run(test)
 
@@ -133,13 +133,13 @@
             react: Reaction = lambda event: balancer.handle(clock(), event)  # noqa: E731
             s = await stack.enter_async_context(sidecar(react, hosts))
 
-            async def ask(kind: str, name: str) -> int:
+            async def post(kind: str, name: str) -> int:
                 client = await s.client()
                 key = {"Idempotency_Key": name} if kind == "unlock" else {}
                 return (await client.ask(f"/{kind}/x", method="POST", Req_Id=name, **key)).status
 
             for n in range(10):
-                assert await ask("tip", f"early{n}") == await ask("unlock", f"first{n}") == 200
+                assert await post("tip", f"early{n}") == await post("unlock", f"first{n}") == 200
             tips: list[asyncio.Task[int]] = []
             next_burst = 0.0
             while not balancer.stalled_attempts.is_stalling(clock(), balancer.classes[1]):
@@ -147,11 +147,11 @@
                     next_burst = clock() + 3000.0
                     names = [f"tip{len(tips) + n}" for n in range(12)]
                     lost.update(names)
-                    tips += [asyncio.create_task(ask("tip", name)) for name in names]
+                    tips += [asyncio.create_task(post("tip", name)) for name in names]
                 await asyncio.sleep(0.05)
             async with asyncio.timeout(aim):
                 names = [f"unlock{n}" for n in range(12)]
-                assert await asyncio.gather(*(ask("unlock", name) for name in names)) == [200] * 12
+                assert await asyncio.gather(*(post("unlock", name) for name in names)) == [200] * 12
             for t in tips:
                 t.cancel()
             await asyncio.gather(*tips, return_exceptions=True)
