--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -123,7 +123,7 @@
 
 
 def test_timeout_closes_the_connection_and_reports_the_elapsed_time() -> None:
-    """Guards against endpoints that keep working on abandoned requests, and against a wrong latency in the statistics."""
+    """Guards against endpoints that keep working on abandoned requests, and against wrong latency statistics."""
 
     async def test() -> None:
         async with serving(silence) as (peer, at), sidecar(send_to("e", expires=300.0), known(e=at)) as s:
