--- a/benchmarks/hollow.py
+++ b/benchmarks/hollow.py
@@ -149,7 +149,7 @@
     budget = RetryBudget(0.2, 10.0, 0.0)
     wire = Forwarder(("127.0.0.1", 1), Ingress(host, descriptors), ChannelPool("me").to, budget, {})
     flight = ServiceClient("service", 0, 10, wire, budget, descriptors, host)
-    listed = [interface.Listed(f"i-{n:08x}", "ready", 9.0, n % 4) for n in range(count)]
+    listed = [interface.ListedEndpoint(f"i-{n:08x}", "ready", 9.0, n % 4) for n in range(count)]
     flight.set_endpoints([(entry, (f"10.0.{n >> 8}.{n & 255}", 7)) for n, entry in enumerate(listed)])
     return flight
 
--- a/benchmarks/hop.py
+++ b/benchmarks/hop.py
@@ -37,7 +37,7 @@
     async with Mesh(["one", "two"]) as m:
         await m.serve()
         ways = {
-            "the endpoint alone": m.apps[0].address,
+            "the endpoint alone": m.stub_endpoints[0].address,
             "beside the endpoint": f"{m.ips[0]}:{m.port + 2}",
             "over a hop": f"{m.ips[1]}:{m.port + 2}",
         }
--- a/benchmarks/instances.py
+++ b/benchmarks/instances.py
@@ -50,7 +50,7 @@
     def __init__(self, instances: int, servers: int, shares: interface.Shares, told: int, rate: float) -> None:
         """``told``: how many instances each of them believes there are; ``rate``: requests a second of each."""
         self.count, self.shares, self.believed, self.rate = instances, shares, told, rate
-        listed = [interface.Listed(f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:80") for n in range(servers)]
+        listed = [interface.ListedEndpoint(f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:80") for n in range(servers)]
         took = 0.4 * 1000.0 * 2 * servers / (instances * rate)  # 40 % of the servers' capacity is asked for
         self.world = World(listed, SEED, took=min(80.0, took))
         self.instances: dict[int, Instance] = {}
--- a/benchmarks/jsonrpc.py
+++ b/benchmarks/jsonrpc.py
@@ -364,7 +364,7 @@
     """Puts every call on an endpoint in turn: the real one would hold most back."""
 
     def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
-        if isinstance(event, interface.MembershipNews):
+        if isinstance(event, interface.MembershipUpdate):
             self.names = itertools.cycle([e.endpoint for e in event.entries])
         elif isinstance(event, interface.RequestArrived):
             return [interface.Send(event.request, next(self.names), 0.0)]
@@ -378,7 +378,7 @@
     async def main() -> None:
         (told,) = build(check_operator(operator_text(port, ports).encode()).clean).services.values()
         made = JsonRpc(told, 1, Descriptors(4096), System())
-        made.ledger.balancer = SendAll(told.settings, 1)
+        made.dispatcher.balancer = SendAll(told.settings, 1)
         await made.service.listen()
         await asyncio.Event().wait()
 
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -110,7 +110,7 @@
             await app.start()
             self.launch(ip, "sidecar", AppAddr=app.address, Target=app.service)
         for ip, app in zip(self.ips, self.apps, strict=True):
-            await self.order(f"{ip}:{self.port + 4}", f"/v1/endpoints/{app.id}/heartbeat", app.beat())
+            await self.order(f"{ip}:{self.port + 4}", f"/v1/endpoints/{app.id}/heartbeat", app.heartbeat_body())
         text = json.dumps(config(*(a.service for a in self.apps))).encode()
         await self.order(f"{self.control_ip}:{self.port + 2}", "/v1/config/replace", text)
         await asyncio.sleep(3.0)  # all are told, and nobody is young any more
--- a/benchmarks/request.py
+++ b/benchmarks/request.py
@@ -28,8 +28,8 @@
 
 from zinclever import Balancer, interface
 from zinclever.core.descriptors import Descriptors
-from zinclever.core.ledger import Ledger
-from zinclever.discovery.fixed import Fixed
+from zinclever.core.dispatcher import Dispatcher
+from zinclever.discovery.fixed import StaticEndpoints
 from zinclever.http1.front import Front
 from zinclever.http1.wire import HttpWire
 from zinclever.system import System
@@ -172,13 +172,17 @@
 
     async def main() -> None:
         descriptors = Descriptors(4096)
-        listed = [(interface.Listed(f"e{p}"), ("127.0.0.1", p)) for p in ports]
-        ledger = Ledger(
-            Balancer(told, 1), HttpWire(descriptors, System()), lambda on: Fixed(listed, on), descriptors, System()
+        listed = [(interface.ListedEndpoint(f"e{p}"), ("127.0.0.1", p)) for p in ports]
+        dispatcher = Dispatcher(
+            Balancer(told, 1),
+            HttpWire(descriptors, System()),
+            lambda on: StaticEndpoints(listed, on),
+            descriptors,
+            System(),
         )
-        front = Front(ledger)
+        front = Front(dispatcher)
         await asyncio.get_running_loop().create_server(front.connection, "127.0.0.1", port)
-        ledger.start()
+        dispatcher.start()
         await asyncio.sleep(2.0)
         profiler = cProfile.Profile()
         profiler.enable()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -31,21 +31,21 @@
     return Settings(**(given | more))
 
 
-def fleet(n: int, **more: Any) -> list[interface.Listed]:
-    return [interface.Listed(f"e{x}", **more) for x in range(n)]
+def fleet(n: int, **more: Any) -> list[interface.ListedEndpoint]:
+    return [interface.ListedEndpoint(f"e{x}", **more) for x in range(n)]
 
 
-class Sidecar:
+class BalancerHarness:
     """One balancer, its clock, and the actions of the latest event."""
 
-    def __init__(self, told: Settings, listed: Iterable[interface.Listed] = (), seed: int = 1) -> None:
+    def __init__(self, told: Settings, listed: Iterable[interface.ListedEndpoint] = (), seed: int = 1) -> None:
         self.b = Balancer(told, seed)
         self.now = 1_000_000.0
         self.all: list[tuple[float, interface.Action]] = []
         self.timers: list[tuple[float, str]] = []
         self.serial = 0
         self.jitter = Random(3)
-        self.feed(interface.MembershipNews("remembered", list(listed)))
+        self.feed(interface.MembershipUpdate("remembered", list(listed)))
 
     def feed(self, event: interface.Event) -> list[interface.Action]:
         out = self.b.handle(self.now, event)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -15,8 +15,8 @@
 
 from zinclever import Balancer, Settings, interface
 from zinclever.core.descriptors import Descriptors
+from zinclever.core.dispatcher import Dispatcher
 from zinclever.core.host import Host
-from zinclever.core.ledger import Ledger
 from zinclever.discovery.catalog import Discovery
 from zinclever.http1.front import Front
 from zinclever.http1.wire import HttpWire
@@ -25,7 +25,7 @@
 
 SYSTEM = System()
 CLOSED = itertools.count(1)  # ports without a listener, in simulated time
-PATIENCE = 20.0  # s, far more than any test takes
+TEST_TIMEOUT = 20.0  # s, far more than any test takes
 CLASSES = (
     interface.RequestClass(aim=5000.0, deadline=9000.0, repeat="idempotent", name="read"),
     interface.RequestClass(aim=5000.0, deadline=9000.0, repeat="deduplicated", window=9000.0, name="unlock"),
@@ -42,7 +42,7 @@
     """Runs a test on real sockets and the event loop used in production; fails it if it hangs."""
 
     async def bounded() -> None:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             await test()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -172,7 +172,7 @@
     def __init__(self, settings: Settings, react: Reaction) -> None:
         super().__init__(settings, 1)
         self.react = react
-        self.told: list[tuple[float, interface.Event]] = []
+        self.received_events: list[tuple[float, interface.Event]] = []
         self.changed = asyncio.Event()
         self.inside = False
 
@@ -180,7 +180,7 @@
         assert not self.inside, "handle was called recursively"
         self.inside = True
         try:
-            self.told.append((now, event))
+            self.received_events.append((now, event))
             self.changed.set()
             return list(self.react(event))
         finally:
@@ -188,7 +188,7 @@
 
     def ends(self) -> list[interface.AttemptEnded]:
         """Returns the ends of attempts so far."""
-        return [e for _, e in self.told if isinstance(e, interface.AttemptEnded)]
+        return [e for _, e in self.received_events if isinstance(e, interface.AttemptEnded)]
 
     async def until(self, condition: Callable[[], bool]) -> None:
         """Waits until a condition holds; it is checked after each event."""
@@ -197,16 +197,16 @@
             await self.changed.wait()
 
 
-def script(ledger: Ledger, balancer: Scripted) -> None:
+def script(dispatcher: Dispatcher, balancer: Scripted) -> None:
     """Installs a scripted balancer that stays in use on a slow machine.
 
     Otherwise a stall of more than a second would replace it by a real balancer, and a slow dial would time out and end
     an attempt that the test waits for.
     """
-    ledger.balancer = balancer
-    ledger.balancer_replaced_at = math.inf
+    dispatcher.balancer = balancer
+    dispatcher.balancer_replaced_at = math.inf
     limits = balancer.settings.limits
-    ledger.wire.configure(1000.0 * PATIENCE, limits.connection_idle, ledger.connections)
+    dispatcher.wire.configure(1000.0 * TEST_TIMEOUT, limits.connection_idle, dispatcher.connections)
 
 
 def host(name: str, dial: str, health: str = "in_service", **more: Any) -> dict[str, Any]:
@@ -246,7 +246,7 @@
 class Setup:
     """A sidecar in this process with a scripted balancer."""
 
-    def __init__(self, sidecar: Ledger, balancer: Scripted, front: Front, address: tuple[str, int]) -> None:
+    def __init__(self, sidecar: Dispatcher, balancer: Scripted, front: Front, address: tuple[str, int]) -> None:
         self.sidecar, self.balancer, self.front, self.address = sidecar, balancer, front, address
         assert isinstance(sidecar.wire, HttpWire) and isinstance(sidecar.source, Discovery)
         self.wire, self.discovery = sidecar.wire, sidecar.source
@@ -273,22 +273,22 @@
     balancer = Scripted(Settings(**(options | more)), react)
     address, _, port = (discovery or closed_port()).partition(":")
     descriptors, machine = Descriptors(sockets), host_here()
-    ledger = Ledger(
+    dispatcher = Dispatcher(
         balancer,
         HttpWire(descriptors, machine),
         lambda on_list: Discovery((address, int(port)), balancer.settings, ["a", "b"], hosts or {}, on_list, machine),
         descriptors,
         machine,
     )
-    front = Front(ledger)
+    front = Front(dispatcher)
     loop = asyncio.get_running_loop()
     server = await loop.create_server(front.connection, "127.0.0.1", 0)
-    ledger.start()
-    setup = Setup(ledger, balancer, front, server.sockets[0].getsockname())
+    dispatcher.start()
+    setup = Setup(dispatcher, balancer, front, server.sockets[0].getsockname())
     try:
         yield setup
     finally:
         for client in setup.clients:
             client.writer.transport.abort()
         server.close()
-        ledger.stop()
+        dispatcher.stop()
--- a/tests/mesh/cluster.py
+++ b/tests/mesh/cluster.py
@@ -61,7 +61,7 @@
     def __init__(self, address: str, service: str, plan: Plan = good) -> None:
         self.address, self.service, self.plan = address, service, plan
         self.id = f"i-{address}"
-        self.seen: list[tuple[str, dict[str, str], bytes]] = []
+        self.received_requests: list[tuple[str, dict[str, str], bytes]] = []
         self.seq = 0
         self.hold: asyncio.Event | None = None
         """Answers wait for it."""
@@ -83,7 +83,7 @@
                     self.resets += 1
                     break
                 start, headers, body = await read_message(reader, first)
-                self.seen.append((start, headers, body))
+                self.received_requests.append((start, headers, body))
                 if self.hold is not None:
                     await self.hold.wait()
                 answer = self.plan(headers)
@@ -102,7 +102,7 @@
             writer.transport.abort()
         await until(lambda: not self.writers)
 
-    def beat(self, phase: str = "ready") -> bytes:
+    def heartbeat_body(self, phase: str = "ready") -> bytes:
         self.seq += 1
         return json.dumps(
             {
@@ -118,20 +118,20 @@
 
     def __init__(self, services: list[str], plans: dict[int, Plan] | None = None) -> None:
         net = next(_nets)
-        self.core = f"127.77.{net}.1"
+        self.control_ip = f"127.77.{net}.1"
         with socket.socket() as s:
-            s.bind((self.core, 0))
+            s.bind((self.control_ip, 0))
             port = s.getsockname()[1]
         self.port = min(port, 65000)
         self.folder = tempfile.TemporaryDirectory()
         self.ips = [f"127.77.{net}.{10 + n}" for n in range(len(services))]
-        self.apps = [
+        self.stub_endpoints = [
             App(f"{ip}:{self.port + 6}", s, (plans or {}).get(n, good))
             for n, (ip, s) in enumerate(zip(self.ips, services, strict=True))
         ]
         self.ids = itertools.count(1)
 
-    def boot(self, ip: str, role: str, **more: Any) -> node_settings.NodeSettings:
+    def make_settings(self, ip: str, role: str, **more: Any) -> node_settings.NodeSettings:
         names = ("Egress", "Readiness", "ControlPlane") if role == "forager" else ("ControlPlane",)
         bind = {n: f"{ip}:{self.port + 2 + k}" for k, n in enumerate(names)}
         told = {
@@ -142,7 +142,7 @@
             "Serves": [],
             "Bind": bind,
             "EphemeralPorts": [self.port, self.port + 1],
-            "SeedNodes": [f"{self.core}:{self.port + 2}"],
+            "SeedNodes": [f"{self.control_ip}:{self.port + 2}"],
             "Bootstrap": True,
             "Limits": {"MaxFds": 1024},
             "FaultModel": {"HostLosses": 0},
@@ -151,12 +151,14 @@
         return node_settings.parse(json.dumps({**told, **more}).encode())
 
     async def __aenter__(self) -> Mesh:
-        self.control = ControlNode(self.boot(self.core, "comb", StateDir=str(Path(self.folder.name) / "disk")))
+        self.control = ControlNode(
+            self.make_settings(self.control_ip, "comb", StateDir=str(Path(self.folder.name) / "disk"))
+        )
         await self.control.start()
         self.sidecars: list[Sidecar] = []
-        for ip, app in zip(self.ips, self.apps, strict=True):
+        for ip, app in zip(self.ips, self.stub_endpoints, strict=True):
             await app.start()
-            f = Sidecar(self.boot(ip, "forager", AppAddr=app.address, Target=app.service))
+            f = Sidecar(self.make_settings(ip, "forager", AppAddr=app.address, Target=app.service))
             await f.start()
             self.sidecars.append(f)
         return self
@@ -166,7 +168,7 @@
             for server in f.servers:
                 server.close()
             f.node.stop()
-        for app in self.apps:
+        for app in self.stub_endpoints:
             await app.stop()
         self.control.node.stop()
         if self.control.server is not None:
@@ -199,23 +201,23 @@
     async def put(self, config: dict[str, Any] | bytes, base: int) -> tuple[int, dict[str, str], bytes]:
         text = config if isinstance(config, bytes) else json.dumps(config).encode()
         return await self.call(
-            f"{self.core}:{self.port + 2}", "POST", "/v1/config/replace", text, X_Base_Version=str(base)
+            f"{self.control_ip}:{self.port + 2}", "POST", "/v1/config/replace", text, X_Base_Version=str(base)
         )
 
     async def beat(self, n: int, phase: str = "ready") -> int:
-        app = self.apps[n]
+        app = self.stub_endpoints[n]
         status, _, _ = await self.call(
-            f"{self.ips[n]}:{self.port + 4}", "POST", f"/v1/endpoints/{app.id}/heartbeat", app.beat(phase)
+            f"{self.ips[n]}:{self.port + 4}", "POST", f"/v1/endpoints/{app.id}/heartbeat", app.heartbeat_body(phase)
         )
         return status
 
     async def serve(self) -> None:
         """A configuration is in force everywhere, and all endpoints are known everywhere."""
-        for n in range(len(self.apps)):
+        for n in range(len(self.stub_endpoints)):
             assert await self.beat(n) == 200
-        await self.put_until_clear(config(*{a.service for a in self.apps}), 0)
+        await self.put_until_clear(config(*{a.service for a in self.stub_endpoints}), 0)
         await until(lambda: all(f.node.active.generation == 1 for f in self.sidecars))
-        await until(lambda: all(self.known(f) == len(self.apps) for f in self.sidecars))
+        await until(lambda: all(self.known(f) == len(self.stub_endpoints) for f in self.sidecars))
 
     async def put_until_clear(self, text: dict[str, Any], base: int) -> None:
         """Put a configuration in force as an operator does: 503 is no clear answer, and the call is sent again."""
@@ -229,7 +231,7 @@
         return sum(len(f.forwarder.addresses) for f in sidecar.clients.clients.values())
 
     def runs(self) -> int:
-        return sum(len(a.seen) for a in self.apps)
+        return sum(len(a.received_requests) for a in self.stub_endpoints)
 
 
 def config(*services: str, generation: int = 1) -> dict[str, Any]:
--- a/tests/mesh/processes.py
+++ b/tests/mesh/processes.py
@@ -320,16 +320,16 @@
         """Requests sent until all endpoints are reached; not judged."""
 
     def settings(self, ip: str, **more: Any) -> dict[str, Any]:
-        names = ("ControlPlane",) if ip == self.core else ("Egress", "Readiness", "ControlPlane")
+        names = ("ControlPlane",) if ip == self.control_ip else ("Egress", "Readiness", "ControlPlane")
         return {
             "NodeName": ip,
-            "Role": "control" if ip == self.core else "sidecar",
+            "Role": "control" if ip == self.control_ip else "sidecar",
             "Ip": ip,
             "Zone": "z",
             "Serves": [],
             "Bind": {n: f"{ip}:{self.port + 2 + k}" for k, n in enumerate(names)},
             "EphemeralPorts": [self.port, self.port + 1],
-            "SeedNodes": [f"{self.core}:{self.port + 2}"],
+            "SeedNodes": [f"{self.control_ip}:{self.port + 2}"],
             "Bootstrap": True,
             "Limits": {"MaxFds": 1024},
             "FaultModel": {"HostLosses": 0},
@@ -349,7 +349,7 @@
 
     async def start(self) -> None:
         folder = Path(self.folder.name)
-        state = self.settings(self.core, StateDir=str(folder / "disk"))
+        state = self.settings(self.control_ip, StateDir=str(folder / "disk"))
         self.processes.append(Process("control", folder, state))
         for ip, endpoint in zip(self.ips, self.endpoints, strict=True):
             await endpoint.start()
--- a/tests/mesh/test_answers.py
+++ b/tests/mesh/test_answers.py
@@ -90,12 +90,12 @@
         async def test() -> None:
             async with Mesh(["a", "b"]) as m:
                 await m.serve()
-                app = m.apps[0]
+                app = m.stub_endpoints[0]
                 caller = m.sidecars[1]
                 relay = Relay(m.ips[1], (m.ips[0], m.sidecars[0].node.port))
                 await relay.start()
                 wire = caller.clients.to("a").forwarder
-                wire.place(app.id, relay.address)
+                wire.set_address(app.id, relay.address)
                 await m.ask(f"/a/{kind}/", "POST", at=1, body=BODY)
                 whole = dict(relay.passed)
                 self.assertGreater(min(whole.values()), 50)
@@ -104,7 +104,7 @@
                     for cut in range(1, size, STEP):
                         relay.cut()
                         await until(lambda: caller.node.channel_to(relay.address).connection is None)
-                        wire.place(app.id, relay.address)
+                        wire.set_address(app.id, relay.address)
                         relay.limits = {way: cut}
                         name = f"{way}-{cut}"
                         status, headers, _ = await m.ask(
@@ -121,7 +121,7 @@
         self.assertGreater(outcomes["tried"], 50)
 
     def judge(self, kind: str, asked: dict[str, int], app: App, outcomes: Counter[str]) -> None:
-        ran = Counter(headers["x-attempt-id"] for _, headers, _ in app.seen)
+        ran = Counter(headers["x-attempt-id"] for _, headers, _ in app.received_requests)
         for name, status in asked.items():
             outcomes["tried"] += 1
             outcomes["ran"] += ran[name]
@@ -143,11 +143,11 @@
         async def test() -> None:
             async with Mesh(["a", "b"]) as m:
                 await m.serve()
-                app = m.apps[0]
+                app = m.stub_endpoints[0]
                 caller = m.sidecars[1]
                 relay = Relay(m.ips[1], (m.ips[0], m.sidecars[0].node.port))
                 await relay.start()
-                caller.clients.to("a").forwarder.place(app.id, relay.address)
+                caller.clients.to("a").forwarder.set_address(app.id, relay.address)
                 await m.ask(f"/a/{kind}/", at=1)
                 relay.flows.clear()
                 names = [f"held-{n}" for n in range(20)]
@@ -158,7 +158,7 @@
                 answers = await waiting
                 await asyncio.sleep(0.1)
                 relay.stop()
-                ran = Counter(headers["x-attempt-id"] for _, headers, _ in app.seen)
+                ran = Counter(headers["x-attempt-id"] for _, headers, _ in app.received_requests)
                 statuses = Counter(status for status, _, _ in answers)
                 print(kind, dict(statuses), "ran", sum(ran[n] for n in names))
                 for name, (status, headers, _) in zip(names, answers, strict=True):
@@ -220,7 +220,7 @@
         async def test() -> None:
             keeper = Ingress(System(), Descriptors(100))
             carried: list[Any] = []
-            keeper.pools.carry = lambda endpoint, attempt: carried.append(attempt)  # type: ignore[method-assign]
+            keeper.pools.send_attempt = lambda endpoint, attempt: carried.append(attempt)  # type: ignore[method-assign]
             keeper.admit("e", ("127.0.0.1", 9), 1)
             told: list[ForwardReply] = []
             for name, left in (("first", 900), ("second", 40)):
@@ -246,7 +246,7 @@
     def test_told_while_it_is_at_work(self) -> None:
         async def test() -> None:
             keeper = Ingress(System(), Descriptors(100))
-            keeper.pools.carry = lambda endpoint, attempt: None  # type: ignore[method-assign]
+            keeper.pools.send_attempt = lambda endpoint, attempt: None  # type: ignore[method-assign]
             keeper.admit("e", ("127.0.0.1", 9), 4)
             first, again = (
                 keeper.submit(
@@ -277,7 +277,7 @@
                     status, headers, body = await m.ask("/a/unsafe/", X_Attempt_Id=f"u{n}")
                     if status == 200:
                         self.assertEqual((headers["x-attempt-id"], body), (f"u{n}", b"made"))
-                ran = Counter(headers["x-attempt-id"] for _, headers, _ in m.apps[0].seen)
+                ran = Counter(headers["x-attempt-id"] for _, headers, _ in m.stub_endpoints[0].received_requests)
                 self.assertEqual(set(ran.values()), {1})
 
         run(test)
--- a/tests/mesh/test_attempts.py
+++ b/tests/mesh/test_attempts.py
@@ -122,7 +122,7 @@
             self.wire = Forwarder(HERE, keeper, self.lines.__getitem__, budget, dict.fromkeys(THERE, speaks))
         for endpoint, address in ENDPOINTS.items():
             if address is not None:
-                self.wire.place(endpoint, address)
+                self.wire.set_address(endpoint, address)
         self.order = OutboundRequest(
             service="s",
             id="id",
--- a/tests/mesh/test_catch_up.py
+++ b/tests/mesh/test_catch_up.py
@@ -346,7 +346,7 @@
         self.assertLessEqual(len(entry.applied_calls), MAX_APPLIED_CALLS)
         self.assertLess(entry.ByteSize() - len(entry.text), 12_000)
         acting = world.replica(leader)
-        self.assertLess(len(acting.after_persist) + len(acting.persisting), 4)
+        self.assertLess(len(acting.after_persist) + len(acting.pending_persists), 4)
         self.assertLess(len(acting.calls.unconfirmed) + len(acting.calls.queued_changes), 2)
         slow_down(world)
         world.start(follower)
--- a/tests/mesh/test_compatibility.py
+++ b/tests/mesh/test_compatibility.py
@@ -17,7 +17,7 @@
 
 from mesh import wire_samples
 from zinclever.mesh.consensus.messages import Vote
-from zinclever.mesh.consensus.replica_store import ReplicaStore, read_folder
+from zinclever.mesh.consensus.replica_store import ReplicaStore, read_stored_state
 from zinclever.mesh.operator_cli.commands import describe_disk
 from zinclever.mesh.transport.mesh_pb2 import Frame, GossipMessage
 
@@ -63,7 +63,7 @@
         self.assertEqual(store.entry, wire_samples.entry())
 
     def test_the_command_that_shows_a_folder_shows_the_same(self) -> None:
-        state = read_folder(self.folder)
+        state = read_stored_state(self.folder)
         assert state.entry is not None
         self.assertEqual(
             describe_disk(state, state.entry),
--- a/tests/mesh/test_configuration_handout.py
+++ b/tests/mesh/test_configuration_handout.py
@@ -132,14 +132,14 @@
             async with Mesh(["one"]) as m:
                 await m.serve()
                 active = m.control.node.active
-                line = m.sidecars[0].node.channel_to((m.core, m.port + 1))
+                line = m.sidecars[0].node.channel_to((m.control_ip, m.port + 1))
                 answers: list[Frame | None] = []
                 for _ in range(30):
                     line.call(Frame(fetch=Fetch(index=active.index + 1)), answers.append)
                 done: list[Frame | None] = []
                 line.call(Frame(fetch=Fetch(index=1)), done.append)
                 await until(lambda: done)  # so all the others have come, too
-                m.control.node.put_in_force(
+                m.control.node.activate_configuration(
                     active.index + 1, 2, active.text.replace(b'"Generation":1', b'"Generation":2')
                 )
                 done.clear()
@@ -174,7 +174,11 @@
                     server.close()
                 started.node.stop()
                 nobody = [f"127.77.0.9:{m.port + 2}"]
-                new = Sidecar(m.boot(m.ips[1], "forager", AppAddr=m.apps[1].address, Target="two", SeedNodes=nobody))
+                new = Sidecar(
+                    m.make_settings(
+                        m.ips[1], "forager", AppAddr=m.stub_endpoints[1].address, Target="two", SeedNodes=nobody
+                    )
+                )
                 await new.start()
                 m.sidecars.append(new)
                 with mock.patch.object(new.node.gossip_socket, "transport", None):
@@ -192,12 +196,14 @@
                 core = m.control.node
                 lose(core, set(m.ips))
                 core.frame_handlers["fetch"] = lambda link, frame: None
-                lose(m.sidecars[0].node, {m.core})
+                lose(m.sidecars[0].node, {m.control_ip})
                 self.assertEqual((await m.put(config("one", "two", generation=2), 1))[0], 200)
                 await end(m.sidecars[1])
-                new = m.sidecars[1] = Sidecar(m.boot(m.ips[1], "forager", AppAddr=m.apps[1].address, Target="two"))
+                new = m.sidecars[1] = Sidecar(
+                    m.make_settings(m.ips[1], "forager", AppAddr=m.stub_endpoints[1].address, Target="two")
+                )
                 await new.start()
-                lose(new.node, {m.core})
+                lose(new.node, {m.control_ip})
                 await until(lambda: new.ready())
                 self.assertEqual([f.node.active.generation for f in m.sidecars], [1, 1])
                 self.assertEqual((await m.ask("/one/safe/x", at=1))[0], 200)
@@ -223,7 +229,7 @@
                 await until(lambda: all(f.node.active.generation == 2 for f in m.sidecars))
                 node = m.sidecars[0].node
                 record = node.gossip.records.get(RecordKind.VERSION, "config")
-                node.put_in_force(number, 1, old)
+                node.activate_configuration(number, 1, old)
                 self.assertEqual(node.active.generation, 2)
                 self.assertEqual(node.gossip.records.get(RecordKind.VERSION, "config"), record)
 
--- a/tests/mesh/test_consensus.py
+++ b/tests/mesh/test_consensus.py
@@ -190,7 +190,7 @@
         w.run(0.5)
         for replica in (a, b, c):
             replica.change_role(ReplicaRole.FOLLOWER, w.now)
-            replica.leader_last_heard, replica.leader = w.now - 1.0, ""
+            replica.leader_last_contact, replica.leader = w.now - 1.0, ""
         w.cut = {(x, y) for x in w.machines for y in w.machines if {x, y} != {"10.0.0.0", "10.0.0.2"} and x != y}
         a.start_election(w.now)
         b.start_election(w.now)
@@ -217,7 +217,7 @@
         w.kill("10.0.0.2")
         for replica in (a, b):
             replica.change_role(ReplicaRole.FOLLOWER, w.now)
-            replica.leader_last_heard = w.now - 0.6
+            replica.leader_last_contact = w.now - 0.6
         a.leader, b.leader = "", a.own_voter.disk
         w.run(5.0)
         self.assertEqual(len(w.leaders()), 1)
--- a/tests/mesh/test_endpoint_calls.py
+++ b/tests/mesh/test_endpoint_calls.py
@@ -9,7 +9,7 @@
 
 from mesh.cases import params
 from mesh.cluster import App, Mesh, run, until
-from zinclever.mesh.membership.receipt_quorum import SIDECAR_PREFERRED_FOR, ReceiptQuorum
+from zinclever.mesh.membership.receipt_quorum import SIDECAR_PREFERENCE_PERIOD, ReceiptQuorum
 from zinclever.mesh.membership.records import DEPARTED_SEQ, EndpointPhase, RecordKind
 from zinclever.mesh.model.field import endpoint
 from zinclever.mesh.roles import endpoint_api
@@ -31,7 +31,7 @@
 
 async def beat(m: Mesh, app: App, phase: str, ip: str, port: int) -> int:
     """A beat of an endpoint at any process: the status."""
-    body = app.beat(phase)
+    body = app.heartbeat_body(phase)
     return (await m.call(f"{ip}:{port}", "POST", f"/v1/endpoints/{app.id}/heartbeat", body))[0]
 
 
@@ -51,12 +51,12 @@
         async def test() -> None:
             async with Mesh(["one", "one", "two"]) as m:
                 await m.serve()
-                app, port = m.apps[0], m.port + 2
+                app, port = m.stub_endpoints[0], m.port + 2
 
                 async def say() -> int:
                     if call == "departure":
-                        return await departure(m, app, m.core, port)
-                    return await beat(m, app, call, m.core, port)
+                        return await departure(m, app, m.control_ip, port)
+                    return await beat(m, app, call, m.control_ip, port)
 
                 with cut_off(m.control.node):
                     self.assertEqual([await say(), await say()], [503, 503])
@@ -72,7 +72,7 @@
         async def test() -> None:
             async with Mesh(["one", "one", "two"]) as m:
                 await m.serve()
-                app, port = m.apps[0], m.port + 4
+                app, port = m.stub_endpoints[0], m.port + 4
 
                 async def say() -> int:
                     if call == "departure":
@@ -84,7 +84,7 @@
                     self.assertFalse(m.sidecars[0].ingress.is_open)
                     for _ in range(5):
                         self.assertEqual((await m.ask("/one/unsafe/x", "POST", 2))[0], 200)
-                    self.assertEqual(len(app.seen), 0)
+                    self.assertEqual(len(app.received_requests), 0)
                 self.assertEqual(await say(), 200)
                 record = held(m, app)
                 assert record is not None
@@ -98,7 +98,7 @@
         async def test() -> None:
             async with Mesh(["one", "one", "two"]) as m:
                 await m.serve()
-                app, old = m.apps[0], m.sidecars[0]
+                app, old = m.stub_endpoints[0], m.sidecars[0]
                 flush = old.node.gossip_socket.flush
 
                 def flush_to_the_core_alone() -> None:
@@ -119,7 +119,7 @@
                 record = held(m, app)
                 assert record is not None
                 self.assertEqual(record.rank, EndpointPhase.DRAINING)
-                new = Sidecar(m.boot(m.ips[0], "forager", AppAddr=app.address, Target=app.service))
+                new = Sidecar(m.make_settings(m.ips[0], "forager", AppAddr=app.address, Target=app.service))
                 await new.start()
                 m.sidecars[0] = new
                 with mock.patch.object(new.ingress, "admit", side_effect=AssertionError("admitted")):
@@ -137,9 +137,9 @@
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                m.control.endpoint_api.announcer.tolerated_losses = 1
+                m.control.endpoint_api.announcer.tolerated_failures = 1
                 with cut_off(m.control.node), mock.patch.object(m.control.node.gossip.members, "others", list):
-                    self.assertEqual(await beat(m, m.apps[0], "draining", m.core, m.port + 2), 503)
+                    self.assertEqual(await beat(m, m.stub_endpoints[0], "draining", m.control_ip, m.port + 2), 503)
 
         run(test)
 
@@ -148,7 +148,13 @@
         ("too few of the core", ReceiptQuorum(frozenset("abc"), 2, "k", frozenset("k")), "ak", 9.0, False),
         ("core and keeper", ReceiptQuorum(frozenset("abc"), 2, "k", frozenset("kl")), "abk", 0.0, True),
         ("the keeper is waited for", ReceiptQuorum(frozenset("abc"), 2, "k", frozenset("kl")), "abl", 0.0, False),
-        ("for so long", ReceiptQuorum(frozenset("abc"), 2, "k", frozenset("kl")), "abl", SIDECAR_PREFERRED_FOR, True),
+        (
+            "for so long",
+            ReceiptQuorum(frozenset("abc"), 2, "k", frozenset("kl")),
+            "abl",
+            SIDECAR_PREFERENCE_PERIOD,
+            True,
+        ),
         ("then another does", ReceiptQuorum(frozenset("abc"), 2, "k", frozenset("kl")), "ab", 9.0, False),
         ("a dead keeper is not", ReceiptQuorum(frozenset("abc"), 2, "k", frozenset("lm")), "abm", 0.0, True),
         ("sidecars are no core", ReceiptQuorum(frozenset("abc"), 2, "k", frozenset("klm")), "aklm", 9.0, False),
@@ -168,9 +174,9 @@
         async def test() -> None:
             async with Mesh(["one", "one", "two"]) as m:
                 await m.serve()
-                app = m.apps[0]
+                app = m.stub_endpoints[0]
                 self.assertEqual(await m.beat(0, "draining"), 200)
-                ip, port = (m.ips[0], m.port + 4) if at == "sidecar" else (m.core, m.port + 2)
+                ip, port = (m.ips[0], m.port + 4) if at == "sidecar" else (m.control_ip, m.port + 2)
                 self.assertEqual(await beat(m, app, "ready", ip, port), 200)
                 record = held(m, app)
                 assert record is not None
@@ -185,7 +191,7 @@
         async def test() -> None:
             async with Mesh(["one", "one", "two"]) as m:
                 await m.serve()
-                app, sidecar = m.apps[0], m.sidecars[0]
+                app, sidecar = m.stub_endpoints[0], m.sidecars[0]
                 for _ in range(5):  # they change nothing, so that nobody else hears of them
                     self.assertEqual(await m.beat(0), 200)
                 sidecar.local_endpoint.declare_gone(app.id)
@@ -203,7 +209,7 @@
         async def test() -> None:
             async with Mesh(["one", "one", "two"]) as m:
                 await m.serve()
-                app, sidecar = m.apps[0], m.sidecars[0]
+                app, sidecar = m.stub_endpoints[0], m.sidecars[0]
                 self.assertEqual(await m.beat(0, "draining"), 200)
                 sidecar.local_endpoint.declare_gone(app.id)
                 self.assertEqual(await m.beat(0), 200)
@@ -219,7 +225,7 @@
         async def test() -> None:
             async with Mesh(["one"]) as m:
                 await m.serve()
-                sidecar, app = m.sidecars[0], m.apps[0]
+                sidecar, app = m.sidecars[0], m.stub_endpoints[0]
                 for standing in (20.0, 0.0):  # for which the process stood still; else the endpoint was silent
                     sidecar.local_endpoint.heartbeat_at -= 20.0
                     sidecar.local_endpoint.checked_at -= standing
@@ -237,7 +243,7 @@
                 await m.serve()
                 for _ in range(3):
                     self.assertEqual(await m.beat(0), 200)
-                known = held(m, m.apps[0])
+                known = held(m, m.stub_endpoints[0])
                 assert known is not None
                 gone = Record(
                     kind=2,
@@ -248,7 +254,7 @@
                     body=known.body,
                 )
                 m.control.node.broadcast(gone)
-                await until(lambda: (r := held(m, m.apps[0])) is not None and r.rank == EndpointPhase.READY)
+                await until(lambda: (r := held(m, m.stub_endpoints[0])) is not None and r.rank == EndpointPhase.READY)
                 self.assertTrue(m.sidecars[0].ingress.is_open)
 
         run(test)
@@ -259,7 +265,7 @@
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                known = held(m, m.apps[0])
+                known = held(m, m.stub_endpoints[0])
                 assert known is not None
                 m.control.node.broadcast(Record(kind=2, id="i-long-gone", seq=9, body=known.body))
                 sidecar = m.sidecars[0]
--- a/tests/mesh/test_explore.py
+++ b/tests/mesh/test_explore.py
@@ -52,7 +52,7 @@
         for replica in made.orders:
             replica.tick(99.0)
             replica.calls.fail_all()
-            replica.last_heard.clear()
+            replica.last_contact.clear()
         self.assertEqual(start.key(), key)
 
 
--- a/tests/mesh/test_explore_voters.py
+++ b/tests/mesh/test_explore_voters.py
@@ -93,7 +93,7 @@
         self.assertEqual(state.held["d2"], 3)
         late = ConsensusMessage(kind=MessageKind.LEAVE_REPLY, disk="d0", term=1, granted=True, index=2)
         explorer.receive(state, 2, late.SerializeToString())
-        self.assertFalse(state.orders[2].released)
+        self.assertFalse(state.orders[2].leave_granted)
 
 
 class BrokenOnPurpose(unittest.TestCase):
@@ -123,9 +123,9 @@
                 return super().is_committed(now, entry)
 
             def on_append(self, now: float, m: ConsensusMessage) -> None:
-                let_go, self.released = self.released, False
+                let_go, self.leave_granted = self.leave_granted, False
                 super().on_append(now, m)
-                self.released = let_go
+                self.leave_granted = let_go
 
         self.assert_found(Counting, VoterStart.LET_GO, budget(changes=1), "fewer disks than may be lost")
 
@@ -141,7 +141,7 @@
     def test_a_change_committed_by_the_new_voters_alone(self) -> None:
         class Hurried(Replica):
             def is_committed(self, now: float, entry: LogEntry) -> bool:
-                return has_commit_quorum(entry.voters, self.acknowledged_by, self.tolerated_losses)
+                return has_commit_quorum(entry.voters, self.acknowledged_by, self.tolerated_failures)
 
         self.assert_found(Hurried, VoterStart.REPLACEMENT, budget(), "without a majority of the voters before it")
 
@@ -156,9 +156,11 @@
         class Shrinking(Replica):
             def next_voter_change(self, now: float) -> VoterChange | None:
                 voters = list(self.committed.voters)
-                silent = [v for v in voters if v is not self.own_voter and now - self.last_heard.get(v.disk, now) > 2.0]
+                silent = [
+                    v for v in voters if v is not self.own_voter and now - self.last_contact.get(v.disk, now) > 2.0
+                ]
                 if not silent:
-                    return next_voters(self.committed, self.own_voter.disk, {}, self.last_heard, now)
+                    return next_voters(self.committed, self.own_voter.disk, {}, self.last_contact, now)
                 rest = [v for v in voters if v.disk != silent[0].disk]
                 return VoterChange(rest, VoterChangeReason.LOST, removed=silent[0])
 
@@ -170,7 +172,7 @@
                 self.change_role(ReplicaRole.FOLLOWER, now)
 
             def start_election(self, now: float) -> None:
-                self.leader_last_heard = now
+                self.leader_last_contact = now
 
         self.assert_found(Shy, VoterStart.LEADER_LEAVES, budget(), "no leader", liveness_every=1)
 
--- a/tests/mesh/test_gossip_messages.py
+++ b/tests/mesh/test_gossip_messages.py
@@ -51,7 +51,7 @@
         s.receive(f.now, GossipMessage.FromString(data), ("10.9.9.9", 9))
         f.run(2.0)
         self.assertEqual(len(s.members.others()), 2)
-        self.assertNotIn("x", s.failure_detector.last_heard)
+        self.assertNotIn("x", s.failure_detector.last_contact)
 
     def test_receipts_are_asked_for_until_they_come(self) -> None:
         f = met(4)
@@ -59,10 +59,10 @@
         number = f.gossips["b0"].broadcast_confirmed(f.now, endpoint(rank=1), ["b1", "b2"])
         f.flush("b0")
         f.run(0.5)
-        self.assertEqual(f.gossips["b0"].broadcasts.confirmed[number].confirmed_by, {"b2"})
+        self.assertEqual(f.gossips["b0"].broadcasts.awaiting_receipts[number].confirmed_by, {"b2"})
         f.cut.clear()
         f.run(0.5)
-        self.assertEqual(f.gossips["b0"].broadcasts.confirmed[number].confirmed_by, {"b1", "b2"})
+        self.assertEqual(f.gossips["b0"].broadcasts.awaiting_receipts[number].confirmed_by, {"b1", "b2"})
 
     def test_no_receipt_for_news_that_something_else_stands_above(self) -> None:
         """It changes nothing there; the teller hears of what does."""
@@ -73,7 +73,7 @@
         number = f.gossips["b0"].broadcast_confirmed(f.now, endpoint(seq=3, rank=1), ["b1", "b2"])
         f.flush("b0")
         f.run(0.1)
-        self.assertEqual(f.gossips["b0"].broadcasts.confirmed[number].confirmed_by, {"b1"})
+        self.assertEqual(f.gossips["b0"].broadcasts.awaiting_receipts[number].confirmed_by, {"b1"})
         self.assertEqual(f.gossips["b0"].records.by_key[RecordKey(RecordKind.ENDPOINT, "e1")].incarnation, 1)
 
     def test_no_receipt_for_news_that_there_is_no_room_for(self) -> None:
@@ -82,7 +82,7 @@
             number = f.gossips["b0"].broadcast_confirmed(f.now, endpoint(rank=1), ["b1", "b2"])
             f.flush("b0")
             f.run(0.5)
-        self.assertEqual(f.gossips["b0"].broadcasts.confirmed[number].confirmed_by, set())
+        self.assertEqual(f.gossips["b0"].broadcasts.awaiting_receipts[number].confirmed_by, set())
 
     def test_a_drain_holds_though_its_teller_loses_power_at_once(self) -> None:
         """Acknowledged once two others have it: everybody knows of it within the bound."""
@@ -91,7 +91,7 @@
             teller, drain = f.names[n], endpoint(f"e{n}", rank=1)
             number = f.gossips[teller].broadcast_confirmed(f.now, drain, f.names[10:13])
             f.flush(teller)
-            receipt = f.gossips[teller].broadcasts.confirmed[number]
+            receipt = f.gossips[teller].broadcasts.awaiting_receipts[number]
             while len(receipt.confirmed_by) < 2:
                 f.run(0.005)
             del f.gossips[teller]
--- a/tests/mesh/test_leaving.py
+++ b/tests/mesh/test_leaving.py
@@ -26,8 +26,8 @@
                 self.assertEqual(await m.beat(0, "draining"), 200)
                 for _ in range(20):  # from the first on, whoever knows of it
                     self.assertEqual((await m.ask("/one/unsafe/x", "POST", 2))[0], 200)
-                self.assertEqual(len(m.apps[0].seen), 0)
-                m.apps[0].seq = 0
+                self.assertEqual(len(m.stub_endpoints[0].received_requests), 0)
+                m.stub_endpoints[0].seq = 0
                 self.assertEqual(await m.beat(0), 200)  # a late beat
                 self.assertFalse(m.sidecars[0].ingress.is_open)
 
@@ -37,9 +37,12 @@
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                app = m.apps[0]
+                app = m.stub_endpoints[0]
                 status, _, _ = await m.call(
-                    f"{m.core}:{m.port + 2}", "POST", f"/v1/endpoints/{app.id}/heartbeat", app.beat("draining")
+                    f"{m.control_ip}:{m.port + 2}",
+                    "POST",
+                    f"/v1/endpoints/{app.id}/heartbeat",
+                    app.heartbeat_body("draining"),
                 )
                 self.assertEqual(status, 200)
                 self.assertFalse(m.sidecars[0].ingress.is_open)  # its keeper knew before it was acknowledged
@@ -50,13 +53,13 @@
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                app, ending = m.apps[0], m.sidecars[1]
+                app, ending = m.stub_endpoints[0], m.sidecars[1]
                 app.hold = asyncio.Event()
                 asked = asyncio.ensure_future(m.ask("/one/unsafe/x", "POST", 1, b"body"))
-                await until(lambda: app.seen)
+                await until(lambda: app.received_requests)
                 with mock.patch.object(sidecar, "MIN_DRAIN_PERIOD", 0.05):
                     stopped = asyncio.ensure_future(ending.stop(6.0))
-                    await until(lambda: ending.ending)
+                    await until(lambda: ending.is_stopping)
                     ready = await m.call(f"{m.ips[1]}:{m.port + 3}", "GET", "/v1/ready")
                     self.assertEqual(ready[0], 503)  # before anything else changes
                     self.assertFalse(asked.done() or stopped.done())
@@ -72,15 +75,15 @@
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                m.apps[0].id = "i-next"  # another life at the same address
+                m.stub_endpoints[0].id = "i-next"  # another life at the same address
                 self.assertEqual(await m.beat(0), 200)
                 told: list[ForwardReply] = []
                 load = ForwardRequest(
-                    endpoint=f"i-{m.apps[0].address}", head=b"GET / HTTP/1.1\r\n", id="r", deadline_ms=1000
+                    endpoint=f"i-{m.stub_endpoints[0].address}", head=b"GET / HTTP/1.1\r\n", id="r", deadline_ms=1000
                 )
                 m.sidecars[0].ingress.submit(load, b"", told.append)
                 self.assertEqual([y.outcome for y in told], [AttemptOutcome.NOT_EXECUTED])
-                self.assertEqual(m.apps[0].seen, [])
+                self.assertEqual(m.stub_endpoints[0].received_requests, [])
 
         run(test)
 
@@ -116,9 +119,9 @@
         async def test() -> None:
             async with Mesh(["one"]) as m:
                 await m.serve()
-                ledger = m.sidecars[0].clients.to("one").ledger
-                ledger.settle(True)  # what it does after standing still for a second
-                self.assertIsInstance(ledger.balancer.admission, IngressAdmission)
+                dispatcher = m.sidecars[0].clients.to("one").dispatcher
+                dispatcher.resume_after_stall(True)  # what it does after standing still for a second
+                self.assertIsInstance(dispatcher.balancer.admission, IngressAdmission)
                 told = config("one", generation=2)
                 told["Routes"]["one-safe"]["DeadlineS"] = 2.5  # a class that there was not
                 self.assertEqual((await m.put(told, 1))[0], 200)
@@ -131,14 +134,14 @@
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                app = m.apps[0]
+                app = m.stub_endpoints[0]
                 for f in m.sidecars:  # as after a start of all: nobody knows the endpoint, nor who keeps it
                     f.node.gossip.records.by_key.pop(RecordKey(RecordKind.ENDPOINT, app.id))
-                body = app.beat()
+                body = app.heartbeat_body()
                 record = m.control.node.gossip.records
                 record.by_key.pop(RecordKey(RecordKind.ENDPOINT, app.id))
                 m.control.endpoint_api.sidecar_at = lambda address: ""  # type: ignore[method-assign]
-                await m.call(f"{m.core}:{m.port + 2}", "POST", f"/v1/endpoints/{app.id}/heartbeat", body)
+                await m.call(f"{m.control_ip}:{m.port + 2}", "POST", f"/v1/endpoints/{app.id}/heartbeat", body)
                 self.assertEqual(await m.beat(0), 200)
                 await until(
                     lambda: (
@@ -153,7 +156,7 @@
         async def test() -> None:
             async with Mesh(["one", "one", "two"]) as m:
                 await m.serve()
-                app = m.apps[0]
+                app = m.stub_endpoints[0]
                 status, _, _ = await m.call(f"{m.ips[0]}:{m.port + 4}", "POST", f"/v1/endpoints/{app.id}/departure")
                 self.assertEqual(status, 200)
                 await until(lambda: all(m.known(f) == 2 for f in m.sidecars))
--- a/tests/mesh/test_mesh.py
+++ b/tests/mesh/test_mesh.py
@@ -97,11 +97,11 @@
                     X_Hop="dropped",
                 )
                 self.assertEqual(got, 200)
-                start, headers, came = m.apps[0].seen[0]
+                start, headers, came = m.stub_endpoints[0].received_requests[0]
                 self.assertEqual(start, "PUT /one/unsafe/x?a=%20b&c HTTP/1.1")
                 self.assertEqual(came, body)
                 self.assertEqual(headers["x-caller-service"], "two")
-                self.assertEqual(headers["x-expected-endpoint"], m.apps[0].id)
+                self.assertEqual(headers["x-expected-endpoint"], m.stub_endpoints[0].id)
                 self.assertEqual((headers["x-other"], headers.get("x-hop")), ("kept", None))
                 self.assertLessEqual(int(headers["x-deadline-ms"]), 3000)
 
@@ -179,7 +179,7 @@
                 self.assertEqual((got, len(queue.waiting)), (503, 1))
                 self.assertGreater(float(headers["retry-after"]), 0.1)
                 queue.busy = 0
-                m.sidecars[0].ingress.begin_waiting()
+                m.sidecars[0].ingress.dispatch_queued()
                 self.assertEqual((await first)[0], 200)
 
         run(test)
@@ -193,13 +193,13 @@
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                app, keeper = m.apps[0], m.sidecars[0].ingress
+                app, keeper = m.stub_endpoints[0], m.sidecars[0].ingress
                 for at in (0, 1, 0, 1):
                     self.assertEqual((await m.ask(f"/one/{kind}/x", "POST", at, b"body"))[0], 200)
                     app.forgotten |= app.writers
                     for connection in keeper.pools.idle:
                         connection.heard_at -= 1.0  # it has been quiet for a while
-                self.assertEqual((len(app.seen), app.resets), (4, 3))
+                self.assertEqual((len(app.received_requests), app.resets), (4, 3))
                 self.assertEqual(keeper.counts["dropped"], 3)
 
         run(test)
@@ -255,7 +255,9 @@
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
                 keeping = m.sidecars[0]
-                coming = ForwardRequest(endpoint=m.apps[0].id, length=60 << 20, reserve_first=True, deadline_ms=1000)
+                coming = ForwardRequest(
+                    endpoint=m.stub_endpoints[0].id, length=60 << 20, reserve_first=True, deadline_ms=1000
+                )
                 keeping.forward_server.open[(mock.Mock(), 1)] = InboundForward(mock.Mock(), coming, 0.0)
                 self.assertEqual((await m.ask("/one/unsafe/x", "POST", 1, b"b" * (8 << 20)))[0], 503)
                 self.assertEqual((await m.ask("/one/unsafe/x", "POST", 1, self.BODY))[0], 200)
@@ -270,7 +272,7 @@
                     for size in (5, 4000, 300_000):
                         with mock.patch.object(Ingress, "refusal", side_effect=AssertionError):
                             self.assertEqual((await m.ask("/one/unsafe/x", "POST", 1, b"b" * size))[0], 200)
-                        self.assertEqual(len(m.apps[0].seen[-1][2]), size)
+                        self.assertEqual(len(m.stub_endpoints[0].received_requests[-1][2]), size)
 
         run(test)
 
--- a/tests/mesh/test_mesh_operators.py
+++ b/tests/mesh/test_mesh_operators.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from mesh.cluster import Mesh, away, config, run, until
-from zinclever.mesh.consensus.replica_store import read_folder
+from zinclever.mesh.consensus.replica_store import read_stored_state
 from zinclever.mesh.errors import MeshError
 from zinclever.mesh.operator_cli.control_client import ControlRequest, call
 
@@ -30,7 +30,7 @@
                 ]
                 for told, base, want in cases:
                     self.assertEqual((await m.put(told, base))[0], want, (told, base))
-                status, _, text = await m.call(f"{m.core}:{m.port + 2}", "GET", "/v1/config/read")
+                status, _, text = await m.call(f"{m.control_ip}:{m.port + 2}", "GET", "/v1/config/read")
                 self.assertEqual(status, 200)
                 self.assertIn(b'"Generation":9', text)
                 await until(lambda: m.sidecars[0].node.active.generation == 9)
@@ -66,7 +66,7 @@
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
                 await m.serve()
-                core, loop = [f"{m.core}:{m.port + 2}"], m.control.loop
+                core, loop = [f"{m.control_ip}:{m.port + 2}"], m.control.loop
 
                 async def ask(path: str) -> Any:
                     response = await loop.run_in_executor(None, call, core, ControlRequest("GET", path))
@@ -80,7 +80,7 @@
                 self.assertEqual((view["Role"], view["Generation"], len(view["Voters"])), ("LEADER", 1, 1))
                 self.assertEqual((view["Disk"]["repaired"], view["Disk"]["refused"]), (0, 0))
                 self.assertEqual((view["Disk"]["unmarked"], view["Texts"]["given_up"]), (0, 0))
-                state = read_folder(Path(m.folder.name) / "disk")
+                state = read_stored_state(Path(m.folder.name) / "disk")
                 assert state.entry is not None
                 self.assertEqual((state.disk, state.entry.generation), (view["Leader"], 1))
 
@@ -91,13 +91,13 @@
             async with Mesh(["one", "two"], {0: away}) as m:
                 await m.serve()
                 self.assertEqual((await m.ask("/one/unsafe/x", "POST", 1, X_Attempt_Id="r-asked"))[0], 503)
-                core, loop = [f"{m.core}:{m.port + 2}"], m.control.loop
+                core, loop = [f"{m.control_ip}:{m.port + 2}"], m.control.loop
                 request = ControlRequest("GET", "/v1/mesh/requests/r-asked")
                 response = await loop.run_in_executor(None, call, core, request)
                 self.assertEqual(response.status, 200)
                 (found,) = response.json()["Requests"]
                 self.assertEqual((found["Status"], found["Target"]), (503, "one"))
-                self.assertIn(f"{m.apps[0].id}: turned away", found["Tries"])
+                self.assertIn(f"{m.stub_endpoints[0].id}: turned away", found["Tries"])
                 response = await loop.run_in_executor(None, call, core, ControlRequest("GET", "/v1/mesh/requests/r-0"))
                 self.assertEqual((response.status, response.json()["Error"]["Code"]), (404, "REQUEST_UNKNOWN"))
 
--- a/tests/mesh/test_operator_calls.py
+++ b/tests/mesh/test_operator_calls.py
@@ -21,7 +21,7 @@
 
     def __init__(self, started: int = 3) -> None:
         self.mesh = Mesh([])
-        net = self.mesh.core.rpartition(".")[0]
+        net = self.mesh.control_ip.rpartition(".")[0]
         self.ips = [f"{net}.{n}" for n in (1, 2, 3)]
         self.started = started
         self.members: list[ControlNode] = []
@@ -31,7 +31,7 @@
         for ip in self.ips[: self.started]:
             folder = str(Path(self.mesh.folder.name) / ip)
             told: dict[str, Any] = {"StateDir": folder, "SeedNodes": seeds, "FaultModel": {"HostLosses": 1}}
-            member = ControlNode(self.mesh.boot(ip, "comb", **told))
+            member = ControlNode(self.mesh.make_settings(ip, "comb", **told))
             await member.start()
             self.members.append(member)
         return self
--- a/tests/mesh/test_signals.py
+++ b/tests/mesh/test_signals.py
@@ -123,7 +123,7 @@
     """Both sidecars, some times in a row; each time with another list of seeds."""
     for n in range(RELOADS):
         for process in (mesh.caller, mesh.keeper):
-            process.settings["SeedNodes"] = [f"{ip}:{mesh.port + 2}" for ip in (mesh.core, *mesh.ips[: n % 2])]
+            process.settings["SeedNodes"] = [f"{ip}:{mesh.port + 2}" for ip in (mesh.control_ip, *mesh.ips[: n % 2])]
             process.write()
             process.send(signal.SIGHUP)
         await asyncio.sleep(RELOAD_EACH_S)
--- a/tests/mesh/test_voters.py
+++ b/tests/mesh/test_voters.py
@@ -140,7 +140,7 @@
     )
     def test_losses(self, name: str, model: FaultModel, zones: str, want: int) -> None:
         core = [Location(zone, "r" + zone) for zone in zones]
-        self.assertEqual(model.tolerated_losses(core), want, name)
+        self.assertEqual(model.tolerated_failures(core), want, name)
 
     def test_settings(self) -> None:
         told = {
@@ -164,7 +164,7 @@
     def test_a_zone_lost_leaves_a_leader(self) -> None:
         """Zones of two machines: one zone is gone for so long that all of it could be dropped, comes back, and another
         is lost the moment after."""
-        w = core(1, 6, FaultModel(1, zones=1).tolerated_losses([Location(z, "") for z in "aabbcc"]), 3)
+        w = core(1, 6, FaultModel(1, zones=1).tolerated_failures([Location(z, "") for z in "aabbcc"]), 3)
         for ip in ("10.0.0.0", "10.0.0.1"):
             w.kill(ip)
         w.run(6.0)
--- a/tests/rpc.py
+++ b/tests/rpc.py
@@ -70,8 +70,8 @@
 
     @property
     def balancer(self) -> Scripted:
-        assert isinstance(self.made.ledger.balancer, Scripted)
-        return self.made.ledger.balancer
+        assert isinstance(self.made.dispatcher.balancer, Scripted)
+        return self.made.dispatcher.balancer
 
     @property
     def manual(self) -> Manual:
@@ -85,7 +85,7 @@
 
     async def client(self) -> JsonRpcClient:
         """A client that is connected."""
-        client = await JsonRpcClient(self.log, self.made.told.rules.framing).connect(self.address)
+        client = await JsonRpcClient(self.log, self.made.spec.rules.framing).connect(self.address)
         self.clients.append(client)
         return client
 
@@ -118,10 +118,10 @@
         (spec,) = build(report.clean).services.values()
         made = JsonRpc(spec, 1, Descriptors(sockets), System())
         if react is not None:
-            script(made.ledger, Scripted(spec.settings, react))
+            script(made.dispatcher, Scripted(spec.settings, react))
         loop = asyncio.get_running_loop()
         server = await loop.create_server(made.front.connection, "127.0.0.1", 0)
-        made.ledger.start()
+        made.dispatcher.start()
         host, port = server.sockets[0].getsockname()
         setup = Setup(made, log, endpoints, f"{host}:{port}")
         try:
@@ -131,7 +131,7 @@
                 await client.close()
             server.close()
             made.front.stop()
-            made.ledger.stop()
+            made.dispatcher.stop()
 
 
 class Manual(JsonRpcEndpoint):
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -42,8 +42,9 @@
     balancer = Balancer(interface.Settings(classes=[interface.RequestClass(aim=100.0, deadline=500.0)]), 1)
     balancer.handle(
         0.0,
-        interface.MembershipNews(
-            "whole", [interface.Listed("a"), interface.Listed("b", "draining"), interface.Listed("c")]
+        interface.MembershipUpdate(
+            "whole",
+            [interface.ListedEndpoint("a"), interface.ListedEndpoint("b", "draining"), interface.ListedEndpoint("c")],
         ),
     )
     assert count_disabled(balancer, 1.0) == 1
@@ -77,10 +78,14 @@
             assert (replies.served, replies.refused, replies.failed, s.wire.dispatches) == (1, 1, 1, 1)
             assert counts.concurrent == 0
             c.send(Req_Id="r4")
-            await s.balancer.until(lambda: any(getattr(e, "request", "") == "r4" for _, e in s.balancer.told))
+            await s.balancer.until(
+                lambda: any(getattr(e, "request", "") == "r4" for _, e in s.balancer.received_events)
+            )
             assert counts.concurrent == 1
             c.writer.transport.abort()
-            await s.balancer.until(lambda: any(isinstance(e, interface.RequestClosed) for _, e in s.balancer.told))
+            await s.balancer.until(
+                lambda: any(isinstance(e, interface.RequestClosed) for _, e in s.balancer.received_events)
+            )
             assert counts.concurrent == 0
             assert (replies.served, replies.refused, replies.failed) == (1, 1, 1)
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import LIMITS, SAFE, Sidecar, fleet, settings
+from helpers import LIMITS, SAFE, BalancerHarness, fleet, settings
 
 from zinclever import interface
 from zinclever.policy import stalled_attempts
@@ -11,9 +11,9 @@
 BUSY = replace(LIMITS, retry_after=True, max_retry_after=700.0)
 
 
-def full(told: interface.RequestClass = SAFE, **more: object) -> Sidecar:
+def full(told: interface.RequestClass = SAFE, **more: object) -> BalancerHarness:
     """A sidecar whose window is full of requests that no endpoint answers."""
-    s = Sidecar(settings(told, **more), fleet(4))
+    s = BalancerHarness(settings(told, **more), fleet(4))
     s.serve(60, took=20.0, gap=30.0)
     while not s.b.admission.held_count:
         s.ask()
@@ -24,7 +24,7 @@
     # Guards against a fleet in overload that is full, and slow for it, before any rate is known.
     sent = []
     for group in (1, 5):
-        s = Sidecar(settings(group_size=group), fleet(4))
+        s = BalancerHarness(settings(group_size=group), fleet(4))
         for _ in range(200):
             s.ask()
         sent.append(len(s.sends()))
@@ -33,7 +33,7 @@
 
 def test_no_copies_in_the_first_second() -> None:
     # Guards against copies that push over a fleet which is barely up to its load (i50b99e).
-    s = Sidecar(settings(), fleet(4))
+    s = BalancerHarness(settings(), fleet(4))
     s.serve(3)
     r = s.ask()
     s.wait(190)
@@ -48,7 +48,7 @@
 
 def test_window_follows_the_best_rate_not_the_latency() -> None:
     # Guards against starving a fleet that has turned slow (ic4351a).
-    s = Sidecar(settings(), fleet(4))
+    s = BalancerHarness(settings(), fleet(4))
     s.serve_many(60, 4, 50)
     before = s.b.endpoint_list.near.window.size
     s.serve_many(20, 4, 150)
@@ -83,7 +83,7 @@
 
 def test_marked_retry_is_refused_at_once_in_a_crowd_only() -> None:
     # Guards against retries that come past the aim and take the turn of fresh requests (h1b74b3).
-    calm = Sidecar(settings(), fleet(4))
+    calm = BalancerHarness(settings(), fleet(4))
     assert calm.sends(calm.ask(client_retry=True))
     s = full()
     r = s.ask(client_retry=True)
@@ -95,7 +95,7 @@
 def test_over_share_tenant_waits_in_a_crowd() -> None:
     tenants = (interface.Tenant(quota_per_s=10.0), interface.Tenant(quota_per_s=10.0))
     dear = replace(SAFE, value=5.0)
-    s = Sidecar(settings(dear, SAFE, tenants=tenants, over_share_worth=0.05), fleet(4))
+    s = BalancerHarness(settings(dear, SAFE, tenants=tenants, over_share_worth=0.05), fleet(4))
     s.serve(60, took=20.0, gap=30.0)
     while not s.b.admission.held_count:
         s.ask(tenant=0)
@@ -106,13 +106,13 @@
 
 def test_down_endpoint_is_left_alone_and_full_table_is_not() -> None:
     # Guards against taking a full connection table for a dead endpoint.
-    s = Sidecar(settings(), fleet(3))
+    s = BalancerHarness(settings(), fleet(3))
     r = s.ask()
     where = s.b.endpoint_list.endpoints[s.sends(r)[0].endpoint]
     s.end(r, 0, "connect_failed")
     assert where.down_until > s.now
     assert where.name not in {s.sends(s.ask())[0].endpoint for _ in range(9)}
-    t = Sidecar(settings(), fleet(1))
+    t = BalancerHarness(settings(), fleet(1))
     a, b = t.ask(), t.ask()
     t.wait(10)
     t.end(a)
@@ -123,7 +123,7 @@
 
 def test_most_endpoints_down_ejects_none() -> None:
     # Guards against ejecting a whole fleet for a fault on this side.
-    s = Sidecar(settings(), fleet(4))
+    s = BalancerHarness(settings(), fleet(4))
     for e in list(s.b.endpoint_list.endpoints.values())[:3]:
         e.down_until = s.now + 10000
     got = {s.sends(s.ask())[0].endpoint for _ in range(10)}
@@ -132,7 +132,7 @@
 
 def test_fleets_of_one_and_two_retry_where_they_have_been() -> None:
     for n in (1, 2):
-        s = Sidecar(settings(), fleet(n))
+        s = BalancerHarness(settings(), fleet(n))
         r = s.ask()
         for k in range(3):
             s.wait(5)
@@ -140,10 +140,10 @@
         assert len(s.sends(r)) == 4
 
 
-def crowd(answers: float, **more: object) -> Sidecar:
+def crowd(answers: float, **more: object) -> BalancerHarness:
     """A quiet sidecar of many whose answers come after this share of the aim."""
     told = settings(replace(SAFE, value=9.0), replace(SAFE, value=1.0), group_size=300, **more)
-    s = Sidecar(told, fleet(30))
+    s = BalancerHarness(told, fleet(30))
     for n in range(60):
         r = s.ask(n % 2)
         s.wait(answers * SAFE.aim)
@@ -155,7 +155,7 @@
     return s
 
 
-def leave(s: Sidecar, r: str) -> None:
+def leave(s: BalancerHarness, r: str) -> None:
     """The client leaves, and its attempts end as if never sent."""
     s.feed(interface.RequestClosed(r))
     for n in range(len(s.sends(r))):
@@ -184,8 +184,8 @@
 def test_full_home_zone_leaves_to_the_others() -> None:
     """Guards against requests that wait, and are refused, while the other zone stands idle."""
     prices = interface.Prices(cross_zone=0.2)
-    listed = [interface.Listed(f"e{x}", zone=x % 2) for x in range(8)]
-    s = Sidecar(settings(prices=prices, group_size=2), listed)
+    listed = [interface.ListedEndpoint(f"e{x}", zone=x % 2) for x in range(8)]
+    s = BalancerHarness(settings(prices=prices, group_size=2), listed)
     zone = {x.endpoint: x.zone for x in listed}
     names = [s.ask() for _ in range(30)]
     sends = [zone[s.sends(n)[0].endpoint] for n in names]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -20,7 +20,7 @@
 
 
 def watch(event: interface.Event) -> Iterable[interface.Action]:
-    if isinstance(event, interface.MembershipNews) and event.kind == "remembered":
+    if isinstance(event, interface.MembershipUpdate) and event.kind == "remembered":
         yield interface.WatchMembership(True)
 
 
@@ -42,8 +42,8 @@
         return answer
 
 
-def updates(s: Any) -> list[interface.MembershipNews]:
-    return [e for _, e in s.balancer.told if isinstance(e, interface.MembershipNews)]
+def updates(s: Any) -> list[interface.MembershipUpdate]:
+    return [e for _, e in s.balancer.told if isinstance(e, interface.MembershipUpdate)]
 
 
 def queries(peer: Peer) -> list[str]:
@@ -62,7 +62,7 @@
             await s.balancer.until(lambda: len(updates(s)) == 4)
             assert [n.kind for n in updates(s)] == ["remembered", "changes", "changes", "whole"]
             assert updates(s)[1].entries == []
-            assert updates(s)[2].entries == [interface.Listed("b", "draining", 2.0, 1, 3, 1234.0)]
+            assert updates(s)[2].entries == [interface.ListedEndpoint("b", "draining", 2.0, 1, 3, 1234.0)]
             assert set(s.wire.pools) == {"a"}
             while len(peer.requests) < 4:
                 await peer.arrived.get()
@@ -81,7 +81,7 @@
         async with serving(Script(list_response(7, True, host("a", a)))) as (peer, at), sidecar(watch, {}, at) as s:
             await s.balancer.until(lambda: len(updates(s)) == 2)
             assert queries(peer)[0] == "/catalog/members"
-            assert updates(s)[1] == interface.MembershipNews("whole", [interface.Listed("a")])
+            assert updates(s)[1] == interface.MembershipUpdate("whole", [interface.ListedEndpoint("a")])
 
     run(test)
 
@@ -92,7 +92,7 @@
 
     async def test() -> None:
         def react(event: interface.Event) -> Iterable[interface.Action]:
-            if isinstance(event, interface.MembershipNews) and event.kind == "refused":
+            if isinstance(event, interface.MembershipUpdate) and event.kind == "refused":
                 yield interface.SetTimer(0.0, "again")
             elif isinstance(event, interface.TimerFired):
                 calls_made.append(len(script.asked_at))
@@ -127,7 +127,7 @@
             s.balancer.react = lambda event: (
                 [interface.WatchMembership(True)] if updates(s)[-1].kind == "changes" else []
             )
-            s.discovery.tell("changes", [])
+            s.discovery.apply_update("changes", [])
             await s.balancer.until(lambda: updates(s)[-1].kind == "whole")
             assert peer.connections == 2 and await peer.ended.get() == 0
 
@@ -174,7 +174,7 @@
         first, second = closed_port(), closed_port()
         async with sidecar(lambda event: (), {"seq": 1, "hosts": [host("a", first)]}, rules=RULES) as s:
             old = s.wire.pools["a"]
-            s.discovery.tell("changes", [host("a", second)])
+            s.discovery.apply_update("changes", [host("a", second)])
             assert s.wire.pools["a"].address[1] == int(second.rpartition(":")[2])
             assert old.removed
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -192,18 +192,20 @@
     """Guards against two processes that together exceed the sidecar's limits."""
     from zinclever.assembly import Platform
     from zinclever.configuration.load import read
-    from zinclever.core.descriptors import RESERVED, Descriptors
+    from zinclever.core.descriptors import DESCRIPTOR_RESERVE, Descriptors
 
     async def test() -> None:
         loaded, _ = read(config(tmp_path, limits={"sockets": 256}))
         assert loaded is not None
         platform = Platform(loaded, Descriptors(loaded.sockets), System())
         platform.share_limits(1)
-        assert platform.descriptors.max_connections == 128 - RESERVED and platform.front.most == 64
-        platform.adopt(await changed(tmp_path))
-        assert platform.descriptors.max_connections == 150 - RESERVED  # a reload divides the new limit as well
+        assert platform.descriptors.max_connections == 128 - DESCRIPTOR_RESERVE and platform.front.most == 64
+        platform.reconfigure(await changed(tmp_path))
+        assert (
+            platform.descriptors.max_connections == 150 - DESCRIPTOR_RESERVE
+        )  # a reload divides the new limit as well
         platform.share_limits(0)
-        assert platform.descriptors.max_connections == 300 - RESERVED
+        assert platform.descriptors.max_connections == 300 - DESCRIPTOR_RESERVE
 
     async def changed(tmp_path: Path) -> Any:
         loaded, _ = read(config(tmp_path, limits={"sockets": 300}))
--- a/tests/test_jsonrpc.py
+++ b/tests/test_jsonrpc.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from loopback import PATIENCE, run_real
+from loopback import TEST_TIMEOUT, run_real
 from rpc import READ, TIP, UNLOCK, Setup, operator, service
 
 from zinclever import interface
@@ -34,7 +34,7 @@
                 yield interface.Fail(event.request)
             elif act == "send":
                 yield interface.Send(event.request, first_of(react), 0.0)
-        elif isinstance(event, interface.MembershipNews):
+        elif isinstance(event, interface.MembershipUpdate):
             react.listed = [e.endpoint for e in event.entries]  # type: ignore[attr-defined]
         elif isinstance(event, interface.AttemptEnded) and not event.complete:
             yield interface.Fail(event.request)
@@ -50,7 +50,7 @@
     """The next thing that comes after a text that is no call of the client's."""
     count = len(client.stray)
     client.raw(text)
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TEST_TIMEOUT):
         while len(client.stray) == count:
             await asyncio.sleep(0.001)
     return client.stray[-1]
@@ -114,7 +114,7 @@
             await s.endpoints[0].until_received(2)
             await c.call(READ)
             assert not c.stray
-            assert not s.made.front.ledger.requests
+            assert not s.made.front.dispatcher.requests
 
     run_real(test)
 
@@ -268,7 +268,7 @@
             c = await s.client()
             told = await c.call(TIP)
             assert told["error"]["code"] == codec.FAILED and len(s.log.received) == 1
-            assert not s.made.ledger.requests
+            assert not s.made.dispatcher.requests
 
     run_real(test)
 
@@ -285,9 +285,9 @@
             await s.endpoints[0].until_received(3)
             await c.close()
             await s.balancer.until(lambda: len(s.balancer.ends()) == 3)
-            closed = [e for _, e in s.balancer.told if isinstance(e, interface.RequestClosed)]
+            closed = [e for _, e in s.balancer.received_events if isinstance(e, interface.RequestClosed)]
             assert len(closed) == 2
-            assert s.log.ran(name) == 1 and not s.made.ledger.requests
+            assert s.log.ran(name) == 1 and not s.made.dispatcher.requests
 
     run_real(test)
 
@@ -355,16 +355,16 @@
         async with service(always(), react=react) as s:
             c = await s.client()
             calls = [c.call(READ) for _ in range(3000)]
-            await s.balancer.until(lambda: len(s.made.ledger.requests) == 10)
+            await s.balancer.until(lambda: len(s.made.dispatcher.requests) == 10)
             for _ in range(20):
                 await asyncio.sleep(0)
-            assert len(s.made.ledger.requests) == 10
+            assert len(s.made.dispatcher.requests) == 10
             release.set()
-            for request in list(s.made.ledger.requests):
-                s.made.ledger.fail(interface.Fail(request))
-                s.made.ledger.feed(interface.RequestClosed(request))
+            for request in list(s.made.dispatcher.requests):
+                s.made.dispatcher.fail(interface.Fail(request))
+                s.made.dispatcher.feed(interface.RequestClosed(request))
             await asyncio.gather(*calls)
-            assert not s.made.ledger.requests and not c.stray
+            assert not s.made.dispatcher.requests and not c.stray
 
     run_real(test)
 
@@ -419,7 +419,7 @@
                 await discovery.until_told(one)
                 while any(
                     e.phase == "ready"
-                    for e in s.made.ledger.balancer.endpoint_list.endpoints.values()
+                    for e in s.made.dispatcher.balancer.endpoint_list.endpoints.values()
                     if e.name == one.name
                 ):
                     await asyncio.sleep(0.001)
--- a/tests/test_jsonrpc_wire.py
+++ b/tests/test_jsonrpc_wire.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import pytest
-from loopback import PATIENCE, SYSTEM, run_real
+from loopback import SYSTEM, TEST_TIMEOUT, run_real
 from rpc import READ, TIP, Setup, result, service
 
 from zinclever import interface
@@ -25,7 +25,7 @@
     """Everything goes to the endpoint that is written by hand, once; a failure is final."""
     if isinstance(event, interface.RequestArrived):
         yield interface.Send(event.request, listed[-1], 0.0)
-    elif isinstance(event, interface.MembershipNews):
+    elif isinstance(event, interface.MembershipUpdate):
         listed[:] = [e.endpoint for e in event.entries] or listed
     elif isinstance(event, interface.AttemptEnded) and not event.complete:
         yield interface.Refuse(event.request) if event.outcome in interface.NEVER_RAN else interface.Fail(event.request)
@@ -35,7 +35,7 @@
 
 
 async def until(met: Any) -> None:
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TEST_TIMEOUT):
         while not met():
             await asyncio.sleep(0.001)
 
@@ -99,14 +99,14 @@
     async def test() -> None:
         async with service(react=to_hand, by_hand=True) as s:
             tip, read, a, b, writer = await two_out(s)
-            request = next(iter(s.made.ledger.requests))
-            s.made.ledger.finish(request, codec_failed())
-            s.made.ledger.cancel(interface.Cancel(request, 0))
+            request = next(iter(s.made.dispatcher.requests))
+            s.made.dispatcher.finish(request, codec_failed())
+            s.made.dispatcher.cancel(interface.Cancel(request, 0))
             assert "error" in await tip
             writer.write(result(a) + result(b))
             assert "result" in await read
             assert dict(s.made.wire.counts) == {"late": 1}
-            assert s.outcomes() == ["cancelled", "served"] and not s.made.ledger.requests
+            assert s.outcomes() == ["cancelled", "served"] and not s.made.dispatcher.requests
 
     run_real(test)
 
@@ -293,7 +293,7 @@
         p.call("half", HUGE)
         p.call("waits")
         await p.loop.sock_recv(p.other, 10)
-        p.connection.turn_back()
+        p.connection.drop_unsent()
         assert p.ends == {"waits": "dropped"}
         p.connection.finish()
         lines = await p.read_lines(1)
@@ -383,7 +383,7 @@
         async with service(always(), more="connection_idle_ms = 100") as s:
             c = await s.client()
             await c.call(READ)
-            await until(lambda: not s.made.wire.homes)
+            await until(lambda: not s.made.wire.pool_by_connection)
             assert s.made.front.descriptors.open == 0
             assert "result" in await c.call(READ) and s.endpoints[0].connections == 2
 
@@ -419,11 +419,11 @@
                 params = {"call": f"t{n}", "fill": fill}
                 text = json.dumps({"jsonrpc": "2.0", "method": "tip.send", "params": params, "id": n})
                 writer.write(text.encode() + b"\n")
-            await until(lambda: len(s.made.ledger.requests) == 20)
-            (connection,) = s.made.wire.homes
+            await until(lambda: len(s.made.dispatcher.requests) == 20)
+            (connection,) = s.made.wire.pool_by_connection
             await until(lambda: connection.blocked)
-            entries = s.made.told.endpoints
-            s.made.ledger.on_list("changes", [(e._replace(phase="draining"), at) for e, at in entries])
+            entries = s.made.spec.endpoints
+            s.made.dispatcher.on_list("changes", [(e._replace(phase="draining"), at) for e, at in entries])
             turned = s.outcomes().count("dropped")
             assert turned > 2 and set(s.outcomes()) == {"dropped"}
             gate.set()
@@ -494,14 +494,15 @@
     async def test() -> None:
         async with service(react=to_hand, by_hand=True) as s:
             tip, read, a, b, writer = await two_out(s)
-            s.made.ledger.on_list(
-                "changes", [(interface.Listed(e.endpoint, "gone"), ("127.0.0.1", 1)) for e, _ in s.made.told.endpoints]
+            s.made.dispatcher.on_list(
+                "changes",
+                [(interface.ListedEndpoint(e.endpoint, "gone"), ("127.0.0.1", 1)) for e, _ in s.made.spec.endpoints],
             )
             late = s.clients[0].call(READ)
             assert (await late)["error"]["code"] == codec.REFUSED
             writer.write(result(a) + result(b))
             assert "result" in await tip and "result" in await read
-            await until(lambda: not s.made.wire.homes)
+            await until(lambda: not s.made.wire.pool_by_connection)
 
     run_real(test)
 
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -14,7 +14,7 @@
 from test_sidecar import send_to
 
 from zinclever import interface
-from zinclever.core import ledger
+from zinclever.core import dispatcher
 from zinclever.http1 import bodies, clients, connection, server
 from zinclever.http1.bodies import Room, room_for
 
@@ -568,15 +568,15 @@
             await got.until(lambda: got.read >= LARGE - 2)
             assert not got.whole and s.wire.dispatches == 0 and s.sidecar.counts.concurrent == 0
             assert s.sidecar.requests["r1"].guard is None
-            assert not any(isinstance(e, interface.UploadEnded) for _, e in s.balancer.told)
+            assert not any(isinstance(e, interface.UploadEnded) for _, e in s.balancer.received_events)
             c.writer.write(b"1\r\n%b\r\n0\r\n\r\n" % PAGE[LARGE - 1 : LARGE] if chunked else PAGE[LARGE - 1 : LARGE])
             assert (await c.answer()).status == 200
             assert got.whole == [PAGE[:LARGE]] and s.wire.dispatches == 1 and s.front.room.taken == 0
             c.send(method, method="POST", Req_Id="r2", body=b"x")
             assert (await c.answer()).status == 200  # both connections are kept
             (end,) = s.balancer.ends()[:1]
-            ended_at = next(now for now, e in s.balancer.told if isinstance(e, interface.UploadEnded))
-            answered_at = next(now for now, e in s.balancer.told if e is end)
+            ended_at = next(now for now, e in s.balancer.received_events if isinstance(e, interface.UploadEnded))
+            answered_at = next(now for now, e in s.balancer.received_events if e is end)
             assert end.elapsed <= answered_at - ended_at + 1.0
 
     run(test)
@@ -684,7 +684,7 @@
 
 
 def held() -> list[object]:
-    return [x for x in gc.get_objects() if isinstance(x, bodies.Body | ledger.Request | ledger.Attempt)]
+    return [x for x in gc.get_objects() if isinstance(x, bodies.Body | dispatcher.Request | dispatcher.Attempt)]
 
 
 @pytest.mark.parametrize("size", [100, LARGE])
@@ -701,7 +701,7 @@
                 for n in range(3):
                     c.send("/tip", method="POST", Req_Id=f"r{n}", body=PAGE[:size])
                     assert (await c.answer()).status == 200
-                s.balancer.told.clear()
+                s.balancer.received_events.clear()
                 assert {id(x) for x in held()} <= others
             finally:
                 gc.enable()
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -38,7 +38,7 @@
         took: float = 50.0,
     ) -> None:
         self.world = World(
-            [interface.Listed(n) for n in NAMES], SEED, took=took, backlog=backlog, lines_per_s=lines_per_s
+            [interface.ListedEndpoint(n) for n in NAMES], SEED, took=took, backlog=backlog, lines_per_s=lines_per_s
         )
         self.settings = interface.Settings(
             classes=(READ,),
@@ -120,7 +120,7 @@
     fleet.shares_kept()
     hot, other = fleet.instances[7], fleet.instances[8]
     assert hot.total > 3 * other.total and fleet.served() > 0.95
-    assert hot.connections.part > 1.0 == other.connections.part
+    assert hot.connections.share_factor > 1.0 == other.connections.share_factor
 
 
 def test_a_group_told_ten_times_too_small_is_held_by_the_servers_refusals() -> None:
@@ -129,7 +129,7 @@
     fleet.start_all(2.0)
     fleet.world.run(12_000.0)
     assert fleet.most(fleet.world.counts.connections) <= 12
-    parts = [x.connections.part for x in fleet.instances.values()]
+    parts = [x.connections.share_factor for x in fleet.instances.values()]
     assert sum(parts) / len(parts) < 0.8
 
 
--- a/tests/test_meaning.py
+++ b/tests/test_meaning.py
@@ -67,7 +67,7 @@
 """
 
 
-def play(settings: interface.Settings, entries: tuple[interface.Listed, ...], seed: int) -> list[object]:
+def play(settings: interface.Settings, entries: tuple[interface.ListedEndpoint, ...], seed: int) -> list[object]:
     log = Simulation(settings, entries, SHARES, seed).run(80, 100.0)
     assert len(log.asked) == 80
     return [b for b in audit(log, Terms(slack=1.0)) if b.rule in (1, 2)]
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -72,7 +72,7 @@
         warm_keys=rng.random() < 0.5,
     )
     listed = [
-        interface.Listed(
+        interface.ListedEndpoint(
             f"e{n}", size=rng.choice([1, 2.0]), zone=n % 2, cell=n % 3, started_at=rng.choice([0.0, 999_000.0])
         )
         for n in range(size)
--- a/tests/test_ordinary.py
+++ b/tests/test_ordinary.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from helpers import KEYED, LIMITS, SAFE, UNSAFE, Sidecar, fleet, settings
+from helpers import KEYED, LIMITS, SAFE, UNSAFE, BalancerHarness, fleet, settings
 
 from zinclever import interface
 from zinclever.policy import HEDGE_DELAY_SHARE
@@ -10,15 +10,15 @@
 DELAY = HEDGE_DELAY_SHARE * SAFE.aim
 
 
-def warmed(*classes: interface.RequestClass, n: int = 6, seed: int = 1, **more: object) -> Sidecar:
+def warmed(*classes: interface.RequestClass, n: int = 6, seed: int = 1, **more: object) -> BalancerHarness:
     """A sidecar past its first second, with a record of service."""
-    s = Sidecar(settings(*classes, **more), fleet(n), seed)
+    s = BalancerHarness(settings(*classes, **more), fleet(n), seed)
     s.serve(60, took=20.0, gap=30.0)
     return s
 
 
 def test_one_send_and_one_answer() -> None:
-    s = Sidecar(settings(), fleet(3))
+    s = BalancerHarness(settings(), fleet(3))
     r = s.ask()
     assert len(s.sends(r)) == 1
     s.wait(30)
@@ -27,7 +27,7 @@
 
 
 def test_draw_prefers_the_better_payoff() -> None:
-    s = Sidecar(settings(), fleet(2))
+    s = BalancerHarness(settings(), fleet(2))
     for _ in range(40):
         r = s.ask()
         slow = s.sends(r)[0].endpoint == "e0"
@@ -40,13 +40,13 @@
 
 
 def test_draw_counts_own_in_flight() -> None:
-    s = Sidecar(settings(), fleet(2))
+    s = BalancerHarness(settings(), fleet(2))
     got = [s.sends(s.ask())[0].endpoint for _ in range(10)]
     assert abs(got.count("e0") - got.count("e1")) <= 1
 
 
 def test_draw_is_of_two_not_of_all() -> None:
-    s = Sidecar(settings(), fleet(8))
+    s = BalancerHarness(settings(), fleet(8))
     for _ in range(4):
         s.ask()
     busy = {a.endpoint for a in s.sends()}
@@ -54,7 +54,7 @@
     # With the best of all, four more sends would all go to idle endpoints, whatever the seed.
     hits = 0
     for seed in range(40):
-        t = Sidecar(settings(), fleet(8), seed)
+        t = BalancerHarness(settings(), fleet(8), seed)
         picks = [t.sends(t.ask())[0].endpoint for _ in range(8)]
         hits += len(set(picks)) < 8
     assert hits > 20
@@ -63,7 +63,7 @@
 def test_same_seed_same_actions_other_seed_others() -> None:
     runs = []
     for seed in (5, 5, 6):
-        s = Sidecar(settings(), fleet(6), seed)
+        s = BalancerHarness(settings(), fleet(6), seed)
         s.serve(30)
         runs.append(s.all)
     assert runs[0] == runs[1] != runs[2]
@@ -145,7 +145,7 @@
 
 def test_error_moves_a_safe_request_on_at_once() -> None:
     for outcome in ("error", "full", "connect_failed", "reset"):
-        s = Sidecar(settings(), fleet(4))
+        s = BalancerHarness(settings(), fleet(4))
         r = s.ask()
         s.wait(5)
         s.end(r, 0, outcome)
@@ -155,7 +155,7 @@
 
 def test_errors_cost_standing() -> None:
     # Guards against an endpoint that fails fast and so looks idle.
-    s = Sidecar(settings(), fleet(3))
+    s = BalancerHarness(settings(), fleet(3))
     bad = 0
     for _ in range(60):
         r = s.ask()
@@ -226,7 +226,7 @@
 
 
 def test_events_of_what_is_no_longer_held_are_passed_over() -> None:
-    s = Sidecar(settings(), fleet(2))
+    s = BalancerHarness(settings(), fleet(2))
     assert s.feed(interface.AttemptEnded("gone", 0, "e0", "served", 5.0, True)) == []
     assert s.feed(interface.RequestClosed("gone")) == []
     assert s.feed(interface.StreamStarted("gone", 0, "e0", 5.0)) == []
@@ -242,7 +242,7 @@
     for warm in (True, False):
         first = []
         for seed in range(20):
-            s = Sidecar(settings(group_size=50, warm_keys=warm), fleet(20), seed)
+            s = BalancerHarness(settings(group_size=50, warm_keys=warm), fleet(20), seed)
             first += [s.sends(s.ask(key=key))[0].endpoint for key in ("k1", "k2")]
         agreed.append(max(first[::2].count(e) for e in first) + max(first[1::2].count(e) for e in first))
     assert agreed[0] > 30 and agreed[1] < 15
@@ -250,7 +250,7 @@
 
 def test_a_hot_key_spreads() -> None:
     # Guards against a key that draws much of the traffic and is sent to one endpoint by all.
-    s = Sidecar(settings(warm_keys=True), fleet(20))
+    s = BalancerHarness(settings(warm_keys=True), fleet(20))
     for _ in range(40):
         r = s.ask(key="hot")
         s.wait(20)
@@ -259,10 +259,10 @@
 
 
 def test_home_zone_first_where_crossing_is_dear_and_spill_when_it_is_worse() -> None:
-    listed = [interface.Listed(f"e{x}", zone=x % 2) for x in range(20)]
+    listed = [interface.ListedEndpoint(f"e{x}", zone=x % 2) for x in range(20)]
     for price, home_took, least, most in ((0.2, 40, 0.0, 0.0), (0.0, 40, 0.3, 0.7), (0.2, 180, 0.2, 0.98)):
         limits = replace(LIMITS, max_attempts=1)
-        s = Sidecar(settings(prices=interface.Prices(cross_zone=price), limits=limits), listed)
+        s = BalancerHarness(settings(prices=interface.Prices(cross_zone=price), limits=limits), listed)
         for _ in range(80):
             r = s.ask()
             away = [int(a.endpoint[1:]) % 2 for a in s.sends(r)]
@@ -276,12 +276,12 @@
 
 def test_many_balancers_draw_on_a_few_endpoints_each_and_make_up_for_the_lost() -> None:
     # Guards against hundreds of sidecars that each connect to the whole fleet.
-    s = Sidecar(settings(group_size=300), fleet(60))
+    s = BalancerHarness(settings(group_size=300), fleet(60))
     s.serve(80)
     few = {a.endpoint for a in s.sends()}
     assert 2 < len(few) <= LIMITS.max_attempts + 3
     gone = sorted(few)[:3]
-    s.feed(interface.MembershipNews("changes", [interface.Listed(e, phase="gone") for e in gone]))
+    s.feed(interface.MembershipUpdate("changes", [interface.ListedEndpoint(e, phase="gone") for e in gone]))
     n = len(s.sends())
     s.serve(80)
     assert len({a.endpoint for a in s.sends()[n:]} - few) >= 2
@@ -291,19 +291,21 @@
     # Guards against small endpoints drowning in an even share.
     got = 0
     for seed in range(200):
-        s = Sidecar(settings(), [interface.Listed(f"e{x}", size=1.0 + 2.0 * (x < 5)) for x in range(10)], seed)
+        s = BalancerHarness(
+            settings(), [interface.ListedEndpoint(f"e{x}", size=1.0 + 2.0 * (x < 5)) for x in range(10)], seed
+        )
         got += int(s.sends(s.ask())[0].endpoint[1:]) < 5
     assert 130 < got < 175
 
 
 def test_what_crosses_zones_is_worth_the_crossing() -> None:
     # Guards against paying as much for a light request to leave a home that is full as for a heavy one.
-    listed = [interface.Listed(f"e{x}", zone=x % 2) for x in range(8)]
-    s = Sidecar(settings(prices=interface.Prices(cross_zone=0.2), value_by="work"), listed)
+    listed = [interface.ListedEndpoint(f"e{x}", zone=x % 2) for x in range(8)]
+    s = BalancerHarness(settings(prices=interface.Prices(cross_zone=0.2), value_by="work"), listed)
     s.serve(60, took=20.0, gap=30.0)
     while not s.b.admission.held_count:
         s.ask(work=40.0)
-        if not s.b.endpoint_list.near.has_room():
+        if not s.b.endpoint_list.near.has_capacity():
             light = s.ask(work=1.0)
     heavy = s.ask(work=40.0)
     assert not s.sends(light)
@@ -313,9 +315,9 @@
 
 def test_a_home_that_falls_behind_keeps_what_is_worth_little() -> None:
     # Guards against a home zone left by all, which is then not heard of for long.
-    listed = [interface.Listed(f"e{x}", zone=x % 2) for x in range(8)]
+    listed = [interface.ListedEndpoint(f"e{x}", zone=x % 2) for x in range(8)]
     slow = replace(SAFE, aim=400.0)
-    s = Sidecar(settings(slow, prices=interface.Prices(cross_zone=0.2), value_by="work"), listed)
+    s = BalancerHarness(settings(slow, prices=interface.Prices(cross_zone=0.2), value_by="work"), listed)
     sent: dict[float, list[int]] = {1.0: [], 40.0: []}
     for _ in range(150):
         for work in sent:
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 from typing import Any
 
-from helpers import KEYED, LIMITS, RULES, SAFE, UNSAFE, Sidecar, settings
+from helpers import KEYED, LIMITS, RULES, SAFE, UNSAFE, BalancerHarness, settings
 from hypothesis import given
 from hypothesis import settings as effort
 from hypothesis import strategies as st
@@ -16,7 +16,7 @@
 
 CLASSES = (SAFE, UNSAFE, KEYED, replace(KEYED, group="zone"), replace(KEYED, group="cell", window=90.0))
 PROOF = interface.NEVER_RAN
-LISTED = [interface.Listed(f"e{x}", zone=x % 2, cell=x // 2, size=1.0 + x % 3) for x in range(8)]
+LISTED = [interface.ListedEndpoint(f"e{x}", zone=x % 2, cell=x // 2, size=1.0 + x % 3) for x in range(8)]
 MORE: dict[str, Any] = {"warm_keys": True, "prices": interface.Prices(cross_zone=0.2), "group_size": 3}
 
 
@@ -25,7 +25,7 @@
 
     def __init__(self, seed: int, story: int) -> None:
         self.rng = random.Random(story)
-        self.s = Sidecar(settings(*CLASSES, **MORE), LISTED, seed)
+        self.s = BalancerHarness(settings(*CLASSES, **MORE), LISTED, seed)
         self.where = {x.endpoint: x for x in LISTED}
         self.told_off: dict[str, float] = {}
         self.deadline: dict[str, float] = {}
@@ -88,7 +88,7 @@
                 self.told_off.pop(x.endpoint, None)
             else:
                 self.told_off.setdefault(x.endpoint, self.s.now)
-            self.s.feed(interface.MembershipNews("changes", [x._replace(phase=phase)]))
+            self.s.feed(interface.MembershipUpdate("changes", [x._replace(phase=phase)]))
         elif what < 0.83 and self.klass:
             r = self.rng.choice(sorted(self.klass))
             if r not in self.closed:
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -5,16 +5,16 @@
 import itertools
 
 import pytest
-from helpers import RULES, Sidecar, fleet, settings
+from helpers import RULES, BalancerHarness, fleet, settings
 
 from zinclever import interface
 from zinclever.fleet.returns import AS_USUAL, JUDGED, OUT_AFTER, OUT_FOR, Returns
 from zinclever.policy.endpoints import Endpoint
 
-ZONES = [interface.Listed(f"e{n}", zone=n % 2, started_at=1.0) for n in range(12)]
+ZONES = [interface.ListedEndpoint(f"e{n}", zone=n % 2, started_at=1.0) for n in range(12)]
 
 
-def answer_from(s: Sidecar, zones: set[int], span: float, slow: float = 1.0) -> dict[str, list[float]]:
+def answer_from(s: BalancerHarness, zones: set[int], span: float, slow: float = 1.0) -> dict[str, list[float]]:
     """Traffic for some ms: one zone or both are there, zone 1 so many times as slow. When each endpoint was asked."""
     sent: dict[str, list[float]] = {}
     until = s.now + span
@@ -37,8 +37,8 @@
     return sum(len(at) for name, at in sent.items() if int(name[1:]) % 2 == zone)
 
 
-def two_zones() -> Sidecar:
-    s = Sidecar(settings(), ZONES, seed=4)
+def two_zones() -> BalancerHarness:
+    s = BalancerHarness(settings(), ZONES, seed=4)
     answer_from(s, {0, 1}, 6000.0)
     return s
 
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize("lost", [0, 1])
 def test_a_zone_that_cannot_be_reached_gets_a_tenth_until_it_answers(lost: int) -> None:
     """At home in zone 0. Guards against each request paying the time to connect to one lost endpoint after another."""
-    s = Sidecar(settings(prices=interface.Prices(cross_zone=0.2)), ZONES, seed=2)
+    s = BalancerHarness(settings(prices=interface.Prices(cross_zone=0.2)), ZONES, seed=2)
     answer_from(s, {0, 1}, 4000.0)
     answer_from(s, {1 - lost}, 1500.0)  # it is seen by then, if anything goes there at all
     sent = answer_from(s, {1 - lost}, 4000.0)
@@ -110,21 +110,21 @@
 
 
 def test_all_zones_lost_are_tried_as_before() -> None:
-    s = Sidecar(settings(prices=interface.Prices(cross_zone=0.2)), ZONES, seed=2)
+    s = BalancerHarness(settings(prices=interface.Prices(cross_zone=0.2)), ZONES, seed=2)
     answer_from(s, {0, 1}, 2000.0)
     answer_from(s, set(), 2000.0)
     assert sends(answer_from(s, set(), 2000.0), 0) > 0
 
 
 def test_one_zone_alone_presumes_nothing() -> None:
-    s = Sidecar(settings(), fleet(6))
+    s = BalancerHarness(settings(), fleet(6))
     answer_from(s, {0, 1}, 2000.0)
     answer_from(s, set(), 3000.0)
     answer_from(s, {0, 1}, 500.0)
     assert not any(s.b.slow_start.is_cold(s.now, e) for e in s.b.endpoint_list.ready)
 
 
-def meet(s: Sidecar, endpoint: str, outcome: interface.Outcome, span: float = 0.0) -> bool:
+def meet(s: BalancerHarness, endpoint: str, outcome: interface.Outcome, span: float = 0.0) -> bool:
     """Traffic until an attempt goes to an endpoint and ends so; all others answer. Whether one went within a span."""
     until = s.now + (span or 60_000.0)
     while s.now < until:
@@ -142,7 +142,7 @@
     return False
 
 
-def lost_one(s: Sidecar, failures: int) -> Endpoint:
+def lost_one(s: BalancerHarness, failures: int) -> Endpoint:
     """The endpoint that is drawn most can't be reached so often, while the others answer."""
     answer_from(s, {0, 1}, 3000.0)
     lost = s.b.endpoint_list.ready[0]
@@ -173,9 +173,9 @@
     s = two_zones()
     e = lost_one(s, 1)
     assert not s.b.slow_start.is_cold(s.now, e)
-    s.feed(interface.MembershipNews("refused", []))
+    s.feed(interface.MembershipUpdate("refused", []))
     assert s.b.slow_start.is_cold(s.now, e)
-    s.feed(interface.MembershipNews("changes", []))
+    s.feed(interface.MembershipUpdate("changes", []))
     assert meet(s, e.name, "served") and not s.b.slow_start.is_cold(s.now, e)
 
 
@@ -183,7 +183,9 @@
     s = two_zones()
     e = lost_one(s, 2)
     s.feed(
-        interface.MembershipNews("changes", [interface.Listed(e.name, zone=e.zone, started_at=s.now - RULES.cold_for)])
+        interface.MembershipUpdate(
+            "changes", [interface.ListedEndpoint(e.name, zone=e.zone, started_at=s.now - RULES.cold_for)]
+        )
     )
     assert not s.b.slow_start.is_cold(s.now, e)
 
@@ -191,7 +193,7 @@
 def test_what_is_listed_as_cold_stays_so_whatever_failed() -> None:
     s = two_zones()
     e = lost_one(s, 1)
-    s.feed(interface.MembershipNews("changes", [interface.Listed(e.name, zone=e.zone, started_at=s.now)]))
+    s.feed(interface.MembershipUpdate("changes", [interface.ListedEndpoint(e.name, zone=e.zone, started_at=s.now)]))
     assert meet(s, e.name, "connect_failed") and s.b.slow_start.is_cold(s.now, e)
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import KEYED, LIMITS, RULES, SAFE, UNSAFE, Sidecar, fleet, settings
+from helpers import KEYED, LIMITS, RULES, SAFE, UNSAFE, BalancerHarness, fleet, settings
 
 from zinclever import Balancer, Settings, interface
 from zinclever.policy import HEDGE_DELAY_SHARE
@@ -15,7 +15,7 @@
 
 def test_nothing_usable_is_held_then_refused_once_before_the_deadline() -> None:
     for told in (SAFE, UNSAFE, KEYED):
-        s = Sidecar(settings(told), [])
+        s = BalancerHarness(settings(told), [])
         r, t0 = s.ask(), s.now
         assert not s.finals(r)
         s.wait(500)
@@ -25,10 +25,10 @@
 
 
 def test_held_request_goes_out_when_the_list_names_an_endpoint() -> None:
-    s = Sidecar(settings(), [])
+    s = BalancerHarness(settings(), [])
     r = s.ask()
     s.wait(40)
-    s.feed(interface.MembershipNews("whole", fleet(1)))
+    s.feed(interface.MembershipUpdate("whole", fleet(1)))
     assert len(s.sends(r)) == 1
 
 
@@ -38,7 +38,7 @@
         (UNSAFE, interface.Fail),
         (replace(KEYED, group="zone"), interface.Fail),
     ):
-        s = Sidecar(settings(told), fleet(1))
+        s = BalancerHarness(settings(told), fleet(1))
         r = s.ask()
         s.wait(500)
         assert s.end(r, 0, "timeout", complete=False)
@@ -48,12 +48,12 @@
 
 
 def test_client_gone_ends_it() -> None:
-    s = Sidecar(settings(), fleet(3))
+    s = BalancerHarness(settings(), fleet(3))
     r = s.ask()
     assert s.feed(interface.RequestClosed(r)) == [interface.Cancel(r, 0)]
     s.wait(400)
     assert len(s.sends(r)) == 1 and not s.finals(r)
-    held = Sidecar(settings(), [])
+    held = BalancerHarness(settings(), [])
     q = held.ask()
     held.feed(interface.RequestClosed(q))
     held.wait(600)
@@ -62,7 +62,7 @@
 
 def test_impatient_client_behind_patient_ones_is_answered() -> None:
     # Guards against looking at the oldest held request only: a later one may have less time.
-    s = Sidecar(settings(), [])
+    s = BalancerHarness(settings(), [])
     s.ask(deadline=500)
     r, t0 = s.ask(deadline=50), s.now
     s.wait(49)
@@ -74,12 +74,12 @@
 
 def test_unsafe_moves_on_only_after_proof() -> None:
     for outcome in ("full", "connect_failed", "not_sent"):
-        s = Sidecar(settings(UNSAFE), fleet(3))
+        s = BalancerHarness(settings(UNSAFE), fleet(3))
         r = s.ask()
         s.end(r, 0, outcome)
         assert len(s.sends(r)) == (1 if outcome == "not_sent" else 2)
     for outcome in ("error", "reset", "timeout", "cancelled"):
-        s = Sidecar(settings(UNSAFE), fleet(3))
+        s = BalancerHarness(settings(UNSAFE), fleet(3))
         r = s.ask()
         s.end(r, 0, outcome)  # type: ignore[arg-type]
         assert len(s.sends(r)) == 1
@@ -87,10 +87,10 @@
 
 
 def test_keyed_stays_in_its_group() -> None:
-    listed = [interface.Listed(f"e{x}", zone=x % 2, cell=x // 2) for x in range(8)]
+    listed = [interface.ListedEndpoint(f"e{x}", zone=x % 2, cell=x // 2) for x in range(8)]
     for group in ("zone", "cell"):
         for seed in range(8):
-            s = Sidecar(settings(replace(KEYED, group=group)), listed, seed)
+            s = BalancerHarness(settings(replace(KEYED, group=group)), listed, seed)
             r = s.ask()
             s.end(r, 0, "full")
             s.end(r, 1, "error")
@@ -104,7 +104,7 @@
 
 def test_keyed_is_not_resent_past_its_window() -> None:
     for window, sends in ((30.0, 1), (100.0, 2)):
-        s = Sidecar(settings(replace(KEYED, window=window)), fleet(4))
+        s = BalancerHarness(settings(replace(KEYED, window=window)), fleet(4))
         r = s.ask()
         s.wait(50)
         s.end(r, 0, "error")
@@ -113,7 +113,7 @@
 
 def test_keyed_held_past_its_window_is_not_resent() -> None:
     # Guards against a window that closes while a retry waits for room.
-    s = Sidecar(settings(replace(KEYED, group="zone", window=60.0)), fleet(2))
+    s = BalancerHarness(settings(replace(KEYED, group="zone", window=60.0)), fleet(2))
     r = s.ask()
     s.wait(10)
     s.b.endpoint_list.near.window.size = 0.0
@@ -134,10 +134,10 @@
 @pytest.mark.parametrize("outcome", ENDS)
 @pytest.mark.parametrize("repeat", REPEATS)
 def test_what_may_follow_an_attempt(repeat: str, outcome: str, group: str, inside: bool) -> None:
-    listed = [interface.Listed(f"e{x}", zone=x % 2, cell=x // 2) for x in range(8)]
+    listed = [interface.ListedEndpoint(f"e{x}", zone=x % 2, cell=x // 2) for x in range(8)]
     told = replace(SAFE, repeat=repeat, group=group, window=100.0)  # type: ignore[arg-type]
     for seed in range(4):
-        s = Sidecar(settings(told), listed, seed)
+        s = BalancerHarness(settings(told), listed, seed)
         r = s.ask()
         s.wait(20 if inside else 110)
         s.end(r, 0, outcome)  # type: ignore[arg-type]
@@ -159,7 +159,7 @@
     stories = []
     for base in (-5e6, 0.0, 1e9):
         b = Balancer(settings(discovery="on_request"), 3)
-        out = b.handle(base, interface.MembershipNews("remembered", fleet(400)))
+        out = b.handle(base, interface.MembershipUpdate("remembered", fleet(400)))
         for n in range(20):
             now = base + 50.0 * n
             out += b.handle(now, interface.RequestArrived(f"r{n}", 0, now + 500))
@@ -172,7 +172,7 @@
 
 def test_every_endpoint_draining_cold_or_down_still_ends_in_one_answer() -> None:
     for more in ({"phase": "draining"}, {"started_at": 1_000_000.0}, {"phase": "gone"}):
-        s = Sidecar(settings(), fleet(3, **more))
+        s = BalancerHarness(settings(), fleet(3, **more))
         names = [s.ask() for _ in range(20)]
         s.wait(600)
         for r in names:
@@ -184,7 +184,7 @@
 
 def test_keyed_refused_only_where_all_discard() -> None:
     for group, kind in (("all", interface.Refuse), ("cell", interface.Fail)):
-        s = Sidecar(settings(replace(KEYED, group=group, window=1.0)), fleet(4))  # type: ignore[arg-type]
+        s = BalancerHarness(settings(replace(KEYED, group=group, window=1.0)), fleet(4))  # type: ignore[arg-type]
         r = s.ask()
         s.wait(50)
         s.end(r, 0, "error")
@@ -192,7 +192,7 @@
 
 
 def test_never_two_at_once_without_second_copies() -> None:
-    s = Sidecar(settings(limits=replace(LIMITS, second_copies=False)), fleet(4))
+    s = BalancerHarness(settings(limits=replace(LIMITS, second_copies=False)), fleet(4))
     s.serve(60, took=20, gap=30)
     r = s.ask()
     s.wait(100)
@@ -202,7 +202,7 @@
 
 
 def test_started_stream_is_left_alone() -> None:
-    s = Sidecar(settings(replace(SAFE, streamed=True)), fleet(4))
+    s = BalancerHarness(settings(replace(SAFE, streamed=True)), fleet(4))
     s.serve(60, took=20, gap=30)
     r = s.ask()
     s.wait(HEDGE_DELAY_SHARE * SAFE.aim + 5)
@@ -221,8 +221,8 @@
 
 def test_drain_stops_at_once() -> None:
     for phase in ("draining", "gone"):
-        s = Sidecar(settings(), fleet(2))
-        s.feed(interface.MembershipNews("changes", [interface.Listed("e0", phase=phase)]))
+        s = BalancerHarness(settings(), fleet(2))
+        s.feed(interface.MembershipUpdate("changes", [interface.ListedEndpoint("e0", phase=phase)]))
         for _ in range(10):
             s.ask()
             s.wait(20)
@@ -230,19 +230,19 @@
 
 
 def test_absent_from_a_whole_list_is_gone() -> None:
-    s = Sidecar(settings(), fleet(3))
-    s.feed(interface.MembershipNews("whole", fleet(1)))
+    s = BalancerHarness(settings(), fleet(3))
+    s.feed(interface.MembershipUpdate("whole", fleet(1)))
     for _ in range(5):
         s.ask()
     assert {a.endpoint for a in s.sends()} == {"e0"}
 
 
 def test_discovery_on_request_is_asked_again_with_longer_jittered_pauses() -> None:
-    s = Sidecar(settings(discovery="on_request"), fleet(2))
+    s = BalancerHarness(settings(discovery="on_request"), fleet(2))
     assert s.of(interface.WatchMembership) == [interface.WatchMembership(True)]
     times = [s.now]
     for _ in range(6):
-        s.feed(interface.MembershipNews("refused"))
+        s.feed(interface.MembershipUpdate("refused"))
         n = len(s.of(interface.WatchMembership))
         while len(s.of(interface.WatchMembership)) == n:
             s.wait(10)
@@ -250,20 +250,20 @@
     gaps = [b - a for a, b in itertools.pairwise(times)]
     assert gaps[0] < 700 and max(gaps) > 1000
     assert max(gaps) < RULES.ask_within
-    s.feed(interface.MembershipNews("changes", []))
+    s.feed(interface.MembershipUpdate("changes", []))
     n = len(s.of(interface.WatchMembership))
     s.wait(60000)
     assert len(s.of(interface.WatchMembership)) == n
 
 
 def test_unanswered_subscription_is_asked_again_within_the_rule() -> None:
-    s = Sidecar(settings(discovery="on_request"), fleet(2))
+    s = BalancerHarness(settings(discovery="on_request"), fleet(2))
     s.wait(RULES.ask_within)
     assert len(s.of(interface.WatchMembership)) >= 2
 
 
 def test_pushed_discovery_is_never_asked() -> None:
-    s = Sidecar(settings(), fleet(2))
+    s = BalancerHarness(settings(), fleet(2))
     s.wait(30000)
     assert not s.of(interface.WatchMembership) and not s.of(interface.FetchMembership)
 
@@ -272,9 +272,9 @@
 
 
 def test_cold_endpoint_gets_its_ramps_share() -> None:
-    s = Sidecar(settings(limits=replace(LIMITS, max_attempts=1)), fleet(4))
+    s = BalancerHarness(settings(limits=replace(LIMITS, max_attempts=1)), fleet(4))
     s.serve_many(40, 8, 50)
-    s.feed(interface.MembershipNews("changes", [interface.Listed("e3", started_at=s.now)]))
+    s.feed(interface.MembershipUpdate("changes", [interface.ListedEndpoint("e3", started_at=s.now)]))
     start, spans = s.now, []
     for _ in range(5):
         n = len(s.sends())
@@ -291,9 +291,13 @@
 def test_a_cold_endpoint_is_sent_half_of_what_pushes_it_over_at_most(factor: float) -> None:
     """And, where that is far away, no more than LEAD times its ramp's share of what warm ones answer."""
     rules = replace(RULES, overload_factor=factor)
-    s = Sidecar(settings(limits=replace(LIMITS, max_attempts=1), rules=rules), fleet(4))
+    s = BalancerHarness(settings(limits=replace(LIMITS, max_attempts=1), rules=rules), fleet(4))
     s.serve_many(40, 8, 50)
-    s.feed(interface.MembershipNews("changes", [interface.Listed(f"e{n}", started_at=s.now) for n in range(1, 4)]))
+    s.feed(
+        interface.MembershipUpdate(
+            "changes", [interface.ListedEndpoint(f"e{n}", started_at=s.now) for n in range(1, 4)]
+        )
+    )
     n, start = len(s.sends()), s.now
     s.serve_many(40, 8, 50)
     span = s.now - start
@@ -305,9 +309,9 @@
 
 def test_no_burst_on_a_cold_endpoint_even_as_the_only_one() -> None:
     # Guards against pushing over the one endpoint that a restarted sidecar knows, copies included.
-    s = Sidecar(settings(), fleet(4))
+    s = BalancerHarness(settings(), fleet(4))
     s.serve(200, took=10, gap=10)
-    s.feed(interface.MembershipNews("whole", [interface.Listed("e9", started_at=s.now)]))
+    s.feed(interface.MembershipUpdate("whole", [interface.ListedEndpoint("e9", started_at=s.now)]))
     n = len(s.sends())
     for _ in range(100):
         s.ask()
@@ -318,9 +322,9 @@
 
 def test_cold_budget_follows_answers_not_the_attempts_of_a_crowd() -> None:
     # Guards against a crowd whose attempts, turned away as full, would raise what a cold endpoint is sent.
-    s = Sidecar(settings(limits=replace(LIMITS, max_attempts=8)), fleet(6))
+    s = BalancerHarness(settings(limits=replace(LIMITS, max_attempts=8)), fleet(6))
     s.serve(60, took=20.0, gap=30.0)
-    s.feed(interface.MembershipNews("changes", [interface.Listed("e3", started_at=s.now)]))
+    s.feed(interface.MembershipUpdate("changes", [interface.ListedEndpoint("e3", started_at=s.now)]))
     n, start = len(s.sends()), s.now
     while s.now < start + 2000:
         r = s.ask()
@@ -337,9 +341,11 @@
     # Guards against one send each from hundreds of balancers, of which none sees more than its own.
     sent = 0
     for seed in range(150):
-        s = Sidecar(settings(group_size=150), fleet(8), seed)
+        s = BalancerHarness(settings(group_size=150), fleet(8), seed)
         s.serve(40, took=20.0, gap=250.0)
-        s.feed(interface.MembershipNews("changes", [interface.Listed(e, started_at=s.now) for e in ("e0", "e1")]))
+        s.feed(
+            interface.MembershipUpdate("changes", [interface.ListedEndpoint(e, started_at=s.now) for e in ("e0", "e1")])
+        )
         n = len(s.sends())
         s.serve(8, took=20.0, gap=250.0)
         sent += sum(a.endpoint in ("e0", "e1") for a in s.sends()[n:])
@@ -350,10 +356,10 @@
 
 def test_cold_zone_is_budgeted_by_the_warm_one() -> None:
     # Guards against taking the demand for what a zone can do that is all back from an outage (if08e7a).
-    listed = [interface.Listed(f"e{x}", zone=x % 2) for x in range(12)]
-    s = Sidecar(settings(prices=interface.Prices(cross_zone=0.2)), listed)
+    listed = [interface.ListedEndpoint(f"e{x}", zone=x % 2) for x in range(12)]
+    s = BalancerHarness(settings(prices=interface.Prices(cross_zone=0.2)), listed)
     s.serve(40, took=20.0, gap=250.0)
-    s.feed(interface.MembershipNews("changes", [x._replace(started_at=s.now) for x in listed if x.zone == 1]))
+    s.feed(interface.MembershipUpdate("changes", [x._replace(started_at=s.now) for x in listed if x.zone == 1]))
     n, start = len(s.sends()), s.now
     while s.now < start + 2000:
         r = s.ask()
@@ -366,10 +372,10 @@
 
 
 def test_restart_forgets_what_the_old_process_taught() -> None:
-    s = Sidecar(settings(), fleet(2))
+    s = BalancerHarness(settings(), fleet(2))
     s.serve_many(10, 2, 40.0)
     assert s.b.endpoint_list.endpoints["e0"].success.weight > 0
-    s.feed(interface.MembershipNews("changes", [interface.Listed("e0", started_at=s.now)]))
+    s.feed(interface.MembershipUpdate("changes", [interface.ListedEndpoint("e0", started_at=s.now)]))
     assert s.b.endpoint_list.endpoints["e0"].success.weight == 0
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from helpers import KEYED, SAFE, Sidecar, fleet, settings
+from helpers import KEYED, SAFE, BalancerHarness, fleet, settings
 
 from zinclever import interface
 from zinclever.policy.endpoints import Endpoint
@@ -32,7 +32,7 @@
         return super().__getitem__(index)
 
 
-def watched(s: Sidecar) -> None:
+def watched(s: BalancerHarness) -> None:
     Counted.touched = 0
     for side in (s.b.endpoint_list.near, s.b.endpoint_list.far):
         side.ready, side.up = Counted(side.ready), Counted(side.up)
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize("size", [100, 1000, 10_000])
 def test_a_request_looks_at_a_few_endpoints_of_a_fleet_of_any_size(size: int) -> None:
-    s = Sidecar(settings(), fleet(size))
+    s = BalancerHarness(settings(), fleet(size))
     s.ask()  # the first draw after a change makes the running sums
     watched(s)
     for n in range(50):
@@ -55,8 +55,8 @@
         assert Counted.touched <= 20 * (n + 1), "a walk over the fleet"
 
 
-def weights(sizes: list[float]) -> list[interface.Listed]:
-    return [interface.Listed(f"e{n}", size=size) for n, size in enumerate(sizes)]
+def weights(sizes: list[float]) -> list[interface.ListedEndpoint]:
+    return [interface.ListedEndpoint(f"e{n}", size=size) for n, size in enumerate(sizes)]
 
 
 def test_the_draw_is_the_one_from_the_pool() -> None:
@@ -64,7 +64,7 @@
     endpoints that are down, used or in no group left out."""
     rng = Random(7)
     sizes = [rng.choice([0.5, 1.0, 2.0, 8.0]) for _ in range(40)]
-    s = Sidecar(settings(SAFE), weights(sizes))
+    s = BalancerHarness(settings(SAFE), weights(sizes))
     b, now = s.b, s.now
     down = [b.endpoint_list.endpoints[f"e{n}"] for n in range(0, 40, 4)]
     for e in down:
@@ -91,7 +91,7 @@
 
 
 def test_all_down_but_one_is_found() -> None:
-    s = Sidecar(settings(), fleet(2000))
+    s = BalancerHarness(settings(), fleet(2000))
     for n, e in enumerate(list(s.b.endpoint_list.endpoints.values())):
         if n != 77:
             e.down_until = s.now + 1e6
@@ -110,7 +110,7 @@
 
 def test_all_cold_and_full_is_no_walk() -> None:
     """10,000 endpoints that have just started: requests are held and looked for again without a walk."""
-    s = Sidecar(settings(group_size=1), fleet(10_000, started_at=1_000_000.0))
+    s = BalancerHarness(settings(group_size=1), fleet(10_000, started_at=1_000_000.0))
     s.b.slow_start.warm_rate = 1e-9
     for e in s.b.endpoint_list.endpoints.values():
         e.tokens = 0.0
@@ -125,7 +125,7 @@
 
 
 def test_one_of_ten_thousand_cold_ones_with_room_is_soon_found() -> None:
-    s = Sidecar(settings(group_size=1), fleet(10_000, started_at=1_000_000.0))
+    s = BalancerHarness(settings(group_size=1), fleet(10_000, started_at=1_000_000.0))
     s.b.slow_start.warm_rate = 1e-9
     for n, e in enumerate(s.b.endpoint_list.near.ready):
         e.tokens = 1.0 if n % 50 == 7 else 0.0
@@ -134,8 +134,8 @@
     assert s.sends(r)
 
 
-def cells(n: int, each: int) -> list[interface.Listed]:
-    return [interface.Listed(f"e{x}", cell=x // each) for x in range(n)]
+def cells(n: int, each: int) -> list[interface.ListedEndpoint]:
+    return [interface.ListedEndpoint(f"e{x}", cell=x // each) for x in range(n)]
 
 
 BOUND = replace(KEYED, group="cell")
@@ -144,7 +144,7 @@
 @pytest.mark.parametrize("each", [2, 5, 63, 64, 65, 500, 10_000])
 def test_a_retry_stays_in_its_cell_of_a_large_fleet(each: int) -> None:
     listed = cells(10_000, each)
-    s = Sidecar(settings(BOUND), listed)
+    s = BalancerHarness(settings(BOUND), listed)
     of = {x.endpoint: x.cell for x in listed}
     s.ask()
     watched(s)
@@ -162,20 +162,20 @@
 
 def test_a_group_without_another_member() -> None:
     """Alone in its cell, or the rest of it has drained: there is nowhere to go but back."""
-    s = Sidecar(settings(BOUND), cells(300, 1))
+    s = BalancerHarness(settings(BOUND), cells(300, 1))
     r = s.ask(key="k")
     home = s.sends(r)[0].endpoint
     s.end(r, 0, "reset", complete=False)
     assert {a.endpoint for a in s.sends(r)} == {home} or s.finals(r)
-    s = Sidecar(settings(BOUND), cells(300, 2))
+    s = BalancerHarness(settings(BOUND), cells(300, 2))
     r = s.ask(key="k")
     home = s.sends(r)[0].endpoint
     s.feed(
-        interface.MembershipNews(
+        interface.MembershipUpdate(
             "changes",
             [
-                interface.Listed(home, "draining", cell=int(home[1:]) // 2),
-                interface.Listed(f"e{int(home[1:]) ^ 1}", "gone", cell=int(home[1:]) // 2),
+                interface.ListedEndpoint(home, "draining", cell=int(home[1:]) // 2),
+                interface.ListedEndpoint(f"e{int(home[1:]) ^ 1}", "gone", cell=int(home[1:]) // 2),
             ],
         )
     )
@@ -186,12 +186,14 @@
 
 def test_two_thousand_drains_in_one_update_while_requests_are_out() -> None:
     """Nothing new goes to any of them: not copies, not retries, not what was held."""
-    s = Sidecar(settings(SAFE, KEYED), fleet(4000))
+    s = BalancerHarness(settings(SAFE, KEYED), fleet(4000))
     out = [s.ask(n % 2) for n in range(500)]
     out = [r for r in out if s.sends(r)]
     assert len(out) > 300
     drained = {f"e{n}" for n in range(0, 4000, 2)}
-    s.feed(interface.MembershipNews("changes", [interface.Listed(name, "draining") for name in sorted(drained)]))
+    s.feed(
+        interface.MembershipUpdate("changes", [interface.ListedEndpoint(name, "draining") for name in sorted(drained)])
+    )
     before = len(s.all)
     rng = Random(4)
     for r in out:
@@ -211,7 +213,7 @@
 @pytest.mark.parametrize("group", [1, 20_000])
 def test_alone_and_as_one_of_many(group: int) -> None:
     """Alone it draws from all; as one of 20,000 from a few that it comes to know."""
-    s = Sidecar(settings(group_size=group), fleet(2000))
+    s = BalancerHarness(settings(group_size=group), fleet(2000))
     s.serve(300)
     reached = {a.endpoint for a in s.sends()}
     assert len(reached) > 200 if group == 1 else len(reached) < 40
@@ -219,7 +221,7 @@
 
 def test_a_hot_key_is_spread() -> None:
     """A quarter of the traffic bears one key, at 2,000 endpoints: several keepers take turns."""
-    s, rng = Sidecar(settings(warm_keys=True), fleet(2000)), Random(6)
+    s, rng = BalancerHarness(settings(warm_keys=True), fleet(2000)), Random(6)
     hot: Counter[str] = Counter()
     for n in range(2000):
         is_hot = rng.random() < 0.25
@@ -242,24 +244,24 @@
 
 def test_keepers_are_even_by_size_and_a_change_moves_few_keys() -> None:
     sizes = [2.0 if n % 4 == 0 else 1.0 for n in range(200)]
-    s = Sidecar(settings(), weights(sizes))
+    s = BalancerHarness(settings(), weights(sizes))
     side = s.b.endpoint_list.near
     before = keepers(side, 40_000)
     counts = Counter(before)
     large, small = ([counts[f"e{n}"] for n in range(200) if (n % 4 == 0) is big] for big in (True, False))
     assert 1.6 < (sum(large) / 50) / (sum(small) / 150) < 2.4
     assert max(small) < 1.6 * sum(small) / 150
-    s.feed(interface.MembershipNews("changes", [interface.Listed("e7", "gone")]))
+    s.feed(interface.MembershipUpdate("changes", [interface.ListedEndpoint("e7", "gone")]))
     after = keepers(side, 40_000)
     assert {a for a, b in zip(before, after, strict=True) if a != b} == {"e7"}
-    s.feed(interface.MembershipNews("changes", [interface.Listed("e7", size=sizes[7])]))
+    s.feed(interface.MembershipUpdate("changes", [interface.ListedEndpoint("e7", size=sizes[7])]))
     assert keepers(side, 40_000) == before
-    other = Sidecar(settings(), weights(sizes)[::-1], seed=9)  # another balancer, told in another order
+    other = BalancerHarness(settings(), weights(sizes)[::-1], seed=9)  # another balancer, told in another order
     assert keepers(other.b.endpoint_list.near, 40_000) == before
 
 
 def test_a_keeper_of_a_large_fleet_is_no_walk() -> None:
-    s = Sidecar(settings(warm_keys=True), fleet(10_000))
+    s = BalancerHarness(settings(warm_keys=True), fleet(10_000))
     s.ask(key="a")
     watched(s)
     ring = s.b.endpoint_list.near.ring
@@ -272,7 +274,7 @@
 
 
 def test_down_marks_end_by_time_without_a_walk() -> None:
-    s = Sidecar(settings(), fleet(100))
+    s = BalancerHarness(settings(), fleet(100))
     side, now = s.b.endpoint_list.near, s.now
     for n, e in enumerate(side.ready[:80]):
         e.down_until = now + 10.0 * n
@@ -286,7 +288,7 @@
 def test_marks_don_t_pile_up() -> None:
     """Guards against memory that grows with each failure."""
     side, now = ZonePartition(), 0.0
-    s = Sidecar(settings(), fleet(3))
+    s = BalancerHarness(settings(), fleet(3))
     side.replace_all(now, s.b.endpoint_list.near.ready, 0.0)
     for n in range(10_000):
         now = float(n)
@@ -298,7 +300,7 @@
 
 @pytest.mark.parametrize("size", [0, 1, 2, 3, 5, 33, 2000])
 def test_fleets_of_every_size(size: int) -> None:
-    s = Sidecar(settings(SAFE, KEYED), fleet(size))
+    s = BalancerHarness(settings(SAFE, KEYED), fleet(size))
     for n in range(30):
         s.ask(n % 2)
         s.wait(5.0)
@@ -312,10 +314,10 @@
 def test_a_list_that_flaps() -> None:
     """Two versions in turn, with requests out: what is drawn is always listed as ready."""
     one, two = fleet(2000), [x._replace(phase="draining") if n % 2 else x for n, x in enumerate(fleet(2000))]
-    s = Sidecar(settings(), one)
+    s = BalancerHarness(settings(), one)
     for n in range(60):
         listed = two if n % 2 else one
-        s.feed(interface.MembershipNews("whole", listed))
+        s.feed(interface.MembershipUpdate("whole", listed))
         ready = {x.endpoint for x in listed if x.phase == "ready"}
         for _ in range(5):
             before = len(s.all)
@@ -325,9 +327,9 @@
 
 
 def test_a_fleet_replaced_at_once_while_requests_are_out() -> None:
-    s = Sidecar(settings(), fleet(10_000))
+    s = BalancerHarness(settings(), fleet(10_000))
     sent = [s.ask() for _ in range(20)]
-    s.feed(interface.MembershipNews("whole", [interface.Listed(f"new{n}") for n in range(10_000)]))
+    s.feed(interface.MembershipUpdate("whole", [interface.ListedEndpoint(f"new{n}") for n in range(10_000)]))
     before = len(s.all)
     for r in sent:
         s.feed(interface.AttemptEnded(r, 0, "", "connect_failed", 1.0, False))
@@ -341,10 +343,10 @@
     """Against the oracle that puts everything in order anew, with attempts out on what goes."""
     rng = Random(seed)
     told = settings(SAFE, prices=interface.Prices(cross_zone=0.2))
-    s, oracle = Sidecar(told, fleet(60)), Sidecar(told, fleet(60))
+    s, oracle = BalancerHarness(told, fleet(60)), BalancerHarness(told, fleet(60))
     phases: list[interface.Phase] = ["ready", "ready", "draining", "gone"]
     for _ in range(200):
-        x = interface.Listed(
+        x = interface.ListedEndpoint(
             f"e{rng.randrange(80)}",
             rng.choice(phases),
             size=rng.choice([1.0, 2.0]),
@@ -358,8 +360,8 @@
                 b.endpoint_list.endpoints[name].inflight = out
         s.b.rng.seed(rng.random())
         oracle.b.rng.setstate(s.b.rng.getstate())
-        s.b.on_membership(s.now, interface.MembershipNews("changes", [x]))
-        oracle.b.endpoint_list.rebuild(oracle.now, interface.MembershipNews("changes", [x]))
+        s.b.on_membership(s.now, interface.MembershipUpdate("changes", [x]))
+        oracle.b.endpoint_list.rebuild(oracle.now, interface.MembershipUpdate("changes", [x]))
         for mine, theirs in (
             (s.b.endpoint_list.ready, oracle.b.endpoint_list.ready),
             (s.b.endpoint_list.near.ready, oracle.b.endpoint_list.near.ready),
@@ -379,9 +381,13 @@
 
 
 def test_endpoints_replaced_one_by_one() -> None:
-    s = Sidecar(settings(), fleet(2000))
+    s = BalancerHarness(settings(), fleet(2000))
     for n in range(2000):
-        s.feed(interface.MembershipNews("changes", [interface.Listed(f"e{n}", "gone"), interface.Listed(f"new{n}")]))
+        s.feed(
+            interface.MembershipUpdate(
+                "changes", [interface.ListedEndpoint(f"e{n}", "gone"), interface.ListedEndpoint(f"new{n}")]
+            )
+        )
         if n % 50 == 0:
             s.ask()
             s.wait(1.0)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -13,7 +13,7 @@
 from test_sidecar import send_to
 
 from zinclever import interface
-from zinclever.core.descriptors import RESERVED
+from zinclever.core.descriptors import DESCRIPTOR_RESERVE
 from zinclever.http1 import clients, server
 from zinclever.http1 import connection as http
 
@@ -60,7 +60,7 @@
             got = await c.answer()
             assert got.status == status and got.headers["connection"] == "close"
             assert await read_message(c.reader) is None
-            assert not any(isinstance(e, interface.RequestArrived) for _, e in s.balancer.told)
+            assert not any(isinstance(e, interface.RequestArrived) for _, e in s.balancer.received_events)
 
     run(test)
 
@@ -89,7 +89,7 @@
                 c.writer.write(behind)
             other = await s.client()
             assert (await other.ask("/_health")).status == 200  # what was sent before has been read
-            assert len([e for _, e in s.balancer.told if isinstance(e, interface.RequestArrived)]) == 1
+            assert len([e for _, e in s.balancer.received_events if isinstance(e, interface.RequestArrived)]) == 1
             s.sidecar.feed(interface.TimerFired("x"))
             for n in range(1, 6):
                 got = await c.answer()
@@ -107,7 +107,7 @@
         async with sidecar(lambda event: (), known(e=closed_port())) as s:
             c = await s.client()
             c.writer.write(b"".join(GOOD.replace(b"r1", b"r%d" % n) for n in range(1, 300)))
-            await s.balancer.until(lambda: len(s.balancer.told) == 2)
+            await s.balancer.until(lambda: len(s.balancer.received_events) == 2)
             (one,) = s.front.since[clients.State.BUSY]
             assert len(one.queue) == server.PIPELINED and one.rejected == 400
 
@@ -166,7 +166,7 @@
             c = await s.client()
             c.writer.write(data)
             assert (await c.answer()).status == status
-            assert not any(isinstance(e, interface.RequestArrived) for _, e in s.balancer.told)
+            assert not any(isinstance(e, interface.RequestArrived) for _, e in s.balancer.received_events)
 
     run(test)
 
@@ -264,7 +264,7 @@
         async with sidecar(lambda event: (), known(e=closed_port())) as s:
             one, two = await s.client(), await s.client()
             one.send(Req_Id="same")
-            await s.balancer.until(lambda: len(s.balancer.told) == 2)
+            await s.balancer.until(lambda: len(s.balancer.received_events) == 2)
             assert (await two.ask(Req_Id="same")).status == 400
             assert len(s.sidecar.requests) == 1
 
@@ -293,7 +293,7 @@
         async with sidecar(refuse_all) as s:
             c = await s.client()
             assert (await c.ask("/_health")).status == 500
-            s.discovery.tell("whole", known(e=closed_port())["hosts"])
+            s.discovery.apply_update("whole", known(e=closed_port())["hosts"])
             assert (await c.ask("/_health")).status == 200
             assert not s.sidecar.requests
 
@@ -306,7 +306,7 @@
         async with sidecar(refuse_all, known(e=closed_port()), tenants=tenants, rules=RULES) as s:
             c = await s.client()
             assert (await c.ask(Req_Owner="umbra")).status == 503
-            assert [e.tenant for _, e in s.balancer.told if isinstance(e, interface.RequestArrived)] == [1]
+            assert [e.tenant for _, e in s.balancer.received_events if isinstance(e, interface.RequestArrived)] == [1]
             assert (await c.ask(Req_Owner="nobody")).status == 400
 
     run(test)
@@ -320,10 +320,10 @@
             if isinstance(event, interface.TimerFired):
                 yield interface.Refuse("busy")
 
-        async with sidecar(react, known(e=closed_port()), sockets=RESERVED + 3) as s:
+        async with sidecar(react, known(e=closed_port()), sockets=DESCRIPTOR_RESERVE + 3) as s:
             busy, idle = await s.client(), await s.client()
             busy.send(Req_Id="busy")
-            await s.balancer.until(lambda: len(s.balancer.told) == 2)
+            await s.balancer.until(lambda: len(s.balancer.received_events) == 2)
             assert (await idle.ask("/_health")).status == 200
             new = await s.client()
             assert (await new.ask("/_health")).status == 200
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -16,7 +16,7 @@
 from test_sidecar import send_to
 
 from zinclever import interface
-from zinclever.core.protocol import Final, Incoming
+from zinclever.core.protocol import FinalAnswer, IncomingRequest
 from zinclever.http1 import connection as http
 from zinclever.http1.wire import Payload
 
@@ -261,11 +261,11 @@
     async def test() -> None:
         async with serving(always(OK)) as (_, at), sidecar(react, known(e=at)) as s:
 
-            def broken(answer: Final) -> None:
+            def broken(answer: FinalAnswer) -> None:
                 raise RuntimeError("no way to the client")
 
             head = b"GET /read HTTP/1.1\r\nReq-Id: r9\r\n"
-            request = Incoming("r9", 0, 0, "", 5000.0, 0.0, False, Payload(head, b""))
+            request = IncomingRequest("r9", 0, 0, "", 5000.0, 0.0, False, Payload(head, b""))
             s.sidecar.take(request, broken)
             await s.balancer.until(lambda: bool(s.balancer.ends()))
             assert s.balancer.ends()[0].complete
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -13,14 +13,23 @@
 from statistics import fmean
 
 import pytest
-from helpers import LIMITS, SAFE, UNSAFE, Sidecar, fleet, settings
+from helpers import LIMITS, SAFE, UNSAFE, BalancerHarness, fleet, settings
 from loopback import always, host, response, run_real, serving, sidecar, silence
 from test_fault_day import CLASSES, SETTINGS, TERMS, Side
 from test_program import config
 from test_program import started as started_program
 
 from zinclever import interface
-from zinclever.fleet.limits import ALIVE_FOR, BACK_OFF_EACH, CALM_FOR, LONGEST_WATCH, Bucket, Budget, Calls, Connections
+from zinclever.fleet.limits import (
+    ALIVE_FOR,
+    BACK_OFF_EACH,
+    CALM_FOR,
+    LONGEST_WATCH,
+    Bucket,
+    Budget,
+    ConnectionLimiter,
+    DiscoveryCallPacer,
+)
 from zinclever.standins import audit
 from zinclever.standins.clients import HttpClient
 from zinclever.standins.day import ask_http
@@ -92,7 +101,7 @@
 NO_COPIES = replace(LIMITS, second_copies=False)
 
 
-def failing(s: Sidecar, requests: int) -> int:
+def failing(s: BalancerHarness, requests: int) -> int:
     """Requests whose first attempt fails; how many retries went out."""
     retried = 0
     for _ in range(requests):
@@ -112,14 +121,14 @@
 
 
 def test_retries_stay_within_their_ratio() -> None:
-    free = Sidecar(settings(limits=NO_COPIES), fleet(50))
-    bound = Sidecar(settings(limits=NO_COPIES, shares=interface.Shares(retry_ratio=0.2)), fleet(50))
+    free = BalancerHarness(settings(limits=NO_COPIES), fleet(50))
+    bound = BalancerHarness(settings(limits=NO_COPIES, shares=interface.Shares(retry_ratio=0.2)), fleet(50))
     assert failing(free, 200) > 150
     assert 20 <= failing(bound, 200) <= 40
 
 
 def test_a_request_without_a_retry_left_is_answered_at_once() -> None:
-    s = Sidecar(settings(SAFE, UNSAFE, shares=interface.Shares(retry_ratio=0.01)), fleet(50))
+    s = BalancerHarness(settings(SAFE, UNSAFE, shares=interface.Shares(retry_ratio=0.01)), fleet(50))
     safe, unsafe = s.ask(0), s.ask(1)
     s.end(safe, 0, "error", complete=False)
     s.end(unsafe, 0, "error", complete=False)
@@ -130,14 +139,15 @@
     """With 20,000 instances and 2 a second for each of 50 endpoints a retry is one in 200 s of each."""
     shares = interface.Shares(retry_ratio=0.001, floor_per_s=2.0)
     instances = [
-        Sidecar(settings(shares=shares, group_size=GROUP, limits=NO_COPIES), fleet(50), seed) for seed in range(200)
+        BalancerHarness(settings(shares=shares, group_size=GROUP, limits=NO_COPIES), fleet(50), seed)
+        for seed in range(200)
     ]
     assert sum(failing(s, 1) for s in instances) <= 4
-    alone = Sidecar(settings(shares=shares, limits=NO_COPIES), fleet(50))
+    alone = BalancerHarness(settings(shares=shares, limits=NO_COPIES), fleet(50))
     assert failing(alone, 200) > 150
 
 
-def copies(s: Sidecar, requests: int) -> int:
+def copies(s: BalancerHarness, requests: int) -> int:
     s.serve(150)  # until the window is known: before, no copy goes out at all
     copied = 0
     for _ in range(requests):
@@ -152,8 +162,8 @@
 
 def test_copies_stay_within_their_ratio() -> None:
     free, bound = (
-        copies(Sidecar(settings(), fleet(50)), 20),
-        copies(Sidecar(settings(shares=interface.Shares(copy_ratio=0.02)), fleet(50)), 20),
+        copies(BalancerHarness(settings(), fleet(50)), 20),
+        copies(BalancerHarness(settings(shares=interface.Shares(copy_ratio=0.02)), fleet(50)), 20),
     )
     assert bound <= 4 < free
 
@@ -163,8 +173,8 @@
 
 def connections(
     shares: interface.Shares = CAPS, group: int = GROUP, servers: int = SERVERS, width: int = WIDTH, seed: int = 1
-) -> Connections:
-    made = Connections(Random(seed))
+) -> ConnectionLimiter:
+    made = ConnectionLimiter(Random(seed))
     made.configure(shares, group, servers, width)
     return made
 
@@ -174,13 +184,15 @@
     for group, servers in ((20_000, 2000), (500, 2000), (20_000, 50), (10, 4), (1, 1)):
         width = min(servers, max(20, 10 * servers // group))
         one = connections(group=group, servers=servers, width=width)
-        sharing = group * width / servers
-        assert sharing * one.most_each() <= max(400.0, sharing)
-        one.part = one.most
+        balancers_per_endpoint = group * width / servers
+        assert balancers_per_endpoint * one.most_each() <= max(400.0, balancers_per_endpoint)
+        one.share_factor = one.most
         busy = min(4, group)
-        assert (sharing - busy) * connections(
+        assert (balancers_per_endpoint - busy) * connections(
             group=group, servers=servers, width=width
-        ).most_each() + busy * one.most_each() <= (400.0 if sharing <= 300.0 else sharing + busy * one.hot_each)
+        ).most_each() + busy * one.most_each() <= (
+            400.0 if balancers_per_endpoint <= 300.0 else balancers_per_endpoint + busy * one.hot_each
+        )
         assert group * connections(group=group, servers=servers, width=width).level <= max(200.0 * servers, group)
 
 
@@ -189,14 +201,14 @@
     now, seen = 0.0, []
     for _ in range(100):
         now += 1000.0
-        one.lacks(now, 10**6)
-        seen.append(one.part)
+        one.is_exhausted(now, 10**6)
+        seen.append(one.share_factor)
     assert seen[3] < 2.0 < seen[10] < seen[-1] == one.most
     assert one.most_each() <= 1.5 + 25.0  # to a single server a busy one's part of the cap
     one.may_open(now + 0.9 * CALM_FOR, 0, 0)
-    assert one.part == one.most
+    assert one.share_factor == one.most
     one.may_open(now + 2.0 * CALM_FOR, 0, 0)
-    assert 1.0 < one.part < one.most
+    assert 1.0 < one.share_factor < one.most
     for n in range(100):
         one.may_open(now + (3.0 + n) * CALM_FOR, 0, 0)
     assert one.level == one.equal
@@ -214,13 +226,13 @@
 
 def test_refusals_take_back_at_once_and_it_comes_back_slowly() -> None:
     one = connections(replace(CAPS, handshakes_per_s=0.0))
-    one.refused(0.0)
-    one.refused(1.0)  # of the same burst
+    one.on_server_refused(0.0)
+    one.on_server_refused(1.0)  # of the same burst
     assert one.level == pytest.approx(0.7 * one.equal)
     now = 0.0
     for _ in range(60):
         now += BACK_OFF_EACH
-        one.refused(now)
+        one.on_server_refused(now)
     assert one.level == 1.0 and one.may_open(now, 0, 0) and not one.may_open(now, 0, 1)
     one.may_open(now + 2000.0, 0, 0)
     assert one.level < 0.5 * one.equal
@@ -260,7 +272,7 @@
                     held[n] += 1
                     total += 1
                 else:
-                    all_[n].refused(now)
+                    all_[n].on_server_refused(now)
         rounds.append(fmean(c.level for c in all_))
     assert rounds[-1] < 0.5 * rounds[0]
 
@@ -341,36 +353,36 @@
 
 def test_starts_are_spread_and_stay_within_the_rule() -> None:
     rng = Random(4)
-    small = [Calls(400.0, 1000, 10_000.0, rng).start() for _ in range(1000)]
+    small = [DiscoveryCallPacer(400.0, 1000, 10_000.0, rng).start() for _ in range(1000)]
     assert max(small) <= 5000.0 and 2300.0 < fmean(small) < 2700.0
-    large = [Calls(400.0, GROUP, 10_000.0, rng).start() for _ in range(1000)]
+    large = [DiscoveryCallPacer(400.0, GROUP, 10_000.0, rng).start() for _ in range(1000)]
     assert 7500.0 < max(large) <= 8000.0  # the list has to be asked for within ten
 
 
 def test_refused_calls_back_off_with_jitter_up_to_what_the_rule_allows() -> None:
-    calls = Calls(400.0, GROUP, 10_000.0, Random(4))
+    calls = DiscoveryCallPacer(400.0, GROUP, 10_000.0, Random(4))
     for refusals in (1, 5, 60):
-        pauses = [calls.again(refusals) for _ in range(500)]
+        pauses = [calls.retry_delay(refusals) for _ in range(500)]
         assert 17_500.0 <= min(pauses) < 18_000.0 and 34_000.0 < max(pauses) <= 35_000.0
-    few = Calls(400.0, 10, 10_000.0, Random(4))
-    assert [max(few.again(n) for _ in range(200)) // 100 for n in (1, 2, 9)] == [5, 11, 33]
+    few = DiscoveryCallPacer(400.0, 10, 10_000.0, Random(4))
+    assert [max(few.retry_delay(n) for _ in range(200)) // 100 for n in (1, 2, 9)] == [5, 11, 33]
 
 
 def test_watches_last_as_long_as_the_cap_asks() -> None:
     rng = Random(4)
-    assert 2700.0 < Calls(400.0, 10, 10_000.0, rng).watch_for(3000.0) < 3300.0
-    assert 90_000.0 <= Calls(400.0, GROUP, 10_000.0, rng).watch_for(20_000.0) <= 110_000.0
-    assert Calls(1.0, GROUP, 10_000.0, rng).watch_for(20_000.0) <= 1.1 * LONGEST_WATCH
+    assert 2700.0 < DiscoveryCallPacer(400.0, 10, 10_000.0, rng).watch_timeout(3000.0) < 3300.0
+    assert 90_000.0 <= DiscoveryCallPacer(400.0, GROUP, 10_000.0, rng).watch_timeout(20_000.0) <= 110_000.0
+    assert DiscoveryCallPacer(1.0, GROUP, 10_000.0, rng).watch_timeout(20_000.0) <= 1.1 * LONGEST_WATCH
 
 
 def test_the_module_asks_after_a_spread_where_it_has_a_list_and_at_once_where_it_has_none() -> None:
     shares = interface.Shares(list_calls_per_s=400.0)
     told = settings(shares=shares, group_size=GROUP, discovery="on_request")
-    empty = Sidecar(told)
+    empty = BalancerHarness(told)
     assert empty.of(interface.WatchMembership)
     asked = []
     for seed in range(50):
-        s = Sidecar(told, fleet(5), seed)
+        s = BalancerHarness(told, fleet(5), seed)
         assert not s.of(interface.WatchMembership)
         s.wait(8000.0)
         asked.append(next(at for at, a in s.all if isinstance(a, interface.WatchMembership)) - 1_000_000.0)
@@ -383,10 +395,10 @@
 def test_a_subset_that_moves_is_no_answer_of_discovery() -> None:
     """Discovery has refused; then an endpoint can't be reached, and the subset moves for it: the module is told, and
     goes on asking."""
-    told: list[interface.MembershipNews] = []
+    told: list[interface.MembershipUpdate] = []
 
     def react(event: interface.Event) -> list[interface.Action]:
-        if isinstance(event, interface.MembershipNews):
+        if isinstance(event, interface.MembershipUpdate):
             told.append(event)
         if isinstance(event, interface.RequestArrived):
             return [interface.Send(event.request, told[-1].entries[0].endpoint, 0.0)]
@@ -400,8 +412,8 @@
             shares=interface.Shares(subset=6),
             group_size=400,
         ) as s:
-            real = Sidecar(settings(discovery="on_request", shares=interface.Shares(subset=6), group_size=400))
-            real.feed(interface.MembershipNews("refused"))
+            real = BalancerHarness(settings(discovery="on_request", shares=interface.Shares(subset=6), group_size=400))
+            real.feed(interface.MembershipUpdate("refused"))
             assert (await (await s.client()).ask()).status == 503
             assert len(told) == 2 and len(told[1].entries) == 7 and told[1].of == 60
             real.feed(told[1])
@@ -462,7 +474,7 @@
     one = connections(replace(CAPS, handshakes_per_s=0.0))
     for n in range(20):
         one.may_open(100.0 * n, 0, 0)
-        one.not_connected(100.0 * n, -math.inf)
+        one.on_connect_failed(100.0 * n, -math.inf)
     assert one.level < 0.5 * one.equal
 
 
@@ -471,9 +483,9 @@
     for n in range(50):
         for _ in range(5):
             assert one.may_open(1000.0 * n, 0, 0)
-        one.not_connected(1000.0 * n, 1000.0 * n - ALIVE_FOR - 1.0 if n % 2 else -math.inf)
+        one.on_connect_failed(1000.0 * n, 1000.0 * n - ALIVE_FOR - 1.0 if n % 2 else -math.inf)
     assert one.level == one.equal
-    one.not_connected(60_000.0, 60_000.0 - ALIVE_FOR)
+    one.on_connect_failed(60_000.0, 60_000.0 - ALIVE_FOR)
     assert one.level == pytest.approx(0.7 * one.equal)
 
 
@@ -495,12 +507,12 @@
                 c = await s.client()
                 for n in range(3):
                     assert (await c.ask(Req_Id=f"none{n}")).status == 503
-                assert s.sidecar.connections.part == 1.0
+                assert s.sidecar.connections.share_factor == 1.0
                 assert (await c.ask(Req_Id="e1")).status == 200
                 pool = s.wire.pools["e"]
                 s.wire.close_idle("e")
                 pool.address = ("127.0.0.1", 1)
                 assert (await c.ask(Req_Id="e2")).status == 503
-                assert s.sidecar.connections.part == pytest.approx(0.7)
+                assert s.sidecar.connections.share_factor == pytest.approx(0.7)
 
     run_real(test)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -26,7 +26,7 @@
 )
 
 from zinclever import interface
-from zinclever.core.descriptors import RESERVED
+from zinclever.core.descriptors import DESCRIPTOR_RESERVE
 from zinclever.http1.wire import Payload
 
 
@@ -67,7 +67,7 @@
             assert sent.start == "POST /unlock/7?a=b%20c HTTP/1.1" and sent.body == b"\x01\x02"
             assert sent.headers["req-id"] == "r1" and sent.headers["idempotency-key"] == "k"
             assert 8.0 < float(sent.headers["req-deadline"]) < 9.0
-            _, asked = s.balancer.told[1]
+            _, asked = s.balancer.received_events[1]
             assert isinstance(asked, interface.RequestArrived)
             assert (asked.klass, asked.key, asked.work, asked.client_retry) == (1, "77", 1.5, True)
             (end,) = s.balancer.ends()
@@ -221,10 +221,10 @@
             method = "POST" if target == "/tip" else "GET"
             received = await c.ask(target, method=method, Req_Deadline="1.0")
             assert received.status == status and asyncio.get_running_loop().time() - started_at > 0.8
-            closed = [t for t, e in s.balancer.told if isinstance(e, interface.RequestClosed)]
-            asked = [e.deadline for _, e in s.balancer.told if isinstance(e, interface.RequestArrived)]
+            closed = [t for t, e in s.balancer.received_events if isinstance(e, interface.RequestClosed)]
+            asked = [e.deadline for _, e in s.balancer.received_events if isinstance(e, interface.RequestArrived)]
             assert len(closed) == 1 and not s.sidecar.requests
-            assert asked[0] - s.balancer.told[1][0] < 1000.0
+            assert asked[0] - s.balancer.received_events[1][0] < 1000.0
 
     run(test)
 
@@ -304,7 +304,7 @@
         async with sidecar(react, known(e=closed_port())) as s:
             c = await s.client()
             assert (await c.ask()).status == 503
-            fired = [t for t, e in s.balancer.told if isinstance(e, interface.TimerFired)]
+            fired = [t for t, e in s.balancer.received_events if isinstance(e, interface.TimerFired)]
             assert len(fired) == 1 and fired[0] >= due[0]
             assert abs(fired[0] - host_here().time_ns() / 1e6) < 10_000.0, "the clock reads Unix time"
 
@@ -389,7 +389,7 @@
         async with (
             serving(always(response())) as (a, at_a),
             serving(silence) as (b, at_b),
-            sidecar(send_to("a"), known(a=at_a, b=at_b), sockets=RESERVED + 4) as s,
+            sidecar(send_to("a"), known(a=at_a, b=at_b), sockets=DESCRIPTOR_RESERVE + 4) as s,
         ):
             one, two = await s.client(), await s.client()
             assert (await one.ask()).status == 200
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -18,7 +18,7 @@
 from hypothesis import strategies as st
 
 from zinclever import interface
-from zinclever.core import ledger
+from zinclever.core import dispatcher
 from zinclever.core.protocol import Refused
 from zinclever.policy import Balancer
 from zinclever.sim import dayfile, exploring, hunting
@@ -107,34 +107,34 @@
 
 def drained(monkeypatch: pytest.MonkeyPatch) -> None:
     """The module isn't told of drains."""
-    tell = ledger.Ledger.tell
+    tell = dispatcher.Dispatcher.tell
 
-    def wrong(self: ledger.Ledger, kind: interface.ListKind, entries: Any) -> None:
+    def wrong(self: dispatcher.Dispatcher, kind: interface.ListKind, entries: Any) -> None:
         kept = [(x._replace(phase="ready") if x.phase == "draining" else x, at) for x, at in entries]
         tell(self, kind, kept)
 
-    monkeypatch.setattr(ledger.Ledger, "tell", wrong)
+    monkeypatch.setattr(dispatcher.Dispatcher, "tell", wrong)
 
 
 def lost(monkeypatch: pytest.MonkeyPatch) -> None:
     """Some refusals are never written."""
-    monkeypatch.setattr(ledger.Ledger, "fail", lambda self, action: None)
-    monkeypatch.setattr(ledger.Ledger, "give_up", lambda self, request: None)
+    monkeypatch.setattr(dispatcher.Dispatcher, "fail", lambda self, action: None)
+    monkeypatch.setattr(dispatcher.Dispatcher, "give_up", lambda self, request: None)
 
 
 def pushed(monkeypatch: pytest.MonkeyPatch) -> None:
     """A new endpoint is taken for one that has been there for long."""
-    tell = ledger.Ledger.tell
+    tell = dispatcher.Dispatcher.tell
 
-    def wrong(self: ledger.Ledger, kind: interface.ListKind, entries: Any) -> None:
+    def wrong(self: dispatcher.Dispatcher, kind: interface.ListKind, entries: Any) -> None:
         tell(self, kind, [(x._replace(started_at=0.0), at) for x, at in entries])
 
-    monkeypatch.setattr(ledger.Ledger, "tell", wrong)
+    monkeypatch.setattr(dispatcher.Dispatcher, "tell", wrong)
 
 
 def refused(monkeypatch: pytest.MonkeyPatch) -> None:
     """What failed is told as refused: a repeat is said to be harmless."""
-    monkeypatch.setattr(ledger.Ledger, "fail", lambda self, action: self.finish(action.request, Refused()))
+    monkeypatch.setattr(dispatcher.Dispatcher, "fail", lambda self, action: self.finish(action.request, Refused()))
 
 
 BROKEN = [
--- a/tests/test_simnet.py
+++ b/tests/test_simnet.py
@@ -12,7 +12,7 @@
 from loopback import CLASSES, Reaction, host_here, known, run, run_real, sidecar
 
 from zinclever import Balancer, Settings
-from zinclever.core.ledger import make_clock
+from zinclever.core.dispatcher import make_clock
 from zinclever.simnet import runner
 from zinclever.simnet.loop import Cost, Loop, Stalled
 from zinclever.simnet.network import Network, Path
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -13,20 +13,20 @@
 
 from zinclever import interface
 from zinclever.fleet.layout import EMPTIEST, FULLEST, SMALLEST, Layout, table_size
-from zinclever.fleet.subset import FAILED_FOR, FAR_LEAST, PER_SERVER, SHRINK_AFTER, Shape, Subset
+from zinclever.fleet.subset import FAILED_FOR, FAR_LEAST, PER_SERVER, SHRINK_AFTER, Subset, SubsetSpec
 
 GROUP = 2000
 
 
-def servers(n: int) -> list[interface.Listed]:
-    return [interface.Listed(f"10.0.{x >> 8}.{x & 255}:80") for x in range(n)]
+def servers(n: int) -> list[interface.ListedEndpoint]:
+    return [interface.ListedEndpoint(f"10.0.{x >> 8}.{x & 255}:80") for x in range(n)]
 
 
 def well_formed(layout: Layout) -> None:
     """Every server sits in the slot it says, and no server and slot would both rather have each other."""
     places = layout.places()
     assert sorted(places.values()) == [n for n, seat in enumerate(layout.table) if seat is not None]
-    for name, seat in layout.seats.items():
+    for name, seat in layout.placements.items():
         assert layout.table[places[name]] is seat
         for number in range(seat.tried):
             slot = seat.proposal(number, layout.size)
@@ -44,18 +44,18 @@
     layout = Layout()
     for there, name in steps:
         if there:
-            layout.put(interface.Listed(name))
+            layout.put(interface.ListedEndpoint(name))
         else:
             layout.drop(name)
         well_formed(layout)
         if layout.size > SMALLEST:
             assert EMPTIEST <= len(layout) / layout.size <= FULLEST
-    names = list(layout.seats)
+    names = list(layout.placements)
     Random(3).shuffle(names)
-    anew = Layout(map(interface.Listed, names))
+    anew = Layout(map(interface.ListedEndpoint, names))
     if anew.size == layout.size:
         assert anew.places() == layout.places()
-    assert sum(map(len, layout.wanting.values())) == sum(s.tried for s in layout.seats.values())
+    assert sum(map(len, layout.wanting.values())) == sum(s.tried for s in layout.placements.values())
 
 
 def test_a_layout_that_flaps_over_a_step_of_its_size_stays() -> None:
@@ -70,7 +70,7 @@
 
 
 def subsets(layout: Layout, least: int, group: int = GROUP) -> list[set[str]]:
-    return [set(Subset(Shape(least, me, group), layout).wanted()) for me in range(group)]
+    return [set(Subset(SubsetSpec(least, me, group), layout).wanted()) for me in range(group)]
 
 
 def variation(counts: Counter[str], names: list[str]) -> float:
@@ -80,7 +80,7 @@
 
 def test_all_instances_together_meet_each_server_about_as_often() -> None:
     layout = Layout(servers(200))
-    names = list(layout.seats)
+    names = list(layout.placements)
     chosen = subsets(layout, 12)
     assert {len(s) for s in chosen} == {12}
     counts = Counter(n for s in chosen for n in s)
@@ -94,7 +94,7 @@
     """One server less moves those that met it and a few more; instances that shared it go different ways."""
     layout = Layout(servers(200))
     before = subsets(layout, 12)
-    lost = next(iter(layout.seats))
+    lost = next(iter(layout.placements))
     met = [me for me, s in enumerate(before) if lost in s]
     layout.drop(lost)
     after = subsets(layout, 12)
@@ -112,8 +112,8 @@
 
 
 def told(least: int = 12, group: int = GROUP, n: int = 200, **more: object) -> Subset:
-    subset = Subset(Shape(least, 7, group, **more))  # type: ignore[arg-type]
-    subset.whole(servers(n))
+    subset = Subset(SubsetSpec(least, 7, group, **more))  # type: ignore[arg-type]
+    subset.replace_list(servers(n))
     subset.changes(0.0)
     return subset
 
@@ -123,7 +123,7 @@
     subset = told(n=n)
     width = max(12, -(-10 * n // GROUP))
     assert len(subset.members) == (n if 2 * width >= n else width)
-    subset.whole([])
+    subset.replace_list([])
     assert all(x.phase == "gone" for x in subset.changes(1.0)) and not subset.members
 
 
@@ -140,9 +140,9 @@
 
 
 def test_the_same_list_gives_the_same_subset() -> None:
-    one, other = told(), Subset(Shape(12, 7, GROUP))
+    one, other = told(), Subset(SubsetSpec(12, 7, GROUP))
     for x in reversed(servers(200)):
-        other.change([x])
+        other.apply_changes([x])
     other.changes(0.0)
     assert one.home.size == other.home.size
     assert one.members.keys() == other.members.keys()
@@ -193,10 +193,10 @@
     subset = told()
     before = set(subset.members)
     one = next(iter(subset.members.values()))
-    subset.change([one._replace(phase="draining")])
+    subset.apply_changes([one._replace(phase="draining")])
     left = subset.changes(1.0)
     assert (one._replace(phase="gone") in left) and one.endpoint not in subset.members
-    subset.change([one._replace(started_at=5.0)])
+    subset.apply_changes([one._replace(started_at=5.0)])
     subset.changes(2.0)
     assert set(subset.members) == before and subset.members[one.endpoint].started_at == 5.0
 
@@ -205,46 +205,46 @@
     subset = told()
     one = next(iter(subset.members.values()))
     other = next(x for x in servers(200) if x.endpoint not in subset.members)
-    subset.change([one._replace(size=2.0), other._replace(size=2.0)])
+    subset.apply_changes([one._replace(size=2.0), other._replace(size=2.0)])
     assert subset.changes(1.0) == [one._replace(size=2.0)]
 
 
 def test_the_home_zone_comes_first_and_others_are_there() -> None:
-    subset = Subset(Shape(12, 7, GROUP, 1))
+    subset = Subset(SubsetSpec(12, 7, GROUP, 1))
     listed = [x._replace(zone=n % 3) for n, x in enumerate(servers(300))]
-    subset.whole(listed)
+    subset.replace_list(listed)
     subset.changes(0.0)
     zones = Counter(x.zone == 1 for x in subset.members.values())
     assert zones == {True: 12, False: FAR_LEAST}
-    subset.change([x._replace(phase="gone") for x in listed if x.zone == 1])
+    subset.apply_changes([x._replace(phase="gone") for x in listed if x.zone == 1])
     subset.load(0.0, 100)
     subset.changes(1.0)
     assert len(subset.members) == 50 and all(x.zone != 1 for x in subset.members.values())
 
 
 def test_a_cell_that_is_met_is_met_twice() -> None:
-    subset = Subset(Shape(12, 7, GROUP, mates=True))
+    subset = Subset(SubsetSpec(12, 7, GROUP, mates=True))
     listed = [x._replace(cell=n // 3) for n, x in enumerate(servers(300))]
-    subset.whole(listed)
+    subset.replace_list(listed)
     subset.changes(0.0)
     cells = Counter(x.cell for x in subset.members.values())
     assert len(cells) >= 10 and min(cells.values()) >= 2 and len(subset.members) <= 36
     moved = next(iter(subset.members.values()))
-    subset.change([moved._replace(cell=999)])  # a cell of its own: there is no mate to be had
+    subset.apply_changes([moved._replace(cell=999)])  # a cell of its own: there is no mate to be had
     subset.changes(1.0)
     assert subset.cells[999].keys() == {moved.endpoint}
 
 
 def test_ten_thousand_replaced_one_by_one_and_all_at_once() -> None:
-    subset = Subset(Shape(12, 7, 20_000))
+    subset = Subset(SubsetSpec(12, 7, 20_000))
     old = servers(10_000)
-    subset.whole(old)
+    subset.replace_list(old)
     subset.changes(0.0)
     for x in old[:500]:
-        subset.change([x._replace(phase="gone"), x._replace(endpoint="new." + x.endpoint)])
+        subset.apply_changes([x._replace(phase="gone"), x._replace(endpoint="new." + x.endpoint)])
         subset.changes(1.0)
     well_formed(subset.home)
     assert len(subset.home) == 10_000 and len(subset.members) == 12
-    subset.whole([x._replace(endpoint="next." + x.endpoint) for x in old])
+    subset.replace_list([x._replace(endpoint="next." + x.endpoint) for x in old])
     news = subset.changes(2.0)
     assert len(news) == 24 and all(n.startswith("next.") for n in subset.members)
--- a/tests/test_swallowed.py
+++ b/tests/test_swallowed.py
@@ -10,12 +10,12 @@
 from dataclasses import replace
 
 import pytest
-from helpers import KEYED, LIMITS, RULES, SAFE, UNSAFE, Sidecar, fleet, settings
+from helpers import KEYED, LIMITS, RULES, SAFE, UNSAFE, BalancerHarness, fleet, settings
 from loopback import CLASSES, Message, Peer, Reaction, always, host_here, known, response, run, serving, sidecar
 from test_sidecar import send_to
 
 from zinclever import Balancer, Settings, interface
-from zinclever.core.ledger import make_clock
+from zinclever.core.dispatcher import make_clock
 from zinclever.http1 import wire
 
 RESETS = struct.pack("ii", 1, 0)  # SO_LINGER of 0 s: closing resets the connection
@@ -159,9 +159,9 @@
     run(test)
 
 
-def unanswered(n: int, request_class: interface.RequestClass = SAFE, work: float = 0.0) -> Sidecar:
+def unanswered(n: int, request_class: interface.RequestClass = SAFE, work: float = 0.0) -> BalancerHarness:
     """A sidecar with ``n`` unanswered requests of a class, after as many unsafe ones and ordinary traffic."""
-    s = Sidecar(settings(request_class, UNSAFE), fleet(4))
+    s = BalancerHarness(settings(request_class, UNSAFE), fleet(4))
     s.serve(40, took=20.0, gap=30.0)
     for _ in range(20):
         answered = s.ask(1)
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from helpers import KEYED, SAFE, UNSAFE, Sidecar, fleet, settings
+from helpers import KEYED, SAFE, UNSAFE, BalancerHarness, fleet, settings
 
 from zinclever import interface
 
 
-def begun(klass: interface.RequestClass, n: int = 4) -> Sidecar:
-    s = Sidecar(settings(klass), fleet(n))
+def begun(klass: interface.RequestClass, n: int = 4) -> BalancerHarness:
+    s = BalancerHarness(settings(klass), fleet(n))
     s.feed(interface.RequestArrived("up", 0, s.now + 600_000.0, uploading=True))
     return s
 
@@ -75,6 +75,6 @@
 def test_without_an_endpoint_it_waits_for_its_end() -> None:
     s = begun(SAFE, n=0)
     assert not s.sends("up") and not s.finals("up")
-    s.feed(interface.MembershipNews("whole", fleet(2)))
+    s.feed(interface.MembershipUpdate("whole", fleet(2)))
     s.feed(interface.UploadEnded("up", s.now + 500.0))
     assert len(s.sends("up")) == 1
--- a/zinclever/__main__.py
+++ b/zinclever/__main__.py
@@ -37,7 +37,7 @@
         return 2
     logging.basicConfig(level=logging.WARNING, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
     host = System()
-    host.hold_reloads()
+    host.block_reload_signal()
     try:
         config, operator = read(host.environ, host.read_file)
     except ConfigError as error:
--- a/zinclever/assembly.py
+++ b/zinclever/assembly.py
@@ -10,12 +10,12 @@
 from .admin.server import Page, Pages
 from .configuration.platform import Config
 from .core.descriptors import Descriptors
+from .core.dispatcher import DEADLINE_MARGIN, Dispatcher
 from .core.host import Host
-from .core.ledger import DEADLINE_MARGIN, Ledger
 from .core.protocol import OnList, Source
 from .core.service import Service
 from .discovery.catalog import Discovery
-from .discovery.fixed import Fixed
+from .discovery.fixed import StaticEndpoints
 from .http1.bodies import room_for
 from .http1.front import Front
 from .http1.wire import HttpWire
@@ -35,22 +35,22 @@
     def __init__(self, config: Config, descriptors: Descriptors, host: Host) -> None:
         self.config, self.descriptors = config, descriptors
         balancer = Balancer(config.settings, config.seed)
-        self.ledger = Ledger(
+        self.dispatcher = Dispatcher(
             balancer,
             HttpWire(descriptors, host),
             lambda on_list: Discovery(config.discovery, config.settings, config.zones, config.known, on_list, host),
             descriptors,
             host,
         )
-        assert isinstance(self.ledger.source, Discovery)
-        self.discovery = self.ledger.source
-        self.front = Front(self.ledger)
+        assert isinstance(self.dispatcher.source, Discovery)
+        self.discovery = self.dispatcher.source
+        self.front = Front(self.dispatcher)
         self.processes = 1
         """Processes of this sidecar that share its limits: more than one during a takeover."""
         self.apply_limits()
-        self.service = Service(PLATFORM, config.listen, self.ledger, self.front)
+        self.service = Service(PLATFORM, config.listen, self.dispatcher, self.front)
 
-    def adopt(self, config: Config) -> None:
+    def reconfigure(self, config: Config) -> None:
         """Applies the differences between a new configuration and the current one."""
         previous, self.config = self.config, config
         if config.listen != previous.listen:
@@ -59,7 +59,7 @@
         if (config.settings, config.zones, config.sockets, config.memory) != previous_values:
             self.apply_limits()
             self.discovery.configure(config.settings, config.zones)
-            self.ledger.adopt(Balancer(config.settings, config.seed))
+            self.dispatcher.reconfigure(Balancer(config.settings, config.seed))
             self.front.configure()
         if config.discovery != self.discovery.address:
             self.discovery.change_address(config.discovery)
@@ -80,20 +80,20 @@
 
     def gauges(self) -> Gauges:
         """Returns the current gauges for operators."""
-        ledger, wire = self.ledger, self.ledger.wire
+        dispatcher, wire = self.dispatcher, self.dispatcher.wire
         assert isinstance(wire, HttpWire)
         return Gauges(
             wire.dispatches,
-            ledger.counts.concurrent,
+            dispatcher.counts.concurrent,
             len(self.discovery.hosts),
-            count_disabled(ledger.balancer, ledger.clock()),
+            count_disabled(dispatcher.balancer, dispatcher.clock()),
         )
 
     def pages(self) -> Pages:
         """Returns the pages of the admin server."""
         return {
             "/status": lambda: Page(200 if self.service.is_ready() else 503),
-            "/status/metrics": lambda: Page(200, render(self.ledger.counts, self.front.classes, self.gauges())),
+            "/status/metrics": lambda: Page(200, render(self.dispatcher.counts, self.front.classes, self.gauges())),
         }
 
 
@@ -104,28 +104,28 @@
         from .jsonrpc.front import Front as JsonRpcFront
         from .jsonrpc.wire import JsonRpcWire
 
-        self.told, self.seed, self.host = spec, seed, host
+        self.spec, self.seed, self.host = spec, seed, host
         self.wire = JsonRpcWire(spec.rules.framing, spec.proofs, descriptors, host)
-        self.ledger = Ledger(Balancer(spec.settings, seed), self.wire, self.make_source, descriptors, host)
-        self.front = JsonRpcFront(self.ledger, spec.rules)
+        self.dispatcher = Dispatcher(Balancer(spec.settings, seed), self.wire, self.make_source, descriptors, host)
+        self.front = JsonRpcFront(self.dispatcher, spec.rules)
         max_deadline = max(c.deadline for c in spec.settings.classes)
         self.service = Service(
-            spec.name, spec.listen, self.ledger, self.front, (max_deadline + DEADLINE_MARGIN) / 1000.0
+            spec.name, spec.listen, self.dispatcher, self.front, (max_deadline + DEADLINE_MARGIN) / 1000.0
         )
 
     def make_source(self, on_list: OnList) -> Source:
         """Creates the endpoint source: discovery, or the fixed list of the operator file."""
-        spec = self.told
+        spec = self.spec
         if spec.discovery is None:
-            return Fixed(spec.endpoints, on_list)
+            return StaticEndpoints(spec.endpoints, on_list)
         return Discovery(spec.discovery, spec.settings, spec.zones, {}, on_list, self.host)
 
-    def adopt(self, spec: JsonRpcService) -> None:
+    def reconfigure(self, spec: JsonRpcService) -> None:
         """Applies the differences between a new service definition and the current one.
 
         The address, the framing and the kind of endpoint source change only after a restart.
         """
-        previous, self.told = self.told, spec
+        previous, self.spec = self.spec, spec
         source_changed = (spec.discovery is None) != (previous.discovery is None)
         if source_changed or (spec.listen, spec.rules.framing) != (previous.listen, previous.rules.framing):
             log.warning(
@@ -134,13 +134,13 @@
                 spec.name,
             )
         self.wire.proofs = spec.proofs
-        source = self.ledger.source
+        source = self.dispatcher.source
         if isinstance(source, Discovery):
             source.configure(spec.settings, spec.zones)
         if spec.settings != previous.settings:
-            self.ledger.adopt(Balancer(spec.settings, self.seed))
-        self.front.adopt(spec.rules._replace(framing=self.wire.framing))
-        if isinstance(source, Fixed) and spec.endpoints != previous.endpoints:
+            self.dispatcher.reconfigure(Balancer(spec.settings, self.seed))
+        self.front.reconfigure(spec.rules._replace(framing=self.wire.framing))
+        if isinstance(source, StaticEndpoints) and spec.endpoints != previous.endpoints:
             source.replace(spec.endpoints)
         elif isinstance(source, Discovery) and spec.discovery not in (None, source.address):
             source.change_address(spec.discovery)
@@ -176,13 +176,13 @@
         first = [self.platform.service] if self.platform is not None else []
         return first + [service.service for service in self.json_rpc_services.values()]
 
-    def adopt(self, config: Config | None, operator: Operator | None) -> None:
+    def reconfigure(self, config: Config | None, operator: Operator | None) -> None:
         """Applies a new configuration. Services are added and removed only by a restart."""
         if config is not None and self.platform is not None:
-            self.platform.adopt(config)
+            self.platform.reconfigure(config)
         specs = service_specs(operator)
         for name, spec in specs.items():
             if name in self.json_rpc_services:
-                self.json_rpc_services[name].adopt(spec)
+                self.json_rpc_services[name].reconfigure(spec)
         if specs.keys() != self.json_rpc_services.keys():
             log.warning("added or removed services take effect only after a restart")
--- a/zinclever/configtool/writing.py
+++ b/zinclever/configtool/writing.py
@@ -17,7 +17,7 @@
 from ..configuration.model import VERSION
 from ..configuration.reading import Unreadable, read_file
 from ..configuration.relations import IDLE_MB, MARGIN
-from ..core.descriptors import RESERVED
+from ..core.descriptors import DESCRIPTOR_RESERVE
 from ..core.shared import MOST_CONNECTIONS
 from .report import as_text, place
 
@@ -64,7 +64,7 @@
 def clients(app: App) -> tuple[int, str]:
     """How many clients fit, and why."""
     by_memory = (app.memory_mb - IDLE_MB) * 1024 // TEXT_KB
-    by_sockets = app.sockets - RESERVED - MOST_CONNECTIONS * len(app.endpoints)
+    by_sockets = app.sockets - DESCRIPTOR_RESERVE - MOST_CONNECTIONS * len(app.endpoints)
     most = min(MOST_CLIENTS, by_memory, by_sockets)
     if most < LEAST_CLIENTS:
         raise Impossible(
@@ -75,7 +75,7 @@
         return most, f"{app.memory_mb} MB less {IDLE_MB} idle hold so many texts of {TEXT_KB} KiB"
     if most == by_sockets:
         return most, (
-            f"{app.sockets} descriptors less {RESERVED} in reserve and {MOST_CONNECTIONS} for each of "
+            f"{app.sockets} descriptors less {DESCRIPTOR_RESERVE} in reserve and {MOST_CONNECTIONS} for each of "
             f"{len(app.endpoints)} endpoints"
         )
     return most, "far more than one application opens"
--- a/zinclever/configuration/operator.py
+++ b/zinclever/configuration/operator.py
@@ -104,7 +104,7 @@
     entries = []
     for row in rows:
         to = read_address(row["address"])
-        listed = interface.Listed(
+        listed = interface.ListedEndpoint(
             f"{to[0]}:{to[1]}", size=row["weight"], zone=zones.index(row["zone"]), cell=row["cell"]
         )
         entries.append((listed, to))
--- a/zinclever/configuration/relations.py
+++ b/zinclever/configuration/relations.py
@@ -9,9 +9,9 @@
 from collections.abc import Iterator
 from typing import Any
 
-from ..core.descriptors import RESERVED
+from ..core.descriptors import DESCRIPTOR_RESERVE
 from ..core.protocol import Address, read_address
-from ..fleet.subset import EACH_SHARED
+from ..fleet.subset import MIN_INSTANCES_PER_SERVER
 from .findings import Finding, Path
 
 Clean = dict[str, Any]
@@ -280,7 +280,7 @@
         )
     cap, least, listed = shares.get("connections"), shares.get("subset"), len(service["endpoints"] or ())
     if cap and listed:
-        known = count * min(1.0, max(least or listed, EACH_SHARED * listed / count) / listed)
+        known = count * min(1.0, max(least or listed, MIN_INSTANCES_PER_SERVER * listed / count) / listed)
         if known > cap:
             yield Finding(
                 "ZC234",
@@ -357,14 +357,14 @@
     clients = sum(s["max_clients"] or 0 for s in services.values())
     targets = sum(len(s["endpoints"] or ()) for s in services.values())
     sockets = limits.get("sockets")
-    if sockets and services and sockets - RESERVED - clients < targets:
+    if sockets and services and sockets - DESCRIPTOR_RESERVE - clients < targets:
         first = next(iter(services))
         yield Finding(
             "ZC222",
             ("limits", "sockets"),
-            f"{sockets} less {RESERVED} in reserve and {clients} clients leave "
-            f"{max(0, sockets - RESERVED - clients)} for {targets} endpoints",
-            f"write {targets + clients + RESERVED} or more, or fewer max_clients",
+            f"{sockets} less {DESCRIPTOR_RESERVE} in reserve and {clients} clients leave "
+            f"{max(0, sockets - DESCRIPTOR_RESERVE - clients)} for {targets} endpoints",
+            f"write {targets + clients + DESCRIPTOR_RESERVE} or more, or fewer max_clients",
             (("services", first, "max_clients"),),
         )
     memory = limits.get("memory_mb")
--- a/zinclever/core/counts.py
+++ b/zinclever/core/counts.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Replies:
+class ReplyCounts:
     """Counts of final answers to requests of one class."""
 
     __slots__ = ("failed", "refused", "served")
@@ -11,7 +11,7 @@
     def __init__(self) -> None:
         self.served = self.refused = self.failed = 0
 
-    def broke_off(self) -> None:
+    def mark_failed(self) -> None:
         """Counts an answer as failed that was counted as served when its transfer began."""
         self.served -= 1
         self.failed += 1
@@ -25,12 +25,12 @@
     def __init__(self) -> None:
         self.concurrent = 0
         """Requests in progress."""
-        self.replies: dict[str, Replies] = {}
+        self.replies: dict[str, ReplyCounts] = {}
         """Reply counts by the name of the class."""
 
-    def of(self, name: str) -> Replies:
+    def of(self, name: str) -> ReplyCounts:
         """Returns the reply counts of a class, by its name; creates them on first use."""
         replies = self.replies.get(name)
         if replies is None:
-            replies = self.replies[name] = Replies()
+            replies = self.replies[name] = ReplyCounts()
         return replies
--- a/zinclever/core/descriptors.py
+++ b/zinclever/core/descriptors.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-RESERVED = 40  # descriptors for the listener, discovery, the loop, the runtime and connections being closed
+DESCRIPTOR_RESERVE = 40  # descriptors for the listener, discovery, the loop, the runtime and connections being closed
 
 
 class Descriptors:
@@ -24,7 +24,7 @@
     def configure(self, limit: int) -> None:
         """Sets the number of descriptors that the process may use."""
         self.limit = limit
-        self.max_connections = limit - RESERVED
+        self.max_connections = limit - DESCRIPTOR_RESERVE
 
     def full(self) -> bool:
         """Returns whether all descriptors available for connections are in use."""
--- a/zinclever/core/ledger.py
+++ b/zinclever/core/dispatcher.py
@@ -11,13 +11,25 @@
 from typing import Any
 
 from .. import interface
-from ..fleet.limits import Connections
+from ..fleet.limits import ConnectionLimiter
 from ..policy import Balancer
 from .counts import Counts
 from .descriptors import Descriptors
 from .host import Host
-from .protocol import Ended, Entry, Exchange, Failed, Final, Incoming, OnList, Refused, Served, Source, Wire
-from .standstill import LATE, SETTLE, STALE_AFTER_MS, Standstill, move_to_front
+from .protocol import (
+    Entry,
+    Exchange,
+    Failed,
+    FinalAnswer,
+    IncomingRequest,
+    OnEnded,
+    OnList,
+    Refused,
+    Served,
+    Source,
+    Wire,
+)
+from .stall_detector import SETTLE_TIME, STALE_AFTER_MS, STALL_THRESHOLD_MS, StallDetector, move_to_front
 from .view import View
 
 log = logging.getLogger(__name__)
@@ -66,12 +78,12 @@
     )
 
     def __init__(
-        self, incoming: Incoming, deadline: float, balancer: Balancer, answer: Callable[[Final], None]
+        self, incoming: IncomingRequest, deadline: float, balancer: Balancer, answer: Callable[[FinalAnswer], None]
     ) -> None:
         self.incoming, self.deadline, self.uploading = incoming, deadline, incoming.uploading
         self.balancer = balancer
         """The balancer in use when the request arrived; its settings apply until the request ends."""
-        self.answer: Callable[[Final], None] | None = answer
+        self.answer: Callable[[FinalAnswer], None] | None = answer
         self.attempts: list[Attempt] = []
         self.open_attempts = 0
         """Attempts without an outcome."""
@@ -80,7 +92,7 @@
         self.guard: asyncio.TimerHandle | None = None
 
 
-class Ledger:
+class Dispatcher:
     """Dispatches the requests of one service.
 
     It uses one balancer, and keeps replaced ones for as long as requests that they handle are open. It owns every
@@ -95,7 +107,7 @@
         self.wire, self.descriptors, self.host = wire, descriptors, host
         self.loop = asyncio.get_running_loop()
         self.clock = make_clock(host)
-        self.connections = Connections(host.random())
+        self.connections = ConnectionLimiter(host.random())
         self.view = self.make_view()
         self.configure_wire()
         self.requests: dict[str, Request] = {}
@@ -104,7 +116,7 @@
         self.acting_balancer = balancer  # the balancer whose actions are being executed
         self.cleanup_candidates: list[Request] = []  # checked after each event: they may be complete
         self.processing = False
-        self.standstill = Standstill(self.loop.time())
+        self.stall_detector = StallDetector(self.loop.time())
         self.balancer_replaced_at = self.loop.time()  # when the balancer was last replaced after a long stall
         self.ready = False
         self.source = source(self.on_list)
@@ -117,7 +129,7 @@
             interface.WatchMembership: self.set_watch,
             interface.FetchMembership: lambda a: self.source.fetch(),
             interface.CloseIdle: lambda a: self.wire.close_idle(a.endpoint),
-            interface.Note: lambda a: log.info("%s", a.text),
+            interface.LogMessage: lambda a: log.info("%s", a.text),
         }
 
     def configure_wire(self) -> None:
@@ -136,7 +148,7 @@
         """Starts the source, which begins with the last known endpoint list."""
         self.source.start()
 
-    def adopt(self, balancer: Balancer) -> None:
+    def reconfigure(self, balancer: Balancer) -> None:
         """Uses a new balancer and its settings; open requests finish under those they arrived with."""
         self.balancer, self.settings = balancer, balancer.settings
         self.configure_wire()
@@ -151,8 +163,8 @@
         Events that arrive while actions are being executed are processed afterwards, in order.
         """
         self.events.append((balancer or self.balancer, event))
-        self.standstill.record_activity(self.loop.time())
-        if not self.processing and not self.standstill.holding:
+        self.stall_detector.record_activity(self.loop.time())
+        if not self.processing and not self.stall_detector.holding:
             self.process_events()
 
     def process_events(self) -> None:
@@ -172,38 +184,38 @@
         The kernel is queried only after the process was idle for a while, and for the first bytes of a connection,
         which may have waited in the listener's queue.
         """
-        self.standstill.record_activity(self.loop.time())
-        if not first and not self.standstill.may_have_stalled():
+        self.stall_detector.record_activity(self.loop.time())
+        if not first and not self.stall_detector.may_have_stalled():
             return 0.0
-        delay = self.host.waited(transport.get_extra_info("socket"))
+        delay = self.host.ms_since_received(transport.get_extra_info("socket"))
         self.check_delay(delay)
-        return delay if delay >= LATE else 0.0
+        return delay if delay >= STALL_THRESHOLD_MS else 0.0
 
     def check_delay(self, delay: float) -> None:
         """Checks whether an event that is ``delay`` ms late shows a stall of this process.
 
         After a stall, everything that the kernel has buffered is read before anything is sent.
         """
-        self.standstill.record_activity(self.loop.time())
-        if self.standstill.detect(delay):
+        self.stall_detector.record_activity(self.loop.time())
+        if self.stall_detector.detect(delay):
             replace_balancer = (
                 delay > STALE_AFTER_MS and self.loop.time() - self.balancer_replaced_at > STALE_AFTER_MS / 1000.0
             )
             if replace_balancer:
                 log.warning("stood still for %.0f ms or more", delay)
                 self.balancer_replaced_at = self.loop.time()
-            self.loop.call_later(SETTLE, self.settle, replace_balancer)
+            self.loop.call_later(SETTLE_TIME, self.resume_after_stall, replace_balancer)
 
-    def settle(self, replace_balancer: bool) -> None:
+    def resume_after_stall(self, replace_balancer: bool) -> None:
         """Resumes after a stall, once the kernel's buffers have been read.
 
         After a long stall (``replace_balancer``) what the balancer has learned is stale, and attempts that end now
         would make it take the servers for overloaded. A new balancer takes over; the old one finishes its requests.
         """
-        self.standstill.holding = False
+        self.stall_detector.holding = False
         if replace_balancer:
-            self.adopt(Balancer(self.settings, self.host.random().getrandbits(64)))
-        self.events = move_to_front(self.events, interface.MembershipNews)
+            self.reconfigure(Balancer(self.settings, self.host.random().getrandbits(64)))
+        self.events = move_to_front(self.events, interface.MembershipUpdate)
         self.process_events()
 
     def process_event(self, balancer: Balancer, event: interface.Event) -> None:
@@ -259,14 +271,14 @@
             if listed.phase == "gone":
                 self.wire.forget(listed.endpoint)
             else:
-                self.wire.place(listed.endpoint, address)
+                self.wire.set_address(listed.endpoint, address)
         if kind in ("whole", "remembered"):
             present = {listed.endpoint for listed, _ in entries if listed.phase != "gone"}
             for endpoint in self.wire.listed():
                 if endpoint not in present:
                     self.wire.forget(endpoint)
         total = len(self.view) if self.view is not None else 0
-        update = interface.MembershipNews(kind, [listed for listed, _ in entries], total)
+        update = interface.MembershipUpdate(kind, [listed for listed, _ in entries], total)
         for balancer in dict.fromkeys(r.balancer for r in self.requests.values()):
             if balancer is not self.balancer:
                 self.feed(update, balancer)
@@ -279,11 +291,11 @@
     def set_watch(self, action: interface.WatchMembership) -> None:
         """Starts or stops watching the endpoint list; only the current balancer may."""
         if self.acting_balancer is self.balancer:
-            self.source.watch(action.on)
+            self.source.watch(action.subscribe)
 
     # --- requests ---
 
-    def take(self, incoming: Incoming, answer: Callable[[Final], None]) -> None:
+    def take(self, incoming: IncomingRequest, answer: Callable[[FinalAnswer], None]) -> None:
         """Accepts a client request. ``answer`` is called exactly once, unless the client disconnects first."""
         now = self.clock()
         request = Request(
@@ -363,7 +375,7 @@
         if request is not None:
             self.finish(action.request, Failed(request.failure_reply))
 
-    def finish(self, request_id: str, final: Final) -> None:
+    def finish(self, request_id: str, final: FinalAnswer) -> None:
         """Gives the final answer, unless the request has one."""
         request = self.requests.get(request_id)
         if request is not None and request.answer is not None:
@@ -376,7 +388,7 @@
                 # Must not prevent the event that follows: an attempt whose end is not reported stays in flight forever.
                 log.exception("answer could not be written to the client")
 
-    def count_reply(self, request: Request, final: Final) -> None:
+    def count_reply(self, request: Request, final: FinalAnswer) -> None:
         """Counts a final answer under the request's class."""
         replies = self.counts.of(request.balancer.settings.classes[request.incoming.klass].name)
         if isinstance(final, Served):
@@ -432,7 +444,7 @@
             time_left = request.incoming.wait / 1000.0  # counted from the end of the body, when its timer is set
         else:
             attempt.timer = self.loop.call_later(time_left, self.expire, attempt)
-        on_ended: Ended = partial(self.on_attempt_ended, attempt)
+        on_ended: OnEnded = partial(self.on_attempt_ended, attempt)
         attempt.exchange = self.wire.start(
             action.endpoint, request.incoming.payload, time_left, on_ended, repeat == "at_most_once"
         )
@@ -492,7 +504,7 @@
         if outcome == "served":
             view.subset.served(endpoint)
         elif outcome == "full":
-            self.connections.refused(1000.0 * self.loop.time())
+            self.connections.on_server_refused(1000.0 * self.loop.time())
         elif outcome == "connect_failed" and view.subset.failed(self.clock(), endpoint):
             self.update_subset(view)
 
--- a/zinclever/core/host.py
+++ b/zinclever/core/host.py
@@ -71,7 +71,7 @@
     def unread(self, sock: Any) -> bool:
         """Returns whether the kernel holds data, or an end of stream, of a connection that has not been read."""
 
-    def waited(self, sock: Any) -> float:
+    def ms_since_received(self, sock: Any) -> float:
         """Returns the ms since data was last received on a connection; 0 where the kernel doesn't report it."""
 
     def read_file(self, path: str) -> bytes:
@@ -80,7 +80,7 @@
     def inherited(self, descriptor: int) -> Any:
         """Returns the socket of an inherited descriptor. Raises OSError unless it is a listening TCP socket."""
 
-    def hear_reloads(self) -> None:
+    def unblock_reload_signal(self) -> None:
         """Unblocks SIGHUP, once a handler is installed; a signal that is pending is delivered now."""
 
     def presence(self, address: Address) -> Presence:
--- a/zinclever/core/pools.py
+++ b/zinclever/core/pools.py
@@ -8,7 +8,7 @@
 from typing import Generic, Protocol, TypeVar
 
 from .. import interface
-from ..fleet.limits import Connections
+from ..fleet.limits import ConnectionLimiter
 from .descriptors import Descriptors
 from .protocol import Address
 
@@ -80,7 +80,7 @@
         """Connections of this wire, including those in use and those being dialled."""
         self.reaper: asyncio.TimerHandle | None = None
 
-    def configure(self, connect_timeout: float, idle_limit: float, connections: Connections) -> None:
+    def configure(self, connect_timeout: float, idle_limit: float, connections: ConnectionLimiter) -> None:
         """Sets the timeouts, in ms, and the limits on opening connections."""
         self.connections = connections
         self.connect_timeout = connect_timeout / 1000.0
@@ -88,7 +88,7 @@
 
     # --- endpoints ---
 
-    def place(self, endpoint: str, address: Address) -> None:
+    def set_address(self, endpoint: str, address: Address) -> None:
         """Adds an endpoint, or changes its address."""
         pool = self.pools.get(endpoint)
         if pool is None:
@@ -112,7 +112,7 @@
 
     # --- attempts ---
 
-    def carry(self, endpoint: str, attempt: PendingAttempt[C]) -> None:
+    def send_attempt(self, endpoint: str, attempt: PendingAttempt[C]) -> None:
         """Runs an attempt on an idle connection, or dials a new one for it."""
         pool = self.pools.get(endpoint)
         if pool is None:
@@ -126,7 +126,7 @@
                 return
             connection.abort()
         now = 1000.0 * self.loop.time()
-        spare = 1 if self.connections.lacks(now, self.open) and self.evict() else 0  # evicted, but still counted
+        spare = 1 if self.connections.is_exhausted(now, self.open) and self.evict() else 0  # evicted, but still counted
         if not self.connections.may_open(now, pool.open, self.open - spare):
             self.loop.call_soon(attempt.end, "barred")
             return
@@ -146,7 +146,7 @@
             )
         except OSError:
             self.count(pool, -1)
-            self.connections.not_connected(1000.0 * self.loop.time(), pool.answered_at)
+            self.connections.on_connect_failed(1000.0 * self.loop.time(), pool.answered_at)
             attempt.end("connect_failed")
             return
         if attempt.waiting():
--- a/zinclever/core/protocol.py
+++ b/zinclever/core/protocol.py
@@ -6,11 +6,11 @@
 from typing import Any, NamedTuple, Protocol
 
 from .. import interface
-from ..fleet.limits import Connections
+from ..fleet.limits import ConnectionLimiter
 
 Address = tuple[str, int]
 #: An endpoint as its source lists it, and its address.
-Entry = tuple[interface.Listed, Address]
+Entry = tuple[interface.ListedEndpoint, Address]
 #: Receives an update of the endpoint list: a full list, changes, or (``refused``) a failed call.
 OnList = Callable[[interface.ListKind, Sequence[Entry]], None]
 
@@ -23,7 +23,7 @@
     return host, int(port)
 
 
-class Incoming(NamedTuple):
+class IncomingRequest(NamedTuple):
     """A client request as parsed by a front."""
 
     id: str
@@ -43,7 +43,7 @@
     payload: Any
     """What the wire of the same protocol sends; opaque to the core."""
     uploading: bool = False
-    """The payload is still being received; :meth:`~zinclever.core.ledger.Ledger.uploaded` is called at its end."""
+    """The payload is still being received; :meth:`~zinclever.core.dispatcher.Dispatcher.uploaded` is called at its end."""
 
 
 class Served(NamedTuple):
@@ -68,10 +68,10 @@
     reply: Any = None
 
 
-Final = Served | Refused | Failed
+FinalAnswer = Served | Refused | Failed
 
 
-class Ended(Protocol):
+class OnEnded(Protocol):
     """Callback for the end of an attempt: called exactly once, unless the attempt is cancelled first."""
 
     def __call__(self, outcome: interface.Outcome, reply: Any = None, report: Mapping[str, float] = {}) -> None:
@@ -94,10 +94,10 @@
 class Wire(Protocol):
     """Sends attempts to endpoints and manages the connections for them."""
 
-    def configure(self, connect_timeout: float, idle_limit: float, connections: Connections) -> None:
+    def configure(self, connect_timeout: float, idle_limit: float, connections: ConnectionLimiter) -> None:
         """Sets the timeouts, in ms, and the limits on opening connections."""
 
-    def place(self, endpoint: str, address: Address) -> None:
+    def set_address(self, endpoint: str, address: Address) -> None:
         """Adds an endpoint, or changes its address."""
 
     def drain(self, endpoint: str) -> None:
@@ -109,7 +109,7 @@
     def listed(self) -> Sequence[str]:
         """Returns the endpoints that have an address."""
 
-    def start(self, endpoint: str, payload: Any, time_left: float, on_ended: Ended, unsafe: bool) -> Exchange:
+    def start(self, endpoint: str, payload: Any, time_left: float, on_ended: OnEnded, unsafe: bool) -> Exchange:
         """Starts an attempt that times out after ``time_left`` seconds.
 
         ``on_ended`` is never called before this returns. ``unsafe``: the request must not be repeated.
--- a/zinclever/core/service.py
+++ b/zinclever/core/service.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from .ledger import Ledger
+from .dispatcher import Dispatcher
 from .protocol import Address
 
 IDLE_GRACE = 0.45  # s after SIGTERM for which idle connections stay open; clients learn of it within 0.4 s
@@ -32,7 +32,7 @@
     def close_idle(self) -> None:
         """Closes all connections without an open request."""
 
-    async def all_left(self) -> None:
+    async def wait_disconnected(self) -> None:
         """Waits until no client is connected."""
 
     def stop(self) -> None:
@@ -45,7 +45,7 @@
 
     name: str
     address: Address
-    ledger: Ledger
+    dispatcher: Dispatcher
     front: Front
     drain_timeout: float = DRAIN_TIMEOUT
     """s that open requests may take to finish at shutdown."""
@@ -53,7 +53,7 @@
 
     def start(self) -> None:
         """Starts to track endpoints; requests are accepted after :meth:`listen`."""
-        self.ledger.start()
+        self.dispatcher.start()
 
     async def listen(self, inherited: Any = None) -> None:
         """Starts to accept requests, on the ``inherited`` listening socket if there is one.
@@ -68,7 +68,7 @@
 
     def is_ready(self) -> bool:
         """Returns whether the service listens and has received a non-empty endpoint list."""
-        return self.server is not None and self.ledger.ready
+        return self.server is not None and self.dispatcher.ready
 
     def close(self) -> None:
         """Closes the listener."""
@@ -105,6 +105,6 @@
     """Waits for the open requests of a service, up to its drain timeout, then stops it."""
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(service.drain_timeout):
-            await service.front.all_left()
+            await service.front.wait_disconnected()
     service.front.stop()
-    service.ledger.stop()
+    service.dispatcher.stop()
--- a/zinclever/core/shared.py
+++ b/zinclever/core/shared.py
@@ -9,7 +9,7 @@
 from typing import Generic, Protocol, TypeVar
 
 from .. import interface
-from ..fleet.limits import Connections
+from ..fleet.limits import ConnectionLimiter
 from .descriptors import Descriptors
 from .pools import IDLE_SHARE, PendingAttempt
 from .protocol import Address
@@ -28,7 +28,7 @@
     def sound(self) -> bool:
         """Returns whether it can take more requests; checks the socket if nothing is pending."""
 
-    def turn_back(self) -> None:
+    def drop_unsent(self) -> None:
         """Ends the requests that have not started to be sent, as never run."""
 
     def finish(self) -> None:
@@ -87,14 +87,14 @@
         descriptors.evictors.append(self.evict)
         self.loop = asyncio.get_running_loop()
         self.pools: dict[str, Pool[C]] = {}
-        self.homes: dict[C, Pool[C]] = {}
+        self.pool_by_connection: dict[C, Pool[C]] = {}
         """The pool of each open connection."""
         self.idle_until: dict[C, float] = {}
         """Connections without pending requests, longest idle first, each with the time at which to close it."""
         self.dials: set[asyncio.Task[None]] = set()
         self.reaper: asyncio.TimerHandle | None = None
 
-    def configure(self, connect_timeout: float, idle_limit: float, connections: Connections) -> None:
+    def configure(self, connect_timeout: float, idle_limit: float, connections: ConnectionLimiter) -> None:
         """Sets the timeouts, in ms, and the limits on opening connections."""
         self.connections = connections
         self.connect_timeout = connect_timeout / 1000.0
@@ -102,7 +102,7 @@
 
     # --- endpoints ---
 
-    def place(self, endpoint: str, address: Address) -> None:
+    def set_address(self, endpoint: str, address: Address) -> None:
         """Adds an endpoint, or changes its address."""
         pool = self.pools.get(endpoint)
         if pool is not None and pool.address != address:
@@ -115,22 +115,22 @@
         """Ends the attempts that have not started to be sent to an endpoint; those in flight finish."""
         pool = self.pools.get(endpoint)
         if pool is not None:
-            self.turn_back(pool)
+            self.drop_unsent(pool)
 
-    def turn_back(self, pool: Pool[C]) -> None:
+    def drop_unsent(self, pool: Pool[C]) -> None:
         """Ends the attempts of one pool that have not started to be sent."""
         waiting, pool.waiting = pool.waiting, deque()
         for attempt in waiting:
             attempt.end("dropped")
         for connection in list(pool.connections):
-            connection.turn_back()
+            connection.drop_unsent()
 
     def forget(self, endpoint: str) -> None:
         """Removes an endpoint; attempts that have been sent to it run on."""
         pool = self.pools.pop(endpoint, None)
         if pool is not None:
             pool.removed = True
-            self.turn_back(pool)
+            self.drop_unsent(pool)
             for connection in list(pool.connections):
                 connection.finish()
 
@@ -140,7 +140,7 @@
 
     # --- attempts ---
 
-    def carry(self, endpoint: str, attempt: PendingAttempt[C]) -> None:
+    def send_attempt(self, endpoint: str, attempt: PendingAttempt[C]) -> None:
         """Runs an attempt on the least loaded connection, or lets it wait for a new one."""
         pool = self.pools.get(endpoint)
         if pool is None:
@@ -174,7 +174,7 @@
         """Starts to dial one more connection; returns the outcome for the attempt if that isn't possible."""
         if len(pool.connections) >= MOST_CONNECTIONS:
             return "connect_failed"
-        total = len(self.homes) + len(self.dials)
+        total = len(self.pool_by_connection) + len(self.dials)
         if not self.connections.may_open(1000.0 * self.loop.time(), len(pool.connections), total):
             return "barred"
         if self.descriptors.full() and not self.descriptors.evict():
@@ -194,14 +194,14 @@
             self.descriptors.open -= 1
             now = 1000.0 * self.loop.time()
             # If another connection is open the endpoint is alive, and refuses further connections.
-            self.connections.not_connected(now, now if pool.connections else -math.inf)
+            self.connections.on_connect_failed(now, now if pool.connections else -math.inf)
             pool.dialling = False
             waiting, pool.waiting = pool.waiting, deque()
             for attempt in waiting:
                 attempt.end("connect_failed")
             return
         pool.dialling = False
-        self.homes[connection] = pool
+        self.pool_by_connection[connection] = pool
         pool.connections.append(connection)
         waiting, pool.waiting = pool.waiting, deque()
         for attempt in waiting:
@@ -216,7 +216,7 @@
 
     def idle(self, connection: C) -> None:
         """See :meth:`Watcher.idle`."""
-        if connection not in self.homes or connection in self.idle_until:
+        if connection not in self.pool_by_connection or connection in self.idle_until:
             return
         self.idle_until[connection] = self.loop.time() + self.idle_timeout
         if self.reaper is None:
@@ -224,7 +224,7 @@
 
     def retired(self, connection: C) -> None:
         """See :meth:`Watcher.retired`."""
-        pool = self.homes.get(connection)
+        pool = self.pool_by_connection.get(connection)
         if pool is not None and connection in pool.connections:
             pool.connections.remove(connection)
 
@@ -232,7 +232,7 @@
         """See :meth:`Watcher.lost`."""
         self.retired(connection)
         self.idle_until.pop(connection, None)
-        if self.homes.pop(connection, None) is not None:
+        if self.pool_by_connection.pop(connection, None) is not None:
             self.descriptors.open -= 1
 
     # --- idle connections ---
@@ -268,5 +268,5 @@
             self.reaper.cancel()
         for task in self.dials:
             task.cancel()
-        for connection in list(self.homes):
+        for connection in list(self.pool_by_connection):
             connection.abort()
--- a/zinclever/core/standstill.py
+++ b/zinclever/core/stall_detector.py
@@ -13,8 +13,10 @@
 from typing import TypeVar
 
 IDLE_THRESHOLD = 0.05  # s without any activity, after which data may have waited in the kernel before it is read
-LATE = 50.0  # ms by which a timer or data has to be late to count as a stall; a false alarm costs 2 ms
-SETTLE = 0.002  # s for which sending pauses: one turn of the loop, which counts ms, reads all that the kernel holds
+STALL_THRESHOLD_MS = 50.0  # ms by which a timer or data has to be late to count as a stall; a false alarm costs 2 ms
+SETTLE_TIME = (
+    0.002  # s for which sending pauses: one turn of the loop, which counts ms, reads all that the kernel holds
+)
 RECHECK_TIME = 1.0  # s after a stall in which the age of all data is checked: the accept queue takes a while to empty
 STALE_AFTER_MS = 1000.0  # ms of a stall after which learned state is stale: payoff estimates decay within 2.5 s
 
@@ -22,7 +24,7 @@
 E = TypeVar("E")
 
 
-class Standstill:
+class StallDetector:
     """Detects stalls from the activity of one event loop.
 
     Does no I/O: callers pass in the loop's clock, in s.
@@ -50,7 +52,7 @@
 
     def detect(self, delay: float) -> bool:
         """Starts to hold back sending if a delay in ms shows a stall; False also while it is already on hold."""
-        if delay < LATE or self.holding:
+        if delay < STALL_THRESHOLD_MS or self.holding:
             return False
         self.holding, self.detected_at = True, self.last_activity
         return True
