--- a/zinclever/core/view.py
+++ b/zinclever/core/view.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from .. import interface
-from ..fleet.subset import Shape, Subset
+from ..fleet.subset import Subset, SubsetSpec
 from .protocol import Address, Entry
 
 ZONE_PRICE_THRESHOLD = 0.05  # cross-zone price from which on the home zone is preferred, as in the policy package
@@ -13,10 +13,10 @@
 NO_ADDRESS: Address = ("", 0)  # placeholder for an endpoint that has been removed
 
 
-def shape_of(settings: interface.Settings) -> Shape:
+def shape_of(settings: interface.Settings) -> SubsetSpec:
     """Returns the requirements on a subset under these settings."""
     prefers_home = settings.prices.cross_zone >= ZONE_PRICE_THRESHOLD
-    return Shape(
+    return SubsetSpec(
         settings.shares.subset or ALL_SERVERS,
         settings.me,
         settings.group_size,
@@ -46,10 +46,10 @@
             return []
         listed = [x for x, _ in entries]
         if kind == "changes":
-            self.subset.change(listed)
+            self.subset.apply_changes(listed)
         else:
             self.addresses.clear()
-            self.subset.whole(listed)
+            self.subset.replace_list(listed)
         for x, address in entries:
             if x.phase == "ready":
                 self.addresses[x.endpoint] = address
@@ -64,6 +64,6 @@
         self.subset.changes(now)
         return [self.entry(x) for x in self.subset.members.values()]
 
-    def entry(self, x: interface.Listed) -> Entry:
+    def entry(self, x: interface.ListedEndpoint) -> Entry:
         """Returns an endpoint with its address."""
         return x, self.addresses.get(x.endpoint, NO_ADDRESS)
--- a/zinclever/discovery/catalog.py
+++ b/zinclever/discovery/catalog.py
@@ -13,7 +13,7 @@
 from .. import interface
 from ..core.host import Host
 from ..core.protocol import Address, Entry, OnList, read_address
-from ..fleet.limits import Calls
+from ..fleet.limits import DiscoveryCallPacer
 from ..http1.connection import Broken, ClientConnection, Reply, dial
 
 log = logging.getLogger(__name__)
@@ -34,7 +34,7 @@
     """
     return [
         (
-            interface.Listed(
+            interface.ListedEndpoint(
                 endpoint=h["host"],
                 phase=PHASES[h["health"]],
                 size=h.get("share") or 1.0,
@@ -158,8 +158,8 @@
         self.pushed, self.zones = settings.discovery == "pushed", zones
         min_wait = min(max(WATCH_PER_SIDECAR * settings.group_size, MIN_WATCH), MAX_WATCH)
         calls = settings.shares.list_calls_per_s
-        self.calls = Calls(calls, settings.group_size, settings.rules.ask_within, self.rng)
-        self.wait = self.calls.watch_for(min_wait) if calls else min_wait
+        self.calls = DiscoveryCallPacer(calls, settings.group_size, settings.rules.ask_within, self.rng)
+        self.wait = self.calls.watch_timeout(min_wait) if calls else min_wait
 
     def connect(self, address: Address) -> None:
         """Sets up the calls to a discovery service; connections are made on demand."""
@@ -193,7 +193,7 @@
             for (listed, address), site in self.hosts.values()
         ]
 
-    def tell(self, kind: interface.ListKind, hosts: list[dict[str, Any]]) -> None:
+    def apply_update(self, kind: interface.ListKind, hosts: list[dict[str, Any]]) -> None:
         """Applies an answer of discovery and reports it."""
         self.on_list(*self.read(kind, hosts))
 
@@ -243,17 +243,17 @@
             self.refusals += 1
             if self.pushed:
                 self.schedule(
-                    self.calls.again(self.refusals) if self.calls.span else RETRY_DELAY, lambda: self.watch(True)
+                    self.calls.retry_delay(self.refusals) if self.calls.span else RETRY_DELAY, lambda: self.watch(True)
                 )
                 return
         else:
             self.refusals = 0
             self.version = version
             if hosts and self.calls.span:
-                self.schedule(self.calls.gap(), lambda: self.next_call(self.wait))
+                self.schedule(self.calls.watch_pause(), lambda: self.next_call(self.wait))
             else:
                 self.next_call(self.wait)
-        self.tell(kind, hosts)
+        self.apply_update(kind, hosts)
 
     def schedule(self, delay: float, action: Callable[[], None]) -> None:
         """Calls ``action`` after a delay in ms, unless another call is started before."""
@@ -278,7 +278,7 @@
             if self.version is not None and version < self.version:
                 return  # the watch has delivered a newer version
             self.version = version
-        self.tell(kind, hosts)
+        self.apply_update(kind, hosts)
 
     def stop(self) -> None:
         """Stops all calls."""
--- a/zinclever/discovery/fixed.py
+++ b/zinclever/discovery/fixed.py
@@ -7,7 +7,7 @@
 from ..core.protocol import Entry, OnList
 
 
-class Fixed:
+class StaticEndpoints:
     """A source with a static list of endpoints; see :class:`~zinclever.core.protocol.Source`."""
 
     def __init__(self, entries: Sequence[Entry], on_list: OnList) -> None:
--- a/zinclever/drill.py
+++ b/zinclever/drill.py
@@ -43,9 +43,9 @@
     return "bad event " + orjson.dumps(e)[:SHOWN].decode(errors="replace")
 
 
-def _entry(e: list[Any]) -> interface.Listed:
+def _entry(e: list[Any]) -> interface.ListedEndpoint:
     started, endpoint, zone, size, cell, _kind, phase = e[:7]
-    return interface.Listed(endpoint, PHASES[phase], size or 1.0, zone or 0, cell or 0, started or 0.0)
+    return interface.ListedEndpoint(endpoint, PHASES[phase], size or 1.0, zone or 0, cell or 0, started or 0.0)
 
 
 def _arrival(e: list[Any]) -> interface.Event:
@@ -90,7 +90,7 @@
         base64.b64encode(a.payload).decode(),
     ],
     interface.CloseIdle: lambda n, a: ["release", n, a.endpoint],
-    interface.Note: lambda n, a: ["say-log", n, a.text],
+    interface.LogMessage: lambda n, a: ["say-log", n, a.text],
 }
 
 
@@ -100,7 +100,7 @@
     def __init__(self) -> None:
         self.now = 0.0
         self.balancers: dict[int, Balancer] = {}
-        self.lists: dict[int, tuple[interface.Listed, ...]] = {}
+        self.lists: dict[int, tuple[interface.ListedEndpoint, ...]] = {}
 
     def event(self, e: list[Any], out: list[bytes]) -> None:
         """One event of the batch; its actions go to ``out`` as lines."""
@@ -123,7 +123,9 @@
                 raise WireError(f"{_shown(e)}: no instance {number}")
             if name == "view":
                 scope = SCOPES[e[2]]
-                told: interface.Event = interface.MembershipNews(scope, () if scope == "refused" else self.lists[e[4]])
+                told: interface.Event = interface.MembershipUpdate(
+                    scope, () if scope == "refused" else self.lists[e[4]]
+                )
             else:
                 told = EVENTS[name](e)
         except (LookupError, TypeError, ValueError, AttributeError) as wrong:
--- a/zinclever/fleet/layout.py
+++ b/zinclever/fleet/layout.py
@@ -47,7 +47,7 @@
 
     __slots__ = ("listed", "mark", "tried")
 
-    def __init__(self, listed: interface.Listed) -> None:
+    def __init__(self, listed: interface.ListedEndpoint) -> None:
         self.listed, self.mark = listed, mark_of(listed.endpoint)
         self.tried = 0
 
@@ -69,20 +69,20 @@
     has grown or shrunk may keep another size for a while, so that instances needn't agree on it.
     """
 
-    def __init__(self, listed: Iterable[interface.Listed] = ()) -> None:
-        self.seats: dict[str, Seat] = {x.endpoint: Seat(x) for x in listed}
+    def __init__(self, listed: Iterable[interface.ListedEndpoint] = ()) -> None:
+        self.placements: dict[str, Seat] = {x.endpoint: Seat(x) for x in listed}
         self.lay_out()
 
     def lay_out(self) -> None:
-        self.size = table_size(len(self.seats))
+        self.size = table_size(len(self.placements))
         self.table: list[Seat | None] = [None] * self.size
         self.wanting: dict[int, list[tuple[int, Seat]]] = {}
         """Who proposed to a slot and was not kept, and by which proposal."""
-        for seat in self.seats.values():
+        for seat in self.placements.values():
             self.settle(seat, 0)
 
     def __len__(self) -> int:
-        return len(self.seats)
+        return len(self.placements)
 
     def settle(self, seat: Seat, number: int) -> None:
         """Propose on until one is taken, for whoever is without a slot."""
@@ -97,24 +97,24 @@
             self.wanting.setdefault(slot, []).append((number, seat))
             number += 1
 
-    def put(self, listed: interface.Listed) -> None:
+    def put(self, listed: interface.ListedEndpoint) -> None:
         """A server, new or with other news of it."""
-        known = self.seats.get(listed.endpoint)
+        known = self.placements.get(listed.endpoint)
         if known is not None:
             known.listed = listed
             return
-        seat = self.seats[listed.endpoint] = Seat(listed)
-        if len(self.seats) > FULLEST * self.size:
+        seat = self.placements[listed.endpoint] = Seat(listed)
+        if len(self.placements) > FULLEST * self.size:
             self.lay_out()
         else:
             self.settle(seat, 0)
 
     def drop(self, name: str) -> None:
         """A server has gone: its slot is for the first of those that wanted it, and so on."""
-        seat = self.seats.pop(name, None)
+        seat = self.placements.pop(name, None)
         if seat is None:
             return
-        if self.size > SMALLEST and len(self.seats) < EMPTIEST * self.size:
+        if self.size > SMALLEST and len(self.placements) < EMPTIEST * self.size:
             self.lay_out()
             return
         slot = seat.slot(self.size)
@@ -143,4 +143,4 @@
 
     def places(self) -> Mapping[str, int]:
         """Each server's slot."""
-        return {name: seat.slot(self.size) for name, seat in self.seats.items()}
+        return {name: seat.slot(self.size) for name, seat in self.placements.items()}
--- a/zinclever/fleet/limits.py
+++ b/zinclever/fleet/limits.py
@@ -124,7 +124,7 @@
         return self.failed > DEAD_PART * (self.begun + DEAD_FEW)
 
 
-class Connections:
+class ConnectionLimiter:
     """How many connections one instance may hold and open.
 
     Each begins with its equal part of both caps. Who lacks connections or handshakes goes beyond it step by step, up
@@ -141,7 +141,7 @@
         "hot_each",
         "lacked_at",
         "most",
-        "part",
+        "share_factor",
         "refused_at",
         "servers",
         "shares",
@@ -151,7 +151,7 @@
 
     def __init__(self, rng: Random) -> None:
         self.shares, self.group, self.servers, self.width = Shares(), 1, 0, 1
-        self.part = self.most = 1.0
+        self.share_factor = self.most = 1.0
         """Times its equal part that this instance may have now, and ever."""
         self.cap, self.hot_each = 0.0, math.inf
         self.lacked_at = self.refused_at = self.stepped_at = -math.inf
@@ -168,8 +168,8 @@
         self.shares, self.group, self.servers, self.width = shares, group, servers, max(1, width)
         self.most = 1.0 + HOT / EQUAL * group / busy
         if self.cap and now > before > 0.0:
-            self.part *= before / now
-        self.part = min(self.part, self.most)
+            self.share_factor *= before / now
+        self.share_factor = min(self.share_factor, self.most)
         self.cap = shares.connections if servers else 0.0
         self.hot_each = HOT * self.cap / busy
         self.fill()
@@ -178,7 +178,7 @@
         """Let the part hold for handshakes."""
         if self.shares.handshakes_per_s and self.servers:
             equal = EQUAL * self.shares.handshakes_per_s / 1000.0 * self.servers / self.group
-            self.bucket.configure(equal * self.part)
+            self.bucket.configure(equal * self.share_factor)
 
     @property
     def equal(self) -> float:
@@ -188,16 +188,16 @@
     @property
     def level(self) -> float:
         """Connections at once to all servers."""
-        return max(1.0, self.equal * self.part)
+        return max(1.0, self.equal * self.share_factor)
 
     def most_each(self) -> float:
         """Connections at once to one server."""
         even = UNEVEN * self.equal / self.width
-        return max(1.0, min(even * self.part, even + self.hot_each))
+        return max(1.0, min(even * self.share_factor, even + self.hot_each))
 
     def may_open(self, now: float, to_server: int, in_all: int) -> bool:
         """Whether one more may be opened to a server that has ``to_server``; takes its handshake."""
-        if self.cap and (self.lacks(now, in_all) or to_server >= self.most_each()):
+        if self.cap and (self.is_exhausted(now, in_all) or to_server >= self.most_each()):
             return False
         if not self.shares.handshakes_per_s or self.bucket.take(now):
             if self.cap or self.shares.handshakes_per_s:
@@ -207,7 +207,7 @@
         self.lack(now)
         return False
 
-    def lacks(self, now: float, in_all: int) -> bool:
+    def is_exhausted(self, now: float, in_all: int) -> bool:
         """Whether all that it may hold is open: an idle connection elsewhere is to make room then."""
         if not self.cap:
             return False
@@ -224,10 +224,10 @@
         if now - self.stepped_at < STEP_EACH:
             return
         steps = min(100.0, (now - self.stepped_at) / STEP_EACH)
-        if self.part < 1.0:
-            self.part = min(1.0, self.part + STEP * steps)
+        if self.share_factor < 1.0:
+            self.share_factor = min(1.0, self.share_factor + STEP * steps)
         elif now - self.lacked_at > CALM_FOR:
-            self.part = max(1.0, self.part / (1.0 + STEP) ** steps)
+            self.share_factor = max(1.0, self.share_factor / (1.0 + STEP) ** steps)
         self.stepped_at = now
         self.fill()
 
@@ -238,11 +238,11 @@
         if since < STEP_EACH:
             return
         self.lacked_at = now
-        if since < 3.0 * STEP_EACH and self.part >= 1.0:
-            self.part = min(self.most, (1.0 + STEP) * self.part)
+        if since < 3.0 * STEP_EACH and self.share_factor >= 1.0:
+            self.share_factor = min(self.most, (1.0 + STEP) * self.share_factor)
             self.fill()
 
-    def not_connected(self, now: float, answered_at: float) -> None:
+    def on_connect_failed(self, now: float, answered_at: float) -> None:
         """A connection didn't come up, to a server that last answered at ``answered_at``.
 
         Its table is full if it has answered a moment ago. Else it may have died, which tells nothing of the totals,
@@ -251,17 +251,17 @@
         self.dialled.fade(now)
         self.dialled.failed += 1.0
         if now - answered_at <= ALIVE_FOR or self.dialled.mostly():
-            self.refused(now)
+            self.on_server_refused(now)
 
-    def refused(self, now: float) -> None:
+    def on_server_refused(self, now: float) -> None:
         """A server had no room: the totals are higher than this instance was told."""
         if now - self.refused_at >= BACK_OFF_EACH:
             self.refused_at = self.stepped_at = now
-            self.part = max(LEAST, BACK_OFF * self.part)
+            self.share_factor = max(LEAST, BACK_OFF * self.share_factor)
             self.fill()
 
 
-class Calls:
+class DiscoveryCallPacer:
     """When one instance calls discovery: spread at the start, spaced after, backed off with jitter.
 
     The rules come first: without a subscription the list has to be asked for within ``ask_within`` (four times that
@@ -279,16 +279,16 @@
         """ms until the first call of an instance that begins with a list it remembers; a watch follows it."""
         return self.rng.random() * min(2.0 * self.span, START_PART * self.ask_within)
 
-    def again(self, refusals: int) -> float:
+    def retry_delay(self, refusals: int) -> float:
         """ms until the next call after so many refusals in a row: half of it jitter, under a bound that doubles."""
         most = min(max(RETRY_MOST * self.ask_within, 2.0 * self.span), FAILED_PART * self.ask_within)
         bound = min(max(RETRY_FIRST, self.span) * 2.0 ** min(refusals, 16), most)
         return bound * (0.5 + 0.5 * self.rng.random())
 
-    def watch_for(self, least: float) -> float:
+    def watch_timeout(self, least: float) -> float:
         """ms that a watch may wait for changes, so that the watches of all stay under half of the cap."""
         return max(least, min(2.0 * self.span, LONGEST_WATCH)) * (0.9 + 0.2 * self.rng.random())
 
-    def gap(self) -> float:
+    def watch_pause(self) -> float:
         """ms between the news that a watch brought and the next one: all hear the same news at once."""
         return self.rng.random() * min(self.span, START_PART * self.ask_within)
--- a/zinclever/fleet/subset.py
+++ b/zinclever/fleet/subset.py
@@ -17,7 +17,7 @@
 from .layout import GOLDEN, MASK, Layout, Seat, mix
 from .limits import EQUAL
 
-EACH_SHARED = 10.0  # instances that each server is shared by at least, so that their uneven loads even out
+MIN_INSTANCES_PER_SERVER = 10.0  # instances that each server is shared by at least, so that their uneven loads even out
 PER_SERVER = 2.0  # requests in flight to each server from which on the subset grows with the load
 GROW = 1.25  # by which it grows at once
 SHRINK_AFTER = 30_000.0  # ms for which less has to do before some are left
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
+class SubsetSpec:
     """What a subset has to hold."""
 
     least: int
@@ -83,13 +83,13 @@
     be told.
     """
 
-    def __init__(self, shape: Shape, home: Layout | None = None, away: Layout | None = None) -> None:
+    def __init__(self, shape: SubsetSpec, home: Layout | None = None, away: Layout | None = None) -> None:
         """``home``, ``away``: to be shared by instances in one process; each list is the same for all of them."""
         self.shape = shape
         self.home = home if home is not None else Layout()
         self.away = away if away is not None else Layout()
         self.cells: dict[int, dict[str, Seat]] = {}
-        self.members: dict[str, interface.Listed] = {}
+        self.members: dict[str, interface.ListedEndpoint] = {}
         self.failing: dict[str, float] = {}
         """Servers that couldn't be reached, and until when they are made up for."""
         self.ends: list[tuple[float, str]] = []
@@ -102,15 +102,15 @@
     def layout(self, zone: int) -> Layout:
         return self.home if self.shape.zone is None or zone == self.shape.zone else self.away
 
-    def whole(self, listed: Sequence[interface.Listed]) -> None:
+    def replace_list(self, listed: Sequence[interface.ListedEndpoint]) -> None:
         """A whole list; what it doesn't hold is gone."""
         names = {x.endpoint for x in listed}
         for layout in (self.home, self.away):
-            for name in [n for n in layout.seats if n not in names]:
+            for name in [n for n in layout.placements if n not in names]:
                 self.remove(name)
-        self.change(listed)
+        self.apply_changes(listed)
 
-    def change(self, listed: Sequence[interface.Listed]) -> None:
+    def apply_changes(self, listed: Sequence[interface.ListedEndpoint]) -> None:
         """News of some servers."""
         for x in listed:
             known = self.find(x.endpoint)
@@ -123,10 +123,10 @@
                 layout = self.layout(x.zone)
                 layout.put(x)
                 if self.shape.mates:
-                    self.cells.setdefault(x.cell, {})[x.endpoint] = layout.seats[x.endpoint]
+                    self.cells.setdefault(x.cell, {})[x.endpoint] = layout.placements[x.endpoint]
 
     def find(self, name: str) -> Seat | None:
-        return self.home.seats.get(name) or self.away.seats.get(name)
+        return self.home.placements.get(name) or self.away.placements.get(name)
 
     def remove(self, name: str) -> None:
         seat = self.find(name)
@@ -174,12 +174,12 @@
         """Servers that are met without any load, so that each is shared by enough instances, but by no more than
         there are connections for."""
         shape, servers = self.shape, len(layout)
-        wide = max(shape.least, math.ceil(EACH_SHARED * servers / shape.group))
+        wide = max(shape.least, math.ceil(MIN_INSTANCES_PER_SERVER * servers / shape.group))
         if shape.connections:
             wide = min(wide, max(FEWEST, int(EQUAL * shape.connections * servers / shape.group)))
         return wide
 
-    def changes(self, now: float) -> list[interface.Listed]:
+    def changes(self, now: float) -> list[interface.ListedEndpoint]:
         """What the module is to be told: servers to take up or with other news, and those to leave as ``gone``.
 
         What is out on one that is left ends by itself. Costs the width, not the fleet.
@@ -194,7 +194,7 @@
         self.members = wanted
         return news
 
-    def wanted(self) -> dict[str, interface.Listed]:
+    def wanted(self) -> dict[str, interface.ListedEndpoint]:
         near = self.walk(self.home, max(self.base(self.home), math.ceil(self.wide)))
         away = self.walk(self.away, FAR_LEAST if near else max(FAR_LEAST, math.ceil(self.wide)))
         found = near | away
@@ -209,7 +209,7 @@
         Where nearly all are met anyway all are taken: the last ones of a walk take long to find.
         """
         if 2 * width >= len(layout) or (2 * len(self.failing) >= len(layout)):
-            return dict(layout.seats)
+            return dict(layout.placements)
         found: dict[str, Seat] = {}
         up = 0
         meets = visits(self.shape.me % self.shape.group, self.shape.group, layout.size)
--- a/zinclever/fleet/window.py
+++ b/zinclever/fleet/window.py
@@ -31,13 +31,13 @@
         self.peak = self.extra = self.steered_at = self.size = 0.0
         self.began = NEVER  # first answer
 
-    def start(self, endpoints: int, sharing: float) -> None:
+    def start(self, endpoints: int, balancers_per_endpoint: float) -> None:
         """There is a list: before anything is answered it says how much may go out."""
         if self.began == NEVER:
-            self.size = START_EACH * endpoints / sharing
+            self.size = START_EACH * endpoints / balancers_per_endpoint
 
-    def steer(self, now: float, crowd: bool, endpoints: int, sharing: float, own: float) -> None:
-        """After an answer. ``crowd``: requests wait; ``sharing``: balancers to each endpoint; ``own``: least room."""
+    def steer(self, now: float, crowd: bool, endpoints: int, balancers_per_endpoint: float, own: float) -> None:
+        """After an answer. ``crowd``: requests wait; ``balancers_per_endpoint``: balancers to each endpoint; ``own``: least room."""
         self.began = min(self.began, now)
         age = max(now - self.began, RATE_FIRST)
         busy = self.served.rate(now) / (1.0 - math.exp(-age / RATE_SPAN))
@@ -49,7 +49,7 @@
             self.extra = min(self.extra + GROWTH, 0.5 * busy)
         self.steered_at = now
         # The room for chance is one for all balancers together: each takes a part as if loads were even.
-        self.size = busy + self.extra + SPREAD * math.sqrt(busy / sharing) + own
+        self.size = busy + self.extra + SPREAD * math.sqrt(busy / balancers_per_endpoint) + own
         if age < START_SPAN:
             # A short record tells little; without any bound a fleet in overload is full within a second.
-            self.size = max(self.size, START_EACH * endpoints / sharing)
+            self.size = max(self.size, START_EACH * endpoints / balancers_per_endpoint)
--- a/zinclever/http1/clients.py
+++ b/zinclever/http1/clients.py
@@ -165,7 +165,7 @@
             found.append(connection)
         return found
 
-    async def all_left(self) -> None:
+    async def wait_disconnected(self) -> None:
         """Wait until no client is connected."""
         while self.count():
             self.empty.clear()
--- a/zinclever/http1/connection.py
+++ b/zinclever/http1/connection.py
@@ -16,7 +16,7 @@
 
 from ..core.host import Host, Socket
 from ..core.protocol import Address
-from ..core.standstill import LATE, SETTLE
+from ..core.stall_detector import SETTLE_TIME, STALL_THRESHOLD_MS
 
 Headers = list[tuple[bytes, bytes]]
 BLANK = b" \t"  # what may stand on either side of a header's value (RFC 9110, 5.5); the parser leaves it behind
@@ -254,9 +254,9 @@
         if self.held is None:
             return
         last, timer = self.held
-        if 1000.0 * (asyncio.get_running_loop().time() - timer.when()) > LATE:
+        if 1000.0 * (asyncio.get_running_loop().time() - timer.when()) > STALL_THRESHOLD_MS:
             # The process stood still: whether the client still waits is told in the loop's next turn.
-            self.hold_back(last, SETTLE)
+            self.hold_back(last, SETTLE_TIME)
             return
         if not self.reusable():
             self.transport.abort()  # connection_lost tells the owner
--- a/zinclever/http1/desk.py
+++ b/zinclever/http1/desk.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from ..core.counts import Replies
+from ..core.counts import ReplyCounts
 from ..core.descriptors import Descriptors
-from ..core.protocol import Final, Incoming
+from ..core.protocol import FinalAnswer, IncomingRequest
 from .bodies import ROOM_UNTOLD, Body, Room
 from .clients import Clients
 from .connection import Headers
@@ -46,11 +46,11 @@
         self.draining = True
 
     @abstractmethod
-    def read(self, method: str, target: str, headers: Headers, body: bytes | Body, waited: float) -> Incoming:
+    def read(self, method: str, target: str, headers: Headers, body: bytes | Body, waited: float) -> IncomingRequest:
         """A request that has ``waited`` so many ms here, checked; :class:`~.heads.Rejected` where it is none."""
 
     @abstractmethod
-    def take(self, told: Incoming, answer: Callable[[Final | Answer], None]) -> None:
+    def take(self, told: IncomingRequest, answer: Callable[[FinalAnswer | Answer], None]) -> None:
         """A request to be answered once, unless its client leaves before."""
 
     @abstractmethod
@@ -58,7 +58,7 @@
         """The client has gone away."""
 
     @abstractmethod
-    def replies(self, told: Incoming) -> Replies:
+    def replies(self, told: IncomingRequest) -> ReplyCounts:
         """Where a request counts."""
 
     @abstractmethod
--- a/zinclever/http1/front.py
+++ b/zinclever/http1/front.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..core.counts import Replies
-from ..core.ledger import Ledger
-from ..core.protocol import Final, Incoming
+from ..core.counts import ReplyCounts
+from ..core.dispatcher import Dispatcher
+from ..core.protocol import FinalAnswer, IncomingRequest
 from .bodies import Body
 from .connection import Headers
 from .desk import Desk
@@ -21,47 +21,47 @@
 class Front(Desk):
     """The ledger, the settings as names, who is connected and since when."""
 
-    def __init__(self, ledger: Ledger) -> None:
-        super().__init__(ledger.descriptors)
-        self.ledger = ledger
+    def __init__(self, dispatcher: Dispatcher) -> None:
+        super().__init__(dispatcher.descriptors)
+        self.dispatcher = dispatcher
         self.configure()
 
     def configure(self) -> None:
         """Take the names, and the share of descriptors, from the ledger's settings."""
-        settings = self.ledger.settings
+        settings = self.dispatcher.settings
         self.classes = {c.name: n for n, c in enumerate(settings.classes)}
         self.tenants = {t.name: n for n, t in enumerate(settings.tenants)}
         self.keyed = [c.repeat == "deduplicated" for c in settings.classes]
         self.waits = [c.deadline for c in settings.classes]
         self.divide()
 
-    def take(self, told: Incoming, answer: Callable[[Final | Answer], None]) -> None:
-        self.ledger.take(told, answer)
+    def take(self, told: IncomingRequest, answer: Callable[[FinalAnswer | Answer], None]) -> None:
+        self.dispatcher.take(told, answer)
 
     def abandon(self, request_id: str) -> None:
-        self.ledger.leave(request_id)
+        self.dispatcher.leave(request_id)
 
     def uploaded(self, request_id: str) -> None:
-        self.ledger.uploaded(request_id)
+        self.dispatcher.uploaded(request_id)
 
-    def replies(self, told: Incoming) -> Replies:
-        return self.ledger.counts.of(self.ledger.settings.classes[told.klass].name)
+    def replies(self, told: IncomingRequest) -> ReplyCounts:
+        return self.dispatcher.counts.of(self.dispatcher.settings.classes[told.klass].name)
 
     def unread(self, sock: Any) -> bool:
-        return self.ledger.host.unread(sock)
+        return self.dispatcher.host.unread(sock)
 
     def waited(self, transport: asyncio.BaseTransport, first: bool) -> float:
-        return self.ledger.waited(transport, first)
+        return self.dispatcher.waited(transport, first)
 
     def answers_itself(self, whole: Whole) -> Answer | None:
         if whole.method == "GET" and whole.target == HEALTH:
-            return Answer(200 if self.ledger.ready else 500)
+            return Answer(200 if self.dispatcher.ready else 500)
         return None
 
     def passing(self, by: int) -> None:
-        self.ledger.counts.concurrent += by
+        self.dispatcher.counts.concurrent += by
 
-    def read(self, method: str, target: str, headers: Headers, body: bytes | Body, waited: float) -> Incoming:
+    def read(self, method: str, target: str, headers: Headers, body: bytes | Body, waited: float) -> IncomingRequest:
         """A request that has ``waited`` so many ms here, checked: guards against the balancer being fed what it can't
         answer rightly."""
         named: dict[bytes, bytes] = {}
@@ -72,14 +72,14 @@
         if klass is None:
             raise Rejected(404)
         request_id = named.get(b"req-id", b"").decode("latin-1")
-        if not request_id or request_id in self.ledger.requests:
+        if not request_id or request_id in self.dispatcher.requests:
             raise Rejected(400)
         if self.keyed[klass] and not named.get(b"idempotency-key"):
             raise Rejected(400)
         owner = named.get(b"req-owner", b"").decode("latin-1")
         if self.tenants and owner not in self.tenants:
             raise Rejected(400)
-        return Incoming(
+        return IncomingRequest(
             id=request_id,
             klass=klass,
             tenant=self.tenants.get(owner, 0),
--- a/zinclever/http1/server.py
+++ b/zinclever/http1/server.py
@@ -9,8 +9,8 @@
 
 import httptools
 
-from ..core.counts import Replies
-from ..core.protocol import Final, Incoming, Refused, Served
+from ..core.counts import ReplyCounts
+from ..core.protocol import FinalAnswer, IncomingRequest, Refused, Served
 from .bodies import HELD_FREELY, STEP, Body
 from .clients import READ_FOR, State
 from .connection import BLANK, MOST_BODY, MOST_HEAD, OWN_HEADERS, Headers, Reply, Transfer, end_to_end
@@ -57,7 +57,7 @@
         self.paused = False  # the client doesn't read its answers
         self.source: Transfer | None = None  # of the answer that is passed on
         self.chunked = False  # it is, in chunks
-        self.replies = Replies()  # where the request that is out counts
+        self.replies = ReplyCounts()  # where the request that is out counts
         self.raw = 0  # bytes since the last whole request
         self.in_body = False
         self.size = 0  # of the head, then of the body
@@ -303,18 +303,18 @@
         else:
             self.hand_on(told)
 
-    def refuse(self, told: Incoming) -> None:
+    def refuse(self, told: IncomingRequest) -> None:
         """Nothing of it goes out: a repeat is harmless."""
         self.front.replies(told).refused += 1
         self.keep = False
         self.answer(Answer(503, ADVICE))
 
-    def hand_on(self, told: Incoming) -> None:
+    def hand_on(self, told: IncomingRequest) -> None:
         self.request_id = told.id
         self.replies = self.front.replies(told)
         self.front.take(told, self.finish)
 
-    def finish(self, final: Final | Answer) -> None:
+    def finish(self, final: FinalAnswer | Answer) -> None:
         """The final answer: the ledger's, or one that is worded already."""
         if isinstance(final, Answer):
             self.answer(final)
@@ -402,7 +402,7 @@
         if self.transport.is_closing():
             return
         if not whole:
-            self.replies.broke_off()
+            self.replies.mark_failed()
             self.drop()
             return
         if self.chunked:
--- a/zinclever/http1/wire.py
+++ b/zinclever/http1/wire.py
@@ -11,7 +11,7 @@
 from ..core.descriptors import Descriptors
 from ..core.host import Host
 from ..core.pools import ExclusivePools
-from ..core.protocol import Ended
+from ..core.protocol import OnEnded
 from .bodies import Body
 from .connection import Broken, ClientConnection, Reply, Sent, dial
 
@@ -51,9 +51,9 @@
 
     __slots__ = ("body", "connection", "ended", "framed", "head", "hold", "sent")
 
-    def __init__(self, head: bytes, body: bytes | Body, framed: bool, ended: Ended, hold: float, sent: Sent) -> None:
+    def __init__(self, head: bytes, body: bytes | Body, framed: bool, ended: OnEnded, hold: float, sent: Sent) -> None:
         self.head, self.body, self.framed, self.hold, self.sent = head, body, framed, hold, sent
-        self.ended: Ended | None = ended
+        self.ended: OnEnded | None = ended
         self.connection: ClientConnection | None = None
 
     def waiting(self) -> bool:
@@ -119,12 +119,12 @@
     def dispatched(self) -> None:
         self.dispatches += 1
 
-    def start(self, endpoint: str, payload: Payload, left: float, ended: Ended, unsafe: bool) -> Exchange:
+    def start(self, endpoint: str, payload: Payload, left: float, ended: OnEnded, unsafe: bool) -> Exchange:
         """Begin an attempt that is waited for ``left`` seconds. The last byte of an unsafe one is held back:
         most connections that break do so before."""
         head = b"%bReq-Deadline: %.3f\r\n" % (payload.head, left)
         exchange = Exchange(head, payload.body, payload.framed, ended, HOLD if unsafe else 0.0, self.dispatched)
-        self.carry(endpoint, exchange)
+        self.send_attempt(endpoint, exchange)
         return exchange
 
 
--- a/zinclever/interface.py
+++ b/zinclever/interface.py
@@ -191,7 +191,7 @@
 # --- events -----------------------------------------------------------------------------------------------
 
 
-class Listed(NamedTuple):
+class ListedEndpoint(NamedTuple):
     """One endpoint as discovery lists it."""
 
     endpoint: str
@@ -203,11 +203,11 @@
     """Instant of its latest start; 0: long past."""
 
 
-class MembershipNews(NamedTuple):
+class MembershipUpdate(NamedTuple):
     """Discovery's news. ``remembered``: the list of an earlier life; ``refused``: a call failed."""
 
     kind: ListKind
-    entries: Sequence[Listed] = ()
+    entries: Sequence[ListedEndpoint] = ()
     of: int = 0
     """Endpoints in all, where the balancer is told a subset of them only; 0: it is told all."""
 
@@ -287,7 +287,7 @@
 
 
 Event = (
-    MembershipNews
+    MembershipUpdate
     | RequestArrived
     | UploadEnded
     | RequestClosed
@@ -342,7 +342,7 @@
 class WatchMembership(NamedTuple):
     """Subscribe to discovery's changes, or leave."""
 
-    on: bool
+    subscribe: bool
 
 
 class Probe(NamedTuple):
@@ -362,12 +362,22 @@
     endpoint: str
 
 
-class Note(NamedTuple):
+class LogMessage(NamedTuple):
     """A line for the operators' log."""
 
     text: str
 
 
 Action = (
-    Send | Cancel | Refuse | Fail | SetTimer | FetchMembership | WatchMembership | Probe | TellPeers | CloseIdle | Note
+    Send
+    | Cancel
+    | Refuse
+    | Fail
+    | SetTimer
+    | FetchMembership
+    | WatchMembership
+    | Probe
+    | TellPeers
+    | CloseIdle
+    | LogMessage
 )
--- a/zinclever/jsonrpc/connection.py
+++ b/zinclever/jsonrpc/connection.py
@@ -16,7 +16,7 @@
 
 from .. import interface
 from ..core.host import Host, Socket
-from ..core.protocol import Address, Ended
+from ..core.protocol import Address, OnEnded
 from ..core.shared import Watcher
 from .codec import Noise, Response, read_response
 from .framing import Framer, Framing, FramingError, frame, spoil
@@ -68,9 +68,9 @@
 
     __slots__ = ("connection", "ended", "id", "payload", "state", "written_at")
 
-    def __init__(self, payload: Payload, ended: Ended) -> None:
+    def __init__(self, payload: Payload, ended: OnEnded) -> None:
         self.payload = payload
-        self.ended: Ended | None = ended
+        self.ended: OnEnded | None = ended
         self.connection: ClientConnection | None = None
         self.state = State.WAITING
         self.id = -1
@@ -80,7 +80,7 @@
         return self.ended is not None
 
     def run(self, connection: ClientConnection) -> None:
-        connection.carry(self)
+        connection.send_attempt(self)
 
     def end(self, outcome: interface.Outcome, reply: Reply | None = None) -> None:
         ended, self.ended = self.ended, None
@@ -150,7 +150,7 @@
         except OSError:
             return False
 
-    def carry(self, attempt: Exchange) -> None:
+    def send_attempt(self, attempt: Exchange) -> None:
         attempt.connection, attempt.state = self, State.QUEUED
         self.issued += 1
         attempt.id = self.issued
@@ -165,7 +165,7 @@
             self.flushing = True
             self.loop.call_soon(self.flush)
 
-    def turn_back(self) -> None:
+    def drop_unsent(self) -> None:
         queue, self.queue = self.queue, deque()
         for call in queue:
             if self.calls.pop(call.id, None) is not None:
--- a/zinclever/jsonrpc/front.py
+++ b/zinclever/jsonrpc/front.py
@@ -13,8 +13,8 @@
 from functools import partial
 from typing import cast
 
-from ..core.ledger import Ledger
-from ..core.protocol import Final, Incoming, Refused, Served
+from ..core.dispatcher import Dispatcher
+from ..core.protocol import FinalAnswer, IncomingRequest, Refused, Served
 from . import codec
 from .codec import Batch, Call, Invalid
 from .connection import Payload
@@ -38,8 +38,8 @@
 class Front:
     """What the connections of one service share."""
 
-    def __init__(self, ledger: Ledger, rules: Rules) -> None:
-        self.ledger, self.descriptors, self.rules = ledger, ledger.descriptors, rules
+    def __init__(self, dispatcher: Dispatcher, rules: Rules) -> None:
+        self.dispatcher, self.descriptors, self.rules = dispatcher, dispatcher.descriptors, rules
         self.loop = asyncio.get_running_loop()
         self.numbers = itertools.count(1)
         self.connections: dict[ServerConnection, None] = {}
@@ -50,10 +50,10 @@
         self.configure()
 
     def configure(self) -> None:
-        self.waits = [c.deadline for c in self.ledger.settings.classes]
+        self.waits = [c.deadline for c in self.dispatcher.settings.classes]
         self.most = max(1, min(self.descriptors.limit // SHARE, self.rules.most_clients))
 
-    def adopt(self, rules: Rules) -> None:
+    def reconfigure(self, rules: Rules) -> None:
         """Other methods from now on; connections that are open keep their framing."""
         self.rules = rules
         self.configure()
@@ -92,7 +92,7 @@
         for connection in list(self.connections):
             connection.close_idle()
 
-    async def all_left(self) -> None:
+    async def wait_disconnected(self) -> None:
         while self.connections:
             self.empty.clear()
             await self.empty.wait()
@@ -101,7 +101,7 @@
         for connection in list(self.connections):
             connection.drop()
 
-    def read(self, call: Call, waited: float) -> Incoming | Invalid:
+    def read(self, call: Call, waited: float) -> IncomingRequest | Invalid:
         """A call that has ``waited`` so many ms here, sorted into its class; or the error that it is owed."""
         answer_to = codec.NULL if call.id is None else call.id
         method = self.rules.methods.get(call.method)
@@ -117,7 +117,7 @@
                 told = f"Invalid params: no key at /{'/'.join(method.key)}"
                 return Invalid(answer_to, codec.INVALID_PARAMS, told)
             key = found
-        return Incoming(
+        return IncomingRequest(
             id=str(next(self.numbers)),
             klass=method.klass,
             tenant=0,
@@ -174,7 +174,7 @@
         calls, self.open = self.open, {}
         for number, call in calls.items():
             if call.id is not None:
-                self.front.ledger.leave(number)
+                self.front.dispatcher.leave(number)
 
     # --- reading ---
 
@@ -182,7 +182,7 @@
         if self.gone or self.rejecting:
             return
         self.front.heard(self)
-        self.waited = self.front.ledger.waited(self.transport, self.fresh)
+        self.waited = self.front.dispatcher.waited(self.transport, self.fresh)
         self.fresh = False
         wrong: FramingError | None = None
         try:
@@ -257,7 +257,7 @@
             if told.identity is not None:
                 self.identities.add(told.identity)
             self.open[incoming.id] = told
-            self.front.ledger.take(incoming, partial(self.finish, incoming.id, gathering))
+            self.front.dispatcher.take(incoming, partial(self.finish, incoming.id, gathering))
 
     def invalid(self, told: Invalid) -> bytes:
         self.front.counts[str(told.code)] += 1
@@ -265,7 +265,7 @@
 
     # --- writing ---
 
-    def finish(self, number: str, gathering: Gathering | None, final: Final) -> None:
+    def finish(self, number: str, gathering: Gathering | None, final: FinalAnswer) -> None:
         """The ledger's final answer to a call."""
         call = self.open.pop(number, None)
         if call is None:
@@ -348,14 +348,14 @@
 
     def readable(self) -> bool:
         """Whether the kernel holds something that the loop has not read yet."""
-        return self.front.ledger.host.unread(self.transport.get_extra_info("socket"))
+        return self.front.dispatcher.host.unread(self.transport.get_extra_info("socket"))
 
     def drop(self) -> None:
         if not self.gone:
             self.transport.abort()
 
 
-def render(id: bytes, final: Final) -> bytes:
+def render(id: bytes, final: FinalAnswer) -> bytes:
     if isinstance(final, Served):
         return b"%b%b%b" % (final.reply.head, id, final.reply.tail)
     said = final.reply.error if final.reply is not None else b""
--- a/zinclever/jsonrpc/wire.py
+++ b/zinclever/jsonrpc/wire.py
@@ -7,7 +7,7 @@
 from .. import interface
 from ..core.descriptors import Descriptors
 from ..core.host import Host
-from ..core.protocol import Address, Ended
+from ..core.protocol import Address, OnEnded
 from ..core.shared import SharedPools, Watcher
 from .codec import Response
 from .connection import ClientConnection, Exchange, Payload, Proofs, dial
@@ -30,9 +30,9 @@
         """By what holds now: a reload changes it for connections that are open, too."""
         return self.proofs.outcome(response)
 
-    def start(self, endpoint: str, payload: Payload, left: float, ended: Ended, unsafe: bool) -> Exchange:
+    def start(self, endpoint: str, payload: Payload, left: float, ended: OnEnded, unsafe: bool) -> Exchange:
         """Begin a call. ``left`` and ``unsafe`` change nothing: a shared connection can't hold a byte back
         without holding back the neighbours', and JSON-RPC has no place for a deadline."""
         exchange = Exchange(payload, ended)
-        self.carry(endpoint, exchange)
+        self.send_attempt(endpoint, exchange)
         return exchange
--- a/zinclever/mesh/configuration/active.py
+++ b/zinclever/mesh/configuration/active.py
@@ -47,7 +47,7 @@
         if generation == self.generation and text == self.text and self.configuration is not None:
             self.index = index  # the same one under a later entry, after a change of the voters
             return False
-        configuration = parse(text, is_checked=True)
+        configuration = parse(text, already_validated=True)
         self.index, self.generation, self.text, self.configuration = index, generation, text, configuration
         self.cached_compressed = b""
         for listener in self.listeners:
--- a/zinclever/mesh/configuration/document.py
+++ b/zinclever/mesh/configuration/document.py
@@ -89,7 +89,7 @@
     host: str
     """In lower case."""
     prefix: str
-    safe: bool
+    is_idempotent: bool
     """Its requests may run more than once."""
     deadline: float
     """s that a request is held at the longest."""
@@ -136,10 +136,10 @@
         return None
 
 
-def parse(text: bytes, is_checked: bool = False) -> Configuration:
+def parse(text: bytes, already_validated: bool = False) -> Configuration:
     """A configuration from its text. MeshError with the path of the field that is wrong.
 
-    ``is_checked``: its fields were validated before it was committed, and aren't again: 2,000 routes take a second to
+    ``already_validated``: its fields were validated before it was committed, and aren't again: 2,000 routes take a second to
     validate and 10 ms to parse.
     """
     if len(text) > MAX_TEXT_BYTES:
@@ -150,11 +150,11 @@
         raise MeshError("CONFIG_UNREADABLE", str(error)) from None
     if not isinstance(document, dict):
         raise MeshError("CONFIG_INVALID", "must be a table")
-    if not is_checked:
+    if not already_validated:
         validate(WHOLE_NUMBER, document.get("Generation"), "Generation")
     raw_routes, raw_services = require_table(document, "Routes"), require_table(document, "Services")
     limits = document.get("Limits", {})
-    if not is_checked:
+    if not already_validated:
         validate_fields(raw_routes, raw_services, limits)
     services = {name: parse_service(name, raw) for name, raw in raw_services.items()}
     routes = {name: parse_route(name, raw, services) for name, raw in raw_routes.items()}
@@ -240,7 +240,7 @@
         name=name,
         host=raw["Authority"].lower(),
         prefix=raw["PathPrefix"],
-        safe=raw["RouteClass"] == IDEMPOTENT,
+        is_idempotent=raw["RouteClass"] == IDEMPOTENT,
         deadline=deadline,
         latency_target=float(raw.get("TargetLatencyS", 0.0)) or deadline,
         priority=float(raw.get("Priority", 0)),
--- a/zinclever/mesh/consensus/client_calls.py
+++ b/zinclever/mesh/consensus/client_calls.py
@@ -47,21 +47,21 @@
 
     def read(self, now: float, call_id: int) -> None:
         """Read the configuration in force."""
-        if self.has_room(0):
+        if self.has_capacity(0):
             self.await_confirmation(ReadCall(call_id, now))
         else:
             self.reply(call_id, 503, TOO_MANY_CALLS)
 
     def change(self, call: ChangeCall, committed: LogEntry | None) -> None:
         """Replace the configuration; ``committed``: None while the leader doesn't know what is."""
-        if not self.has_room(len(call.text)):
+        if not self.has_capacity(len(call.text)):
             self.reply(call.call_id, 503, TOO_MANY_CALLS)
         elif committed is not None and not may_be_proposed(call, committed):
             self.answer_directly(call, committed)
         else:
             self.queued_changes.append(call)
 
-    def has_room(self, size: int) -> bool:
+    def has_capacity(self, size: int) -> bool:
         """Whether one more call, with a configuration of ``size`` bytes, may wait."""
         calls = [*self.queued_changes, *(entry.call for entry in self.unconfirmed)]
         held = sum(len(call.text) for call in calls if isinstance(call, ChangeCall))
--- a/zinclever/mesh/consensus/election.py
+++ b/zinclever/mesh/consensus/election.py
@@ -24,7 +24,7 @@
         if not has_majority(self.voters(), self.heard_within(ELECTION_TIMEOUT, now)):
             return  # one that hears no majority can't win, and would only raise the term
         delay = ELECTION_STAGGER * self.live_voters_before(voters, now)
-        if now - self.leader_last_heard > ELECTION_TIMEOUT + delay and now - self.role_since > delay:
+        if now - self.leader_last_contact > ELECTION_TIMEOUT + delay and now - self.role_since > delay:
             self.start_election(now)
 
     def live_voters_before(self, voters: list[str], now: float) -> int:
@@ -39,7 +39,7 @@
             if disk == self.own_voter.disk:
                 break
             assumed = self.started_at + STARTUP_GRACE - ELECTION_TIMEOUT
-            if now - self.last_heard.get(disk, assumed) < ELECTION_TIMEOUT:
+            if now - self.last_contact.get(disk, assumed) < ELECTION_TIMEOUT:
                 count += 1
         return count
 
@@ -109,20 +109,20 @@
         for votes would put theirs off.
         """
         self.leader = ""
-        self.leader_last_heard = now + ELECTION_STAGGER * len(self.voters())
+        self.leader_last_contact = now + ELECTION_STAGGER * len(self.voters())
 
     # --- voters ---
 
     def on_vote_request(self, now: float, m: ConsensusMessage) -> None:
         """Vote for a candidate, once that is durable; not in a lower term, not twice, not while the leader is heard."""
-        is_sticky = self.leader not in ("", m.disk) and now - self.leader_last_heard < LEADER_STICKINESS
+        is_sticky = self.leader not in ("", m.disk) and now - self.leader_last_contact < LEADER_STICKINESS
         has_voted = m.term == self.vote.term and self.vote.candidate not in ("", m.disk)
         if is_sticky or m.term < self.vote.term or has_voted:
             self.respond(m, self.vote_reply(False, m.term))
             return
         if self.role in (ReplicaRole.LEADER, ReplicaRole.CANDIDATE):
             self.change_role(ReplicaRole.FOLLOWER, now)
-        self.leader_last_heard = max(self.leader_last_heard, now - ELECTION_TIMEOUT / 2)
+        self.leader_last_contact = max(self.leader_last_contact, now - ELECTION_TIMEOUT / 2)
         self.vote = Vote(m.term, m.disk)
         voter = self.sender_of(m)
         self.persist(None, [Send(voter, self.vote_reply(True, m.term))] if voter is not None else [])
--- a/zinclever/mesh/consensus/quorum.py
+++ b/zinclever/mesh/consensus/quorum.py
@@ -65,7 +65,7 @@
     zones: int = 0
     regions: int = 0
 
-    def tolerated_losses(self, control_nodes: Collection[Location]) -> int:
+    def tolerated_failures(self, control_nodes: Collection[Location]) -> int:
         """Control nodes that the voters have to bear the loss of.
 
         A zone or a region is lost with all its machines; no more can be borne than leaves a majority of the control
@@ -90,17 +90,17 @@
     return count // 2 + 1
 
 
-def commit_quorum(count: int, tolerated_losses: int) -> int:
+def commit_quorum(count: int, tolerated_failures: int) -> int:
     """How many disks of ``count`` voters have to have an entry.
 
     A majority, and enough that after the tolerated losses one of them is left.
     """
-    return min(count, max(majority(count), tolerated_losses + 1))
+    return min(count, max(majority(count), tolerated_failures + 1))
 
 
-def has_commit_quorum(voters: Sequence[Voter], holders: Collection[str], tolerated_losses: int) -> bool:
+def has_commit_quorum(voters: Sequence[Voter], holders: Collection[str], tolerated_failures: int) -> bool:
     """Whether these disks are enough to commit an entry."""
-    return sum(disk in holders for disk in disk_ids(voters)) >= commit_quorum(len(voters), tolerated_losses)
+    return sum(disk in holders for disk in disk_ids(voters)) >= commit_quorum(len(voters), tolerated_failures)
 
 
 def has_majority(voters: Sequence[Voter], disks: Collection[str]) -> bool:
@@ -123,18 +123,18 @@
     return bool(entry.previous_voters) and disk_ids(entry.previous_voters) != disk_ids(entry.voters)
 
 
-def target_size(founding_size: int, tolerated_losses: int) -> int:
+def target_size(founding_size: int, tolerated_failures: int) -> int:
     """The least size of the set of voters: after the tolerated losses, the rest are a majority of it."""
-    return max(1, founding_size, 2 * tolerated_losses + 1)
+    return max(1, founding_size, 2 * tolerated_failures + 1)
 
 
 def next_voters(
     committed: LogEntry,
     leader: str,
     learners: Mapping[str, Learner],
-    last_heard: Mapping[str, float],
+    last_contact: Mapping[str, float],
     now: float,
-    tolerated_losses: int = 1,
+    tolerated_failures: int = 1,
     leaving: Collection[str] = (),
 ) -> VoterChange | None:
     """The one change that is due, or None where the voters should stay as they are.
@@ -145,10 +145,10 @@
     gone, a smaller set needs fewer of the rest.
     """
     voters = list(committed.voters)
-    target = target_size(committed.founding_size, tolerated_losses)
+    target = target_size(committed.founding_size, tolerated_failures)
 
     def is_unheard(voter: Voter, timeout: float) -> bool:
-        return voter.disk != leader and now - last_heard.get(voter.disk, -math.inf) > timeout
+        return voter.disk != leader and now - last_contact.get(voter.disk, -math.inf) > timeout
 
     left = next((v for v in voters if v.disk in leaving and v.disk != leader), None)
     lost = next((v for v in voters if is_unheard(v, VOTER_LOST_TIMEOUT)), None)
--- a/zinclever/mesh/consensus/replica.py
+++ b/zinclever/mesh/consensus/replica.py
@@ -63,14 +63,14 @@
         Who leads depends on terms alone; this spares a healthy leader an election.
         """
         if now - self.ticked_at > STALL_THRESHOLD:
-            self.leader_last_heard = max(self.leader_last_heard, now - ELECTION_TIMEOUT / 2)
+            self.leader_last_contact = max(self.leader_last_contact, now - ELECTION_TIMEOUT / 2)
         self.ticked_at = now
 
     def tick_candidate(self, now: float) -> None:
         """Ask for votes again, or end a round that nobody has won."""
         if now - self.role_since > ELECTION_ROUND:
             self.change_role(ReplicaRole.FOLLOWER, now)
-            self.leader_last_heard = now - ELECTION_TIMEOUT  # the next in order gets its turn, too
+            self.leader_last_contact = now - ELECTION_TIMEOUT  # the next in order gets its turn, too
             self.leader = ""  # candidates that took different replicas for the leader agree on the order now
         elif now - self.votes_requested_at > HEARTBEAT_INTERVAL:
             self.request_votes(now)
@@ -81,7 +81,7 @@
         has_led_for = now - self.role_since
         if has_led_for > QUORUM_TIMEOUT and not has_majority(voters, self.heard_within(QUORUM_TIMEOUT, now)):
             self.change_role(ReplicaRole.FOLLOWER, now)
-            self.leader_last_heard = now
+            self.leader_last_contact = now
         elif self.proposed is not None:
             self.check_proposal(now, self.proposed)
         else:
@@ -116,7 +116,7 @@
     def next_voter_change(self, now: float) -> VoterChange | None:
         """The change of the voters that is due."""
         return self.voter_changes.next_change(
-            self.committed, self.own_voter.disk, self.last_heard, now, self.tolerated_losses
+            self.committed, self.own_voter.disk, self.last_contact, now, self.tolerated_failures
         )
 
     # --- heartbeats and snapshots ---
@@ -246,7 +246,7 @@
 
     def release_leaving(self) -> None:
         """Let those that leave end, once what is committed is on enough other disks."""
-        if not self.voter_changes.is_durable_without_leaving(self.committed, self.tolerated_losses):
+        if not self.voter_changes.is_durable_without_leaving(self.committed, self.tolerated_failures):
             return
         for disk in self.voter_changes.leaving_since:
             heartbeat = next((h for h in self.latest_heartbeats.values() if h.disk == disk), None)
@@ -262,7 +262,7 @@
             for voter in self.other_voters():
                 self.send(voter, self.message_with_voter(MessageKind.TRANSFER_LEADERSHIP, self.term))
             self.change_role(ReplicaRole.FOLLOWER, now)
-            self.leader_last_heard = now
+            self.leader_last_contact = now
 
     def leave(self, now: float) -> None:
         """Prepare the end of this replica, which may be for good: it can't know.
@@ -274,11 +274,13 @@
             self.change_role(ReplicaRole.FOLLOWER, now)
         self.transfer_leadership(now)
 
-    def may_end(self, now: float) -> bool:
+    def can_shut_down(self, now: float) -> bool:
         """Whether nothing depends on this replica any more, or nobody is there whom waiting would help."""
         staying = [voter for voter in self.other_voters() if voter.disk not in self.voter_changes.leaving_since]
-        is_anybody_heard = any(now - self.last_heard.get(voter.disk, -math.inf) < ELECTION_TIMEOUT for voter in staying)
-        return self.released or not self.is_voter() or not is_anybody_heard
+        is_anybody_heard = any(
+            now - self.last_contact.get(voter.disk, -math.inf) < ELECTION_TIMEOUT for voter in staying
+        )
+        return self.leave_granted or not self.is_voter() or not is_anybody_heard
 
     def on_leave_reply(self, m: ConsensusMessage) -> None:
         """The leader has made sure that entries up to an index are on enough other disks.
@@ -287,7 +289,7 @@
         """
         last = self.last_accepted()
         if last is None or last.index <= m.index:
-            self.released = self.leaving
+            self.leave_granted = self.leaving
 
     # --- founding the cluster ---
 
@@ -311,7 +313,7 @@
         self.term = 1
         self.vote = Vote(1, self.own_voter.disk)
         for voter in voters:
-            self.last_heard[voter.disk] = now
+            self.last_contact[voter.disk] = now
         self.propose(now, LogEntry(term=1, index=1, voters=voters, founding_size=len(voters)))
 
     # --- messages of others ---
@@ -319,7 +321,7 @@
     def receive(self, now: float, m: ConsensusMessage) -> None:
         """Handle a message of another replica, or of this one to itself."""
         if m.disk != self.own_voter.disk:
-            self.last_heard[m.disk] = now
+            self.last_contact[m.disk] = now
         from_leader = m.disk == self.leader and m.term >= self.vote.term
         if m.kind == MessageKind.HEARTBEAT:
             self.on_heartbeat(now, m)
@@ -336,8 +338,8 @@
         elif m.kind == MessageKind.LEADERSHIP_CONFIRMED:
             self.on_leadership_confirmed(m)
         elif m.kind == MessageKind.TRANSFER_LEADERSHIP and from_leader:
-            self.last_heard.pop(m.disk, None)  # it is passed over in the order of voters ...
-            self.leader_last_heard = now - ELECTION_TIMEOUT  # ... and the next one needn't wait for its silence
+            self.last_contact.pop(m.disk, None)  # it is passed over in the order of voters ...
+            self.leader_last_contact = now - ELECTION_TIMEOUT  # ... and the next one needn't wait for its silence
         elif m.kind == MessageKind.LEAVE:
             self.voter_changes.on_leave(now, m.disk)
         elif m.kind == MessageKind.LEAVE_REPLY and m.granted and from_leader:
--- a/zinclever/mesh/consensus/replica_state.py
+++ b/zinclever/mesh/consensus/replica_state.py
@@ -32,19 +32,19 @@
         own_voter: Voter,
         founding_addresses: list[tuple[str, int]],
         bootstrap: bool,
-        tolerated_losses: int,
+        tolerated_failures: int,
         now: float,
         vote: Vote | None = None,
         accepted: LogEntry | None = None,
     ) -> None:
         """``founding_addresses``: of the replicas that found the cluster if ``bootstrap`` is set.
 
-        ``tolerated_losses``: disks that may be lost at once. ``vote`` and ``accepted``: as read from the disk.
+        ``tolerated_failures``: disks that may be lost at once. ``vote`` and ``accepted``: as read from the disk.
         """
         self.own_voter = own_voter
         self.founding_addresses = sorted(founding_addresses)
         self.bootstrap = bootstrap
-        self.tolerated_losses = tolerated_losses
+        self.tolerated_failures = tolerated_failures
         self.actions: list[Action] = []
         self.started_at = self.ticked_at = now
 
@@ -54,15 +54,15 @@
         self.committed = LogEntry()
         self.committed_digest = 0
         self.last_token = 0
-        self.persisting: dict[int, Persist] = {}
+        self.pending_persists: dict[int, Persist] = {}
         self.after_persist: dict[int, list[Send]] = {}
         """By token: what is sent once that save is durable."""
 
         # The others.
         self.leader = ""
         """Disk of the leader, as far as is known; empty where it isn't."""
-        self.leader_last_heard = -math.inf
-        self.last_heard: dict[str, float] = {}
+        self.leader_last_contact = -math.inf
+        self.last_contact: dict[str, float] = {}
         self.reported: dict[str, ReportedCommit] = {}
         self.latest_heartbeats: dict[tuple[str, int], ConsensusMessage] = {}
         """By address."""
@@ -89,7 +89,7 @@
         self.calls = ClientCalls(self.reply)
         self.leaving = False
         """This replica is about to end: it takes no more part in elections."""
-        self.released = False
+        self.leave_granted = False
         """The leader has said that nothing depends on this replica any more."""
         if self.is_voter():
             self.change_role(ReplicaRole.FOLLOWER, now)
@@ -105,7 +105,7 @@
         if role in (ReplicaRole.FOLLOWER, ReplicaRole.LEARNER):
             self.proposed = None
         if role is ReplicaRole.LEADER:
-            self.leader, self.leader_last_heard = self.own_voter.disk, now
+            self.leader, self.leader_last_contact = self.own_voter.disk, now
             self.voter_changes.begin_term()
         elif self.leader == self.own_voter.disk:
             self.leader = ""
@@ -136,7 +136,7 @@
 
     def heard_within(self, timeout: float, now: float) -> set[str]:
         """Disks of the replicas that were heard lately, this one among them."""
-        return {disk for disk, at in self.last_heard.items() if now - at < timeout} | {self.own_voter.disk}
+        return {disk for disk, at in self.last_contact.items() if now - at < timeout} | {self.own_voter.disk}
 
     # --- the log ---
 
@@ -160,17 +160,17 @@
         self.last_token += 1
         action = Persist(self.vote, entry, self.last_token)
         self.after_persist[self.last_token] = after
-        self.persisting[self.last_token] = action
+        self.pending_persists[self.last_token] = action
         self.actions.append(action)
 
     def last_accepted(self) -> LogEntry | None:
         """The entry that is on the disk once the saves under way are done."""
-        pending = [action.entry for action in self.persisting.values() if action.entry is not None]
+        pending = [action.entry for action in self.pending_persists.values() if action.entry is not None]
         return pending[-1] if pending else self.accepted
 
     def on_persisted(self, now: float, token: int, is_durable: bool) -> None:
         """A save is done, or has failed: then nothing is promised, and what was to be sent is sent as a refusal."""
-        action, after = self.persisting.pop(token), self.after_persist.pop(token)
+        action, after = self.pending_persists.pop(token), self.after_persist.pop(token)
         if is_durable and action.entry is not None:
             self.accepted = action.entry
         if is_durable and self.role is ReplicaRole.LEARNER and self.is_voter():
--- a/zinclever/mesh/consensus/replica_store.py
+++ b/zinclever/mesh/consensus/replica_store.py
@@ -175,7 +175,7 @@
         folder.mkdir(parents=True)
 
 
-def read_folder(folder: Path) -> StoredState:
+def read_stored_state(folder: Path) -> StoredState:
     """What a replica has on its disk, read without changing anything. MeshError where there is no state."""
     try:
         vote_records = GenerationFile(folder, VOTE_FILES).load(repair=False)
--- a/zinclever/mesh/consensus/replication.py
+++ b/zinclever/mesh/consensus/replication.py
@@ -60,19 +60,19 @@
         quorum of theirs. The first entry has to be on all disks.
         """
         is_founding = entry.index == 1 and not self.committed.index and entry.term == 1
-        tolerated_losses = len(entry.voters) - 1 if is_founding else self.tolerated_losses
+        tolerated_failures = len(entry.voters) - 1 if is_founding else self.tolerated_failures
         before = entry.previous_voters if entry.index > self.committed.index else []
         if before and not has_majority(before, self.acknowledged_by):
             return False
         live = self.heard_within(ELECTION_TIMEOUT, now)
-        counted = self.voter_changes.counted(entry.voters, self.acknowledged_by, live, tolerated_losses)
-        return has_commit_quorum(entry.voters, counted, tolerated_losses)
+        counted = self.voter_changes.counted(entry.voters, self.acknowledged_by, live, tolerated_failures)
+        return has_commit_quorum(entry.voters, counted, tolerated_failures)
 
     # --- the others ---
 
     def on_append(self, now: float, m: ConsensusMessage) -> None:
         """Accept the leader's entry, acknowledged once it is durable. A lower term or a second founding is refused."""
-        if self.released:
+        if self.leave_granted:
             return  # it may end at any moment, for good: an entry that counted on its disk could be lost with it
         entry = m.entry
         last = self.last_accepted()
@@ -104,7 +104,7 @@
         if self.role in (ReplicaRole.LEADER, ReplicaRole.CANDIDATE) and term > self.term:
             self.change_role(ReplicaRole.FOLLOWER, now)
         if self.role is ReplicaRole.FOLLOWER or self.role is ReplicaRole.LEARNER:
-            self.leader, self.leader_last_heard = disk, now
+            self.leader, self.leader_last_contact = disk, now
 
     def conflicts_with_founding(self, entry: LogEntry) -> bool:
         """Whether this would found the cluster a second time."""
--- a/zinclever/mesh/consensus/voter_changes.py
+++ b/zinclever/mesh/consensus/voter_changes.py
@@ -78,22 +78,22 @@
         for disk in disk_ids(voters):
             self.learners.pop(disk, None)
 
-    def last_heard_here(self, voters: Iterable[Voter], last_heard: Mapping[str, float]) -> dict[str, float]:
+    def last_heard_here(self, voters: Iterable[Voter], last_contact: Mapping[str, float]) -> dict[str, float]:
         """When each was last heard, as far as this process was there to hear it."""
-        return {voter.disk: max(last_heard.get(voter.disk, self.started_at), self.resumed_at) for voter in voters}
+        return {voter.disk: max(last_contact.get(voter.disk, self.started_at), self.resumed_at) for voter in voters}
 
     def next_change(
-        self, committed: LogEntry, leader: str, last_heard: Mapping[str, float], now: float, tolerated_losses: int
+        self, committed: LogEntry, leader: str, last_contact: Mapping[str, float], now: float, tolerated_failures: int
     ) -> VoterChange | None:
         """The change of the voters that is due: only learners that have the state take part."""
         self.learners = {
             disk: learner
             for disk, learner in self.learners.items()
-            if now - last_heard.get(disk, now) < LEARNER_TIMEOUT
+            if now - last_contact.get(disk, now) < LEARNER_TIMEOUT
         }
         ready = {disk: learner for disk, learner in self.learners.items() if disk in self.durable_index}
-        heard = self.last_heard_here(committed.voters, last_heard)
-        self.proposed_change = next_voters(committed, leader, ready, heard, now, tolerated_losses, self.leaving_since)
+        heard = self.last_heard_here(committed.voters, last_contact)
+        self.proposed_change = next_voters(committed, leader, ready, heard, now, tolerated_failures, self.leaving_since)
         return self.proposed_change
 
     def due_appends(self, now: float, committed: LogEntry) -> list[Voter]:
@@ -107,17 +107,17 @@
             self.sent_at[voter.disk] = now
         return due
 
-    def is_durable_without_leaving(self, committed: LogEntry, tolerated_losses: int) -> bool:
+    def is_durable_without_leaving(self, committed: LogEntry, tolerated_failures: int) -> bool:
         """Whether the committed entry is on enough disks of voters that don't leave."""
         staying = [disk for disk in disk_ids(committed.voters) if disk not in self.leaving_since]
         durable = sum(self.durable_index.get(disk, 0) >= committed.index for disk in staying)
-        return durable >= min(commit_quorum(len(committed.voters), tolerated_losses), len(staying))
+        return durable >= min(commit_quorum(len(committed.voters), tolerated_failures), len(staying))
 
     def counted(
-        self, voters: Sequence[Voter], holders: Collection[str], live: Collection[str], tolerated_losses: int
+        self, voters: Sequence[Voter], holders: Collection[str], live: Collection[str], tolerated_failures: int
     ) -> set[str]:
         """Of the disks that have an entry, those that count: not the ones that leave, if the rest can be enough."""
         staying = {disk for disk in live if disk not in self.leaving_since}
-        if self.leaving_since and has_commit_quorum(voters, staying, tolerated_losses):
+        if self.leaving_since and has_commit_quorum(voters, staying, tolerated_failures):
             return {disk for disk in holders if disk not in self.leaving_since}
         return set(holders)
--- a/zinclever/mesh/control_api/listener.py
+++ b/zinclever/mesh/control_api/listener.py
@@ -9,10 +9,10 @@
 
 import orjson
 
-from ...core.counts import Replies
+from ...core.counts import ReplyCounts
 from ...core.descriptors import Descriptors
 from ...core.host import Host
-from ...core.protocol import Final, Incoming
+from ...core.protocol import FinalAnswer, IncomingRequest
 from ...http1.bodies import Body
 from ...http1.connection import Headers
 from ...http1.desk import Desk
@@ -62,9 +62,9 @@
         self.last_number = 0
         self.tasks: dict[str, asyncio.Task[None]] = {}
         """The calls whose answers are awaited, by number."""
-        self.counted = Replies()
+        self.counted = ReplyCounts()
 
-    def read(self, method: str, target: str, headers: Headers, body: bytes | Body, waited: float) -> Incoming:
+    def read(self, method: str, target: str, headers: Headers, body: bytes | Body, waited: float) -> IncomingRequest:
         """Find the handler of a call. Rejected with 404 or 405 where there is none."""
         match = self.router.find(method, target)
         if match.handler is None:
@@ -75,9 +75,9 @@
             by_name.setdefault(name.decode("latin-1").lower(), value.decode("latin-1"))
         self.last_number += 1
         call = Call(match.path_parameters, by_name, body)
-        return Incoming(str(self.last_number), 0, 0, "", 0.0, 0.0, False, (match.handler, call))
+        return IncomingRequest(str(self.last_number), 0, 0, "", 0.0, 0.0, False, (match.handler, call))
 
-    def take(self, told: Incoming, answer: Callable[[Final | Answer], None]) -> None:
+    def take(self, told: IncomingRequest, answer: Callable[[FinalAnswer | Answer], None]) -> None:
         """Handle a call, now or in a task."""
         handler, call = told.payload
         try:
@@ -91,7 +91,7 @@
             self.tasks[told.id] = asyncio.ensure_future(self.answer_later(told.id, result, answer))
 
     async def answer_later(
-        self, number: str, result: Awaitable[Answer], answer: Callable[[Final | Answer], None]
+        self, number: str, result: Awaitable[Answer], answer: Callable[[FinalAnswer | Answer], None]
     ) -> None:
         """Answer a call once its handler has."""
         try:
@@ -104,7 +104,7 @@
     def abandon(self, request_id: str) -> None:
         """The caller has gone: what the call does is still done."""
 
-    def replies(self, told: Incoming) -> Replies:
+    def replies(self, told: IncomingRequest) -> ReplyCounts:
         """The counts of answers."""
         return self.counted
 
--- a/zinclever/mesh/dataplane/admission.py
+++ b/zinclever/mesh/dataplane/admission.py
@@ -22,11 +22,11 @@
     each; their ingress says it of each request, at once, and a request moves on from one that has no capacity.
     """
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """There is no concurrency window."""
         return True
 
-    def is_crowded(self) -> bool:
+    def is_saturated(self) -> bool:
         """Hedges are refused by the ingress, each where it is busy."""
         return False
 
--- a/zinclever/mesh/dataplane/egress.py
+++ b/zinclever/mesh/dataplane/egress.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from ...core.counts import Replies
+from ...core.counts import ReplyCounts
 from ...core.descriptors import Descriptors
 from ...core.host import Host
-from ...core.protocol import Final, Incoming, Refused, Served
+from ...core.protocol import FinalAnswer, IncomingRequest, Refused, Served
 from ...http1.bodies import Body
 from ...http1.clients import READ_FOR
 from ...http1.connection import OWN_HEADERS, Headers, end_to_end
@@ -74,7 +74,7 @@
         """By number."""
         self.target_credits: dict[str, dict[str, float]] = {}
         """By route: how far each weighted target is behind its share."""
-        self.reply_counts = Replies()
+        self.reply_counts = ReplyCounts()
         self.failure_log = FailureLog()
         self.retry_detector = RetryDetector()
         self.counts = {"served": 0, "refused": 0, "failed": 0, "unknown": 0, "left": 0, "untried": 0}
@@ -90,7 +90,7 @@
 
     # --- requests ---
 
-    def read(self, method: str, target: str, headers: Headers, body: bytes | Body, waited: float) -> Incoming:
+    def read(self, method: str, target: str, headers: Headers, body: bytes | Body, waited: float) -> IncomingRequest:
         """Match a request that took ``waited`` ms to come; one that goes nowhere already has its answer."""
         assert isinstance(body, bytes)  # the listener takes whole bodies only
         known = read_headers(headers)
@@ -131,7 +131,7 @@
             head=head,
             body=body,
             has_body=method not in BODILESS_METHODS or bool(body),
-            safe=route.safe,
+            safe=route.is_idempotent,
             priority=int(route.priority),
             latency_target_at=now + max(0.0, route.latency_target - used),
             attempt_count=AttemptCount(route.max_attempts),
@@ -141,7 +141,7 @@
             is_retry=is_nested and self.is_running_retry(parent),
         )
         class_index = self.service_clients.to(service).class_index(route, route.deadline)
-        return Incoming(number, class_index, 0, "", 1000.0 * wait, 0.0, False, request)
+        return IncomingRequest(number, class_index, 0, "", 1000.0 * wait, 0.0, False, request)
 
     def choose_service(self, route: Route) -> str:
         """The service of a request: weighted targets take turns, so that their shares are kept at any count."""
@@ -157,7 +157,7 @@
         credits[chosen] -= 1.0
         return chosen
 
-    def take(self, told: Incoming, answer: Callable[[Final | Answer], None]) -> None:
+    def take(self, told: IncomingRequest, answer: Callable[[FinalAnswer | Answer], None]) -> None:
         """Send a request to its service; ``answer`` is called with what the client gets."""
         request = told.payload
         if isinstance(request, Answer):
@@ -167,22 +167,22 @@
         client.retry_budget.on_request(self.loop.time())
         self.open_requests[told.id] = request
 
-        def on_final(final: Final) -> None:
+        def on_final(final: FinalAnswer) -> None:
             self.open_requests.pop(told.id, None)
             answer(self.answer_for(request, final))
 
-        client.ledger.take(told, on_final)
+        client.dispatcher.take(told, on_final)
 
     def abandon(self, request_id: str) -> None:
         """The client of a request has gone."""
         request = self.open_requests.pop(request_id, None)
         if request is not None:
             self.counts["left"] += 1
-            self.service_clients.to(request.service).ledger.leave(request_id)
+            self.service_clients.to(request.service).dispatcher.leave(request_id)
 
     # --- answers ---
 
-    def answer_for(self, request: OutboundRequest, final: Final) -> Answer:
+    def answer_for(self, request: OutboundRequest, final: FinalAnswer) -> Answer:
         """The final answer as the client gets it; an error is remembered."""
         answer = self.make_answer(request, final)
         if answer.status >= 500:
@@ -191,7 +191,7 @@
             self.failure_log.add(request.id, failure)
         return answer
 
-    def make_answer(self, request: OutboundRequest, final: Final) -> Answer:
+    def make_answer(self, request: OutboundRequest, final: FinalAnswer) -> Answer:
         """The endpoint's answer, 503 where the request has certainly not run, else 502."""
         if isinstance(final, Served):
             self.counts["served"] += 1
@@ -208,7 +208,7 @@
         """s after which a request that has not run may come back: while its latency target can still be met."""
         return RETRY_AFTER_SHARE * max(0.0, request.latency_target_at - request.received_at)
 
-    def replies(self, told: Incoming) -> Replies:
+    def replies(self, told: IncomingRequest) -> ReplyCounts:
         """The counts of answers."""
         return self.reply_counts
 
@@ -236,6 +236,6 @@
     return Answer(reply.status, end_to_end(reply.headers, RESPONSE_HOP_HEADERS), reply.body)
 
 
-def already_answered(number: str, answer: Answer) -> Incoming:
+def already_answered(number: str, answer: Answer) -> IncomingRequest:
     """A request that goes nowhere."""
-    return Incoming(number, 0, 0, "", 0.0, 0.0, False, answer)
+    return IncomingRequest(number, 0, 0, "", 0.0, 0.0, False, answer)
--- a/zinclever/mesh/dataplane/forwarding.py
+++ b/zinclever/mesh/dataplane/forwarding.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import NamedTuple
 
-from ...core.protocol import Address, Ended
-from ...fleet.limits import Connections
+from ...core.protocol import Address, OnEnded
+from ...fleet.limits import ConnectionLimiter
 from ..attempt_outcome import AttemptOutcome
 from ..transport.channel import Channel
 from ..transport.mesh_pb2 import BodyChunk, ForwardReply, ForwardRequest, Frame
@@ -58,11 +58,11 @@
         "stream",
     )
 
-    def __init__(self, forwarder: Forwarder, request: OutboundRequest, endpoint: str, on_ended: Ended) -> None:
+    def __init__(self, forwarder: Forwarder, request: OutboundRequest, endpoint: str, on_ended: OnEnded) -> None:
         self.forwarder = forwarder
         self.request = request
         self.endpoint = endpoint
-        self.on_ended: Ended | None = on_ended
+        self.on_ended: OnEnded | None = on_ended
         """None once it has ended or was cancelled."""
         self.local_request: InboundRequest | None = None
         """Where the endpoint is on this machine."""
@@ -246,10 +246,10 @@
 
     # --- the endpoints ---
 
-    def configure(self, connect_timeout: float, idle_limit: float, connections: Connections) -> None:
+    def configure(self, connect_timeout: float, idle_limit: float, connections: ConnectionLimiter) -> None:
         """Channels have their own limits."""
 
-    def place(self, endpoint: str, address: Address) -> None:
+    def set_address(self, endpoint: str, address: Address) -> None:
         """An endpoint is reached at this address from now on."""
         self.addresses[endpoint] = address
 
@@ -274,7 +274,9 @@
 
     # --- attempts ---
 
-    def start(self, endpoint: str, payload: OutboundRequest, left: float, ended: Ended, unsafe: bool) -> ForwardAttempt:
+    def start(
+        self, endpoint: str, payload: OutboundRequest, left: float, ended: OnEnded, unsafe: bool
+    ) -> ForwardAttempt:
         """See :meth:`~zinclever.core.protocol.Wire.start`."""
         request = payload
         attempt = ForwardAttempt(self, request, endpoint, ended)
--- a/zinclever/mesh/dataplane/ingress.py
+++ b/zinclever/mesh/dataplane/ingress.py
@@ -14,8 +14,8 @@
 from ...core.descriptors import Descriptors
 from ...core.host import Host
 from ...core.pools import ExclusivePools
-from ...core.protocol import Address, Ended
-from ...fleet.limits import Connections
+from ...core.protocol import Address, OnEnded
+from ...fleet.limits import ConnectionLimiter
 from ...http1.connection import Broken, ClientConnection, Reply, dial
 from ...http1.wire import Exchange
 from ..attempt_outcome import AttemptOutcome
@@ -39,7 +39,7 @@
 
     __slots__ = ("endpoint", "expires_at", "id")
 
-    def __init__(self, forward: ForwardRequest, body: bytes, ended: Ended, expires_at: float) -> None:
+    def __init__(self, forward: ForwardRequest, body: bytes, ended: OnEnded, expires_at: float) -> None:
         """``expires_at``: instant in s at which nobody waits for it any more."""
         super().__init__(forward.head, body, forward.framed, ended, 0.0, ignore_sent)
         self.id = forward.id.encode("latin-1")
@@ -124,7 +124,7 @@
         self.pools: ExclusivePools[ClientConnection] = ExclusivePools(
             partial(dial, host, most_body=MAX_ANSWER_BYTES, stall=READ_TIMEOUT), descriptors
         )
-        connections = Connections(host.random())
+        connections = ConnectionLimiter(host.random())
         connections.configure(interface.Shares(), 1, 0, 0)
         self.pools.configure(CONNECT_TIMEOUT_MS, IDLE_TIMEOUT_MS, connections)
         self.endpoint = ""
@@ -158,10 +158,10 @@
                 self.pools.forget(self.endpoint)
             self.endpoint = endpoint
             self.queue = SlotQueue(slots)
-        self.pools.place(endpoint, address)
+        self.pools.set_address(endpoint, address)
         self.queue.slots = slots
         self.is_open = True
-        self.begin_waiting()
+        self.dispatch_queued()
 
     def close(self) -> None:
         """The endpoint takes nothing new: requests that have not begun may go elsewhere."""
@@ -215,7 +215,7 @@
         self.requests.add(request)
         self.queue.add(request)
         request.timer = self.loop.call_later(self.queue.queue_timeout(request), self.on_queue_timeout, request)
-        self.begin_waiting()
+        self.dispatch_queued()
         return request
 
     def on_queue_timeout(self, request: InboundRequest) -> None:
@@ -231,7 +231,7 @@
 
     # --- at the endpoint ---
 
-    def begin_waiting(self) -> None:
+    def dispatch_queued(self) -> None:
         """Begin the waiting requests that there are free slots for."""
         while self.is_open:
             now = self.loop.time()
@@ -259,7 +259,7 @@
         """Send a request, on whichever connection there is."""
         on_ended = partial(self.on_exchange_ended, request)
         request.exchange = EndpointExchange(request.forward, request.body, on_ended, request.expires_at)
-        self.pools.carry(request.forward.endpoint, request.exchange)
+        self.pools.send_attempt(request.forward.endpoint, request.exchange)
 
     def on_exchange_ended(
         self, request: InboundRequest, outcome: interface.Outcome, reply: Reply | None = None, report: object = None
@@ -278,7 +278,7 @@
         answer.service_ms = int(1000 * service_time)
         answer.queued_ms = int(1000 * (request.begun_at - request.received_at))
         self.reply(request, answer)
-        self.begin_waiting()
+        self.dispatch_queued()
 
     def reply_without_answer(self, outcome: interface.Outcome) -> ForwardReply:
         """The reply for a request that the endpoint hasn't answered."""
@@ -348,7 +348,7 @@
         self.remove_running(request)
         exchange.cancel(silent)
         request.queue.release_slot()
-        self.begin_waiting()
+        self.dispatch_queued()
         return may_have_reached
 
     def reply(self, request: InboundRequest, reply: ForwardReply) -> None:
--- a/zinclever/mesh/dataplane/service_clients.py
+++ b/zinclever/mesh/dataplane/service_clients.py
@@ -8,8 +8,8 @@
 
 from ... import interface
 from ...core.descriptors import Descriptors
+from ...core.dispatcher import Dispatcher
 from ...core.host import Host
-from ...core.ledger import Ledger
 from ...core.protocol import Entry, OnList
 from ...policy import Balancer
 from ...policy.requests import ClassState
@@ -66,13 +66,13 @@
             self.on_list("whole", entries)
 
 
-class MeshLedger(Ledger):
+class MeshDispatcher(Dispatcher):
     """A ledger whose balancers all leave admission to the ingress, also one that begins anew after a stall."""
 
-    def adopt(self, balancer: Balancer) -> None:
+    def reconfigure(self, balancer: Balancer) -> None:
         """Use a balancer from now on."""
         prepare_balancer(balancer)
-        super().adopt(balancer)
+        super().reconfigure(balancer)
 
 
 class ServiceClient:
@@ -106,7 +106,7 @@
         self.source: MeshEndpointSource | None = None
         balancer = Balancer(settings, host.random().getrandbits(64))
         prepare_balancer(balancer)
-        self.ledger = MeshLedger(balancer, forwarder, self.make_source, descriptors, host)
+        self.dispatcher = MeshDispatcher(balancer, forwarder, self.make_source, descriptors, host)
 
     def make_source(self, on_list: OnList) -> MeshEndpointSource:
         """The source of the ledger's endpoints."""
@@ -123,19 +123,19 @@
 
         Routes that ask for the same share one, so that what is learnt stays through changes of names and places.
         """
-        key = ClassKey(route.safe, deadline, route.latency_target, route.priority)
+        key = ClassKey(route.is_idempotent, deadline, route.latency_target, route.priority)
         index = self.class_indexes.get(key)
         if index is None:
             index = self.class_indexes[key] = len(self.classes)
             request_class = interface.RequestClass(
                 aim=1000.0 * min(route.latency_target, deadline),
                 deadline=1000.0 * deadline,
-                repeat="idempotent" if route.safe else "at_most_once",
+                repeat="idempotent" if route.is_idempotent else "at_most_once",
                 late_worth=LATE_WORTH,
-                name=f"{'safe' if route.safe else 'unsafe'} {route.latency_target:g}",
+                name=f"{'safe' if route.is_idempotent else 'unsafe'} {route.latency_target:g}",
             )
             self.classes.append(request_class)
-            add_class(self.ledger.balancer, request_class)
+            add_class(self.dispatcher.balancer, request_class)
         return index
 
 
@@ -168,5 +168,5 @@
         client = self.clients.get(service)
         if client is None:
             client = self.clients[service] = self.make_client(service)
-            client.ledger.start()
+            client.dispatcher.start()
         return client
--- a/zinclever/mesh/membership/broadcasts.py
+++ b/zinclever/mesh/membership/broadcasts.py
@@ -40,7 +40,7 @@
         self.started_at = self.ticked_at = now
         self.retransmits: dict[RecordKey, int] = {}
         """Retransmissions that are left of each record."""
-        self.confirmed: dict[int, ConfirmedBroadcast] = {}
+        self.awaiting_receipts: dict[int, ConfirmedBroadcast] = {}
         """By number. Whoever began one removes it."""
 
     def enqueue(self, key: RecordKey) -> None:
@@ -69,13 +69,13 @@
     def begin_confirmed(self, now: float, record: Record, recipients: Iterable[str]) -> int:
         """Send a record until each recipient has confirmed it; a number for :attr:`confirmed`."""
         number = next(self.numbers)
-        self.confirmed[number] = ConfirmedBroadcast(record, set(recipients) - {self.members.name})
+        self.awaiting_receipts[number] = ConfirmedBroadcast(record, set(recipients) - {self.members.name})
         self.resend_unconfirmed(now)
         return number
 
     def resend_unconfirmed(self, now: float) -> None:
         """Send records again whose receipts are due."""
-        for number, broadcast in self.confirmed.items():
+        for number, broadcast in self.awaiting_receipts.items():
             if now - broadcast.sent_at >= RECEIPT_RETRY_INTERVAL:
                 broadcast.sent_at = now
                 for name in broadcast.recipients - broadcast.confirmed_by:
@@ -84,8 +84,8 @@
 
     def on_receipt(self, number: int, name: str) -> None:
         """A recipient confirms a record."""
-        if number in self.confirmed:
-            self.confirmed[number].confirmed_by.add(name)
+        if number in self.awaiting_receipts:
+            self.awaiting_receipts[number].confirmed_by.add(name)
 
     def answer_receipt_request(self, name: str, message: GossipMessage) -> None:
         """Confirm the records of a message, unless others take precedence here: then the sender gets those instead."""
--- a/zinclever/mesh/membership/failure_detector.py
+++ b/zinclever/mesh/membership/failure_detector.py
@@ -61,7 +61,7 @@
         self.probes: dict[int, Probe] = {}
         self.relayed_probes: dict[int, RelayedProbe] = {}
         self.suspected_since: dict[str, float] = {}
-        self.last_heard: dict[str, float] = {}
+        self.last_contact: dict[str, float] = {}
         self.probed_at = now
 
     def tick(self, now: float) -> None:
@@ -98,7 +98,7 @@
         for number, probe in list(self.probes.items()):
             patience = 1 + self.health_score
             waited = now - probe.sent_at
-            if self.last_heard.get(probe.target, -math.inf) >= probe.sent_at:
+            if self.last_contact.get(probe.target, -math.inf) >= probe.sent_at:
                 del self.probes[number]
                 self.health_score = max(0, self.health_score - 1)
             elif not probe.is_indirect and waited >= PROBE_TIMEOUT * patience:
@@ -133,7 +133,7 @@
     def on_heard(self, now: float, name: str) -> None:
         """A datagram of another came. Whoever has no record is not remembered."""
         if self.members.records.get(RecordKind.NODE, name) is not None:
-            self.last_heard[name] = now
+            self.last_contact[name] = now
 
     def on_node_record(self, now: float, record: Record) -> None:
         """The record of a process has changed: a suspicion runs from now on."""
@@ -158,4 +158,4 @@
             self.transmitter.send(relayed.requester, GossipMessage(ack=relayed.number, target=name))
         probe = self.probes.pop(number, None)
         if probe is not None and probe.target != name:
-            self.last_heard[probe.target] = now
+            self.last_contact[probe.target] = now
--- a/zinclever/mesh/membership/gossip.py
+++ b/zinclever/mesh/membership/gossip.py
@@ -19,7 +19,7 @@
 from .orphans import OrphanDetector
 from .record_store import RecordStore
 from .records import MemberState, RecordKey, RecordKind, is_valid, precedence, record_key
-from .transmitter import DEFAULT_RATE, GossipCounters, Transmitter
+from .transmitter import DEFAULT_GOSSIP_RATE, GossipCounters, Transmitter
 
 TICK_INTERVAL = 0.2  # s between two calls of Gossip.tick
 STALL_THRESHOLD = 3 * TICK_INTERVAL  # s between two ticks from which on this process itself stood still
@@ -42,7 +42,7 @@
         seeds: Iterable[Address],
         now: float,
         rng: Random,
-        rate: float = DEFAULT_RATE,
+        rate: float = DEFAULT_GOSSIP_RATE,
     ) -> None:
         """``incarnation`` is higher than at any earlier start of this process; ``rate`` is in bytes/s."""
         numbers = itertools.count(1)
--- a/zinclever/mesh/membership/receipt_quorum.py
+++ b/zinclever/mesh/membership/receipt_quorum.py
@@ -11,7 +11,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-SIDECAR_PREFERRED_FOR = 0.4  # s for which the endpoint's own sidecar is waited for, before another's receipt will do
+SIDECAR_PREFERENCE_PERIOD = (
+    0.4  # s for which the endpoint's own sidecar is waited for, before another's receipt will do
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,6 +39,6 @@
             return False
         if self.endpoint_sidecar in confirmed_by or not self.sidecars:
             return True
-        if self.endpoint_sidecar in self.sidecars and waited < SIDECAR_PREFERRED_FOR:
+        if self.endpoint_sidecar in self.sidecars and waited < SIDECAR_PREFERENCE_PERIOD:
             return False
         return bool(confirmed_by & self.sidecars)
--- a/zinclever/mesh/membership/transmitter.py
+++ b/zinclever/mesh/membership/transmitter.py
@@ -12,7 +12,7 @@
 
 MAX_DATAGRAM_RECORD_BYTES = 1100
 RECORD_OVERHEAD_BYTES = 4  # tag and length of a record in a datagram
-DEFAULT_RATE = 25_000.0  # bytes/s that records may take where the bandwidth of the link is not configured
+DEFAULT_GOSSIP_RATE = 25_000.0  # bytes/s that records may take where the bandwidth of the link is not configured
 BURST_PERIOD = 1.0  # s of the rate that may be saved up
 
 
--- a/zinclever/mesh/model/explore.py
+++ b/zinclever/mesh/model/explore.py
@@ -56,8 +56,8 @@
         for o in orders:
             o.commit(10.0, first)
             o.actions.clear()
-            o.last_heard = {s.disk: 10.0 for s in voters if s.disk != o.own_voter.disk}
-            o.leader, o.leader_last_heard = "d0", 10.0
+            o.last_contact = {s.disk: 10.0 for s in voters if s.disk != o.own_voter.disk}
+            o.leader, o.leader_last_contact = "d0", 10.0
         orders[0].term = orders[0].established_term = 1
         orders[0].change_role(ReplicaRole.LEADER, 10.0)
         self.start = state
@@ -100,7 +100,7 @@
 
     def advance(self, state: State) -> bool:
         """The next of what is under way takes place, if there is any: saves first, then messages in their order."""
-        writing = next((n for n, acts in enumerate(state.persisting) if acts and n not in state.paused), None)
+        writing = next((n for n, acts in enumerate(state.pending_persists) if acts and n not in state.paused), None)
         n = next((n for n, (to, _) in enumerate(state.post) if to not in state.paused), None)
         if writing is not None:
             self.sync(state, writing)
@@ -169,7 +169,7 @@
             made.resumed.add(n)
             yield made
             return
-        if state.persisting[n]:
+        if state.pending_persists[n]:
             made = state.copy()
             self.sync(made, n)
             yield made
@@ -219,7 +219,7 @@
 
     def sync(self, state: State, n: int) -> None:
         """The oldest save of a member is on its disk."""
-        act = state.persisting[n].pop(0)
+        act = state.pending_persists[n].pop(0)
         state.disk_ids[n] = (act.vote, act.entry if act.entry is not None else state.disk_ids[n][1])
         state.orders[n].on_persisted(state.now, act.token, True)
         self.settle_down(state)
@@ -237,7 +237,7 @@
         for o in running:
             for other in running:
                 if other is not o:
-                    o.last_heard[other.own_voter.disk] = state.now
+                    o.last_contact[other.own_voter.disk] = state.now
             o.ticked_at = o.voter_changes.ticked_at = state.now  # it has had turns all the while
             o.tick(state.now)
         self.settle_down(state)
@@ -246,7 +246,7 @@
         voter = Voter(disk=state.names[n], name=f"m{n}", ip=f"10.0.0.{n}", port=1)
         vote, accepted = state.disk_ids[n]
         state.orders[n] = self.kind(voter, [(x.ip, 1) for x in self.voters], False, 1, state.now, vote, accepted)
-        state.persisting[n] = []
+        state.pending_persists[n] = []
         state.terms[n] = 0
         state.resumed.discard(n)
 
@@ -283,7 +283,7 @@
                 for act in acts:
                     busy = True
                     if isinstance(act, Persist):
-                        state.persisting[n].append(act)
+                        state.pending_persists[n].append(act)
                     elif isinstance(act, Commit):
                         self.committed(state, act.entry)
                     elif isinstance(act, Reply):
--- a/zinclever/mesh/model/explore_voters.py
+++ b/zinclever/mesh/model/explore_voters.py
@@ -83,7 +83,7 @@
         state.orders.append(self.kind(voter, founders, False, LOSSES, state.now))
         state.disk_ids.append((Vote(0, ""), None))
         state.names.append(voter.disk)
-        state.persisting.append([])
+        state.pending_persists.append([])
         state.terms.append(0)
         state.off.add(STANDBY)
 
@@ -97,7 +97,7 @@
             self.calm(state)
             self.wait(state)
         self.calm(state)
-        assert state.orders[2].released, "the follower was not let go"
+        assert state.orders[2].leave_granted, "the follower was not let go"
 
     def prepare_leader_leaves(self, state: State) -> None:
         self.ask_change(state, 0, 1, 3)
@@ -191,9 +191,9 @@
             made.budget.leaves -= 1
             self.leave(made, n)
             yield made
-        if replica.leaving and replica.may_end(state.now):
+        if replica.leaving and replica.can_shut_down(state.now):
             made = state.copy()
-            self.end(made, n, by_agreement=replica.released or not replica.is_voter())
+            self.end(made, n, by_agreement=replica.leave_granted or not replica.is_voter())
             yield made
         elif replica.leaving and state.budget.forced_ends:
             made = state.copy()
@@ -219,12 +219,12 @@
         state.off.add(n)
         if by_agreement:
             state.let_go.add(n)
-        state.persisting[n] = []
+        state.pending_persists[n] = []
         state.post = [(to, data) for to, data in state.post if to != n]
         state.paused.discard(n)
         state.resumed.discard(n)
         for _, other in self.running(state):
-            other.last_heard[state.names[n]] = (
+            other.last_contact[state.names[n]] = (
                 state.now - STALL_THRESHOLD
             )  # its silence is noticed with the next span of time
 
@@ -269,18 +269,18 @@
         for _, o in running:
             for _, other in running:
                 if other is not o:
-                    o.last_heard[other.own_voter.disk] = state.now
+                    o.last_contact[other.own_voter.disk] = state.now
                     if other.own_voter.disk in o.voter_changes.leaving_since:
                         o.voter_changes.leaving_since[other.own_voter.disk] = state.now
             if o.leader in leaders:
-                o.leader_last_heard = state.now
+                o.leader_last_contact = state.now
             o.ticked_at = o.voter_changes.ticked_at = state.now  # it has had turns all the while
         for _, o in running:
             o.tick(state.now)
         self.settle_down(state)
 
     def sync(self, state: State, n: int) -> None:
-        accepted = state.persisting[n][0].entry
+        accepted = state.pending_persists[n][0].entry
         if accepted is not None:
             name = state.names[n]
             state.held[name] = max(accepted.index, state.held.get(name, 0))
@@ -372,7 +372,7 @@
     def end_and_bring_back(self, state: State) -> None:
         """Those that were let go end, as they do at once; whoever is needed comes back."""
         for n, replica in self.running(state):
-            if replica.released:
+            if replica.leave_granted:
                 self.end(state, n, by_agreement=True)
         voters = [] if state.newest is None else disk_ids(state.newest.voters)
         for n in sorted(state.off - state.destroyed):
--- a/zinclever/mesh/model/explored_state.py
+++ b/zinclever/mesh/model/explored_state.py
@@ -41,7 +41,7 @@
     orders: list[Replica]
     disk_ids: list[tuple[Vote, LogEntry | None]]
     names: list[str]
-    persisting: list[list[Persist]]
+    pending_persists: list[list[Persist]]
     post: list[tuple[int, bytes]] = field(default_factory=list)
     budget: Budget = field(default_factory=Budget)
     now: float = 10.0
@@ -71,7 +71,7 @@
             clone(self.orders),
             list(self.disk_ids),
             list(self.names),
-            clone(self.persisting),
+            clone(self.pending_persists),
             list(self.post),
             replace(self.budget),
             self.now,
@@ -95,7 +95,7 @@
     def key(self) -> bytes:
         """States with the same key go on alike."""
         made = hashlib.blake2b(digest_size=16)
-        for o, d, s in zip(self.orders, self.disk_ids, self.persisting, strict=True):
+        for o, d, s in zip(self.orders, self.disk_ids, self.pending_persists, strict=True):
             calls = o.calls
             told = (
                 o.role.name,
@@ -113,9 +113,9 @@
                 d[0],
                 [
                     self.age(at)
-                    for at in (o.leader_last_heard, o.role_since, o.votes_requested_at, o.proposed_at, o.ticked_at)
+                    for at in (o.leader_last_contact, o.role_since, o.votes_requested_at, o.proposed_at, o.ticked_at)
                 ],
-                sorted((disk, self.age(at)) for disk, at in o.last_heard.items()),
+                sorted((disk, self.age(at)) for disk, at in o.last_contact.items()),
                 [(a.vote, a.token - o.last_token) for a in s],
                 self.voter_changes_of(o),
             )
@@ -134,7 +134,7 @@
         known = replica.voter_changes
         return (
             replica.leaving,
-            replica.released,
+            replica.leave_granted,
             sorted((disk, self.age(at)) for disk, at in known.leaving_since.items()),
             sorted((disk, self.age(since)) for disk, (_, since) in known.learners.items()),
             sorted(known.durable_index.items()),
--- a/zinclever/mesh/model/members.py
+++ b/zinclever/mesh/model/members.py
@@ -30,7 +30,7 @@
     disk: Disk
     bootstrap: bool
     replica: Replica | None = None
-    persisting: list[Persist] = field(default_factory=list)
+    pending_persists: list[Persist] = field(default_factory=list)
     """Asked for and not synced yet, in order."""
     terms: int = 0
     paused: bool = False
@@ -106,7 +106,7 @@
             accepted.CopyFrom(m.disk.accepted)
         m.replica = self.kind(voter, self.founders, m.bootstrap, self.losses, self.now, m.disk.vote, accepted)
         m.replica.known_addresses = [(o, 1) for o in self.machines]
-        m.persisting = []
+        m.pending_persists = []
         m.paused, m.inbox = False, []
 
     def pause(self, ip: str) -> None:
@@ -141,11 +141,11 @@
         """Power is lost: of what is not synced a first part may be on the disk."""
         m = self.machines[ip]
         self.ending.pop(ip, None)
-        if some and m.persisting:
-            for act in m.persisting[: self.rng.randrange(len(m.persisting) + 1)]:
+        if some and m.pending_persists:
+            for act in m.pending_persists[: self.rng.randrange(len(m.pending_persists) + 1)]:
                 self.write(m, act)
         m.replica = None
-        m.persisting = []
+        m.pending_persists = []
         m.paused, m.inbox = False, []
 
     def wipe(self, ip: str) -> None:
@@ -206,15 +206,15 @@
         if m.replica is None or m.paused:
             return
         self.read_inbox(m)
-        while m.persisting and self.rng.random() < self.synced:
-            act = m.persisting.pop(0)
+        while m.pending_persists and self.rng.random() < self.synced:
+            act = m.pending_persists.pop(0)
             if ip not in self.full:
                 self.write(m, act)
             m.replica.on_persisted(self.now, act.token, ip not in self.full)
         m.replica.known_addresses = [(o, 1) for o in self.machines]
         m.replica.tick(self.now)
         self.carry_out(m)
-        if ip in self.ending and (m.replica.may_end(self.now) or self.now > self.ending[ip][0]):
+        if ip in self.ending and (m.replica.can_shut_down(self.now) or self.now > self.ending[ip][0]):
             self.end(ip)
 
     def carry_out(self, m: Machine) -> None:
@@ -225,7 +225,7 @@
                 if isinstance(act, Send):
                     self.send(m, act)
                 elif isinstance(act, Persist):
-                    m.persisting.append(act)
+                    m.pending_persists.append(act)
                 elif isinstance(act, Commit):
                     self.check(act.entry)
                 elif isinstance(act, Reply):
--- a/zinclever/mesh/operator_cli/commands.py
+++ b/zinclever/mesh/operator_cli/commands.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from ..configuration.document import parse
-from ..consensus.replica_store import StoredState, read_folder
+from ..consensus.replica_store import StoredState, read_stored_state
 from ..errors import MeshError
 from ..transport.mesh_pb2 import LogEntry
 from .control_client import CHANGE_TIMEOUT, UNAVAILABLE, ControlRequest, call
@@ -140,7 +140,7 @@
     :param folder: its StateDir
     :param json: print JSON instead of a table
     """
-    state = read_folder(folder)
+    state = read_stored_state(folder)
     entry = state.entry if state.entry is not None else LogEntry()
     rows = [
         (voter.name, voter.ip, voter.disk, "this disk" if voter.disk == state.disk else "") for voter in entry.voters
--- a/zinclever/mesh/roles/configuration_distributor.py
+++ b/zinclever/mesh/roles/configuration_distributor.py
@@ -107,7 +107,7 @@
         except MeshError as error:
             log.error("a configuration can't be decompressed", extra={"code": error.code})
             return False
-        return self.put_in_force(reply.index, reply.generation, text)
+        return self.activate_configuration(reply.index, reply.generation, text)
 
     # --- serving ---
 
@@ -126,7 +126,7 @@
         elif not self.waiters.add(self.loop.time(), connection, frame):
             connection.send(Frame(stream=frame.stream, fetch_reply=FetchReply()))
 
-    def put_in_force(self, index: int, generation: int, text: bytes) -> bool:
+    def activate_configuration(self, index: int, generation: int, text: bytes) -> bool:
         """Put a committed configuration in force, announce its version, and answer who waits for it.
 
         False where it can't be read.
--- a/zinclever/mesh/roles/control.py
+++ b/zinclever/mesh/roles/control.py
@@ -118,7 +118,7 @@
         """Give up the lead, and wait until nothing depends on this replica: it may be gone for good after this."""
         self.replica.leave(self.loop.time())
         self.run_actions()
-        while not self.replica.may_end(self.loop.time()):
+        while not self.replica.can_shut_down(self.loop.time()):
             if self.loop.time() > until:
                 log.warning(
                     "ends without a word of the leader that its state is elsewhere",
@@ -172,7 +172,7 @@
         elif isinstance(action, Commit):
             entry = action.entry
             if entry.text:
-                self.node.put_in_force(entry.index, entry.generation, entry.text)
+                self.node.activate_configuration(entry.index, entry.generation, entry.text)
         elif isinstance(action, VotersChanged):
             self.log_voters(action)
         elif isinstance(action, Reply):
@@ -207,4 +207,4 @@
             self.replica.known_addresses = [(info.ip, info.port) for info in control_nodes]
             regions = self.settings.regions
             locations = [Location(info.zone, regions.get(info.zone, "")) for info in control_nodes]
-            self.replica.tolerated_losses = self.settings.fault_model.tolerated_losses(locations)
+            self.replica.tolerated_failures = self.settings.fault_model.tolerated_failures(locations)
--- a/zinclever/mesh/roles/endpoint_api.py
+++ b/zinclever/mesh/roles/endpoint_api.py
@@ -27,10 +27,10 @@
 class EndpointAnnouncer:
     """Spreads drains and departures, and says when they may be acknowledged."""
 
-    def __init__(self, node: Node, tolerated_losses: int) -> None:
-        """``tolerated_losses``: control nodes that may be lost at once."""
+    def __init__(self, node: Node, tolerated_failures: int) -> None:
+        """``tolerated_failures``: control nodes that may be lost at once."""
         self.node = node
-        self.tolerated_losses = tolerated_losses
+        self.tolerated_failures = tolerated_failures
         self.under_way = 0
         self.confirmed: dict[str, int] = {}
         """By endpoint, the phase that enough others have confirmed; the oldest first."""
@@ -47,7 +47,7 @@
         if endpoint_sidecar in roles:
             recipients.add(endpoint_sidecar)
         holds_itself = self.node.role == CONTROL
-        required = self.tolerated_losses if holds_itself else self.tolerated_losses + 1
+        required = self.tolerated_failures if holds_itself else self.tolerated_failures + 1
         if endpoint_sidecar == self.node.name:
             return ReceiptQuorum(control_nodes, required, "", frozenset())
         return ReceiptQuorum(control_nodes, required, endpoint_sidecar, frozenset(recipients))
@@ -90,15 +90,15 @@
                 if held is not None and held.rank < record.rank:
                     # Another process held a record that takes precedence: the end is spread on top of that.
                     record = superseding_record(held, record)
-                    gossip.broadcasts.confirmed.pop(number, None)
+                    gossip.broadcasts.awaiting_receipts.pop(number, None)
                     number = gossip.broadcast_confirmed(loop.time(), record, quorum.recipients())
                     self.node.gossip_socket.flush()
-                if quorum.is_reached(gossip.broadcasts.confirmed[number].confirmed_by, waited):
+                if quorum.is_reached(gossip.broadcasts.awaiting_receipts[number].confirmed_by, waited):
                     return True
                 await asyncio.sleep(RECEIPT_CHECK_INTERVAL)
             return False
         finally:
-            gossip.broadcasts.confirmed.pop(number, None)
+            gossip.broadcasts.awaiting_receipts.pop(number, None)
 
 
 class ControlEndpointApi:
--- a/zinclever/mesh/roles/node.py
+++ b/zinclever/mesh/roles/node.py
@@ -13,7 +13,7 @@
 from ..membership.gossip import Gossip
 from ..membership.gossip_socket import GossipSocket
 from ..membership.records import ENDED_RANK, RecordKind
-from ..membership.transmitter import DEFAULT_RATE
+from ..membership.transmitter import DEFAULT_GOSSIP_RATE
 from ..transport.channel import Channel, ChannelPool
 from ..transport.framed_connection import FramedConnection
 from ..transport.mesh_pb2 import Frame, NodeInfo, Record
@@ -58,7 +58,7 @@
             seed_addresses(settings),
             self.loop.time(),
             self.host.random(),
-            GOSSIP_LINK_SHARE * settings.link_mbps * BYTES_PER_MBIT if settings.link_mbps else DEFAULT_RATE,
+            GOSSIP_LINK_SHARE * settings.link_mbps * BYTES_PER_MBIT if settings.link_mbps else DEFAULT_GOSSIP_RATE,
         )
         self.gossip_socket = GossipSocket(self.gossip, self.on_record)
         self.channels = ChannelPool(self.name)
@@ -146,9 +146,9 @@
 
     # --- the configuration ---
 
-    def put_in_force(self, index: int, generation: int, text: bytes) -> None:
+    def activate_configuration(self, index: int, generation: int, text: bytes) -> None:
         """Put a committed configuration in force, and tell the others of it at once."""
-        self.distributor.put_in_force(index, generation, text)
+        self.distributor.activate_configuration(index, generation, text)
 
 
 def seed_addresses(settings: NodeSettings) -> list[Address]:
--- a/zinclever/mesh/roles/operator_calls.py
+++ b/zinclever/mesh/roles/operator_calls.py
@@ -78,7 +78,7 @@
         now = self.loop.time()
         if call.kind == GET:
             return await self.submit(lambda call_id: self.replica.read(now, call_id))
-        configuration = parse(call.text, is_checked=True)  # by the node that took the call
+        configuration = parse(call.text, already_validated=True)  # by the node that took the call
         digest = hashlib.blake2b(call.text, digest_size=16).digest()
 
         def begin(call_id: int) -> None:
--- a/zinclever/mesh/roles/sidecar.py
+++ b/zinclever/mesh/roles/sidecar.py
@@ -72,7 +72,7 @@
         self.listeners: list[tuple[Desk, str]] = [(self.egress, "Egress")]
         """With the purpose of the address that each listens on."""
         self.servers: list[asyncio.Server] = []
-        self.ending = False
+        self.is_stopping = False
         self.logged_ready = False
         self.stale_services: set[str] = set()
         """Services whose endpoints may have changed."""
@@ -115,10 +115,10 @@
     def ready(self) -> bool:
         """Whether it serves: a configuration is in force, an endpoint is known, and others have told what they know."""
         return bool(
-            not self.ending
+            not self.is_stopping
             and self.node.active.configuration is not None
             and self.node.gossip.anti_entropy.joined
-            and any(client.ledger.ready for client in self.clients.clients.values())
+            and any(client.dispatcher.ready for client in self.clients.clients.values())
         )
 
     def on_ready(self, call: Call) -> Answer:
@@ -139,7 +139,7 @@
     async def stop(self, grace: float) -> None:
         """End in order, within ``grace`` s: others stop coming first, what is open is finished."""
         started_at = self.loop.time()
-        self.ending = True
+        self.is_stopping = True
         self.node.gossip.leave(started_at)
         self.node.gossip_socket.flush()
         for listener, _ in self.listeners:
@@ -266,6 +266,6 @@
             if node is None or (members.state_of(endpoint.sidecar) or MemberState.ALIVE) >= MemberState.DEAD:
                 continue
             phase: interface.Phase = "ready" if record.rank == EndpointPhase.READY else "draining"
-            listed = interface.Listed(record.id, phase, float(endpoint.slots), zone_indexes.get(node.zone, 0))
+            listed = interface.ListedEndpoint(record.id, phase, float(endpoint.slots), zone_indexes.get(node.zone, 0))
             by_service[endpoint.service].append((listed, (node.ip, node.port)))
         return by_service
--- a/zinclever/native.py
+++ b/zinclever/native.py
@@ -41,7 +41,7 @@
     "zinclever.core.counts",
     "zinclever.core.descriptors",
     "zinclever.core.pools",
-    "zinclever.core.ledger",
+    "zinclever.core.dispatcher",
     "zinclever.http1.bodies",
     "zinclever.http1.connection",
     "zinclever.http1.wire",
--- a/zinclever/policy/admission.py
+++ b/zinclever/policy/admission.py
@@ -38,17 +38,17 @@
         self.hold_deadlines: list[tuple[float, int, Request]] = []  # held requests by when waiting stops to help
         self.sequence = 0
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether one more may go out somewhere."""
-        return self.endpoint_list.near.has_room() or self.endpoint_list.far.has_room()
+        return self.endpoint_list.near.has_capacity() or self.endpoint_list.far.has_capacity()
 
-    def is_crowded(self) -> bool:
+    def is_saturated(self) -> bool:
         """Whether requests are held, or no window has room."""
-        return self.held_count > 0 or not self.has_room()
+        return self.held_count > 0 or not self.has_capacity()
 
     def admits(self, now: float, r: Request) -> bool:
         """Whether a request may go out: there is room, and its worth ranks above what is to be shed."""
-        return self.has_room() and r.worth_rank >= self.zone_crossing.shed_share(now)
+        return self.has_capacity() and r.worth_rank >= self.zone_crossing.shed_share(now)
 
     def worth(self, k: ClassState) -> float:
         """The worth of a class's request by the time that it occupies, or by its work where that is what counts."""
@@ -72,12 +72,12 @@
     def adapt_window(self, now: float, side: ZonePartition) -> None:
         """Adapt a partition's window to the answers of late."""
         own = 2.0 if side is self.endpoint_list.near else MIN_FAR_WINDOW
-        side.window.steer(now, self.held_count > 0, len(side.ready), self.endpoint_list.sharing, own)
+        side.window.steer(now, self.held_count > 0, len(side.ready), self.endpoint_list.balancers_per_endpoint, own)
 
     def start(self) -> None:
         """There is a list."""
         for side in (self.endpoint_list.near, self.endpoint_list.far):
-            side.window.start(len(side.ready), self.endpoint_list.sharing)
+            side.window.start(len(side.ready), self.endpoint_list.balancers_per_endpoint)
 
     def hold(self, r: Request) -> None:
         """Keep a request until there is room, or until it could no longer be served in time."""
--- a/zinclever/policy/balancer.py
+++ b/zinclever/policy/balancer.py
@@ -70,7 +70,7 @@
             if now >= self.timer_at:  # else one that an earlier timer overtook: it is not to be set again
                 self.timer_at = NEVER
             self.send_due_hedges(now)
-        elif isinstance(event, interface.MembershipNews):
+        elif isinstance(event, interface.MembershipUpdate):
             self.on_membership(now, event)
         elif isinstance(event, interface.RequestClosed):
             if event.request in self.requests:
@@ -104,7 +104,7 @@
                 budget.asked(now)
         if r.is_uploading:
             self.send_early(now, r)
-        elif event.client_retry and klass.settings.late_worth == 0 and self.admission.is_crowded():
+        elif event.client_retry and klass.settings.late_worth == 0 and self.admission.is_saturated():
             # Its first try waited out most of the aim: in a crowd others can still be served in time.
             self.refuse_or_fail(now, r)
         elif not self.admission.admits(now, r) or not self.send(now, r):
@@ -176,7 +176,7 @@
         winner.endpoint.silent_since = NEVER
         self.cancel_others(r, winner)
 
-    def on_membership(self, now: float, news: interface.MembershipNews) -> None:
+    def on_membership(self, now: float, news: interface.MembershipUpdate) -> None:
         """Discovery tells of endpoints."""
         if not self.endpoint_list.apply(now, news):
             return
@@ -255,10 +255,10 @@
         """A refusal for who can no longer be served in time, and room for who is worth most."""
         for r in self.admission.expire_held(now):
             self.refuse_or_fail(now, r)
-        if not self.admission.has_room():
+        if not self.admission.has_capacity():
             return
         for queue in self.admission.held_queues(now):
-            while queue and self.admission.has_room():
+            while queue and self.admission.has_capacity():
                 r = queue[-1]  # the newest: under lasting overload the oldest would all be served too late
                 if r.is_held and not self.may_send(now, r):
                     # Guards against a repeat past the window, which may have closed while it was held.
@@ -288,7 +288,7 @@
         if not r.is_uploading:
             self.count_in_flight(now, r, a)
         # In a crowd work that misses its aim is stopped; else it may run on: a late answer spares a retry.
-        self.actions.append(interface.Send(r.id, e.name, r.target_at if self.admission.is_crowded() else r.deadline))
+        self.actions.append(interface.Send(r.id, e.name, r.target_at if self.admission.is_saturated() else r.deadline))
         if not r.is_uploading:
             self.schedule_hedge(now, r)
         return True
@@ -314,7 +314,7 @@
         None in a crowd, nor before the window is known: they could push over a fleet that is barely up
         to its load.
         """
-        barred = self.admission.is_crowded() or now < self.learner.first_answer_at + RATE_SPAN
+        barred = self.admission.is_saturated() or now < self.learner.first_answer_at + RATE_SPAN
         for k in self.classes:
             while k.pending_hedges and k.pending_hedges[0][0] <= now:
                 r = k.pending_hedges.popleft()[1]
--- a/zinclever/policy/endpoint_list.py
+++ b/zinclever/policy/endpoint_list.py
@@ -6,7 +6,7 @@
 import random
 
 from .. import interface
-from ..fleet.limits import Calls
+from ..fleet.limits import DiscoveryCallPacer
 from ..fleet.ranked import cut, rank_of
 from ..fleet.smooth import NEVER
 from .endpoints import Endpoint
@@ -35,16 +35,20 @@
         self.near, self.far = ZonePartition(), ZonePartition()  # far: those that are dear to cross to
         self.fetch_at = -NEVER if settings.discovery == "on_request" else NEVER
         self.refusals = 0
-        self.sharing = float(settings.group_size)  # balancers that share each endpoint: fewer than all, of a subset
-        self.calls = Calls(settings.shares.list_calls_per_s, settings.group_size, self.rules.ask_within, part)
-
-    def apply(self, now: float, news: interface.MembershipNews) -> bool:
+        self.balancers_per_endpoint = float(
+            settings.group_size
+        )  # balancers that share each endpoint: fewer than all, of a subset
+        self.calls = DiscoveryCallPacer(
+            settings.shares.list_calls_per_s, settings.group_size, self.rules.ask_within, part
+        )
+
+    def apply(self, now: float, news: interface.MembershipUpdate) -> bool:
         """Whether there is a list to go by: discovery may have refused."""
         if news.kind == "refused":
             self.refusals += 1
             pause = min(INITIAL_RETRY_DELAY * 2.0**self.refusals, self.rules.ask_within / 3)
             pause *= 0.5 + 0.5 * self.rng.random()
-            self.fetch_at = now + (self.calls.again(self.refusals) if self.calls.span else pause)
+            self.fetch_at = now + (self.calls.retry_delay(self.refusals) if self.calls.span else pause)
             return False
         if news.kind != "remembered":
             self.refusals, self.fetch_at = 0, NEVER
@@ -58,10 +62,10 @@
             self.rebuild(now, news)
         self.leaving = {e for e in self.leaving if e.phase == "gone" and e.inflight}
         part = min(1.0, len(self.ready) / news.of) if news.of else 1.0
-        self.sharing = max(1.0, part * self.settings.group_size)
+        self.balancers_per_endpoint = max(1.0, part * self.settings.group_size)
         return True
 
-    def rebuild(self, now: float, news: interface.MembershipNews) -> None:
+    def rebuild(self, now: float, news: interface.MembershipUpdate) -> None:
         """A whole list, or changes to much of it: everything is put in order anew."""
         if news.kind != "changes":
             present = {x.endpoint for x in news.entries}
@@ -83,7 +87,7 @@
             for e in self.ready:
                 self.cells.setdefault(e.cell, []).append(e)
 
-    def apply_change(self, now: float, x: interface.Listed) -> None:
+    def apply_change(self, now: float, x: interface.ListedEndpoint) -> None:
         """One endpoint's news, at a cost that doesn't grow with the list but for moving its tail."""
         known = self.endpoints.get(x.endpoint)
         if known is not None and known.phase == "ready":
@@ -104,7 +108,7 @@
             self.leaving.discard(left)
             self.endpoints.pop(left.name, None)
 
-    def update_endpoint(self, now: float, x: interface.Listed) -> Endpoint:
+    def update_endpoint(self, now: float, x: interface.ListedEndpoint) -> Endpoint:
         """The endpoint of an entry, made or updated; a new start resets what was learnt of it."""
         known = self.endpoints.get(x.endpoint)
         if known is None:
@@ -133,7 +137,7 @@
 
     def pool_size(self) -> float:
         """How many unused endpoints to draw from: few, each shared with others, more with more in flight."""
-        shared = MIN_SHARING * len(self.ready) / self.sharing
+        shared = MIN_SHARING * len(self.ready) / self.balancers_per_endpoint
         return max(MIN_POOL, shared) + self.inflight()
 
     def is_same_group(self, r: Request, e: Endpoint) -> bool:
--- a/zinclever/policy/endpoints.py
+++ b/zinclever/policy/endpoints.py
@@ -39,7 +39,7 @@
         "zone",
     )
 
-    def __init__(self, listed: interface.Listed, now: float, rng: random.Random) -> None:
+    def __init__(self, listed: interface.ListedEndpoint, now: float, rng: random.Random) -> None:
         self.name, self.rank, self.is_near = listed.endpoint, rng.random(), True
         self.hash = zlib.crc32(self.name.encode())
         self.ring_position = mix(self.hash)  # its place on the ring of keepers
@@ -47,7 +47,7 @@
         self.up_index = -1  # place among those of its side that are up
         self.reset(listed, now, rng)
 
-    def reset(self, listed: interface.Listed, now: float, rng: random.Random) -> None:
+    def reset(self, listed: interface.ListedEndpoint, now: float, rng: random.Random) -> None:
         """A new process: nothing learnt of the old one holds."""
         self.success, self.latency, self.served = Smooth(MEMORY), Smooth(MEMORY), Smooth(MEMORY)
         self.silent_since = self.silent_until = NEVER
@@ -57,7 +57,7 @@
         self.tokens, self.tokens_at = rng.random(), now
         self.update(listed)
 
-    def update(self, listed: interface.Listed) -> None:
+    def update(self, listed: interface.ListedEndpoint) -> None:
         """Take in what discovery lists."""
         self.phase, self.size, self.zone, self.cell = listed.phase, listed.size, listed.zone, listed.cell
         self.started_at = listed.started_at
--- a/zinclever/policy/partition.py
+++ b/zinclever/policy/partition.py
@@ -131,7 +131,7 @@
             self.ring = Ring((e.ring_position, e.size, e) for e in self.ready)
         return self.ring.keeper(seed)
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether one more may go out."""
         forgiven = min(self.stalled, MAX_STALLED_SHARE * self.window.size)
         return bool(self.ready) and self.inflight - forgiven < self.window.size
--- a/zinclever/policy/selection.py
+++ b/zinclever/policy/selection.py
@@ -52,7 +52,7 @@
         """
         drawn: tuple[Endpoint, Endpoint, float] | None = None
         for side in self.partitions(now, r):
-            if side.has_room():
+            if side.has_capacity():
                 drawn = self.draw_two(now, r, side)
                 if drawn is not None:
                     break
@@ -209,7 +209,7 @@
             e
             for e in used
             if e.phase == "ready"
-            and self.endpoint_list.partition_of(e).has_room()
+            and self.endpoint_list.partition_of(e).has_capacity()
             and self.slow_start.admits(now, e)
             and self.endpoint_list.is_same_group(r, e)
         ]
--- a/zinclever/policy/stalled_attempts.py
+++ b/zinclever/policy/stalled_attempts.py
@@ -91,4 +91,4 @@
             return False
         if len(r.attempts) >= self.limits.max_attempts or now >= bound.sent_at + told.window:
             return False
-        return now + MIN_LATENCIES_LEFT * r.klass.mean_latency + r.work <= r.target_at and a.partition.has_room()
+        return now + MIN_LATENCIES_LEFT * r.klass.mean_latency + r.work <= r.target_at and a.partition.has_capacity()
--- a/zinclever/program.py
+++ b/zinclever/program.py
@@ -39,7 +39,7 @@
     except ConfigError as error:
         log.error("configuration not reloaded: %s", error)
         return
-    assembly.adopt(config, operator)
+    assembly.reconfigure(config, operator)
 
 
 async def serve(config: Config | None, operator: Operator | None, host: Host) -> None:
@@ -50,7 +50,7 @@
         loop.add_signal_handler(number, stopped.set)
     assembly = Assembly(config, operator, host)
     loop.add_signal_handler(signal.SIGHUP, reload, assembly, host)
-    host.hear_reloads()
+    host.unblock_reload_signal()
     admin = await start_admin(assembly)
     monitor = monitor_processes(assembly, host)
     for service in assembly.services():
@@ -98,7 +98,7 @@
     await asyncio.sleep(DETECTION_TIME)
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(LIST_TIMEOUT):
-            while not platform.ledger.ready:
+            while not platform.dispatcher.ready:
                 await asyncio.sleep(POLL_INTERVAL)
 
 
--- a/zinclever/simnet/host.py
+++ b/zinclever/simnet/host.py
@@ -52,7 +52,7 @@
     def unread(self, sock: Socket) -> bool:
         return sock.readable()
 
-    def waited(self, sock: Socket) -> float:
+    def ms_since_received(self, sock: Socket) -> float:
         return (self.loop.local() - sock.heard_at) * 1000.0 / NS
 
     def read_file(self, path: str) -> bytes:
@@ -66,7 +66,7 @@
             raise wrong(9)
         return found
 
-    def hear_reloads(self) -> None:
+    def unblock_reload_signal(self) -> None:
         """Nothing comes before: a simulated process has its handlers in the instant in which it starts."""
 
     def presence(self, address: Address) -> SimulatedPresence:
--- a/zinclever/standins/many.py
+++ b/zinclever/standins/many.py
@@ -20,7 +20,7 @@
 from zinclever import Balancer, interface
 from zinclever.core.view import shape_of
 from zinclever.fleet.layout import Layout
-from zinclever.fleet.limits import Connections
+from zinclever.fleet.limits import ConnectionLimiter
 from zinclever.fleet.subset import Subset
 
 IDLE_FOR = 13_500.0  # ms for which a connection is kept: nine tenths of the platform's 15 s
@@ -59,7 +59,7 @@
 
     def __init__(
         self,
-        servers: Sequence[interface.Listed],
+        servers: Sequence[interface.ListedEndpoint],
         seed: int,
         workers: int = 2,
         took: float = 60.0,
@@ -90,7 +90,9 @@
         """A server goes, and another one has just started."""
         self.servers[name].gone = True
         self.servers[new] = Server(self, new)
-        self.discovery.change([interface.Listed(name, "gone"), interface.Listed(new, started_at=max(1.0, self.now))])
+        self.discovery.change(
+            [interface.ListedEndpoint(name, "gone"), interface.ListedEndpoint(new, started_at=max(1.0, self.now))]
+        )
 
 
 class Server:
@@ -144,10 +146,10 @@
 class Discovery:
     """Tells changes to who watches: so many lines a second in all, one for each entry and one for each answer."""
 
-    def __init__(self, world: World, listed: Sequence[interface.Listed], lines_per_s: float) -> None:
+    def __init__(self, world: World, listed: Sequence[interface.ListedEndpoint], lines_per_s: float) -> None:
         self.world, self.each = world, 1000.0 / lines_per_s
         self.layouts = [Layout(listed)]
-        self.changes: list[Sequence[interface.Listed]] = []
+        self.changes: list[Sequence[interface.ListedEndpoint]] = []
         self.watching: dict[Instance, tuple[int, float]] = {}
         """Who waits for news, the number of the call, and when its caller gives it up."""
         self.free_at = 0.0
@@ -156,7 +158,7 @@
     def version(self) -> int:
         return len(self.changes)
 
-    def change(self, entries: Sequence[interface.Listed]) -> None:
+    def change(self, entries: Sequence[interface.ListedEndpoint]) -> None:
         layout = copy.deepcopy(self.layouts[-1])
         for x in entries:
             if x.phase == "ready":
@@ -233,7 +235,7 @@
         seed = world.rng.getrandbits(48)
         self.rng = Random(seed)
         self.balancer = make(settings, seed)
-        self.connections = Connections(self.rng)
+        self.connections = ConnectionLimiter(self.rng)
         self.view: Subset | None = (
             Subset(shape_of(settings), self.layout()) if settings.shares != interface.Shares() else None
         )
@@ -263,17 +265,17 @@
 
     # --- the list ---
 
-    def hear(self, kind: interface.ListKind, changes: Sequence[interface.Listed] = ()) -> None:
+    def hear(self, kind: interface.ListKind, changes: Sequence[interface.ListedEndpoint] = ()) -> None:
         if self.view is None:
-            entries = [s.listed for s in self.layout().seats.values()] if kind == "remembered" else list(changes)
-            self.feed(interface.MembershipNews(kind, entries))
+            entries = [s.listed for s in self.layout().placements.values()] if kind == "remembered" else list(changes)
+            self.feed(interface.MembershipUpdate(kind, entries))
             return
         self.view.home = self.layout()
         news = self.view.changes(self.world.now)
         if kind == "remembered":
             news = [*self.view.members.values()]
         self.share_out()
-        self.feed(interface.MembershipNews(kind, news, len(self.layout())))
+        self.feed(interface.MembershipUpdate(kind, news, len(self.layout())))
 
     def share_out(self) -> None:
         assert self.view is not None
@@ -296,13 +298,17 @@
             return
         self.calling = False
         if version < 0:
-            self.feed(interface.MembershipNews("refused"))
+            self.feed(interface.MembershipUpdate("refused"))
             return
         changes = [x for c in self.world.discovery.changes[self.version : version] for x in c]
         self.version = version
         self.hear("changes", changes)
-        wait = self.balancer.endpoint_list.calls.watch_for(20_000.0)
-        pause = self.balancer.endpoint_list.calls.gap() if changes and self.balancer.endpoint_list.calls.span else 0.0
+        wait = self.balancer.endpoint_list.calls.watch_timeout(20_000.0)
+        pause = (
+            self.balancer.endpoint_list.calls.watch_pause()
+            if changes and self.balancer.endpoint_list.calls.span
+            else 0.0
+        )
         self.world.at(self.world.now + pause, self.watch_again, self.call_number, wait)
 
     def watch_again(self, number: int, wait: float) -> None:
@@ -380,7 +386,7 @@
                 self.world.at(now, self.arrived, attempt)
                 return
             self.close(server)
-        if self.connections.lacks(now, self.total):
+        if self.connections.is_exhausted(now, self.total):
             self.evict()
         if not self.connections.may_open(now, self.open.get(server.name, 0), self.total):
             self.world.counts.barred[self.world.second()] += 1
@@ -396,7 +402,7 @@
         if not attempt.server.dial():
             self.total -= 1
             self.open[attempt.server.name] -= 1
-            self.connections.not_connected(self.world.now, self.answered_at.get(attempt.server.name, -math.inf))
+            self.connections.on_connect_failed(self.world.now, self.answered_at.get(attempt.server.name, -math.inf))
             attempt.end("connect_failed")
             return
         attempt.kept = True
@@ -447,7 +453,7 @@
             if outcome == "served":
                 self.view.served(server.name)
             elif outcome == "full":
-                self.connections.refused(self.world.now)
+                self.connections.on_server_refused(self.world.now)
             elif outcome == "connect_failed" and self.view.failed(self.world.now, server.name):
                 self.move()
         self.feed(
--- a/zinclever/standins/simulation.py
+++ b/zinclever/standins/simulation.py
@@ -45,7 +45,7 @@
     def __init__(
         self,
         settings: interface.Settings,
-        endpoints: Sequence[interface.Listed],
+        endpoints: Sequence[interface.ListedEndpoint],
         shares: Mapping[Fault, float],
         seed: int,
         make: Callable[[interface.Settings, int], Balancer] = Balancer,
@@ -60,7 +60,7 @@
         self.open: dict[str, interface.RequestClass] = {}
         self.classes: dict[str, interface.RequestClass] = {}
         self.attempts: dict[str, list[_Attempt]] = {}
-        self.feed(interface.MembershipNews("whole", list(endpoints)))
+        self.feed(interface.MembershipUpdate("whole", list(endpoints)))
 
     def at(self, when: float, act: Any) -> None:
         heapq.heappush(self.due, (when, next(self.serial), act))
--- a/zinclever/system.py
+++ b/zinclever/system.py
@@ -46,7 +46,7 @@
         poll.register(sock, select.POLLIN)
         return bool(poll.poll(0))
 
-    def waited(self, sock: sockets.socket) -> float:
+    def ms_since_received(self, sock: sockets.socket) -> float:
         """See :meth:`~zinclever.core.host.Host.waited`."""
         try:
             info = sock.getsockopt(sockets.IPPROTO_TCP, sockets.TCP_INFO, LAST_RECEIVED + 4)
@@ -54,12 +54,12 @@
             return 0.0
         return float(int.from_bytes(info[LAST_RECEIVED:], sys.byteorder))
 
-    def hold_reloads(self) -> None:
-        """Blocks SIGHUP until :meth:`hear_reloads`: without a handler it would end the process."""
+    def block_reload_signal(self) -> None:
+        """Blocks SIGHUP until :meth:`unblock_reload_signal`: without a handler it would end the process."""
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
 
-    def hear_reloads(self) -> None:
-        """See :meth:`~zinclever.core.host.Host.hear_reloads`."""
+    def unblock_reload_signal(self) -> None:
+        """See :meth:`~zinclever.core.host.Host.unblock_reload_signal`."""
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
 
     def presence(self, address: Address) -> Presence:
