--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -43,7 +43,7 @@
 
 
 def updates(s: Any) -> list[interface.MembershipUpdate]:
-    return [e for _, e in s.balancer.told if isinstance(e, interface.MembershipUpdate)]
+    return [e for _, e in s.balancer.received_events if isinstance(e, interface.MembershipUpdate)]
 
 
 def queries(peer: Peer) -> list[str]:
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -110,9 +110,8 @@
     print(f"{count} events of {seed} days")
 
 
-PRINT_MODULE_FILES = (
-    "from zinclever.core import ledger; from zinclever.http1 import server; print(ledger.__file__, server.__file__)"
-)
+PRINT_MODULE_FILES = "from zinclever.core import dispatcher; from zinclever.http1 import server; "
+    "print(dispatcher.__file__, server.__file__)"
 
 
 def test_libraries_are_used_only_if_they_match_the_sources(compiled: Path, tmp_path: Path) -> None:
@@ -136,7 +135,7 @@
         if state == "corrupt":
             shared.write_bytes(b"no library")
         else:
-            next(p for p in copy.iterdir() if "ledger" in p.name).unlink()
+            next(p for p in copy.iterdir() if "dispatcher" in p.name).unlink()
     assert python(PRINT_MODULE_FILES, copy).count(b".py") == 2
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -158,11 +158,11 @@
     code = """
 import os, signal
 from zinclever.system import System
-System().hold_reloads()
+System().block_reload_signal()
 os.kill(os.getpid(), signal.SIGHUP)
 signal.signal(signal.SIGHUP, lambda *about: print("told"))
 print("handled")
-System().hear_reloads()
+System().unblock_reload_signal()
 """
     ended = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
     assert ended.stdout.split() == ["handled", "told"]
--- a/zinclever/core/stall_detector.py
+++ b/zinclever/core/stall_detector.py
@@ -14,9 +14,7 @@
 
 IDLE_THRESHOLD = 0.05  # s without any activity, after which data may have waited in the kernel before it is read
 STALL_THRESHOLD_MS = 50.0  # ms by which a timer or data has to be late to count as a stall; a false alarm costs 2 ms
-SETTLE_TIME = (
-    0.002  # s for which sending pauses: one turn of the loop, which counts ms, reads all that the kernel holds
-)
+SETTLE_TIME = 0.002  # s for which sending pauses, long enough for the loop to read all that the kernel holds
 RECHECK_TIME = 1.0  # s after a stall in which the age of all data is checked: the accept queue takes a while to empty
 STALE_AFTER_MS = 1000.0  # ms of a stall after which learned state is stale: payoff estimates decay within 2.5 s
 
--- a/zinclever/system.py
+++ b/zinclever/system.py
@@ -47,7 +47,7 @@
         return bool(poll.poll(0))
 
     def ms_since_received(self, sock: sockets.socket) -> float:
-        """See :meth:`~zinclever.core.host.Host.waited`."""
+        """See :meth:`~zinclever.core.host.Host.ms_since_received`."""
         try:
             info = sock.getsockopt(sockets.IPPROTO_TCP, sockets.TCP_INFO, LAST_RECEIVED + 4)
         except OSError:
