--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -110,8 +110,10 @@
     print(f"{count} events of {seed} days")
 
 
-PRINT_MODULE_FILES = "from zinclever.core import dispatcher; from zinclever.http1 import server; "
+PRINT_MODULE_FILES = (
+    "from zinclever.core import dispatcher; from zinclever.http1 import server; "
     "print(dispatcher.__file__, server.__file__)"
+)
 
 
 def test_libraries_are_used_only_if_they_match_the_sources(compiled: Path, tmp_path: Path) -> None:
