--- a/zinclever/assembly.py
+++ b/zinclever/assembly.py
@@ -105,7 +105,7 @@
         from .jsonrpc.wire import JsonRpcWire
 
         self.spec, self.seed, self.host = spec, seed, host
-        self.wire = JsonRpcWire(spec.rules.framing, spec.proofs, descriptors, host)
+        self.wire = JsonRpcWire(spec.rules.framing, spec.error_codes, descriptors, host)
         self.dispatcher = Dispatcher(Balancer(spec.settings, seed), self.wire, self.make_source, descriptors, host)
         self.front = JsonRpcFrontend(self.dispatcher, spec.rules)
         max_deadline = max(c.deadline for c in spec.settings.classes)
@@ -133,7 +133,7 @@
                 "effect only after a restart",
                 spec.name,
             )
-        self.wire.proofs = spec.proofs
+        self.wire.error_codes = spec.error_codes
         source = self.dispatcher.source
         if isinstance(source, Discovery):
             source.configure(spec.settings, spec.zones)
--- a/zinclever/jsonrpc/front.py
+++ b/zinclever/jsonrpc/front.py
@@ -51,7 +51,7 @@
 
     def configure(self) -> None:
         self.waits = [c.deadline for c in self.dispatcher.settings.classes]
-        self.most = max(1, min(self.descriptors.limit // SHARE, self.rules.most_clients))
+        self.most = max(1, min(self.descriptors.limit // SHARE, self.rules.max_clients))
 
     def reconfigure(self, rules: Rules) -> None:
         """Other methods from now on; connections that are open keep their framing."""
