--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -213,7 +213,7 @@
 
         def set_back(sidecar: Sidecar) -> None:
             assert sidecar.host is not None
-            sidecar.host.set_off = -3600 * 10**9
+            sidecar.host.clock_offset_ns = -3600 * 10**9
 
         if back:
             for sidecar in world.sidecars:
--- a/zinclever/sim/world.py
+++ b/zinclever/sim/world.py
@@ -8,7 +8,7 @@
 
 from ..simnet.loop import Loop
 from ..simnet.network import Machine, Network, Path
-from ..simnet.scheduler import NS, Choose, Scheduler
+from ..simnet.scheduler import NS, Scheduler, TieBreaker
 from ..simnet.trace import Trace
 from .figures import summary
 from .model import Day
@@ -27,7 +27,7 @@
     sidecars: Sequence[SimulatedSidecar]
 
     def __init__(
-        self, day: Day, trace: Trace | None = None, permute: int | None = None, choose: Choose | None = None
+        self, day: Day, trace: Trace | None = None, permute: int | None = None, choose: TieBreaker | None = None
     ) -> None:
         """``permute``, ``choose``: the order of events of one instant."""
         scheduler = Scheduler(permute, choose)
