--- a/zinclever/sim/world.py
+++ b/zinclever/sim/world.py
@@ -12,7 +12,7 @@
 from ..simnet.trace import Trace
 from .figures import summary
 from .model import Day
-from .scene import AFTER, START, Scene, text_seed
+from .scene import CLIENT_RETRY_PERIOD, START, BaseWorld, seed_from_text
 from .sidecars import SimulatedSidecar
 
 START_SPREAD = 1.5  # s within which the sidecars come up
@@ -20,7 +20,7 @@
 __all__ = ["START", "World"]
 
 
-class World(Scene):
+class World(BaseWorld):
     """Nothing outside of it is read, so that a seed says all."""
 
     scheduler: Scheduler
@@ -32,7 +32,9 @@
         """``permute``, ``choose``: the order of events of one instant."""
         scheduler = Scheduler(permute, choose)
         path = Path(day.zones.same_ms / 1000.0, day.zones.jitter)
-        network = Network(scheduler, text_seed(f"{day.seed}/network"), path, trace if trace is not None else Trace())
+        network = Network(
+            scheduler, seed_from_text(f"{day.seed}/network"), path, trace if trace is not None else Trace()
+        )
         super().__init__(day, scheduler, network)
 
     def process(self, machine: Machine) -> Loop:
@@ -59,9 +61,9 @@
         self.scheduler.run(end)
         self.over = True
         longest = max(kind.deadline_ms for kind in self.day.classes) / 1000.0
-        self.scheduler.run(end + round(AFTER * NS))
+        self.scheduler.run(end + round(CLIENT_RETRY_PERIOD * NS))
         self.closing = True
-        self.scheduler.run(end + round((AFTER + longest) * NS))
+        self.scheduler.run(end + round((CLIENT_RETRY_PERIOD + longest) * NS))
         found = summary(self, self.judge())
         self.end()
         return found
