--- a/zinclever/policy/endpoint_list.py
+++ b/zinclever/policy/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The list of endpoints as it was last told, in the order that draws need it in."""
+"""The endpoint list as last received, indexed for selection."""
 
 from __future__ import annotations
 
@@ -7,142 +7,146 @@
 
 from .. import interface
 from ..fleet.limits import DiscoveryCallPacer
-from ..fleet.ranked import cut, rank_of
+from ..fleet.ranked import rank_of, remove_ranked
 from ..fleet.smooth import NEVER
 from .endpoints import Endpoint
 from .partition import ZonePartition
 from .requests import Request
 
-INITIAL_RETRY_DELAY = 300.0  # ms before discovery is asked again, doubled each time
-MIN_POOL = 3.0  # unused endpoints to draw two from, where hundreds of balancers share them
-MIN_SHARING = 10.0  # balancers to draw on each endpoint at least, so that their uneven loads even out
-HOME_PREFERRED_PRICE = (
-    0.05  # price of crossing zones from which on home is preferred; below, the wider draw is worth more
+INITIAL_RETRY_DELAY = 300.0  # ms before discovery is called again, doubled with each refusal
+MIN_POOL = 3.0  # unused endpoints to draw two from when hundreds of balancers share them
+MIN_BALANCERS_PER_ENDPOINT = (
+    10.0  # balancers that draw on each endpoint at least, so that their uneven loads average out
 )
-INCREMENTAL_SHARE = 0.1  # share of the list up to which changes are taken one by one
+HOME_PREFERRED_PRICE = 0.05  # price of crossing zones from which the home zone is preferred over a wider choice
+INCREMENTAL_SHARE = 0.1  # share of the list up to which changes are applied one by one
 
 
 class EndpointList:
-    """The list of endpoints as it was last told, by side and by cell; when discovery is asked."""
+    """The endpoints as last received, partitioned by zone and by cell, and the schedule of discovery calls."""
 
-    def __init__(self, settings: interface.Settings, rng: random.Random, part: random.Random) -> None:
+    def __init__(self, settings: interface.Settings, rng: random.Random, limits_rng: random.Random) -> None:
         self.settings, self.rules, self.rng = settings, settings.rules, rng
         self.endpoints: dict[str, Endpoint] = {}
         self.ready: list[Endpoint] = []
-        self.leaving: set[Endpoint] = set()  # gone, and with attempts out
+        self.gone_in_flight: set[Endpoint] = set()  # removed from the list with attempts in flight
         self.by_cell = any(c.group == "cell" for c in settings.classes)
-        self.cells: dict[int, list[Endpoint]] = {}  # those ready, where a class is bound to cells
-        self.near, self.far = ZonePartition(), ZonePartition()  # far: those that are dear to cross to
+        self.cells: dict[int, list[Endpoint]] = {}  # ready endpoints by cell, kept only if a class is bound to cells
+        self.near, self.far = ZonePartition(), ZonePartition()  # far: zones that cost something to cross to
         self.fetch_at = -NEVER if settings.discovery == "on_request" else NEVER
         self.refusals = 0
-        self.balancers_per_endpoint = float(
-            settings.group_size
-        )  # balancers that share each endpoint: fewer than all, of a subset
+        self.balancers_per_endpoint = float(settings.group_size)  # fewer than all with a subset
         self.calls = DiscoveryCallPacer(
-            settings.shares.list_calls_per_s, settings.group_size, self.rules.ask_within, part
+            settings.shares.list_calls_per_s, settings.group_size, self.rules.ask_within, limits_rng
         )
 
-    def apply(self, now: float, news: interface.MembershipUpdate) -> bool:
-        """Whether there is a list to go by: discovery may have refused."""
-        if news.kind == "refused":
+    def apply(self, now: float, update: interface.MembershipUpdate) -> bool:
+        """Apply an update of the list. Returns False if discovery refused and there is nothing to apply."""
+        if update.kind == "refused":
             self.refusals += 1
             pause = min(INITIAL_RETRY_DELAY * 2.0**self.refusals, self.rules.ask_within / 3)
             pause *= 0.5 + 0.5 * self.rng.random()
             self.fetch_at = now + (self.calls.retry_delay(self.refusals) if self.calls.span else pause)
             return False
-        if news.kind != "remembered":
+        if update.kind != "remembered":
             self.refusals, self.fetch_at = 0, NEVER
-        elif news.entries and self.fetch_at == -NEVER and self.calls.span:
-            # Guards discovery against all that start at once: each begins with the list that it remembers.
-            self.fetch_at = now + self.calls.start()
-        if news.kind == "changes" and len(news.entries) < INCREMENTAL_SHARE * len(self.endpoints):
-            for x in news.entries:
-                self.apply_change(now, x)
+        elif update.entries and self.fetch_at == -NEVER and self.calls.span:
+            # Spreads the first calls of balancers that start at the same time, each with the list it remembers.
+            self.fetch_at = now + self.calls.initial_delay()
+        if update.kind == "changes" and len(update.entries) < INCREMENTAL_SHARE * len(self.endpoints):
+            for entry in update.entries:
+                self.apply_change(now, entry)
         else:
-            self.rebuild(now, news)
-        self.leaving = {e for e in self.leaving if e.phase == "gone" and e.inflight}
-        part = min(1.0, len(self.ready) / news.of) if news.of else 1.0
-        self.balancers_per_endpoint = max(1.0, part * self.settings.group_size)
+            self.rebuild(now, update)
+        self.gone_in_flight = {
+            endpoint for endpoint in self.gone_in_flight if endpoint.phase == "gone" and endpoint.inflight
+        }
+        known_share = min(1.0, len(self.ready) / update.total) if update.total else 1.0
+        self.balancers_per_endpoint = max(1.0, known_share * self.settings.group_size)
         return True
 
-    def rebuild(self, now: float, news: interface.MembershipUpdate) -> None:
-        """A whole list, or changes to much of it: everything is put in order anew."""
-        if news.kind != "changes":
-            present = {x.endpoint for x in news.entries}
-            for name, e in self.endpoints.items():
+    def rebuild(self, now: float, update: interface.MembershipUpdate) -> None:
+        """Rebuild all indexes from a full list, or after changes to a large part of it."""
+        if update.kind != "changes":
+            present = {entry.endpoint for entry in update.entries}
+            for name, endpoint in self.endpoints.items():
                 if name not in present:
-                    e.phase = "gone"
-        for x in news.entries:
-            self.update_endpoint(now, x)
-        self.endpoints = {n: e for n, e in self.endpoints.items() if e.phase != "gone" or e.inflight}
-        self.leaving = {e for e in self.endpoints.values() if e.phase == "gone"}
-        self.ready = [e for e in self.endpoints.values() if e.phase == "ready"]
+                    endpoint.phase = "gone"
+        for entry in update.entries:
+            self.update_endpoint(now, entry)
+        self.endpoints = {
+            n: endpoint for n, endpoint in self.endpoints.items() if endpoint.phase != "gone" or endpoint.inflight
+        }
+        self.gone_in_flight = {endpoint for endpoint in self.endpoints.values() if endpoint.phase == "gone"}
+        self.ready = [endpoint for endpoint in self.endpoints.values() if endpoint.phase == "ready"]
         self.ready.sort(key=rank_of)
-        for e in self.ready:
-            e.is_near = self.is_near(e)
-        self.near.replace_all(now, [e for e in self.ready if e.is_near], self.rules.cold_for)
-        self.far.replace_all(now, [e for e in self.ready if not e.is_near], self.rules.cold_for)
+        for endpoint in self.ready:
+            endpoint.is_near = self.is_near(endpoint)
+        self.near.replace_all(now, [endpoint for endpoint in self.ready if endpoint.is_near], self.rules.cold_for)
+        self.far.replace_all(now, [endpoint for endpoint in self.ready if not endpoint.is_near], self.rules.cold_for)
         self.cells.clear()
         if self.by_cell:
-            for e in self.ready:
-                self.cells.setdefault(e.cell, []).append(e)
+            for endpoint in self.ready:
+                self.cells.setdefault(endpoint.cell, []).append(endpoint)
 
-    def apply_change(self, now: float, x: interface.ListedEndpoint) -> None:
-        """One endpoint's news, at a cost that doesn't grow with the list but for moving its tail."""
-        known = self.endpoints.get(x.endpoint)
+    def apply_change(self, now: float, entry: interface.ListedEndpoint) -> None:
+        """Apply the change of one endpoint. Apart from shifting list items, the cost does not grow with the list."""
+        known = self.endpoints.get(entry.endpoint)
         if known is not None and known.phase == "ready":
-            cut(self.ready, known)
+            remove_ranked(self.ready, known)
             self.partition_of(known).remove(known)
             if self.by_cell:
-                cut(self.cells[known.cell], known)
-        e = self.update_endpoint(now, x)
-        if e.phase == "ready":
-            e.is_near = self.is_near(e)
-            bisect.insort(self.ready, e, key=rank_of)
-            self.partition_of(e).insert(now, e, self.rules.cold_for)
+                remove_ranked(self.cells[known.cell], known)
+        endpoint = self.update_endpoint(now, entry)
+        if endpoint.phase == "ready":
+            endpoint.is_near = self.is_near(endpoint)
+            bisect.insort(self.ready, endpoint, key=rank_of)
+            self.partition_of(endpoint).insert(now, endpoint, self.rules.cold_for)
             if self.by_cell:
-                bisect.insort(self.cells.setdefault(e.cell, []), e, key=rank_of)
-        elif e.phase == "gone":
-            self.leaving.add(e)
-        for left in [e for e in self.leaving if e.phase == "gone" and not e.inflight]:
-            self.leaving.discard(left)
-            self.endpoints.pop(left.name, None)
-
-    def update_endpoint(self, now: float, x: interface.ListedEndpoint) -> Endpoint:
-        """The endpoint of an entry, made or updated; a new start resets what was learnt of it."""
-        known = self.endpoints.get(x.endpoint)
+                bisect.insort(self.cells.setdefault(endpoint.cell, []), endpoint, key=rank_of)
+        elif endpoint.phase == "gone":
+            self.gone_in_flight.add(endpoint)
+        for finished in [
+            endpoint for endpoint in self.gone_in_flight if endpoint.phase == "gone" and not endpoint.inflight
+        ]:
+            self.gone_in_flight.discard(finished)
+            self.endpoints.pop(finished.name, None)
+
+    def update_endpoint(self, now: float, entry: interface.ListedEndpoint) -> Endpoint:
+        """Create or update the endpoint of an entry. A new start of the process discards what was learned about it."""
+        known = self.endpoints.get(entry.endpoint)
         if known is None:
-            known = self.endpoints[x.endpoint] = Endpoint(x, now, self.rng)
-        elif known.started_at != x.started_at:
-            known.reset(x, now, self.rng)
+            known = self.endpoints[entry.endpoint] = Endpoint(entry, now, self.rng)
+        elif known.started_at != entry.started_at:
+            known.reset(entry, now, self.rng)
         else:
-            known.update(x)
+            known.update(entry)
         return known
 
-    def is_near(self, e: Endpoint) -> bool:
-        """Whether an endpoint is in the home zone, or crossing costs too little to matter."""
-        return self.settings.prices.cross_zone < HOME_PREFERRED_PRICE or e.zone == self.settings.zone
+    def is_near(self, endpoint: Endpoint) -> bool:
+        """Return whether an endpoint is in the home zone, or crossing zones costs too little to matter."""
+        return self.settings.prices.cross_zone < HOME_PREFERRED_PRICE or endpoint.zone == self.settings.zone
 
     def on_fetched(self, now: float) -> None:
-        """Discovery is being asked: it will be again if no answer comes within half the time that the rules give."""
+        """Schedule the next call if discovery does not answer within half of the allowed interval."""
         self.fetch_at = now + self.rules.ask_within / 2
 
-    def partition_of(self, e: Endpoint) -> ZonePartition:
-        """The partition of an endpoint."""
-        return self.near if e.is_near else self.far
+    def partition_of(self, endpoint: Endpoint) -> ZonePartition:
+        """Return the partition that an endpoint belongs to."""
+        return self.near if endpoint.is_near else self.far
 
     def inflight(self) -> int:
-        """Attempts, at all endpoints."""
+        """Return the number of attempts in flight at all endpoints."""
         return self.near.inflight + self.far.inflight
 
     def pool_size(self) -> float:
-        """How many unused endpoints to draw from: few, each shared with others, more with more in flight."""
-        shared = MIN_SHARING * len(self.ready) / self.balancers_per_endpoint
+        """Return how many unused endpoints to draw from: few, as others share them, and more with more in flight."""
+        shared = MIN_BALANCERS_PER_ENDPOINT * len(self.ready) / self.balancers_per_endpoint
         return max(MIN_POOL, shared) + self.inflight()
 
-    def is_same_group(self, r: Request, e: Endpoint) -> bool:
-        """Whether ``e`` discards a repeat of what may have run."""
-        if r.first_possible_run is None or r.klass.idempotent or r.klass.settings.group == "all":
+    def is_same_group(self, request: Request, endpoint: Endpoint) -> bool:
+        """Return whether ``endpoint`` would discard a repeat of the attempt that may have run."""
+        if request.first_possible_run is None or request.klass.idempotent or request.klass.settings.group == "all":
             return True
-        home = r.first_possible_run.endpoint
-        return e.zone == home.zone if r.klass.settings.group == "zone" else e.cell == home.cell
+        home = request.first_possible_run.endpoint
+        return endpoint.zone == home.zone if request.klass.settings.group == "zone" else endpoint.cell == home.cell
