--- a/benchmarks/hop.py
+++ b/benchmarks/hop.py
@@ -35,7 +35,7 @@
 
 async def measure(count: int) -> None:
     async with Mesh(["one", "two"]) as m:
-        await m.serve()
+        await m.bring_up()
         ways = {
             "the endpoint alone": m.stub_endpoints[0].address,
             "beside the endpoint": f"{m.ips[0]}:{m.port + 2}",
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from mesh.cluster import App, config, read_message
+from mesh.cluster import StubEndpoint, config, read_message
 
 ROOT = Path(__file__).parents[1]
 TICKS = os.sysconf("SC_CLK_TCK")
@@ -74,7 +74,7 @@
         with socket.socket() as s:
             s.bind((self.control_ip, 0))
             self.port = min(s.getsockname()[1], 65000)
-        self.apps = [App(f"{ip}:{self.port + 6}", f"service-{n}") for n, ip in enumerate(self.ips)]
+        self.apps = [StubEndpoint(f"{ip}:{self.port + 6}", f"service-{n}") for n, ip in enumerate(self.ips)]
         self.running: list[subprocess.Popen[bytes]] = []
         self.folder = tempfile.TemporaryDirectory()
 
--- a/tests/mesh/cluster.py
+++ b/tests/mesh/cluster.py
@@ -25,7 +25,7 @@
 """Returns the response of an endpoint to a request with the given headers; None closes the connection."""
 
 
-def good(headers: dict[str, str], body: bytes = b"made") -> bytes:
+def ok_response(headers: dict[str, str], body: bytes = b"made") -> bytes:
     """Return a valid response to a request with the given headers."""
     return b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %b\r\nX-Server-Seal: s\r\nContent-Length: %d\r\n\r\n%b" % (
         headers["x-attempt-id"].encode(),
@@ -42,7 +42,7 @@
     )
 
 
-async def until(condition: Callable[[], Any]) -> None:
+async def wait_until(condition: Callable[[], Any]) -> None:
     """Wait until a condition holds; fails after :data:`TEST_TIMEOUT`."""
     async with asyncio.timeout(TEST_TIMEOUT):
         while not condition():
@@ -57,10 +57,10 @@
     return head[0], headers, body
 
 
-class App:
+class StubEndpoint:
     """A scripted HTTP endpoint in front of which a sidecar runs."""
 
-    def __init__(self, address: str, service: str, responder: Responder = good) -> None:
+    def __init__(self, address: str, service: str, responder: Responder = ok_response) -> None:
         self.address, self.service, self.responder = address, service, responder
         self.id = f"i-{address}"
         self.received_requests: list[tuple[str, dict[str, str], bytes]] = []
@@ -102,7 +102,7 @@
         self.server.close()
         for writer in self.writers:
             writer.transport.abort()
-        await until(lambda: not self.writers)
+        await wait_until(lambda: not self.writers)
 
     def heartbeat_body(self, phase: str = "ready") -> bytes:
         self.seq += 1
@@ -128,7 +128,7 @@
         self.folder = tempfile.TemporaryDirectory()
         self.ips = [f"127.77.{network}.{10 + n}" for n in range(len(services))]
         self.stub_endpoints = [
-            App(f"{ip}:{self.port + 6}", s, (responders or {}).get(n, good))
+            StubEndpoint(f"{ip}:{self.port + 6}", s, (responders or {}).get(n, ok_response))
             for n, (ip, s) in enumerate(zip(self.ips, services, strict=True))
         ]
         self.ids = itertools.count(1)
@@ -196,21 +196,21 @@
         writer.close()
         return int(start.split()[1]), response_headers, response_body
 
-    async def ask(
-        self, path: str, method: str = "GET", at: int = 0, body: bytes = b"", **headers: Any
+    async def send_request(
+        self, path: str, method: str = "GET", sidecar_index: int = 0, body: bytes = b"", **headers: Any
     ) -> tuple[int, dict[str, str], bytes]:
-        """Send a client's request to the sidecar with the index ``at``."""
+        """Send a client's request to the sidecar with the given index."""
         request_headers = {"X_Attempt_Id": f"r{next(self.ids)}", "X_Deadline_Ms": "3000", **headers}
-        return await self.call(f"{self.ips[at]}:{self.port + 2}", method, path, body, **request_headers)
+        return await self.call(f"{self.ips[sidecar_index]}:{self.port + 2}", method, path, body, **request_headers)
 
-    async def put(self, config: dict[str, Any] | bytes, base: int) -> tuple[int, dict[str, str], bytes]:
+    async def put_config(self, config: dict[str, Any] | bytes, base: int) -> tuple[int, dict[str, str], bytes]:
         """Replace the configuration of generation ``base``, and return the control node's response."""
         text = config if isinstance(config, bytes) else json.dumps(config).encode()
         return await self.call(
             f"{self.control_ip}:{self.port + 2}", "POST", "/v1/config/replace", text, X_Base_Version=str(base)
         )
 
-    async def beat(self, index: int, phase: str = "ready") -> int:
+    async def send_heartbeat(self, index: int, phase: str = "ready") -> int:
         """Send a heartbeat of an endpoint to its sidecar, and return the status."""
         app = self.stub_endpoints[index]
         status, _, _ = await self.call(
@@ -218,20 +218,20 @@
         )
         return status
 
-    async def serve(self) -> None:
+    async def bring_up(self) -> None:
         """Activate a configuration, and wait until all sidecars use it and know all endpoints."""
         for index in range(len(self.stub_endpoints)):
-            assert await self.beat(index) == 200
+            assert await self.send_heartbeat(index) == 200
         await self.put_until_definite(config(*{app.service for app in self.stub_endpoints}), 0)
-        await until(lambda: all(s.node.active.generation == 1 for s in self.sidecars))
-        await until(lambda: all(self.known_endpoints(s) == len(self.stub_endpoints) for s in self.sidecars))
+        await wait_until(lambda: all(s.node.active.generation == 1 for s in self.sidecars))
+        await wait_until(lambda: all(self.known_endpoints(s) == len(self.stub_endpoints) for s in self.sidecars))
 
     async def put_until_definite(self, text: dict[str, Any], base: int) -> None:
         """Replace the configuration, repeating the call while the status is 503, after which its result is unknown."""
         deadline = asyncio.get_running_loop().time() + DEFINITE_RESULT_TIMEOUT
         status = 503
         while status == 503 and asyncio.get_running_loop().time() < deadline:
-            status, _, _ = await self.put(text, base)
+            status, _, _ = await self.put_config(text, base)
         assert status == 200, status
 
     def known_endpoints(self, sidecar: Sidecar) -> int:
--- a/tests/mesh/processes.py
+++ b/tests/mesh/processes.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import Any
 
-from mesh.cluster import App, Mesh, config, read_message
+from mesh.cluster import Mesh, StubEndpoint, config, read_message
 
 ROOT = Path(__file__).parents[2]
 SERVICE = "s"
@@ -190,7 +190,7 @@
 # --- endpoints and clients ---
 
 
-class RecordingEndpoint(App):
+class RecordingEndpoint(StubEndpoint):
     """Responds to each request after a service time, and records its execution as soon as it was read."""
 
     def __init__(self, address: str, service: str) -> None:
@@ -410,7 +410,7 @@
             for index in range(len(self.endpoints)):
                 try:
                     async with asyncio.timeout(HEARTBEAT_TIMEOUT_S):
-                        await self.beat(index)
+                        await self.send_heartbeat(index)
                 except (OSError, TimeoutError, asyncio.IncompleteReadError):
                     continue  # the sidecar is stopped or has exited
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
--- a/tests/mesh/test_answers.py
+++ b/tests/mesh/test_answers.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from mesh.cases import params
-from mesh.cluster import App, Mesh, good, run, until
+from mesh.cluster import Mesh, StubEndpoint, ok_response, run, wait_until
 from mesh.test_attempts import PROTOCOL_VERSION, AttemptModel
 from zinclever.core.descriptors import Descriptors
 from zinclever.mesh.attempt_outcome import AttemptOutcome
@@ -89,26 +89,26 @@
 
         async def test() -> None:
             async with Mesh(["a", "b"]) as m:
-                await m.serve()
+                await m.bring_up()
                 app = m.stub_endpoints[0]
                 caller = m.sidecars[1]
                 relay = Relay(m.ips[1], (m.ips[0], m.sidecars[0].node.port))
                 await relay.start()
                 forwarder = caller.clients.to("a").forwarder
                 forwarder.set_address(app.id, relay.address)
-                await m.ask(f"/a/{kind}/", "POST", at=1, body=BODY)
+                await m.send_request(f"/a/{kind}/", "POST", sidecar_index=1, body=BODY)
                 total_bytes = dict(relay.bytes_passed)
                 self.assertGreater(min(total_bytes.values()), 50)
                 statuses: dict[str, int] = {}
                 for direction, size in total_bytes.items():
                     for position in range(1, size, STEP):
                         relay.close_connections()
-                        await until(lambda: caller.node.channel_to(relay.address).connection is None)
+                        await wait_until(lambda: caller.node.channel_to(relay.address).connection is None)
                         forwarder.set_address(app.id, relay.address)
                         relay.limits = {direction: position}
                         name = f"{direction}-{position}"
-                        status, headers, _ = await m.ask(
-                            f"/a/{kind}/", "POST", at=1, body=BODY, X_Attempt_Id=name, X_Deadline_Ms="2000"
+                        status, headers, _ = await m.send_request(
+                            f"/a/{kind}/", "POST", sidecar_index=1, body=BODY, X_Attempt_Id=name, X_Deadline_Ms="2000"
                         )
                         statuses[name] = status
                         if status == 200:
@@ -120,7 +120,7 @@
         run(test)
         self.assertGreater(outcomes["tried"], 50)
 
-    def check_executions(self, kind: str, statuses: dict[str, int], app: App, outcomes: Counter[str]) -> None:
+    def check_executions(self, kind: str, statuses: dict[str, int], app: StubEndpoint, outcomes: Counter[str]) -> None:
         executions = Counter(headers["x-attempt-id"] for _, headers, _ in app.received_requests)
         for name, status in statuses.items():
             outcomes["tried"] += 1
@@ -142,16 +142,19 @@
     def test_requests_received_late_run_no_more_often_than_allowed(self, kind: str) -> None:
         async def test() -> None:
             async with Mesh(["a", "b"]) as m:
-                await m.serve()
+                await m.bring_up()
                 app = m.stub_endpoints[0]
                 caller = m.sidecars[1]
                 relay = Relay(m.ips[1], (m.ips[0], m.sidecars[0].node.port))
                 await relay.start()
                 caller.clients.to("a").forwarder.set_address(app.id, relay.address)
-                await m.ask(f"/a/{kind}/", at=1)
+                await m.send_request(f"/a/{kind}/", sidecar_index=1)
                 relay.is_forwarding.clear()
                 names = [f"held-{n}" for n in range(20)]
-                requests = [m.ask(f"/a/{kind}/", at=1, X_Attempt_Id=name, X_Deadline_Ms="1600") for name in names]
+                requests = [
+                    m.send_request(f"/a/{kind}/", sidecar_index=1, X_Attempt_Id=name, X_Deadline_Ms="1600")
+                    for name in names
+                ]
                 waiting = asyncio.gather(*requests)
                 await asyncio.sleep(1.3)
                 relay.is_forwarding.set()
@@ -270,13 +273,13 @@
 class UnsolicitedAnswers(unittest.TestCase):
     def test_unsolicited_second_answer_is_not_delivered(self) -> None:
         def two_answers(headers: dict[str, str]) -> bytes:
-            return good(headers) + good({"x-attempt-id": "r-other"}, b"stray")
+            return ok_response(headers) + ok_response({"x-attempt-id": "r-other"}, b"stray")
 
         async def test() -> None:
             async with Mesh(["a"], {0: two_answers}) as m:
-                await m.serve()
+                await m.bring_up()
                 for n in range(20):
-                    status, headers, body = await m.ask("/a/unsafe/", X_Attempt_Id=f"u{n}")
+                    status, headers, body = await m.send_request("/a/unsafe/", X_Attempt_Id=f"u{n}")
                     if status == 200:
                         self.assertEqual((headers["x-attempt-id"], body), (f"u{n}", b"made"))
                 executions = Counter(headers["x-attempt-id"] for _, headers, _ in m.stub_endpoints[0].received_requests)
--- a/tests/mesh/test_catch_up.py
+++ b/tests/mesh/test_catch_up.py
@@ -12,7 +12,7 @@
 from unittest import mock
 
 from mesh.cases import params
-from mesh.cluster import run, until
+from mesh.cluster import run, wait_until
 from zinclever.mesh.consensus.client_calls import MAX_APPLIED_CALLS
 from zinclever.mesh.consensus.messages import ReplicaRole, Reply
 from zinclever.mesh.consensus.replica import Replica
@@ -247,12 +247,12 @@
             await nodes.start(n)
         await nodes.put(1, 0)
         controls = nodes.controls
-        await until(lambda: all(c.replica.committed.generation == 1 for c in controls.values()))
+        await wait_until(lambda: all(c.replica.committed.generation == 1 for c in controls.values()))
         follower = next(n for n, c in controls.items() if c.replica.role is not ReplicaRole.LEADER)
         nodes.stop(follower)
         await nodes.put(2, 1)
         restarted = await nodes.start(follower)
-        await until(lambda: restarted.replica.committed.generation == 2)
+        await wait_until(lambda: restarted.replica.committed.generation == 2)
         self.assertEqual(restarted.replica.committed.text, nodes.text(2))
         counters = restarted.replica_transport.texts.counters
         self.assertGreater(counters.finished, 0)
--- a/tests/mesh/test_channel.py
+++ b/tests/mesh/test_channel.py
@@ -7,7 +7,7 @@
 from typing import Any
 from unittest import mock
 
-from mesh.cluster import run, until
+from mesh.cluster import run, wait_until
 from zinclever.mesh.transport import channel as channel_module
 from zinclever.mesh.transport import dialing
 from zinclever.mesh.transport.channel import Channel
@@ -64,16 +64,16 @@
         async def test() -> None:
             async with ChannelToListener() as peer:
                 stream = peer.call()
-                await until(lambda: peer.answers)
+                await wait_until(lambda: peer.answers)
                 peer.channel.finish_call(stream)
                 peer.withhold_answers = True
                 peer.call()
                 self.assertFalse(peer.channel.is_unresponsive())
                 peer.set_reading_paused(True)
-                await until(peer.channel.is_unresponsive)
+                await wait_until(peer.channel.is_unresponsive)
                 self.assertEqual(len(peer.answers), 1)  # the open call continues
                 peer.set_reading_paused(False)
-                await until(lambda: not peer.channel.is_unresponsive())
+                await wait_until(lambda: not peer.channel.is_unresponsive())
                 self.assertIsNotNone(peer.channel.connection)
 
         run(test)
@@ -82,7 +82,7 @@
         async def test() -> None:
             async with ChannelToListener() as peer:
                 stream = peer.call()
-                await until(lambda: peer.answers)
+                await wait_until(lambda: peer.answers)
                 peer.channel.finish_call(stream)
                 peer.channel.connection.last_received_at -= 100.0  # type: ignore[union-attr]
                 self.assertFalse(peer.channel.is_unresponsive())
@@ -96,7 +96,7 @@
             async with ChannelToListener() as peer:
                 peer.withhold_answers = True
                 peer.call()
-                await until(lambda: peer.channel.connection is not None)
+                await wait_until(lambda: peer.channel.connection is not None)
                 connection = peer.channel.connection
                 assert connection is not None
                 connection.last_received_at -= 5.0
@@ -124,12 +124,12 @@
             answers: list[Frame | None] = []
             channel.send_one_way(Frame(cancel=True))
             channel.call(Frame(fetch=Fetch(index=1)), answers.append)
-            await until(lambda: answers)
+            await wait_until(lambda: answers)
             self.assertEqual(answers, [None])
             self.assertTrue(channel.is_unresponsive())
             self.assertEqual(len(channel.pending), 1)
-            await until(lambda: len(attempts) == 1 + len(dialing.DIAL_RETRY_DELAYS))  # the retries run in parallel
-            await until(lambda: channel.dial_task is None)
+            await wait_until(lambda: len(attempts) == 1 + len(dialing.DIAL_RETRY_DELAYS))  # the retries run in parallel
+            await wait_until(lambda: channel.dial_task is None)
             self.assertFalse(channel.is_unresponsive())
 
         run(test)
@@ -143,7 +143,7 @@
         async def test() -> None:
             async with ChannelToListener() as peer:
                 peer.channel.send_one_way(Frame(cancel=True))
-                await until(lambda: peer.channel.connection is not None)
+                await wait_until(lambda: peer.channel.connection is not None)
                 connection = peer.channel.connection
                 await self.run_keep_alive(peer.channel, 40)
                 self.assertIs(peer.channel.connection, connection)
@@ -157,16 +157,16 @@
         async def test() -> None:
             async with ChannelToListener() as peer:
                 peer.channel.send_one_way(Frame(cancel=True))
-                await until(lambda: peer.channel.connection is not None)
+                await wait_until(lambda: peer.channel.connection is not None)
                 connection = peer.channel.connection
-                await until(lambda: peer.accepted and peer.accepted[0].transport is not None)
+                await wait_until(lambda: peer.accepted and peer.accepted[0].transport is not None)
                 paused = peer.accepted[0].transport
                 assert paused is not None
                 paused.pause_reading()
                 await self.run_keep_alive(peer.channel, 40)
                 self.assertIsNone(peer.channel.connection)
                 peer.channel.send_one_way(Frame(cancel=True))
-                await until(lambda: peer.channel.connection is not None)
+                await wait_until(lambda: peer.channel.connection is not None)
                 self.assertIsNot(peer.channel.connection, connection)
                 paused.abort()
 
@@ -177,7 +177,7 @@
         async def test() -> None:
             async with ChannelToListener() as peer:
                 peer.channel.send_one_way(Frame(cancel=True))
-                await until(lambda: peer.channel.connection is not None)
+                await wait_until(lambda: peer.channel.connection is not None)
                 connection = peer.channel.connection
                 assert connection is not None
                 connection.last_received_at -= 5.0
--- a/tests/mesh/test_configuration_handout.py
+++ b/tests/mesh/test_configuration_handout.py
@@ -7,7 +7,7 @@
 from typing import cast
 from unittest import mock
 
-from mesh.cluster import Mesh, config, run, until
+from mesh.cluster import Mesh, config, run, wait_until
 from zinclever.mesh.configuration.fetching import (
     FETCH_TIMEOUT,
     INITIAL_HEDGE_DELAY,
@@ -117,12 +117,12 @@
     def test_a_late_answer_is_used(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 for node in (m.control.node, *(sidecar.node for sidecar in m.sidecars)):
                     delay_answers(node)
-                self.assertEqual((await m.put(config("one", "two", generation=2), 1))[0], 200)
+                self.assertEqual((await m.put_config(config("one", "two", generation=2), 1))[0], 200)
                 started_at = m.control.loop.time()
-                await until(lambda: all(sidecar.node.active.generation == 2 for sidecar in m.sidecars))
+                await wait_until(lambda: all(sidecar.node.active.generation == 2 for sidecar in m.sidecars))
                 self.assertLess(m.control.loop.time() - started_at, 2 * ANSWER_DELAY)
 
         run(test)
@@ -132,7 +132,7 @@
 
         async def test() -> None:
             async with Mesh(["one"]) as m:
-                await m.serve()
+                await m.bring_up()
                 active = m.control.node.active
                 channel = m.sidecars[0].node.channel_to((m.control_ip, m.port + 1))
                 answers: list[Frame | None] = []
@@ -140,13 +140,13 @@
                     channel.call(Frame(fetch=Fetch(index=active.index + 1)), answers.append)
                 completed: list[Frame | None] = []
                 channel.call(Frame(fetch=Fetch(index=1)), completed.append)
-                await until(lambda: completed)  # the earlier fetches have been received as well
+                await wait_until(lambda: completed)  # the earlier fetches have been received as well
                 m.control.node.activate_configuration(
                     active.index + 1, 2, active.text.replace(b'"Generation":1', b'"Generation":2')
                 )
                 completed.clear()
                 channel.call(Frame(fetch=Fetch(index=1)), completed.append)
-                await until(lambda: completed)
+                await wait_until(lambda: completed)
                 self.assertEqual(len(answers), 1)
 
         run(test)
@@ -154,7 +154,7 @@
     def test_a_fetch_beyond_the_limit_is_answered_at_once_without_a_text(self) -> None:
         async def test() -> None:
             async with Mesh(["one"]) as m:
-                await m.serve()
+                await m.bring_up()
                 connection = mock.create_autospec(FramedConnection, instance=True)
                 with mock.patch.object(m.control.node.distributor.waiters, "add", return_value=False):
                     m.control.node.distributor.on_fetch(connection, Frame(stream=9, fetch=Fetch(index=99)))
@@ -170,7 +170,7 @@
 
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 stopped = m.sidecars.pop()
                 for server in stopped.servers:
                     server.close()
@@ -185,7 +185,7 @@
                 m.sidecars.append(new)
                 with mock.patch.object(new.node.gossip_socket, "transport", None):
                     self.assertEqual((await m.call(f"{m.ips[1]}:{m.port + 3}", "GET", "/v1/ready"))[0], 503)
-                    self.assertEqual((await m.ask("/one/safe/x", at=1))[0], 503)
+                    self.assertEqual((await m.send_request("/one/safe/x", sidecar_index=1))[0], 503)
 
         run(test)
 
@@ -194,26 +194,26 @@
 
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 control = m.control.node
                 drop_datagrams(control, set(m.ips))
                 control.frame_handlers["fetch"] = lambda connection, frame: None
                 drop_datagrams(m.sidecars[0].node, {m.control_ip})
-                self.assertEqual((await m.put(config("one", "two", generation=2), 1))[0], 200)
+                self.assertEqual((await m.put_config(config("one", "two", generation=2), 1))[0], 200)
                 await crash(m.sidecars[1])
                 new = m.sidecars[1] = Sidecar(
                     m.make_settings(m.ips[1], "forager", AppAddr=m.stub_endpoints[1].address, Target="two")
                 )
                 await new.start()
                 drop_datagrams(new.node, {m.control_ip})
-                await until(lambda: new.ready())
+                await wait_until(lambda: new.ready())
                 self.assertEqual([sidecar.node.active.generation for sidecar in m.sidecars], [1, 1])
-                self.assertEqual((await m.ask("/one/safe/x", at=1))[0], 200)
+                self.assertEqual((await m.send_request("/one/safe/x", sidecar_index=1))[0], 200)
                 control.frame_handlers["fetch"] = control.distributor.on_fetch
                 for node in (control, *(sidecar.node for sidecar in m.sidecars)):
                     cast(LossyTransport, node.gossip_socket.transport).ips.clear()
                 started_at = m.control.loop.time()
-                await until(lambda: all(sidecar.node.active.generation == 2 for sidecar in m.sidecars))
+                await wait_until(lambda: all(sidecar.node.active.generation == 2 for sidecar in m.sidecars))
                 self.assertLess(m.control.loop.time() - started_at, RECONNECT_BOUND)
 
         run(test)
@@ -223,11 +223,11 @@
 
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 old_text = m.control.node.active.text
                 old_index = m.control.node.active.index
-                self.assertEqual((await m.put(config("one", "two", generation=2), 1))[0], 200)
-                await until(lambda: all(sidecar.node.active.generation == 2 for sidecar in m.sidecars))
+                self.assertEqual((await m.put_config(config("one", "two", generation=2), 1))[0], 200)
+                await wait_until(lambda: all(sidecar.node.active.generation == 2 for sidecar in m.sidecars))
                 node = m.sidecars[0].node
                 record = node.gossip.records.get(RecordKind.VERSION, "config")
                 node.activate_configuration(old_index, 1, old_text)
--- a/tests/mesh/test_endpoint_calls.py
+++ b/tests/mesh/test_endpoint_calls.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from mesh.cases import params
-from mesh.cluster import App, Mesh, run, until
+from mesh.cluster import Mesh, StubEndpoint, run, wait_until
 from zinclever.mesh.membership.receipt_quorum import SIDECAR_PREFERENCE_PERIOD, ReceiptQuorum
 from zinclever.mesh.membership.records import DEPARTED_SEQ, EndpointPhase, RecordKind
 from zinclever.mesh.model.field import endpoint
@@ -29,17 +29,17 @@
         yield
 
 
-async def post_heartbeat(m: Mesh, app: App, phase: str, ip: str, port: int) -> int:
+async def post_heartbeat(m: Mesh, app: StubEndpoint, phase: str, ip: str, port: int) -> int:
     """Send a heartbeat of an endpoint to a process, and return the status."""
     body = app.heartbeat_body(phase)
     return (await m.call(f"{ip}:{port}", "POST", f"/v1/endpoints/{app.id}/heartbeat", body))[0]
 
 
-async def post_departure(m: Mesh, app: App, ip: str, port: int) -> int:
+async def post_departure(m: Mesh, app: StubEndpoint, ip: str, port: int) -> int:
     return (await m.call(f"{ip}:{port}", "POST", f"/v1/endpoints/{app.id}/departure"))[0]
 
 
-def known_record(m: Mesh, app: App) -> Record | None:
+def known_record(m: Mesh, app: StubEndpoint) -> Record | None:
     return m.control.node.gossip.records.get(RecordKind.ENDPOINT, app.id)
 
 
@@ -50,7 +50,7 @@
     def test_unconfirmed_announcement_is_never_acknowledged(self, call: str) -> None:
         async def test() -> None:
             async with Mesh(["one", "one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 app, port = m.stub_endpoints[0], m.port + 2
 
                 async def announce() -> int:
@@ -71,7 +71,7 @@
 
         async def test() -> None:
             async with Mesh(["one", "one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 app, port = m.stub_endpoints[0], m.port + 4
 
                 async def announce() -> int:
@@ -83,7 +83,7 @@
                     self.assertEqual([await announce(), await announce()], [503, 503])
                     self.assertFalse(m.sidecars[0].ingress.is_open)
                     for _ in range(5):
-                        self.assertEqual((await m.ask("/one/unsafe/x", "POST", 2))[0], 200)
+                        self.assertEqual((await m.send_request("/one/unsafe/x", "POST", 2))[0], 200)
                     self.assertEqual(len(app.received_requests), 0)
                 self.assertEqual(await announce(), 200)
                 record = known_record(m, app)
@@ -97,7 +97,7 @@
 
         async def test() -> None:
             async with Mesh(["one", "one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 app, old = m.stub_endpoints[0], m.sidecars[0]
                 flush = old.node.gossip_socket.flush
 
@@ -109,7 +109,7 @@
                     flush()
 
                 with mock.patch.object(old.node.gossip_socket, "flush", flush_only_confirmed):
-                    self.assertEqual(await m.beat(0, "draining"), 200)
+                    self.assertEqual(await m.send_heartbeat(0, "draining"), 200)
                     old.node.gossip_socket.close()
                     for server in old.servers:
                         server.close()
@@ -123,7 +123,7 @@
                 await new.start()
                 m.sidecars[0] = new
                 with mock.patch.object(new.ingress, "attach_endpoint", side_effect=AssertionError("endpoint attached")):
-                    await until(
+                    await wait_until(
                         lambda: (
                             new.node.gossip.anti_entropy.joined
                             and new.node.gossip.records.get(RecordKind.ENDPOINT, app.id) is not None
@@ -136,7 +136,7 @@
     def test_isolated_control_node_acknowledges_nothing(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 m.control.endpoint_api.announcer.tolerated_failures = 1
                 with (
                     datagrams_dropped(m.control.node),
@@ -190,9 +190,9 @@
     def test_later_ready_heartbeat_after_a_drain_is_ignored(self, at: str) -> None:
         async def test() -> None:
             async with Mesh(["one", "one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 app = m.stub_endpoints[0]
-                self.assertEqual(await m.beat(0, "draining"), 200)
+                self.assertEqual(await m.send_heartbeat(0, "draining"), 200)
                 ip, port = (m.ips[0], m.port + 4) if at == "sidecar" else (m.control_ip, m.port + 2)
                 self.assertEqual(await post_heartbeat(m, app, "ready", ip, port), 200)
                 record = known_record(m, app)
@@ -207,32 +207,32 @@
 
         async def test() -> None:
             async with Mesh(["one", "one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 app, sidecar = m.stub_endpoints[0], m.sidecars[0]
                 for _ in range(5):  # they change no state, so they are not gossiped
-                    self.assertEqual(await m.beat(0), 200)
+                    self.assertEqual(await m.send_heartbeat(0), 200)
                 sidecar.local_endpoint.declare_gone(app.id)
                 app.seq -= 2
-                self.assertEqual(await m.beat(0), 200)  # delayed in transit
+                self.assertEqual(await m.send_heartbeat(0), 200)  # delayed in transit
                 self.assertFalse(sidecar.ingress.is_open)
                 app.seq += 1
-                self.assertEqual(await m.beat(0), 200)
+                self.assertEqual(await m.send_heartbeat(0), 200)
                 self.assertTrue(sidecar.ingress.is_open)
-                await until(lambda: (r := known_record(m, app)) is not None and r.rank == EndpointPhase.READY)
+                await wait_until(lambda: (r := known_record(m, app)) is not None and r.rank == EndpointPhase.READY)
 
         run(test)
 
     def test_silent_draining_endpoint_is_gone_for_good(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 app, sidecar = m.stub_endpoints[0], m.sidecars[0]
-                self.assertEqual(await m.beat(0, "draining"), 200)
+                self.assertEqual(await m.send_heartbeat(0, "draining"), 200)
                 sidecar.local_endpoint.declare_gone(app.id)
-                self.assertEqual(await m.beat(0), 200)
+                self.assertEqual(await m.send_heartbeat(0), 200)
                 self.assertFalse(sidecar.ingress.is_open)
-                self.assertEqual(await m.beat(0, "draining"), 200)
-                await until(
+                self.assertEqual(await m.send_heartbeat(0, "draining"), 200)
+                await wait_until(
                     lambda: (
                         (r := known_record(m, app)) is not None
                         and r.rank == EndpointPhase.GONE
@@ -245,7 +245,7 @@
     def test_stalled_sidecar_reads_heartbeats_before_failure_detection(self) -> None:
         async def test() -> None:
             async with Mesh(["one"]) as m:
-                await m.serve()
+                await m.bring_up()
                 sidecar, app = m.sidecars[0], m.stub_endpoints[0]
                 for stalled_for in (20.0, 0.0):  # how long the process stalled; if not, the endpoint was silent
                     sidecar.local_endpoint.heartbeat_at -= 20.0
@@ -261,9 +261,9 @@
 
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 for _ in range(3):
-                    self.assertEqual(await m.beat(0), 200)
+                    self.assertEqual(await m.send_heartbeat(0), 200)
                 known = known_record(m, m.stub_endpoints[0])
                 assert known is not None
                 gone = Record(
@@ -275,7 +275,7 @@
                     body=known.body,
                 )
                 m.control.node.broadcast(gone)
-                await until(
+                await wait_until(
                     lambda: (r := known_record(m, m.stub_endpoints[0])) is not None and r.rank == EndpointPhase.READY
                 )
                 self.assertTrue(m.sidecars[0].ingress.is_open)
@@ -287,17 +287,17 @@
 
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 known = known_record(m, m.stub_endpoints[0])
                 assert known is not None
                 m.control.node.broadcast(Record(kind=2, id="i-long-gone", seq=9, body=known.body))
                 sidecar = m.sidecars[0]
-                await until(lambda: "i-long-gone" in sidecar.local_endpoint.claimed_since)
-                self.assertEqual(await m.beat(0), 200)
+                await wait_until(lambda: "i-long-gone" in sidecar.local_endpoint.claimed_since)
+                self.assertEqual(await m.send_heartbeat(0), 200)
                 sidecar.local_endpoint.claimed_since["i-long-gone"] -= 20.0
                 sidecar.local_endpoint.check_heartbeats()
                 records = m.control.node.gossip.records
-                await until(
+                await wait_until(
                     lambda: (
                         (r := records.get(RecordKind.ENDPOINT, "i-long-gone")) is not None
                         and r.rank == EndpointPhase.GONE
@@ -312,10 +312,10 @@
 
         async def test() -> None:
             async with Mesh(["one"]) as m:
-                await m.serve()
+                await m.bring_up()
                 local_endpoint = m.sidecars[0].local_endpoint
                 local_endpoint.checked_at -= 20.0
-                self.assertEqual(await m.beat(0), 200)
+                self.assertEqual(await m.send_heartbeat(0), 200)
                 local_endpoint.check_heartbeats()
                 self.assertLessEqual(local_endpoint.heartbeat_at, m.sidecars[0].loop.time())
 
--- a/tests/mesh/test_leaving.py
+++ b/tests/mesh/test_leaving.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from unittest import mock
 
-from mesh.cluster import Mesh, config, run, until
+from mesh.cluster import Mesh, config, run, wait_until
 from zinclever.mesh import cli
 from zinclever.mesh.attempt_outcome import AttemptOutcome
 from zinclever.mesh.dataplane.admission import IngressAdmission
@@ -22,13 +22,13 @@
     def test_a_drained_endpoint_receives_no_more_requests(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "one", "two"]) as m:
-                await m.serve()
-                self.assertEqual(await m.beat(0, "draining"), 200)
+                await m.bring_up()
+                self.assertEqual(await m.send_heartbeat(0, "draining"), 200)
                 for _ in range(20):  # from the first request on, from any sidecar
-                    self.assertEqual((await m.ask("/one/unsafe/x", "POST", 2))[0], 200)
+                    self.assertEqual((await m.send_request("/one/unsafe/x", "POST", 2))[0], 200)
                 self.assertEqual(len(m.stub_endpoints[0].received_requests), 0)
                 m.stub_endpoints[0].seq = 0
-                self.assertEqual(await m.beat(0), 200)  # a late heartbeat
+                self.assertEqual(await m.send_heartbeat(0), 200)  # a late heartbeat
                 self.assertFalse(m.sidecars[0].ingress.is_open)
 
         run(test)
@@ -36,7 +36,7 @@
     def test_a_drain_is_confirmed_by_the_sidecar_if_sent_to_a_control_node(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 app = m.stub_endpoints[0]
                 status, _, _ = await m.call(
                     f"{m.control_ip}:{m.port + 2}",
@@ -52,14 +52,14 @@
     def test_a_terminating_sidecar_finishes_running_requests(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 app, terminating = m.stub_endpoints[0], m.sidecars[1]
                 app.response_gate = asyncio.Event()
-                response = asyncio.ensure_future(m.ask("/one/unsafe/x", "POST", 1, b"body"))
-                await until(lambda: app.received_requests)
+                response = asyncio.ensure_future(m.send_request("/one/unsafe/x", "POST", 1, b"body"))
+                await wait_until(lambda: app.received_requests)
                 with mock.patch.object(sidecar, "MIN_DRAIN_PERIOD", 0.05):
                     stopped = asyncio.ensure_future(terminating.stop(6.0))
-                    await until(lambda: terminating.is_stopping)
+                    await wait_until(lambda: terminating.is_stopping)
                     readiness = await m.call(f"{m.ips[1]}:{m.port + 3}", "GET", "/v1/ready")
                     self.assertEqual(readiness[0], 503)  # before anything else changes
                     self.assertFalse(response.done() or stopped.done())
@@ -74,9 +74,9 @@
 
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 m.stub_endpoints[0].id = "i-next"  # a new endpoint at the same address
-                self.assertEqual(await m.beat(0), 200)
+                self.assertEqual(await m.send_heartbeat(0), 200)
                 replies: list[ForwardReply] = []
                 request = ForwardRequest(
                     endpoint=f"i-{m.stub_endpoints[0].address}", head=b"GET / HTTP/1.1\r\n", id="r", deadline_ms=1000
@@ -118,22 +118,22 @@
     def test_the_admission_policy_survives_a_stall(self) -> None:
         async def test() -> None:
             async with Mesh(["one"]) as m:
-                await m.serve()
+                await m.bring_up()
                 dispatcher = m.sidecars[0].clients.to("one").dispatcher
                 dispatcher.resume_after_stall(True)  # as after a stall of a second
                 self.assertIsInstance(dispatcher.balancer.admission, IngressAdmission)
                 changed = config("one", generation=2)
                 changed["Routes"]["one-safe"]["DeadlineS"] = 2.5  # adds a request class
-                self.assertEqual((await m.put(changed, 1))[0], 200)
-                await until(lambda: m.sidecars[0].node.active.generation == 2)
-                self.assertEqual((await m.ask("/one/safe/x"))[0], 200)
+                self.assertEqual((await m.put_config(changed, 1))[0], 200)
+                await wait_until(lambda: m.sidecars[0].node.active.generation == 2)
+                self.assertEqual((await m.send_request("/one/safe/x"))[0], 200)
 
         run(test)
 
     def test_a_heartbeat_replaces_an_endpoint_record_without_a_sidecar(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 app = m.stub_endpoints[0]
                 for other in m.sidecars:  # as after a start of the whole mesh: the endpoint is unknown
                     other.node.gossip.records.by_key.pop(RecordKey(RecordKind.ENDPOINT, app.id))
@@ -142,8 +142,8 @@
                 control_records.by_key.pop(RecordKey(RecordKind.ENDPOINT, app.id))
                 m.control.endpoint_api.sidecar_at = lambda address: ""  # type: ignore[method-assign]
                 await m.call(f"{m.control_ip}:{m.port + 2}", "POST", f"/v1/endpoints/{app.id}/heartbeat", body)
-                self.assertEqual(await m.beat(0), 200)
-                await until(
+                self.assertEqual(await m.send_heartbeat(0), 200)
+                await wait_until(
                     lambda: (
                         (r := control_records.get(RecordKind.ENDPOINT, app.id)) is not None
                         and m.sidecars[0].node.name.encode() in r.body
@@ -155,25 +155,25 @@
     def test_a_departure_reaches_all_sidecars(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 app = m.stub_endpoints[0]
                 status, _, _ = await m.call(f"{m.ips[0]}:{m.port + 4}", "POST", f"/v1/endpoints/{app.id}/departure")
                 self.assertEqual(status, 200)
-                await until(lambda: all(m.known_endpoints(sidecar) == 2 for sidecar in m.sidecars))
+                await wait_until(lambda: all(m.known_endpoints(sidecar) == 2 for sidecar in m.sidecars))
 
         run(test)
 
     def test_the_channel_to_a_leaving_sidecar_keeps_its_open_calls(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
-                await m.serve()
-                await m.ask("/one/safe/x", at=1)
+                await m.bring_up()
+                await m.send_request("/one/safe/x", sidecar_index=1)
                 address = (m.ips[0], m.port)
                 channel = m.sidecars[1].node.channel_to(address)
                 channel.open_calls[999] = lambda frame: None  # an open call
                 m.sidecars[0].node.gossip.leave(m.sidecars[0].loop.time())
                 m.sidecars[0].node.gossip_socket.flush()
-                await until(lambda: (m.sidecars[1].node.gossip.members.state_of(m.sidecars[0].node.name) or 0) > 1)
+                await wait_until(lambda: (m.sidecars[1].node.gossip.members.state_of(m.sidecars[0].node.name) or 0) > 1)
                 self.assertIsNotNone(channel.connection)
 
         run(test)
--- a/tests/mesh/test_mesh.py
+++ b/tests/mesh/test_mesh.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from mesh.cases import params
-from mesh.cluster import Mesh, Responder, good, not_executed, run, until
+from mesh.cluster import Mesh, Responder, not_executed, ok_response, run, wait_until
 from zinclever.mesh.dataplane.ingress import Ingress
 from zinclever.mesh.roles.forward_server import ForwardServer, InboundForward
 from zinclever.mesh.transport.channel import Channel
@@ -17,23 +17,23 @@
 
 
 def other_request_id(headers: dict[str, str]) -> bytes:
-    return good({"x-attempt-id": "another"})
+    return ok_response({"x-attempt-id": "another"})
 
 
 def extra_response(headers: dict[str, str]) -> bytes:
-    return good(headers) + good({"x-attempt-id": "another"})
+    return ok_response(headers) + ok_response({"x-attempt-id": "another"})
 
 
 def truncated_response(headers: dict[str, str]) -> bytes:
-    return good(headers)[:-2].replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
+    return ok_response(headers)[:-2].replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
 
 
 def missing_seal(headers: dict[str, str]) -> bytes:
-    return good(headers).replace(b"X-Server-Seal: s\r\n", b"")
+    return ok_response(headers).replace(b"X-Server-Seal: s\r\n", b"")
 
 
 def content_encoding(headers: dict[str, str]) -> bytes:
-    return good(headers).replace(b"X-Server-Seal", b"Content-Encoding: gzip\r\nX-Server-Seal")
+    return ok_response(headers).replace(b"X-Server-Seal", b"Content-Encoding: gzip\r\nX-Server-Seal")
 
 
 def invalid_http(headers: dict[str, str]) -> bytes:
@@ -45,15 +45,15 @@
 
 
 def server_error(headers: dict[str, str]) -> bytes:
-    return good(headers).replace(b"200 OK", b"500 Error")
+    return ok_response(headers).replace(b"200 OK", b"500 Error")
 
 
 class OneEndpoint(unittest.TestCase):
     """The response of the endpoint, the status that the client receives, and the number of executions."""
 
     @params(
-        ("good", good, "unsafe", 200, 1),
-        ("good", good, "safe", 200, 1),
+        ("good", ok_response, "unsafe", 200, 1),
+        ("good", ok_response, "safe", 200, 1),
         ("a response to another request", other_request_id, "unsafe", 502, 1),
         ("an extra response", extra_response, "unsafe", 200, 1),
         ("a missing seal", missing_seal, "unsafe", 502, 1),
@@ -68,11 +68,11 @@
     ) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"], {0: responder}) as m:
-                await m.serve()
+                await m.bring_up()
                 # At the endpoint's own sidecar; forwarded; and forwarded with a body that needs a reservation.
                 for at, request_body in ((0, b"body"), (1, b"body"), (1, b"body" * 1000)):
                     before = m.executed_requests()
-                    received_status, headers, body = await m.ask(f"/one/{kind}/x", "POST", at, request_body)
+                    received_status, headers, body = await m.send_request(f"/one/{kind}/x", "POST", at, request_body)
                     self.assertEqual(received_status, status, name)
                     self.assertEqual(m.executed_requests() - before, executed_requests, name)
                     if received_status == 200:
@@ -85,9 +85,9 @@
     def test_the_request_that_the_endpoint_receives(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 body = bytes(range(256)) * 1200  # forwarded in several chunks
-                status, _, _ = await m.ask(
+                status, _, _ = await m.send_request(
                     "/one/unsafe/x?a=%20b&c",
                     "PUT",
                     1,
@@ -112,10 +112,10 @@
     def test_a_large_response(self) -> None:
         async def test() -> None:
             response_body = b"0123456789" * 50_000
-            async with Mesh(["one", "two"], {0: lambda headers: good(headers, response_body)}) as m:
-                await m.serve()
+            async with Mesh(["one", "two"], {0: lambda headers: ok_response(headers, response_body)}) as m:
+                await m.bring_up()
                 for at in (0, 1):
-                    self.assertEqual((await m.ask("/one/safe/x", at=at))[2], response_body)
+                    self.assertEqual((await m.send_request("/one/safe/x", sidecar_index=at))[2], response_body)
 
         run(test)
 
@@ -129,8 +129,8 @@
     def test_status_by_route_and_headers(self, path: str, headers: dict[str, Any], status: int) -> None:
         async def test() -> None:
             async with Mesh(["one"]) as m:
-                await m.serve()
-                self.assertEqual((await m.ask(path, **headers))[0], status)
+                await m.bring_up()
+                self.assertEqual((await m.send_request(path, **headers))[0], status)
 
         run(test)
 
@@ -156,13 +156,13 @@
 
             def responder(headers: dict[str, str]) -> bytes | None:
                 received.append(headers["x-attempt-id"])
-                return first_responder(headers) if len(received) == 1 else good(headers)
+                return first_responder(headers) if len(received) == 1 else ok_response(headers)
 
             for body in (b"body", b"body" * 1000):
                 received.clear()
                 async with Mesh(["one", "one", "two"], {0: responder, 1: responder}) as m:
-                    await m.serve()
-                    received_status, _, _ = await m.ask(f"/one/{kind}/x", "POST", 2, body)
+                    await m.bring_up()
+                    received_status, _, _ = await m.send_request(f"/one/{kind}/x", "POST", 2, body)
                     self.assertEqual((received_status, len(received)), (status, attempts))
 
         run(test)
@@ -174,12 +174,12 @@
 
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 queue = m.sidecars[0].ingress.queue
                 queue.mean_service_time, queue.busy = 0.05, queue.slots
-                queued = asyncio.ensure_future(m.ask("/one/unsafe/x", "POST", 1))
-                await until(lambda: queue.waiting)
-                status, headers, _ = await m.ask("/one/unsafe/x", "POST", 1, X_Deadline_Ms="2500")
+                queued = asyncio.ensure_future(m.send_request("/one/unsafe/x", "POST", 1))
+                await wait_until(lambda: queue.waiting)
+                status, headers, _ = await m.send_request("/one/unsafe/x", "POST", 1, X_Deadline_Ms="2500")
                 self.assertEqual((status, len(queue.waiting)), (503, 1))
                 self.assertGreater(float(headers["retry-after"]), 0.1)
                 queue.busy = 0
@@ -196,10 +196,10 @@
 
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 app, ingress = m.stub_endpoints[0], m.sidecars[0].ingress
                 for at in (0, 1, 0, 1):
-                    self.assertEqual((await m.ask(f"/one/{kind}/x", "POST", at, b"body"))[0], 200)
+                    self.assertEqual((await m.send_request(f"/one/{kind}/x", "POST", at, b"body"))[0], 200)
                     app.half_open |= app.writers
                     for connection in ingress.pools.idle:
                         connection.heard_at -= 1.0  # idle for a second
@@ -217,10 +217,10 @@
     def test_no_body_is_sent_without_a_reservation(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 m.sidecars[0].ingress.queue.busy = 400
                 with mock.patch.object(Channel, "send_on_call", autospec=True) as sent:
-                    status, headers, _ = await m.ask("/one/unsafe/x", "POST", 1, self.BODY)
+                    status, headers, _ = await m.send_request("/one/unsafe/x", "POST", 1, self.BODY)
                 self.assertEqual((status, m.executed_requests(), sent.call_count), (503, 0, 0))
                 self.assertGreater(float(headers["retry-after"]), 0.0)
                 self.assertFalse(m.sidecars[0].forward_server.open)
@@ -233,7 +233,7 @@
 
         async def test() -> None:
             async with Mesh(["one", "one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 aborted: list[FramedConnection] = []
 
                 def abort_first(self: ForwardServer, *args: Any) -> None:
@@ -249,7 +249,7 @@
                 with mock.patch.object(ForwardServer, method, abort_first):
                     for sidecar in m.sidecars:  # the handlers were bound at the start
                         sidecar.node.frame_handlers["forward_request"] = sidecar.forward_server.on_request
-                    received_status, _, _ = await m.ask("/one/unsafe/x", "POST", 2, self.BODY)
+                    received_status, _, _ = await m.send_request("/one/unsafe/x", "POST", 2, self.BODY)
                 self.assertEqual((received_status, m.executed_requests()), (status, executions))
 
         run(test)
@@ -257,25 +257,25 @@
     def test_incoming_bodies_are_limited_in_total(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 sidecar = m.sidecars[0]
                 incoming = ForwardRequest(
                     endpoint=m.stub_endpoints[0].id, length=60 << 20, reserve_first=True, deadline_ms=1000
                 )
                 sidecar.forward_server.open[(mock.Mock(), 1)] = InboundForward(mock.Mock(), incoming, 0.0)
-                self.assertEqual((await m.ask("/one/unsafe/x", "POST", 1, b"b" * (8 << 20)))[0], 503)
-                self.assertEqual((await m.ask("/one/unsafe/x", "POST", 1, self.BODY))[0], 200)
+                self.assertEqual((await m.send_request("/one/unsafe/x", "POST", 1, b"b" * (8 << 20)))[0], 503)
+                self.assertEqual((await m.send_request("/one/unsafe/x", "POST", 1, self.BODY))[0], 200)
 
         run(test)
 
     def test_a_sidecar_of_an_earlier_version_gets_bodies_without_a_reservation(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 with mock.patch.dict(m.sidecars[1].node.protocol_versions, {(m.ips[0], m.port): 0}):
                     for size in (5, 4000, 300_000):
                         with mock.patch.object(Ingress, "refusal", side_effect=AssertionError):
-                            self.assertEqual((await m.ask("/one/unsafe/x", "POST", 1, b"b" * size))[0], 200)
+                            self.assertEqual((await m.send_request("/one/unsafe/x", "POST", 1, b"b" * size))[0], 200)
                         self.assertEqual(len(m.stub_endpoints[0].received_requests[-1][2]), size)
 
         run(test)
--- a/tests/mesh/test_mesh_operators.py
+++ b/tests/mesh/test_mesh_operators.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from mesh.cluster import Mesh, config, not_executed, run, until
+from mesh.cluster import Mesh, config, not_executed, run, wait_until
 from zinclever.mesh.consensus.replica_store import read_stored_state
 from zinclever.mesh.errors import MeshError
 from zinclever.mesh.operator_cli.control_client import ControlRequest, call
@@ -16,7 +16,7 @@
     def test_valid_changes_are_accepted_and_others_refused(self) -> None:
         async def test() -> None:
             async with Mesh(["one"]) as m:
-                await m.serve()
+                await m.bring_up()
                 invalid = config("one", generation=2)
                 invalid["Routes"]["one-safe"]["Target"] = "nobody"
                 cases: list[tuple[Any, int, int]] = [
@@ -29,18 +29,18 @@
                     (config("one", generation=3), 1, 412),
                 ]
                 for text, base, expected in cases:
-                    self.assertEqual((await m.put(text, base))[0], expected, (text, base))
+                    self.assertEqual((await m.put_config(text, base))[0], expected, (text, base))
                 status, _, body = await m.call(f"{m.control_ip}:{m.port + 2}", "GET", "/v1/config/read")
                 self.assertEqual(status, 200)
                 self.assertIn(b'"Generation":9', body)
-                await until(lambda: m.sidecars[0].node.active.generation == 9)
+                await wait_until(lambda: m.sidecars[0].node.active.generation == 9)
 
         run(test)
 
     def test_an_acknowledged_change_is_stored_on_disk(self) -> None:
         async def test() -> None:
             async with Mesh(["one"]) as m:
-                await m.serve()
+                await m.bring_up()
                 stored = m.control.store.entry_file.load()
                 assert stored is not None
                 self.assertIn(b'"Generation":1', stored[b"change"])
@@ -50,11 +50,11 @@
     def test_requests_to_removed_routes_are_answered_404(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
-                await m.serve()
-                self.assertEqual((await m.put(config("two", generation=2), 1))[0], 200)
-                await until(lambda: all(f.node.active.generation == 2 for f in m.sidecars))
-                self.assertEqual((await m.ask("/one/safe/x"))[0], 404)
-                self.assertEqual((await m.ask("/two/safe/x"))[0], 200)
+                await m.bring_up()
+                self.assertEqual((await m.put_config(config("two", generation=2), 1))[0], 200)
+                await wait_until(lambda: all(f.node.active.generation == 2 for f in m.sidecars))
+                self.assertEqual((await m.send_request("/one/safe/x"))[0], 404)
+                self.assertEqual((await m.send_request("/two/safe/x"))[0], 200)
 
         run(test)
 
@@ -65,7 +65,7 @@
     def test_nodes_endpoints_view_and_disk(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"]) as m:
-                await m.serve()
+                await m.bring_up()
                 hosts, loop = [f"{m.control_ip}:{m.port + 2}"], m.control.loop
 
                 async def get(path: str) -> Any:
@@ -89,8 +89,8 @@
     def test_explain_names_the_attempts_of_a_refused_request(self) -> None:
         async def test() -> None:
             async with Mesh(["one", "two"], {0: not_executed}) as m:
-                await m.serve()
-                self.assertEqual((await m.ask("/one/unsafe/x", "POST", 1, X_Attempt_Id="r-asked"))[0], 503)
+                await m.bring_up()
+                self.assertEqual((await m.send_request("/one/unsafe/x", "POST", 1, X_Attempt_Id="r-asked"))[0], 503)
                 hosts, loop = [f"{m.control_ip}:{m.port + 2}"], m.control.loop
                 request = ControlRequest("GET", "/v1/mesh/requests/r-asked")
                 response = await loop.run_in_executor(None, call, hosts, request)
--- a/tests/mesh/test_operator_calls.py
+++ b/tests/mesh/test_operator_calls.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from mesh.cluster import Mesh, config, run, until
+from mesh.cluster import Mesh, config, run, wait_until
 from zinclever.mesh.operator_cli.control_client import CHANGE_TIMEOUT, ControlRequest, call
 from zinclever.mesh.roles.control import ControlNode
 from zinclever.mesh.transport.mesh_pb2 import ControlCall, ControlReply, LogEntry, Voter
@@ -53,10 +53,10 @@
 
     async def leader_and_follower(self) -> tuple[ControlNode, ControlNode]:
         """Wait for a leader, and return it and a follower."""
-        await until(lambda: self.leader() is not None)
+        await wait_until(lambda: self.leader() is not None)
         leader = self.leader()
         assert leader is not None
-        await until(lambda: all(m.replica.leader == leader.own_voter.disk for m in self.nodes))
+        await wait_until(lambda: all(m.replica.leader == leader.own_voter.disk for m in self.nodes))
         return leader, next(m for m in self.nodes if m is not leader)
 
     def known_leader(self, control_node: ControlNode) -> Voter:
@@ -109,7 +109,7 @@
             async with ControlNodes() as cluster:
                 leader, follower = await cluster.leader_and_follower()
                 self.assertEqual(await cluster.put(leader, 1, 0), 200)
-                await until(lambda: follower.replica.committed.index == leader.replica.committed.index)
+                await wait_until(lambda: follower.replica.committed.index == leader.replica.committed.index)
                 replies: list[ControlReply] = []
                 reply_to = leader.operator_calls.reply_to
 
@@ -139,7 +139,7 @@
         async def test() -> None:
             async with ControlNodes() as cluster:
                 leader, follower = await cluster.leader_and_follower()
-                await until(lambda: bool(follower.operator_calls.address_of(leader.own_voter)))
+                await wait_until(lambda: bool(follower.operator_calls.address_of(leader.own_voter)))
                 forwarded_calls: list[ControlCall] = []
                 leader.node.frame_handlers["control_call"] = lambda connection, frame: forwarded_calls.append(
                     frame.control_call
@@ -159,11 +159,11 @@
             async with ControlNodes() as cluster:
                 leader, follower = await cluster.leader_and_follower()
                 self.assertEqual(await cluster.put(leader, 1, 0), 200)
-                await until(lambda: follower.replica.committed.generation == 1)
+                await wait_until(lambda: follower.replica.committed.generation == 1)
                 lagging = LogEntry()
                 lagging.CopyFrom(follower.replica.committed)
                 self.assertEqual(await cluster.replace(leader, self.large(2), "1"), 200)
-                await until(lambda: follower.replica.committed.generation == 2)
+                await wait_until(lambda: follower.replica.committed.generation == 2)
                 self.assertEqual((await cluster.read(follower))[0], 200)
                 follower.replica.committed = lagging
                 status, headers, _ = await cluster.call(follower, "GET", "/v1/config/read")
@@ -177,7 +177,7 @@
         async def test() -> None:
             async with ControlNodes() as cluster:
                 _, follower = await cluster.leader_and_follower()
-                await until(lambda: bool(follower.operator_calls.address_of(cluster.known_leader(follower))))
+                await wait_until(lambda: bool(follower.operator_calls.address_of(cluster.known_leader(follower))))
                 response = await follower.loop.run_in_executor(
                     None,
                     lambda: call(
