--- a/tests/rpc.py
+++ b/tests/rpc.py
@@ -1,4 +1,4 @@
-"""A JSON-RPC service in this process, between stand-in endpoints and scripted clients."""
+"""Helpers that run a JSON-RPC service in the test process, with stand-in endpoints and clients."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     aim: float = 2000.0,
     group: str = "all",
 ) -> str:
-    """An operator file with one service; ``endpoints``: the line that names them."""
+    """Return an operator file with one service. ``endpoints`` is the line that configures its endpoints."""
     times = f"aim_ms = {aim}\ndeadline_ms = {deadline}\n"
     return f"""
 version = 1
@@ -62,16 +62,16 @@
 
 
 class Setup:
-    """The service, its endpoints and their common log."""
+    """A running service, its endpoints, its clients and their common log."""
 
-    def __init__(self, made: JsonRpc, log: Log, endpoints: list[JsonRpcEndpoint], address: str) -> None:
-        self.made, self.log, self.endpoints, self.address = made, log, endpoints, address
+    def __init__(self, service: JsonRpc, log: Log, endpoints: list[JsonRpcEndpoint], address: str) -> None:
+        self.service, self.log, self.endpoints, self.address = service, log, endpoints, address
         self.clients: list[JsonRpcClient] = []
 
     @property
     def balancer(self) -> Scripted:
-        assert isinstance(self.made.dispatcher.balancer, Scripted)
-        return self.made.dispatcher.balancer
+        assert isinstance(self.service.dispatcher.balancer, Scripted)
+        return self.service.dispatcher.balancer
 
     @property
     def manual(self) -> Manual:
@@ -80,12 +80,12 @@
         return manual
 
     def outcomes(self) -> list[str]:
-        """How each attempt ended, in order. For scripted balancers."""
-        return [e.outcome for e in self.balancer.ends()]
+        """The outcomes of the attempts, in order. Requires a scripted balancer."""
+        return [event.outcome for event in self.balancer.ends()]
 
     async def client(self) -> JsonRpcClient:
-        """A client that is connected."""
-        client = await JsonRpcClient(self.log, self.made.spec.rules.framing).connect(self.address)
+        """Connect a new client."""
+        client = await JsonRpcClient(self.log, self.service.spec.rules.framing).connect(self.address)
         self.clients.append(client)
         return client
 
@@ -100,48 +100,48 @@
     aim: float = 2000.0,
     sockets: int = 1024,
     more: str = "",
-    by_hand: bool = False,
+    manual_endpoint: bool = False,
 ) -> AsyncIterator[Setup]:
-    """One endpoint a plan behind one service, and with ``by_hand`` one that a test writes by hand.
+    """Run a service with one endpoint per plan, and with a :class:`Manual` endpoint if ``manual_endpoint`` is set.
 
-    ``react``: what a scripted balancer does; else the real one decides.
+    ``react`` scripts the balancer; without it, the real one is used.
     """
     log = Log()
     async with contextlib.AsyncExitStack() as stack:
-        kinds = [JsonRpcEndpoint(log, plan, framing=framing) for plan in plans]
-        kinds += [Manual(log)] if by_hand else []
-        endpoints = [await stack.enter_async_context(kind) for kind in kinds]
-        names = ", ".join(f'"{e.address}"' for e in endpoints)
-        told = text or operator(f"endpoints = [{names}]", framing, deadline=deadline, aim=aim, more=more)
-        report = check_operator(told.encode())
+        unstarted = [JsonRpcEndpoint(log, plan, framing=framing) for plan in plans]
+        unstarted += [Manual(log)] if manual_endpoint else []
+        endpoints = [await stack.enter_async_context(endpoint) for endpoint in unstarted]
+        addresses = ", ".join(f'"{e.address}"' for e in endpoints)
+        operator_file = text or operator(f"endpoints = [{addresses}]", framing, deadline=deadline, aim=aim, more=more)
+        report = check_operator(operator_file.encode())
         assert not report.errors, report.errors
         (spec,) = build(report.clean).services.values()
-        made = JsonRpc(spec, 1, Descriptors(sockets), System())
+        json_rpc = JsonRpc(spec, 1, Descriptors(sockets), System())
         if react is not None:
-            script(made.dispatcher, Scripted(spec.settings, react))
+            script(json_rpc.dispatcher, Scripted(spec.settings, react))
         loop = asyncio.get_running_loop()
-        server = await loop.create_server(made.front.connection, "127.0.0.1", 0)
-        made.dispatcher.start()
+        server = await loop.create_server(json_rpc.front.connection, "127.0.0.1", 0)
+        json_rpc.dispatcher.start()
         host, port = server.sockets[0].getsockname()
-        setup = Setup(made, log, endpoints, f"{host}:{port}")
+        setup = Setup(json_rpc, log, endpoints, f"{host}:{port}")
         try:
             yield setup
         finally:
             for client in setup.clients:
                 await client.close()
             server.close()
-            made.front.stop()
-            made.dispatcher.stop()
+            json_rpc.front.stop()
+            json_rpc.dispatcher.stop()
 
 
 class Manual(JsonRpcEndpoint):
-    """An endpoint whose every byte a test writes by hand."""
+    """An endpoint whose responses are written by the test."""
 
     def __init__(self, log: Log) -> None:
         super().__init__(log)
         self.gate: asyncio.Event | None = None
-        """Until it is set, nothing is read."""
-        self.came: asyncio.Queue[tuple[dict[str, Any], asyncio.StreamWriter]] = asyncio.Queue()
+        """Reading is suspended until it is set."""
+        self.calls: asyncio.Queue[tuple[dict[str, Any], asyncio.StreamWriter]] = asyncio.Queue()
 
     async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -149,15 +149,15 @@
                 await self.gate.wait()
             if not (text := await read(self.framing, reader)):
                 return
-            told = json.loads(text)
-            self.receive(told["params"]["call"], self.log.clock())
-            self.came.put_nowait((told, writer))
+            request = json.loads(text)
+            self.receive(request["params"]["call"], self.log.clock())
+            self.calls.put_nowait((request, writer))
 
     async def next(self, name: str) -> tuple[int, asyncio.StreamWriter]:
-        """The next call, which has to be the one of that name: its id, and the way back."""
-        told, writer = await self.came.get()
-        assert told["params"]["call"] == name
-        return told["id"], writer
+        """Return the id of the next call, which must have this name, and the writer for its response."""
+        request, writer = await self.calls.get()
+        assert request["params"]["call"] == name
+        return request["id"], writer
 
 
 def result(id: int) -> bytes:
--- a/tests/test_jsonrpc.py
+++ b/tests/test_jsonrpc.py
@@ -1,4 +1,4 @@
-"""JSON-RPC on loopback sockets: clients, batches, limits, and what the operator file decides."""
+"""JSON-RPC over loopback sockets: clients, batches, limits, and settings of the operator file."""
 
 from __future__ import annotations
 
@@ -18,22 +18,25 @@
 from zinclever.standins.discovery import Discovery
 from zinclever.standins.jsonrpc_endpoint import JsonRpcEndpoint
 
-ONE = b'{"jsonrpc":"2.0","method":"tip.send","id":1}'
+ONE_CALL = b'{"jsonrpc":"2.0","method":"tip.send","id":1}'
 CLASSES = {0: "read", 1: "unlock", 2: "tip"}
 
 
-def by_class(**does: str) -> Any:
-    """A balancer that refuses, fails or sends each class; what was sent and failed is failed."""
+def by_class(**actions: str) -> Any:
+    """Return the script of a balancer that refuses, fails, holds or sends the requests of each class.
+
+    A request whose attempt fails is failed.
+    """
 
     def react(event: interface.Event) -> Iterable[interface.Action]:
         if isinstance(event, interface.RequestArrived):
-            act = does.get(CLASSES[event.klass], "send")
-            if act == "refuse":
+            action = actions.get(CLASSES[event.klass], "send")
+            if action == "refuse":
                 yield interface.Refuse(event.request, 250.0)
-            elif act == "fail":
+            elif action == "fail":
                 yield interface.Fail(event.request)
-            elif act == "send":
-                yield interface.Send(event.request, first_of(react), 0.0)
+            elif action == "send":
+                yield interface.Send(event.request, first_endpoint(react), 0.0)
         elif isinstance(event, interface.MembershipUpdate):
             react.listed = [e.endpoint for e in event.entries]  # type: ignore[attr-defined]
         elif isinstance(event, interface.AttemptEnded) and not event.complete:
@@ -42,12 +45,12 @@
     return react
 
 
-def first_of(react: Any) -> str:
+def first_endpoint(react: Any) -> str:
     return str(react.listed[0])
 
 
-async def answer(client: JsonRpcClient, text: bytes) -> Any:
-    """The next thing that comes after a text that is no call of the client's."""
+async def send_raw(client: JsonRpcClient, text: bytes) -> Any:
+    """Send a text and return the next message that matches no call of the client."""
     count = len(client.stray)
     client.raw(text)
     async with asyncio.timeout(TEST_TIMEOUT):
@@ -56,7 +59,7 @@
     return client.stray[-1]
 
 
-def test_ids_come_back_as_they_were_written() -> None:
+def test_ids_are_returned_as_written() -> None:
     async def test() -> None:
         async with service(always()) as s:
             c = await s.client()
@@ -69,16 +72,15 @@
     run_real(test)
 
 
-def test_batch_of_a_read_an_unlock_and_a_tip() -> None:
-    """Guards against a batch that is judged as one: each call goes under its own class, and one array comes
-    back with every id once."""
+def test_calls_of_a_batch_are_handled_by_their_own_classes() -> None:
+    """Guards against treating a batch as one request. The response array must hold every id once."""
 
     async def test() -> None:
         async with service(always(), react=by_class(read="refuse", tip="fail")) as s:
             c = await s.client()
             calls = [c.prepare(k, id=token) for k, token in ((READ, "1"), (UNLOCK, '"u"'), (TIP, "2.50"))]
-            note = json.dumps({"jsonrpc": "2.0", "method": "page.get", "params": {"call": "n", "key": "n"}})
-            c.raw(b"[%b,%b]" % (b",".join(text for text, _ in calls), note.encode()))
+            notification = json.dumps({"jsonrpc": "2.0", "method": "page.get", "params": {"call": "n", "key": "n"}})
+            c.raw(b"[%b,%b]" % (b",".join(text for text, _ in calls), notification.encode()))
             refused, served, failed = await asyncio.gather(*(future for _, future in calls))
             assert refused["error"]["code"] == codec.REFUSED
             assert refused["error"]["data"] == {"source": "zinclever", "repeat": "harmless", "retry_after_ms": 250}
@@ -90,7 +92,7 @@
     run_real(test)
 
 
-def test_responses_of_a_batch_come_in_one_array() -> None:
+def test_responses_to_a_batch_are_sent_as_one_array() -> None:
     async def test() -> None:
         async with service(always(delay=0.01)) as s:
             reader, writer = await asyncio.open_connection(*s.address.split(":"))
@@ -105,31 +107,31 @@
     run_real(test)
 
 
-def test_batch_of_notifications_gets_nothing() -> None:
+def test_batch_of_notifications_gets_no_response() -> None:
     async def test() -> None:
         async with service(always()) as s:
             c = await s.client()
-            note = b'{"jsonrpc":"2.0","method":"page.get","params":{"call":"%b","key":"k"}}'
-            c.raw(b"[%b,%b]" % (note % b"a", note % b"b"))
+            notification = b'{"jsonrpc":"2.0","method":"page.get","params":{"call":"%b","key":"k"}}'
+            c.raw(b"[%b,%b]" % (notification % b"a", notification % b"b"))
             await s.endpoints[0].until_received(2)
             await c.call(READ)
             assert not c.stray
-            assert not s.made.front.dispatcher.requests
+            assert not s.service.front.dispatcher.requests
 
     run_real(test)
 
 
-def test_client_that_does_not_read_is_not_read() -> None:
-    """... long before it is dropped: what it would be owed has a bound."""
+def test_reading_pauses_while_a_client_does_not_read() -> None:
+    """Guards against unbounded memory for the responses to such a client, before it is disconnected."""
 
     async def test() -> None:
         async with service(always()) as s:
             _, writer = await asyncio.open_connection(*s.address.split(":"), limit=1024)
             text = b'{"jsonrpc":"2.0","method":1,"id":"%b"}\n' % (b"x" * 60_000)
-            while not any(c.paused for c in s.made.front.connections):
+            while not any(c.write_paused for c in s.service.front.connections):
                 writer.write(text)
                 await asyncio.sleep(0)
-            (connection,) = s.made.front.connections
+            (connection,) = s.service.front.connections
             assert not connection.transport.is_reading()
             writer.transport.abort()
 
@@ -140,77 +142,77 @@
     ("text", "code"),
     [
         (b"[]", codec.INVALID_REQUEST),
-        (b"[" + b",".join([ONE] * 10_000) + b"]", codec.INVALID_REQUEST),
+        (b"[" + b",".join([ONE_CALL] * 10_000) + b"]", codec.INVALID_REQUEST),
         (b"{", codec.PARSE_ERROR),
         (b"[" * 100_000, codec.PARSE_ERROR),
         (b'{"jsonrpc":"2.0","method":"x","id":[]}', codec.INVALID_REQUEST),
     ],
 )
-def test_one_error_for_what_is_no_call(text: bytes, code: int) -> None:
-    """Guards against 10,000 calls of one text, of which some have run when the sidecar gives up."""
+def test_invalid_requests_get_one_error(text: bytes, code: int) -> None:
+    """Guards against running some calls of a batch that is rejected for its size."""
 
     async def test() -> None:
         async with service(always()) as s:
             c = await s.client()
-            told = await answer(c, text)
-            assert told["id"] is None and told["error"]["code"] == code
+            response = await send_raw(c, text)
+            assert response["id"] is None and response["error"]["code"] == code
             await c.call(READ)
             assert len(s.log.received) == 1
 
     run_real(test)
 
 
-def test_batch_inside_a_batch() -> None:
+def test_batch_inside_a_batch_is_rejected() -> None:
     async def test() -> None:
         async with service(always()) as s:
             c = await s.client()
-            told = await answer(c, b"[[],5]")
-            assert [x["error"]["code"] for x in told] == [codec.INVALID_REQUEST] * 2
+            responses = await send_raw(c, b"[[],5]")
+            assert [r["error"]["code"] for r in responses] == [codec.INVALID_REQUEST] * 2
 
     run_real(test)
 
 
-def test_methods_that_are_not_listed() -> None:
+def test_methods_that_are_not_listed_are_rejected() -> None:
     async def test() -> None:
         async with service(always()) as s:
             c = await s.client()
             for method in (b"other", b"rpc.discover"):
-                told = await answer(c, b'{"jsonrpc":"2.0","method":"%b","id":77777}' % method)
-                assert told["error"]["code"] == codec.METHOD_NOT_FOUND and told["id"] == 77777
-            told = await answer(c, b'{"jsonrpc":"2.0","method":"unlock.buy","params":{},"id":77777}')
-            assert told["error"]["code"] == codec.INVALID_PARAMS
+                response = await send_raw(c, b'{"jsonrpc":"2.0","method":"%b","id":77777}' % method)
+                assert response["error"]["code"] == codec.METHOD_NOT_FOUND and response["id"] == 77777
+            response = await send_raw(c, b'{"jsonrpc":"2.0","method":"unlock.buy","params":{},"id":77777}')
+            assert response["error"]["code"] == codec.INVALID_PARAMS
             assert not s.log.received
 
     run_real(test)
 
 
-def test_default_class_takes_what_is_not_listed_but_no_reserved_methods() -> None:
+def test_default_class_applies_to_unlisted_methods_except_reserved_ones() -> None:
     async def test() -> None:
         async with service(always(), more='default_class = "tip"') as s:
             c = await s.client()
             other = Klass("tip", "anything", "at_most_once", 6000.0)
             assert "result" in await c.call(other)
-            told = await answer(c, b'{"jsonrpc":"2.0","method":"rpc.x","id":77777}')
-            assert told["error"]["code"] == codec.METHOD_NOT_FOUND
+            response = await send_raw(c, b'{"jsonrpc":"2.0","method":"rpc.x","id":77777}')
+            assert response["error"]["code"] == codec.METHOD_NOT_FOUND
 
     run_real(test)
 
 
-def test_same_id_twice_in_flight() -> None:
-    """Guards against an error that the client takes for the response to the call that is out."""
+def test_duplicate_id_of_a_pending_call_is_rejected() -> None:
+    """Guards against an error that the client takes for the response to the pending call."""
 
     async def test() -> None:
         async with service(always(), react=by_class(tip="hold")) as s:
             c = await s.client()
             first = c.call(TIP, id="5")
-            told = await answer(c, b'{"jsonrpc":"2.0","method":"page.get","params":{"call":"x"},"id":5}')
-            assert told["id"] is None and told["error"]["code"] == codec.INVALID_REQUEST
+            response = await send_raw(c, b'{"jsonrpc":"2.0","method":"page.get","params":{"call":"x"},"id":5}')
+            assert response["id"] is None and response["error"]["code"] == codec.INVALID_REQUEST
             assert not first.done() and not s.log.received
 
     run_real(test)
 
 
-def test_an_id_may_be_used_again_once_answered() -> None:
+def test_id_can_be_reused_after_the_response() -> None:
     async def test() -> None:
         async with service(always()) as s:
             c = await s.client()
@@ -220,61 +222,61 @@
     run_real(test)
 
 
-def test_application_errors_go_through_and_internal_ones_are_told() -> None:
-    """Guards against an answer that is taken for a fault, and a fault whose words are lost."""
+def test_failure_errors_are_wrapped_and_other_errors_are_forwarded() -> None:
+    """Guards against treating an application error as a fault, and against losing the message of a fault."""
 
     async def test() -> None:
         async with service(always(Fault.ERROR), react=by_class()) as s:
             c = await s.client()
-            told = await c.call(TIP)
+            response = await c.call(TIP)
             assert s.outcomes() == ["error"]
-            assert told["error"]["code"] == codec.FAILED
-            assert told["error"]["data"]["upstream"]["message"] == "internal"
+            assert response["error"]["code"] == codec.FAILED
+            assert response["error"]["data"]["upstream"]["message"] == "internal"
         async with service(always(Fault.ERROR), react=by_class(), more="failure_errors = []") as s:
             c = await s.client()
-            told = await c.call(TIP)
-            assert s.outcomes() == ["served"] and told["error"]["code"] == codec.INTERNAL_ERROR
+            response = await c.call(TIP)
+            assert s.outcomes() == ["served"] and response["error"]["code"] == codec.INTERNAL_ERROR
 
     run_real(test)
 
 
-def test_a_refusal_of_a_safe_call_tells_what_the_endpoint_said() -> None:
+def test_refusal_of_a_safe_call_includes_the_error_of_the_endpoint() -> None:
     async def test() -> None:
         async with service(always(Fault.ERROR), deadline=600.0, aim=500.0) as s:
             c = await s.client()
-            told = await c.call(READ)
-            assert told["error"]["code"] == codec.REFUSED
-            assert told["error"]["data"]["upstream"]["message"] == "internal"
+            response = await c.call(READ)
+            assert response["error"]["code"] == codec.REFUSED
+            assert response["error"]["data"]["upstream"]["message"] == "internal"
 
     run_real(test)
 
 
-def test_declared_errors_prove_that_nothing_ran() -> None:
-    """A tip that was declined goes to another endpoint; with no such code set the error is its answer."""
+def test_never_ran_errors_allow_a_retry_of_unsafe_calls() -> None:
+    """A call of an at-most-once class that an endpoint declined is sent to another endpoint."""
 
     async def test() -> None:
         async with service(*[in_turn(Step(Fault.DECLINE), Step())] * 2) as s:
             c = await s.client()
-            told = await asyncio.gather(*(c.call(TIP) for _ in range(4)))
-            assert all("result" in t for t in told)
+            responses = await asyncio.gather(*(c.call(TIP) for _ in range(4)))
+            assert all("result" in r for r in responses)
             assert len(s.log.received) > 4 and not audit(s.log)
 
     run_real(test)
 
 
-def test_a_class_that_ends_unanswered_is_told_in_its_time() -> None:
+def test_call_without_a_response_fails_at_its_deadline() -> None:
     async def test() -> None:
         async with service(always(Fault.SILENCE), deadline=300.0, aim=200.0) as s:
             c = await s.client()
-            told = await c.call(TIP)
-            assert told["error"]["code"] == codec.FAILED and len(s.log.received) == 1
-            assert not s.made.dispatcher.requests
+            response = await c.call(TIP)
+            assert response["error"]["code"] == codec.FAILED and len(s.log.received) == 1
+            assert not s.service.dispatcher.requests
 
     run_real(test)
 
 
-def test_client_that_leaves_with_calls_in_flight() -> None:
-    """Guards against requests that stay for ever, and against a notification that is given up with them."""
+def test_client_disconnects_with_calls_in_flight() -> None:
+    """Guards against leaking the requests, and against abandoning the notifications with them."""
 
     async def test() -> None:
         async with service(always(delay=0.05), react=by_class()) as s:
@@ -287,14 +289,14 @@
             await s.balancer.until(lambda: len(s.balancer.ends()) == 3)
             closed = [e for _, e in s.balancer.received_events if isinstance(e, interface.RequestClosed)]
             assert len(closed) == 2
-            assert s.log.ran(name) == 1 and not s.made.dispatcher.requests
+            assert s.log.ran(name) == 1 and not s.service.dispatcher.requests
 
     run_real(test)
 
 
-def test_half_a_text_is_not_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    """... while the calls before it are still answered."""
-    monkeypatch.setattr(front, "READ_FOR", 0.05)
+def test_incomplete_text_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The calls before it must still be answered."""
+    monkeypatch.setattr(front, "READ_TIMEOUT", 0.05)
 
     async def test() -> None:
         async with service(always(delay=0.3)) as s:
@@ -308,7 +310,7 @@
     run_real(test)
 
 
-def test_a_text_without_end_is_refused_whole() -> None:
+def test_oversized_text_is_rejected() -> None:
     async def test() -> None:
         async with service(always()) as s:
             c = await s.client()
@@ -320,9 +322,9 @@
     run_real(test)
 
 
-def test_client_that_does_not_read_its_answers(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against memory that a client fills: it is not read, and then dropped."""
-    monkeypatch.setattr(front, "WRITE_FOR", 0.2)
+def test_client_that_does_not_read_its_responses_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a client that fills the memory with unread responses."""
+    monkeypatch.setattr(front, "WRITE_TIMEOUT", 0.2)
 
     async def test() -> None:
         async with service(always()) as s:
@@ -331,19 +333,19 @@
             fill = "x" * 60_000
             text = json.dumps({"jsonrpc": "2.0", "method": fill, "id": 1}).encode() + b"\n"
             with pytest.raises(ConnectionError):
-                while True:  # errors as long as their texts would come back for ever
+                while True:  # each text causes an error response
                     writer.write(text)
                     await writer.drain()
                     writer.write(b'{"jsonrpc":"2.0","method":1,"id":"%b"}\n' % fill.encode())
                     await writer.drain()
-            assert not s.made.front.connections
+            assert not s.service.front.connections
 
     run_real(test)
 
 
-def test_a_connection_has_so_many_calls_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a client that fills the ledger; what it sent beyond is taken up later."""
-    monkeypatch.setattr(front, "MOST_OPEN", 10)
+def test_pending_calls_per_connection_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a client that fills the dispatcher. Further calls must be processed later."""
+    monkeypatch.setattr(front, "MAX_PENDING_CALLS", 10)
 
     async def test() -> None:
         release = asyncio.Event()
@@ -355,95 +357,97 @@
         async with service(always(), react=react) as s:
             c = await s.client()
             calls = [c.call(READ) for _ in range(3000)]
-            await s.balancer.until(lambda: len(s.made.dispatcher.requests) == 10)
+            await s.balancer.until(lambda: len(s.service.dispatcher.requests) == 10)
             for _ in range(20):
                 await asyncio.sleep(0)
-            assert len(s.made.dispatcher.requests) == 10
+            assert len(s.service.dispatcher.requests) == 10
             release.set()
-            for request in list(s.made.dispatcher.requests):
-                s.made.dispatcher.fail(interface.Fail(request))
-                s.made.dispatcher.feed(interface.RequestClosed(request))
+            for request in list(s.service.dispatcher.requests):
+                s.service.dispatcher.fail(interface.Fail(request))
+                s.service.dispatcher.feed(interface.RequestClosed(request))
             await asyncio.gather(*calls)
-            assert not s.made.dispatcher.requests and not c.stray
+            assert not s.service.dispatcher.requests and not c.stray
 
     run_real(test)
 
 
-def test_batch_whose_responses_are_too_large(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(front, "MOST_GATHERED", 400)
+def test_calls_fail_when_the_responses_of_their_batch_are_too_large(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(front, "MAX_BATCH_RESPONSE_BYTES", 400)
 
     async def test() -> None:
         async with service(always()) as s:
             c = await s.client()
             calls = [c.prepare(READ) for _ in range(10)]
             c.raw(b"[%b]" % b",".join(text for text, _ in calls))
-            told = await asyncio.gather(*(future for _, future in calls))
-            served = ["result" in t for t in told]
+            responses = await asyncio.gather(*(future for _, future in calls))
+            served = ["result" in r for r in responses]
             assert any(served) and not all(served)
 
     run_real(test)
 
 
-def test_descriptors_are_shared_with_idle_clients() -> None:
-    """Guards against clients that connect and say nothing taking every descriptor."""
+def test_idle_clients_are_closed_when_descriptors_run_out() -> None:
+    """Guards against idle clients that use up all file descriptors."""
 
     async def test() -> None:
-        async with service(always(), sockets=60) as s:  # 20 to use, 30 for clients at the most
+        async with service(always(), sockets=60) as s:  # 20 usable, at most 30 for clients
             clients = [await s.client() for _ in range(45)]
             await asyncio.gather(*(c.ended.wait() for c in clients[:15]))
             assert "result" in await clients[-1].call(READ)
-            assert s.made.front.descriptors.open <= 20
+            assert s.service.front.descriptors.open <= 20
 
     run_real(test)
 
 
-def test_endpoints_of_discovery() -> None:
-    """A JSON-RPC service whose endpoints the platform's discovery tells, one of which drains."""
+def test_endpoints_from_discovery() -> None:
+    """The endpoints are listed by the platform's discovery service, and one of them drains."""
 
     async def test() -> None:
         log = Log()
         async with (
             Discovery(log) as discovery,
-            JsonRpcEndpoint(log) as one,
-            JsonRpcEndpoint(log) as two,
+            JsonRpcEndpoint(log) as first,
+            JsonRpcEndpoint(log) as second,
         ):
-            await discovery.set(one)
-            await discovery.set(two)
+            await discovery.set(first)
+            await discovery.set(second)
             text = operator(f'discovery = "{discovery.address}"', more='zones = ["a", "b"]')
             async with service(text=text) as s:
-                await discovery.until_told(two)
+                await discovery.until_told(second)
                 c = await JsonRpcClient(log).connect(s.address)
-                while not (one.requests() and two.requests()):
+                while not (first.requests() and second.requests()):
                     await asyncio.gather(*(c.call(READ) for _ in range(10)))
-                await discovery.set(one, "draining")
-                await discovery.until_told(one)
+                await discovery.set(first, "draining")
+                await discovery.until_told(first)
                 while any(
                     e.phase == "ready"
-                    for e in s.made.dispatcher.balancer.endpoint_list.endpoints.values()
-                    if e.name == one.name
+                    for e in s.service.dispatcher.balancer.endpoint_list.endpoints.values()
+                    if e.name == first.name
                 ):
                     await asyncio.sleep(0.001)
-                before = len(one.requests())
+                received_before = len(first.requests())
                 await asyncio.gather(*(c.call(READ) for _ in range(20)))
-                assert len(one.requests()) == before and not audit(log)
+                assert len(first.requests()) == received_before and not audit(log)
                 await c.close()
 
     run_real(test)
 
 
-async def warm(s: Setup, client: JsonRpcClient) -> None:
-    """Ask until the balancer knows its window: no copies go out before."""
+async def warm_up(s: Setup, client: JsonRpcClient) -> None:
+    """Send calls until the balancer has seen a full measurement window: no copies are sent before."""
     loop = asyncio.get_running_loop()
-    began = loop.time()
-    while loop.time() < began + 1.1:
+    started_at = loop.time()
+    while loop.time() < started_at + 1.1:
         await asyncio.gather(*(client.call(READ) for _ in range(4)))
         await asyncio.sleep(0.01)
 
 
 @pytest.mark.parametrize("klass", [READ, TIP, UNLOCK])
-def test_copy_of_a_slow_read_and_none_of_a_tip(klass: Klass) -> None:
-    """A silent endpoint: a copy of the read goes to an unused one after the delay, and the loser's late
-    answer is dropped; what is not safe to repeat gets none."""
+def test_only_a_safe_slow_call_is_hedged(klass: Klass) -> None:
+    """A slow read is copied to an unused endpoint after the hedge delay, and the late response is discarded.
+
+    Calls that are not safe to repeat are not copied.
+    """
 
     async def test() -> None:
         sent: list[str] = []
@@ -456,16 +460,16 @@
 
         async with service(plan, plan, aim=1000.0, deadline=3000.0) as s:
             c = await s.client()
-            await warm(s, c)
+            await warm_up(s, c)
             assert "result" in await c.call(klass, name="slow")
-            got = [r.endpoint for r in s.log.received if r.request == "slow"]
+            used = [r.endpoint for r in s.log.received if r.request == "slow"]
             if klass is READ:
-                assert len(got) == len(set(got)) == 2
-                while not s.made.wire.counts["late"]:
+                assert len(used) == len(set(used)) == 2
+                while not s.service.wire.counts["late"]:
                     await asyncio.sleep(0.005)
             else:
-                assert len(got) == 1
-            assert set(s.made.wire.counts) <= {"late"}
+                assert len(used) == 1
+            assert set(s.service.wire.counts) <= {"late"}
             assert not audit(s.log)
 
     run_real(test)
--- a/tests/test_jsonrpc_codec.py
+++ b/tests/test_jsonrpc_codec.py
@@ -1,4 +1,4 @@
-"""JSON-RPC texts: what is a call, what isn't, and that they go on byte for byte."""
+"""JSON-RPC codec and framing: validation of requests and responses, and forwarding byte for byte."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from hypothesis import strategies as st
 
 from zinclever.jsonrpc import codec
-from zinclever.jsonrpc.codec import Batch, Call, Invalid, Noise, ParseError
-from zinclever.jsonrpc.framing import Framer, Framing, FramingError, frame, spoil
+from zinclever.jsonrpc.codec import Batch, Call, InvalidResponse, ParseError, RejectedCall
+from zinclever.jsonrpc.framing import Framer, Framing, FramingError, frame, terminate_partial_frame
 
 
-def call(text: bytes) -> Call:
-    told = codec.read_request(text, 10)
-    assert isinstance(told, Call), told
-    return told
+def read_call(text: bytes) -> Call:
+    call = codec.read_request(text, 10)
+    assert isinstance(call, Call), call
+    return call
 
 
-def code(text: bytes) -> int:
-    told = codec.read_request(text, 10)
-    assert isinstance(told, Invalid), told
-    return told.code
+def read_error_code(text: bytes) -> int:
+    rejected = codec.read_request(text, 10)
+    assert isinstance(rejected, RejectedCall), rejected
+    return rejected.code
 
 
 @pytest.mark.parametrize(
@@ -42,18 +42,18 @@
     ],
 )
 def test_ids_are_kept_as_written(id: bytes) -> None:
-    """Guards against a response that its client can't match: ``1``, ``1.0`` and ``"1"`` are three ids."""
-    told = call(b'{"jsonrpc" : "2.0", "id": ' + id + b' , "method":"m"}')
-    assert told.id == id
-    assert told.head + b"7" + told.tail == b'{"jsonrpc" : "2.0", "id": 7 , "method":"m"}'
+    """Guards against a response that its client can't match: ``1``, ``1.0`` and ``"1"`` are different ids."""
+    call = read_call(b'{"jsonrpc" : "2.0", "id": ' + id + b' , "method":"m"}')
+    assert call.id == id
+    assert call.head + b"7" + call.tail == b'{"jsonrpc" : "2.0", "id": 7 , "method":"m"}'
 
 
-def test_ids_that_are_the_same() -> None:
-    ids = [
-        call(b'{"jsonrpc":"2.0","method":"m","id":%b}' % x).identity
-        for x in (b"1", b"1.0", b'"1"', b"null", b'"\\u0031"')
+def test_equal_strings_have_the_same_identity() -> None:
+    identities = [
+        read_call(b'{"jsonrpc":"2.0","method":"m","id":%b}' % id).identity
+        for id in (b"1", b"1.0", b'"1"', b"null", b'"\\u0031"')
     ]
-    assert ids[2] == ids[4] and len(set(ids)) == 4
+    assert identities[2] == identities[4] and len(set(identities)) == 4
 
 
 @pytest.mark.parametrize(
@@ -90,30 +90,30 @@
         (b'{"jsonrpc":"2.0","method":"m","id":1,"id":2}', codec.INVALID_REQUEST),
     ],
 )
-def test_what_is_no_call(text: bytes, expected: int) -> None:
-    """Guards against a text that the sidecar and the endpoint behind it read differently."""
-    assert code(text) == expected
+def test_invalid_requests_are_rejected(text: bytes, expected: int) -> None:
+    """Guards against a text that the sidecar and the endpoint interpret differently."""
+    assert read_error_code(text) == expected
 
 
-def test_the_error_bears_the_id_where_it_can_be_told() -> None:
-    told = codec.read_request(b'{"jsonrpc":"2.0","method":1,"id":"x"}', 10)
-    assert isinstance(told, Invalid) and told.id == b'"x"'
+def test_error_has_the_id_of_the_request_if_it_can_be_read() -> None:
+    rejected = codec.read_request(b'{"jsonrpc":"2.0","method":1,"id":"x"}', 10)
+    assert isinstance(rejected, RejectedCall) and rejected.id == b'"x"'
 
 
-def test_numbers_of_any_length_go_on_as_written() -> None:
-    """Guards against an amount that is rounded on its way."""
+def test_numbers_of_any_length_are_forwarded_as_written() -> None:
+    """Guards against rounding an amount."""
     long = b"1" * 400
-    told = call(b'{"jsonrpc":"2.0","method":"m","params":[%b,1e999,0.10],"id":%b}' % (long, long))
-    assert told.id == long and b"[%b,1e999,0.10]" % long in told.head
+    call = read_call(b'{"jsonrpc":"2.0","method":"m","params":[%b,1e999,0.10],"id":%b}' % (long, long))
+    assert call.id == long and b"[%b,1e999,0.10]" % long in call.head
 
 
-def test_batches_are_read_one_by_one() -> None:
+def test_elements_of_a_batch_are_validated_separately() -> None:
     text = b'[ {"jsonrpc":"2.0","method":"a","id":1} , 5, [ ], {"jsonrpc":"2.0","method":"b"} ]'
-    told = codec.read_request(text, 10)
-    assert isinstance(told, Batch)
-    a, five, inner, b = told.calls
+    batch = codec.read_request(text, 10)
+    assert isinstance(batch, Batch)
+    a, five, inner, b = batch.calls
     assert isinstance(a, Call) and a.method == "a" and a.id == b"1"
-    assert isinstance(five, Invalid) and isinstance(inner, Invalid)
+    assert isinstance(five, RejectedCall) and isinstance(inner, RejectedCall)
     assert isinstance(b, Call) and b.id is None
     assert json.loads(b.head + b"9" + b.tail) == {"jsonrpc": "2.0", "method": "b", "id": 9}
 
@@ -133,12 +133,12 @@
         ("/key", {"key": ["k"]}, None),
     ],
 )
-def test_keys_are_found(pointer: str, params: Any, found: str | None) -> None:
-    assert codec.point(params, codec.read_pointer(pointer)) == found
+def test_pointer_is_resolved(pointer: str, params: Any, found: str | None) -> None:
+    assert codec.resolve_pointer(params, codec.read_pointer(pointer)) == found
 
 
 @pytest.mark.parametrize("pointer", ["", "key", "/a~2", "/a~"])
-def test_what_is_no_pointer(pointer: str) -> None:
+def test_invalid_pointers_are_rejected(pointer: str) -> None:
     with pytest.raises(ValueError, match="not a JSON Pointer"):
         codec.read_pointer(pointer)
 
@@ -162,13 +162,13 @@
         b'{"jsonrpc":"2.0","id":1,"result":NaN}',
     ],
 )
-def test_what_is_no_response(text: bytes) -> None:
-    with pytest.raises(Noise):
+def test_invalid_responses_are_rejected(text: bytes) -> None:
+    with pytest.raises(InvalidResponse):
         codec.read_response(text)
 
 
 @pytest.mark.parametrize(
-    ("id", "own"),
+    ("id", "expected"),
     [
         (b"7", 7),
         (b"0", 0),
@@ -180,14 +180,14 @@
         (b"9" * 30, None),
     ],
 )
-def test_whose_response_it_is(id: bytes, own: int | None) -> None:
+def test_only_ids_as_assigned_by_the_sidecar_are_recognized(id: bytes, expected: int | None) -> None:
     text = b'{"jsonrpc":"2.0","id":%b,"result":1}' % id
     if id == b"07":
-        with pytest.raises(Noise):
+        with pytest.raises(InvalidResponse):
             codec.read_response(text)
         return
-    told = codec.read_response(text)
-    assert told.id == own and told.null == (id == b"null") and told.head + id + told.tail == text
+    response = codec.read_response(text)
+    assert response.id == expected and response.null == (id == b"null") and response.head + id + response.tail == text
 
 
 JSON = st.recursive(
@@ -199,53 +199,57 @@
 
 @given(st.dictionaries(st.text(), JSON, min_size=1, max_size=5), st.sampled_from([None, 1]), st.booleans())
 @settings(derandomize=True, max_examples=300)
-def test_members_stand_where_they_are_said_to(value: dict[str, Any], indent: int | None, plain: bool) -> None:
-    """Against an oracle that reads each value by itself."""
-    text = json.dumps(value, indent=indent, ensure_ascii=plain).encode("utf-8", "surrogatepass")
+def test_members_are_located(value: dict[str, Any], indent: int | None, ensure_ascii: bool) -> None:
+    """Each located value must parse to the member's value."""
+    text = json.dumps(value, indent=indent, ensure_ascii=ensure_ascii).encode("utf-8", "surrogatepass")
     try:
-        codec.load(text)
+        codec.parse_json(text)
     except ParseError:
         return
-    spans = codec.members(text)
+    spans = codec.locate_members(text)
     assert {name: json.loads(text[a:b]) for name, (a, b) in spans.items()} == value
 
 
 @given(st.lists(JSON, max_size=6), st.sampled_from([None, 1]))
 @settings(derandomize=True, max_examples=300)
-def test_elements_stand_where_they_are_said_to(value: list[Any], indent: int | None) -> None:
+def test_elements_are_located(value: list[Any], indent: int | None) -> None:
     text = json.dumps(value, indent=indent).encode()
     try:
-        codec.load(text)
+        codec.parse_json(text)
     except ParseError:
         return
-    assert [json.loads(text[a:b]) for a, b in codec.elements(text)] == value
+    assert [json.loads(text[a:b]) for a, b in codec.locate_elements(text)] == value
 
 
 @given(st.sampled_from(["lines", "headers"]), st.lists(JSON, max_size=6), st.data())
 @settings(derandomize=True, max_examples=200)
-def test_texts_come_whole_however_cut(framing: Framing, values: list[Any], data: st.DataObject) -> None:
+def test_stream_is_divided_into_texts_whatever_the_chunk_sizes(
+    framing: Framing, values: list[Any], data: st.DataObject
+) -> None:
     stream = b"".join(frame(framing, json.dumps(v).encode()) for v in values)
-    framer, texts, at = Framer(framing, 1 << 16), [], 0
-    while at < len(stream):
-        step = data.draw(st.integers(1, max(1, len(stream) - at)))
-        texts += framer.feed(stream[at : at + step])
-        at += step
-    assert [json.loads(t) for t in texts] == values and not framer.partial()
+    framer, texts, position = Framer(framing, 1 << 16), [], 0
+    while position < len(stream):
+        size = data.draw(st.integers(1, max(1, len(stream) - position)))
+        texts += framer.feed(stream[position : position + size])
+        position += size
+    assert [json.loads(t) for t in texts] == values and not framer.has_partial_text()
 
 
 @given(st.sampled_from(["lines", "headers"]), st.integers(1, 60))
 @settings(derandomize=True, max_examples=100)
-def test_a_text_cut_short_is_no_text_and_the_next_is_read(framing: Framing, at: int) -> None:
-    """Guards against a cancelled call that runs after all, and against neighbours that are read wrongly."""
+def test_partial_frame_is_invalid_and_the_next_frame_is_read(framing: Framing, sent: int) -> None:
+    """Guards against a cancelled call that still runs, and against misreading the frames after it."""
     text = b'{"jsonrpc":"2.0","method":"tip.send","params":{"a":1},"id":7}'
-    whole = frame(framing, text)
-    at = min(at, len(whole) - 2)
+    framed = frame(framing, text)
+    sent = min(sent, len(framed) - 2)
     framer = Framer(framing, 1 << 16)
-    came = framer.feed(whole[:at] + spoil(framing, whole, at) + frame(framing, b'{"next":1}'))
-    assert came[-1] == b'{"next":1}' and len(came) == 2
-    for one in came[:-1]:
+    received = framer.feed(
+        framed[:sent] + terminate_partial_frame(framing, framed, sent) + frame(framing, b'{"next":1}')
+    )
+    assert received[-1] == b'{"next":1}' and len(received) == 2
+    for invalid in received[:-1]:
         with pytest.raises(ParseError):
-            codec.load(one)
+            codec.parse_json(invalid)
 
 
 @pytest.mark.parametrize(
@@ -261,15 +265,15 @@
         ("headers", b"Content-Length: 1e1\r\n\r\n"),
     ],
 )
-def test_what_cannot_be_cut_into_texts(framing: Framing, data: bytes) -> None:
-    """Guards against a peer that makes the sidecar hold what it never ends."""
+def test_invalid_framing_is_rejected(framing: Framing, data: bytes) -> None:
+    """Guards against a peer that makes the sidecar buffer without limit."""
     framer = Framer(framing, 100)
     with pytest.raises(FramingError):
         for n in range(0, len(data), 50):
             framer.feed(data[n : n + 50])
 
 
-def test_texts_before_the_one_that_is_too_long_are_not_lost() -> None:
+def test_texts_before_a_framing_error_are_not_lost() -> None:
     with pytest.raises(FramingError) as caught:
         Framer("lines", 10).feed(b"1\n2\n" + b"x" * 11)
-    assert caught.value.before == [b"1", b"2"]
+    assert caught.value.complete_texts == [b"1", b"2"]
--- a/tests/test_jsonrpc_wire.py
+++ b/tests/test_jsonrpc_wire.py
@@ -1,4 +1,4 @@
-"""What endpoints may send, how far calls got when connections break, and what their neighbours feel."""
+"""Connections to endpoints: invalid responses, broken connections, cancellation, and effects on concurrent calls."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from zinclever.standins import Fault, always, audit
 
 
-def to_hand(event: interface.Event) -> Iterable[interface.Action]:
-    """Everything goes to the endpoint that is written by hand, once; a failure is final."""
+def send_to_manual(event: interface.Event) -> Iterable[interface.Action]:
+    """Script of a balancer that sends each request to the manual endpoint, without retries."""
     if isinstance(event, interface.RequestArrived):
         yield interface.Send(event.request, listed[-1], 0.0)
     elif isinstance(event, interface.MembershipUpdate):
@@ -34,20 +34,23 @@
 listed: list[str] = []
 
 
-async def until(met: Any) -> None:
+async def until(condition: Any) -> None:
     async with asyncio.timeout(TEST_TIMEOUT):
-        while not met():
+        while not condition():
             await asyncio.sleep(0.001)
 
 
-async def two_out(s: Setup) -> tuple[Any, Any, int, int, asyncio.StreamWriter]:
-    """A tip and a read that are out on one connection: their futures and ids, and the way back."""
+async def start_tip_and_read(s: Setup) -> tuple[Any, Any, int, int, asyncio.StreamWriter]:
+    """Send a tip and a read over one connection.
+
+    Returns their futures, their ids and the writer for their responses.
+    """
     c = await s.client()
     tip, read = c.call(TIP, name="tip"), c.call(READ, name="read")
-    a, writer = await s.manual.next("tip")
-    b, other = await s.manual.next("read")
+    tip_id, writer = await s.manual.next("tip")
+    read_id, other = await s.manual.next("read")
     assert other is writer
-    return tip, read, a, b, writer
+    return tip, read, tip_id, read_id, writer
 
 
 @pytest.mark.parametrize(
@@ -60,64 +63,64 @@
         (b'{"jsonrpc":"2.0","id":null,"result":1}\n', "null"),
     ],
 )
-def test_a_response_for_nobody_leaves_the_calls_that_are_out(stray: bytes, kind: str) -> None:
+def test_unmatched_response_does_not_affect_pending_calls(stray: bytes, kind: str) -> None:
     async def test() -> None:
-        async with service(react=to_hand, by_hand=True) as s:
-            tip, read, a, b, writer = await two_out(s)
+        async with service(react=send_to_manual, manual_endpoint=True) as s:
+            tip, read, tip_id, read_id, writer = await start_tip_and_read(s)
             writer.write(stray)
-            await until(lambda: s.made.wire.counts[kind] == 1)
+            await until(lambda: s.service.wire.counts[kind] == 1)
             assert not s.outcomes()
-            writer.write(result(b) + result(a))
+            writer.write(result(read_id) + result(tip_id))
             assert "result" in await tip and "result" in await read
-            # With id null it can't be told which text the endpoint could not read: nothing new goes there.
-            again = s.clients[0].call(READ, name="again")
+            # The text that an error with id null refers to is unknown: the connection is not used for new calls.
+            later = s.clients[0].call(READ, name="again")
             id, other = await s.manual.next("again")
             assert (other is writer) == (kind != "null")
             other.write(result(id))
-            assert "result" in await again
+            assert "result" in await later
 
     run_real(test)
 
 
-def test_an_id_that_is_answered_twice() -> None:
+def test_repeated_response_is_ignored() -> None:
     async def test() -> None:
-        async with service(react=to_hand, by_hand=True) as s:
-            tip, read, a, b, writer = await two_out(s)
-            writer.write(result(b) + result(b))
+        async with service(react=send_to_manual, manual_endpoint=True) as s:
+            tip, read, tip_id, read_id, writer = await start_tip_and_read(s)
+            writer.write(result(read_id) + result(read_id))
             assert "result" in await read
-            await until(lambda: s.made.wire.counts["repeated"] == 1)
+            await until(lambda: s.service.wire.counts["repeated"] == 1)
             assert not tip.done()
-            writer.write(result(a))
+            writer.write(result(tip_id))
             assert "result" in await tip and s.outcomes() == ["served", "served"]
 
     run_real(test)
 
 
-def test_an_answer_to_a_call_that_was_cancelled() -> None:
-    """It is expected: dropped, counted, and its neighbour is answered as if nothing had been."""
+def test_response_to_a_cancelled_call_is_discarded() -> None:
+    """It is counted, and other calls on the connection are not affected."""
 
     async def test() -> None:
-        async with service(react=to_hand, by_hand=True) as s:
-            tip, read, a, b, writer = await two_out(s)
-            request = next(iter(s.made.dispatcher.requests))
-            s.made.dispatcher.finish(request, codec_failed())
-            s.made.dispatcher.cancel(interface.Cancel(request, 0))
+        async with service(react=send_to_manual, manual_endpoint=True) as s:
+            tip, read, tip_id, read_id, writer = await start_tip_and_read(s)
+            request = next(iter(s.service.dispatcher.requests))
+            s.service.dispatcher.finish(request, failed_answer())
+            s.service.dispatcher.cancel(interface.Cancel(request, 0))
             assert "error" in await tip
-            writer.write(result(a) + result(b))
+            writer.write(result(tip_id) + result(read_id))
             assert "result" in await read
-            assert dict(s.made.wire.counts) == {"late": 1}
-            assert s.outcomes() == ["cancelled", "served"] and not s.made.dispatcher.requests
+            assert dict(s.service.wire.counts) == {"late": 1}
+            assert s.outcomes() == ["cancelled", "served"] and not s.service.dispatcher.requests
 
     run_real(test)
 
 
-def codec_failed() -> Any:
+def failed_answer() -> Any:
     from zinclever.core.protocol import Failed
 
     return Failed()
 
 
-SPOILT = {
+INVALID_DATA = {
     "array": b'[{"jsonrpc":"2.0","id":1,"result":1}]\n',
     "noise": b"\x16\x03\x01\n",
     "half": b'{"jsonrpc":"2.0","id":1,',
@@ -128,55 +131,55 @@
 }
 
 
-@pytest.mark.parametrize("name", SPOILT)
-def test_what_is_no_response_ends_the_connection(name: str) -> None:
-    """All that was out may have run: the tip fails and is never sent again."""
+@pytest.mark.parametrize("name", INVALID_DATA)
+def test_invalid_data_closes_the_connection(name: str) -> None:
+    """All pending calls may have run: the tip fails and must not be sent again."""
 
     async def test() -> None:
-        async with service(by_hand=True, deadline=2000.0, aim=1000.0) as s:
-            tip, read, _, _, writer = await two_out(s)
-            writer.write(SPOILT[name])
+        async with service(manual_endpoint=True, deadline=2000.0, aim=1000.0) as s:
+            tip, read, _, _, writer = await start_tip_and_read(s)
+            writer.write(INVALID_DATA[name])
             if name in ("half", "nothing", "cut in a number"):
                 writer.close()
-            told = await tip
-            assert told["error"]["code"] == codec.FAILED
-            if not read.done():  # it may be asked again, as it is safe to
+            response = await tip
+            assert response["error"]["code"] == codec.FAILED
+            if not read.done():  # it may be repeated, as it is safe
                 id, other = await s.manual.next("read")
                 assert other is not writer
                 other.write(result(id))
             await read
             assert s.manual.requests().count("tip") == 1
-            assert s.made.wire.counts["noise"] == (0 if name in ("half", "nothing", "cut in a number") else 1)
+            assert s.service.wire.counts["noise"] == (0 if name in ("half", "nothing", "cut in a number") else 1)
 
     run_real(test)
 
 
-def test_a_response_of_60_mb() -> None:
-    """Guards against memory that an endpoint fills."""
+def test_oversized_response_closes_the_connection() -> None:
+    """Guards against an endpoint that fills the memory."""
 
     async def test() -> None:
-        async with service(react=to_hand, by_hand=True) as s:
-            tip, read, a, _, writer = await two_out(s)
-            writer.write(b'{"jsonrpc":"2.0","id":%d,"result":"' % a)
-            piece = b"x" * (1 << 16)
+        async with service(react=send_to_manual, manual_endpoint=True) as s:
+            tip, read, tip_id, _, writer = await start_tip_and_read(s)
+            writer.write(b'{"jsonrpc":"2.0","id":%d,"result":"' % tip_id)
+            chunk = b"x" * (1 << 16)
             with pytest.raises(ConnectionError):
                 for _ in range(60 << 4):
-                    writer.write(piece)
+                    writer.write(chunk)
                     await writer.drain()
             await tip
             await read
-            assert s.outcomes() == ["reset", "reset"] and s.made.wire.counts["noise"] == 1
+            assert s.outcomes() == ["reset", "reset"] and s.service.wire.counts["noise"] == 1
 
     run_real(test)
 
 
-def test_a_good_answer_followed_by_noise() -> None:
-    """The answer counts; the neighbour may have run."""
+def test_valid_response_before_invalid_data_counts() -> None:
+    """The other pending call may have run and fails."""
 
     async def test() -> None:
-        async with service(react=to_hand, by_hand=True) as s:
-            tip, read, a, _, writer = await two_out(s)
-            writer.write(result(a) + b"noise\n")
+        async with service(react=send_to_manual, manual_endpoint=True) as s:
+            tip, read, tip_id, _, writer = await start_tip_and_read(s)
+            writer.write(result(tip_id) + b"noise\n")
             assert "result" in await tip
             assert (await read)["error"]["code"] == codec.FAILED
             assert s.outcomes() == ["served", "reset"]
@@ -184,24 +187,24 @@
     run_real(test)
 
 
-class Watch:
-    """The owner of a connection under test."""
+class RecordingWatcher:
+    """Records the notifications of a connection."""
 
     def __init__(self) -> None:
-        self.told: list[str] = []
+        self.events: list[str] = []
 
     def idle(self, connection: ClientConnection) -> None:
-        self.told.append("idle")
+        self.events.append("idle")
 
     def retired(self, connection: ClientConnection) -> None:
-        self.told.append("retired")
+        self.events.append("retired")
 
     def lost(self, connection: ClientConnection) -> None:
-        self.told.append("lost")
+        self.events.append("lost")
 
 
 class Pipe:
-    """A connection whose other end a test reads, with little room on the way."""
+    """A connection whose other end is read by the test, with a small receive buffer."""
 
     async def open(self) -> Pipe:
         self.loop = asyncio.get_running_loop()
@@ -210,39 +213,39 @@
         listener.bind(("127.0.0.1", 0))
         listener.listen()
         listener.setblocking(False)
-        self.watch = Watch()
+        self.watcher = RecordingWatcher()
         proofs = Proofs(frozenset(), frozenset())
         self.connection = await dial(
-            SYSTEM, listener.getsockname(), 5.0, "lines", proofs.outcome, self.watch, Counter()
+            SYSTEM, listener.getsockname(), 5.0, "lines", proofs.classify, self.watcher, Counter()
         )
         self.other, _ = await self.loop.sock_accept(listener)
         listener.close()
-        self.ends: dict[str, str] = {}
+        self.outcomes: dict[str, str] = {}
         return self
 
     def call(self, name: str, size: int = 0) -> Exchange:
-        def ended(outcome: interface.Outcome, reply: Any = None, report: Any = None) -> None:
-            self.ends[name] = outcome
+        def on_ended(outcome: interface.Outcome, reply: Any = None, report: Any = None) -> None:
+            self.outcomes[name] = outcome
 
         tail = b',"jsonrpc":"2.0","method":"%b","params":["%b"]}' % (name.encode(), b"x" * size)
-        exchange = Exchange(Payload(b'{"id":', tail), ended)
+        exchange = Exchange(Payload(b'{"id":', tail), on_ended)
         exchange.run(self.connection)
         return exchange
 
     async def read_lines(self, count: int) -> list[bytes]:
-        came, ends = bytearray(), 0
-        while ends < count:
-            piece = await self.loop.sock_recv(self.other, 1 << 20)
-            ends += piece.count(b"\n")
-            came += piece
-        return bytes(came).split(b"\n")[:count]
+        received, line_count = bytearray(), 0
+        while line_count < count:
+            chunk = await self.loop.sock_recv(self.other, 1 << 20)
+            line_count += chunk.count(b"\n")
+            received += chunk
+        return bytes(received).split(b"\n")[:count]
 
 
-HUGE = 8 << 20  # more than the kernel holds on the way
+HUGE = 8 << 20  # more than the kernel's buffers hold
 
 
-def test_only_what_has_not_begun_to_go_out_is_proved_not_to_have_run() -> None:
-    """A connection breaks with calls written, half written and unwritten."""
+def test_only_calls_without_a_written_byte_are_dropped_when_the_connection_breaks() -> None:
+    """Guards against repeating calls that were written completely or partly."""
 
     async def test() -> None:
         p = await Pipe().open()
@@ -252,15 +255,15 @@
         await p.loop.sock_recv(p.other, 100)
         assert (written.begun(), half.begun(), unwritten.begun()) == (True, True, False)
         p.other.close()
-        await until(lambda: len(p.ends) == 3)
-        assert p.ends == {"written": "reset", "half": "reset", "unwritten": "dropped"}
-        assert p.watch.told == ["lost"]
+        await until(lambda: len(p.outcomes) == 3)
+        assert p.outcomes == {"written": "reset", "half": "reset", "unwritten": "dropped"}
+        assert p.watcher.events == ["lost"]
 
     run_real(test)
 
 
-def test_a_half_written_call_is_cut_short_when_it_is_cancelled() -> None:
-    """It can't run after its client's final answer, and its neighbours are read as before."""
+def test_partly_written_call_is_truncated_when_it_is_cancelled() -> None:
+    """Guards against a call that runs after its client got the final answer; other calls must not be affected."""
 
     async def test() -> None:
         p = await Pipe().open()
@@ -274,19 +277,21 @@
         with pytest.raises(ValueError):
             json.loads(lines[1])
         assert len(lines[1]) < HUGE and json.loads(lines[2])["method"] == "after"
-        assert not p.ends and after.begun()
+        assert not p.outcomes and after.begun()
         error = b'{"jsonrpc":"2.0","id":null,"error":{"code":-32700,"message":""}}\n'
         await p.loop.sock_sendall(p.other, error + result(3) + result(1))
-        await until(lambda: len(p.ends) == 2)
-        assert p.ends == {"after": "served", "first": "served"}
-        assert not p.connection.counts and not p.connection.retired, "that error was to be expected"
+        await until(lambda: len(p.outcomes) == 2)
+        assert p.outcomes == {"after": "served", "first": "served"}
+        assert not p.connection.counts and not p.connection.is_retired, (
+            "an error with id null is expected after a truncated call"
+        )
         p.other.close()
 
     run_real(test)
 
 
-def test_turning_back_leaves_what_has_begun() -> None:
-    """An endpoint drains: what waits behind a half-written call never goes out."""
+def test_drop_unsent_does_not_affect_a_partly_written_call() -> None:
+    """When an endpoint drains, calls queued behind a partly written one must not be sent."""
 
     async def test() -> None:
         p = await Pipe().open()
@@ -294,19 +299,19 @@
         p.call("waits")
         await p.loop.sock_recv(p.other, 10)
         p.connection.drop_unsent()
-        assert p.ends == {"waits": "dropped"}
+        assert p.outcomes == {"waits": "dropped"}
         p.connection.finish()
         lines = await p.read_lines(1)
         assert len(lines[0]) > HUGE - 100
         await p.loop.sock_sendall(p.other, result(1))
-        await until(lambda: len(p.ends) == 2)
-        assert p.ends["half"] == "served" and p.watch.told == ["retired", "lost"]
+        await until(lambda: len(p.outcomes) == 2)
+        assert p.outcomes["half"] == "served" and p.watcher.events == ["retired", "lost"]
         p.other.close()
 
     run_real(test)
 
 
-def test_a_call_that_is_cancelled_before_it_goes_out_never_does() -> None:
+def test_call_that_is_cancelled_before_it_is_written_is_not_sent() -> None:
     async def test() -> None:
         p = await Pipe().open()
         p.call("first")
@@ -314,35 +319,35 @@
         p.call("b")
         assert [json.loads(line)["method"] for line in await p.read_lines(2)] == ["first", "b"]
         p.other.close()
-        await until(lambda: len(p.ends) == 2)
-        assert p.ends == {"first": "reset", "b": "reset"}
+        await until(lambda: len(p.outcomes) == 2)
+        assert p.outcomes == {"first": "reset", "b": "reset"}
 
     run_real(test)
 
 
-def test_silence_retires_a_connection_and_a_word_keeps_it() -> None:
-    """Guards against a connection that swallows all that is put on it, call after call."""
+def test_connection_without_any_response_is_retired_after_a_timeout() -> None:
+    """Guards against sending further calls over a dead connection."""
 
     async def test() -> None:
-        for heard in (False, True):
+        for has_response in (False, True):
             p = await Pipe().open()
             first, second = p.call("a"), p.call("b")
             await p.read_lines(2)
-            if heard:
+            if has_response:
                 await asyncio.sleep(0.005)
                 await p.loop.sock_sendall(p.other, result(2))
-                await until(lambda: "b" in p.ends)  # noqa: B023
+                await until(lambda: "b" in p.outcomes)  # noqa: B023
             first.cancel(True)
-            assert p.connection.retired != heard
+            assert p.connection.is_retired != has_response
             second.cancel(True)
-            assert p.connection.lost != heard
+            assert p.connection.is_closed != has_response
             p.other.close()
 
     run_real(test)
 
 
-def test_calls_without_answers_don_t_pile_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection, "MOST_ABANDONED", 5)
+def test_connection_is_retired_after_too_many_abandoned_calls(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(connection, "MAX_ABANDONED_CALLS", 5)
 
     async def test() -> None:
         p = await Pipe().open()
@@ -350,51 +355,51 @@
         await p.read_lines(6)
         for call in calls[:5]:
             call.cancel(False)
-        assert p.connection.retired and not p.connection.lost
+        assert p.connection.is_retired and not p.connection.is_closed
         await p.loop.sock_sendall(p.other, result(6))
-        await until(lambda: p.connection.lost)
-        assert p.ends == {"5": "served"}
+        await until(lambda: p.connection.is_closed)
+        assert p.outcomes == {"5": "served"}
         p.other.close()
 
     run_real(test)
 
 
-def test_stale_connections_cost_no_call() -> None:
-    """The endpoint ends an idle connection: the next call goes by a new one."""
+def test_closed_idle_connection_is_replaced() -> None:
+    """The endpoint closes an idle connection: the next call must use a new one."""
 
     async def test() -> None:
-        async with service(by_hand=True) as s:
+        async with service(manual_endpoint=True) as s:
             c = await s.client()
             for n in range(5):
                 call = c.call(TIP, name=f"t{n}")
                 id, writer = await s.manual.next(f"t{n}")
                 writer.write(result(id))
                 assert "result" in await call
-                # At once, so that the loop has not heard of it when the next call comes.
-                with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as twin:
-                    twin.shutdown(socket.SHUT_RDWR)
+                # Shut down at once, so that the event loop has not noticed it before the next call.
+                with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as duplicate:
+                    duplicate.shutdown(socket.SHUT_RDWR)
             assert s.manual.connections == 5
 
     run_real(test)
 
 
-def test_idle_connections_are_closed_before_the_endpoint_would() -> None:
+def test_idle_connections_are_closed_before_the_endpoint_closes_them() -> None:
     async def test() -> None:
         async with service(always(), more="connection_idle_ms = 100") as s:
             c = await s.client()
             await c.call(READ)
-            await until(lambda: not s.made.wire.pool_by_connection)
-            assert s.made.front.descriptors.open == 0
+            await until(lambda: not s.service.wire.pool_by_connection)
+            assert s.service.front.descriptors.open == 0
             assert "result" in await c.call(READ) and s.endpoints[0].connections == 2
 
     run_real(test)
 
 
-def test_many_calls_open_few_connections(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_number_of_connections_to_an_endpoint_is_limited(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(shared, "EASY", 8)
 
     async def test() -> None:
-        async with service(always(delay=0.05), react=to_hand) as s:
+        async with service(always(delay=0.05), react=send_to_manual) as s:
             c = await s.client()
             for _ in range(40):
                 c.call(READ)
@@ -406,11 +411,11 @@
     run_real(test)
 
 
-def test_a_drain_turns_back_what_waits_for_room() -> None:
-    """Calls wait behind others that an endpoint doesn't read: told to drain, it never gets them."""
+def test_drain_drops_calls_that_wait_for_the_socket() -> None:
+    """Calls are queued because the endpoint doesn't read; after it begins to drain, they must not be sent."""
 
     async def test() -> None:
-        async with service(react=to_hand, by_hand=True) as s:
+        async with service(react=send_to_manual, manual_endpoint=True) as s:
             reader, writer = await asyncio.open_connection(*s.address.split(":"))
             gate = asyncio.Event()
             s.manual.gate = gate
@@ -419,27 +424,27 @@
                 params = {"call": f"t{n}", "fill": fill}
                 text = json.dumps({"jsonrpc": "2.0", "method": "tip.send", "params": params, "id": n})
                 writer.write(text.encode() + b"\n")
-            await until(lambda: len(s.made.dispatcher.requests) == 20)
-            (connection,) = s.made.wire.pool_by_connection
-            await until(lambda: connection.blocked)
-            entries = s.made.spec.endpoints
-            s.made.dispatcher.on_list("changes", [(e._replace(phase="draining"), at) for e, at in entries])
-            turned = s.outcomes().count("dropped")
-            assert turned > 2 and set(s.outcomes()) == {"dropped"}
+            await until(lambda: len(s.service.dispatcher.requests) == 20)
+            (connection,) = s.service.wire.pool_by_connection
+            await until(lambda: connection.awaits_writable)
+            entries = s.service.spec.endpoints
+            s.service.dispatcher.on_list("changes", [(e._replace(phase="draining"), at) for e, at in entries])
+            dropped = s.outcomes().count("dropped")
+            assert dropped > 2 and set(s.outcomes()) == {"dropped"}
             gate.set()
-            for _ in range(20 - turned):
-                told, way = await s.manual.came.get()
-                way.write(result(told["id"]))
+            for _ in range(20 - dropped):
+                request, response_writer = await s.manual.calls.get()
+                response_writer.write(result(request["id"]))
             answers = [json.loads(await reader.readline()) for _ in range(20)]
-            assert sum("result" in a for a in answers) == 20 - turned
-            assert len(s.log.received) == 20 - turned and s.manual.came.empty()
+            assert sum("result" in a for a in answers) == 20 - dropped
+            assert len(s.log.received) == 20 - dropped and s.manual.calls.empty()
             writer.close()
 
     run_real(test)
 
 
-def test_an_end_is_seen_before_the_loop_hears_of_it() -> None:
-    """Guards against a call that is put on a connection whose endpoint has gone."""
+def test_closed_connection_is_detected_before_the_event_loop_notices() -> None:
+    """Guards against sending a call over a connection that the endpoint has closed."""
 
     async def test() -> None:
         p = await Pipe().open()
@@ -450,7 +455,7 @@
     run_real(test)
 
 
-def test_stray_bytes_make_an_idle_connection_unsound() -> None:
+def test_unexpected_data_makes_an_idle_connection_unusable() -> None:
     async def test() -> None:
         p = await Pipe().open()
         p.other.send(b"{")
@@ -460,13 +465,13 @@
     run_real(test)
 
 
-def test_calls_beyond_what_a_connection_holds_wait_for_another(monkeypatch: pytest.MonkeyPatch) -> None:
-    """... and beyond what all hold, they end as never run."""
+def test_calls_beyond_the_limit_per_connection_use_another_one(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Calls beyond the limits of all connections must end as never run."""
     monkeypatch.setattr(shared, "MOST_PENDING", 5)
     monkeypatch.setattr(shared, "MOST_CONNECTIONS", 2)
 
     async def test() -> None:
-        async with service(always(Fault.SWALLOW), react=to_hand) as s:
+        async with service(always(Fault.SWALLOW), react=send_to_manual) as s:
             c = await s.client()
             for n in range(12):
                 c.call(READ)
@@ -476,39 +481,39 @@
     run_real(test)
 
 
-def test_refused_connections_never_ran() -> None:
+def test_calls_are_refused_if_the_endpoint_refuses_connections() -> None:
     async def test() -> None:
-        async with service(always(), react=to_hand) as s:
+        async with service(always(), react=send_to_manual) as s:
             s.endpoints[0].server.close()
             c = await s.client()
-            told = await asyncio.gather(*(c.call(TIP) for _ in range(3)))
-            assert {t["error"]["code"] for t in told} == {codec.REFUSED}
-            assert s.outcomes() == ["connect_failed"] * 3 and s.made.front.descriptors.open == 0
+            responses = await asyncio.gather(*(c.call(TIP) for _ in range(3)))
+            assert {r["error"]["code"] for r in responses} == {codec.REFUSED}
+            assert s.outcomes() == ["connect_failed"] * 3 and s.service.front.descriptors.open == 0
 
     run_real(test)
 
 
-def test_endpoint_that_leaves_finishes_what_is_out() -> None:
-    """... and gets nothing new: its connection ends with the last answer."""
+def test_removed_endpoint_finishes_pending_calls() -> None:
+    """It gets no new calls, and its connection is closed after the last response."""
 
     async def test() -> None:
-        async with service(react=to_hand, by_hand=True) as s:
-            tip, read, a, b, writer = await two_out(s)
-            s.made.dispatcher.on_list(
+        async with service(react=send_to_manual, manual_endpoint=True) as s:
+            tip, read, tip_id, read_id, writer = await start_tip_and_read(s)
+            s.service.dispatcher.on_list(
                 "changes",
-                [(interface.ListedEndpoint(e.endpoint, "gone"), ("127.0.0.1", 1)) for e, _ in s.made.spec.endpoints],
+                [(interface.ListedEndpoint(e.endpoint, "gone"), ("127.0.0.1", 1)) for e, _ in s.service.spec.endpoints],
             )
-            late = s.clients[0].call(READ)
-            assert (await late)["error"]["code"] == codec.REFUSED
-            writer.write(result(a) + result(b))
+            new_call = s.clients[0].call(READ)
+            assert (await new_call)["error"]["code"] == codec.REFUSED
+            writer.write(result(tip_id) + result(read_id))
             assert "result" in await tip and "result" in await read
-            await until(lambda: not s.made.wire.pool_by_connection)
+            await until(lambda: not s.service.wire.pool_by_connection)
 
     run_real(test)
 
 
-def test_a_batch_on_an_endpoint_that_breaks_sends_no_tip_twice() -> None:
-    """The four rules over a connection that many calls share, and that breaks again and again."""
+def test_unsafe_calls_are_not_repeated_when_shared_connections_break() -> None:
+    """The audit must pass although connections that carry many calls break repeatedly."""
 
     async def test() -> None:
         plans = [always(Fault.BREAK_AT, at_byte=5), always(), always(Fault.BEYOND)]
--- a/zinclever/jsonrpc/__init__.py
+++ b/zinclever/jsonrpc/__init__.py
@@ -1,1 +1,1 @@
-"""JSON-RPC 2.0 over TCP: the clients' side, calls on endpoints, and the texts that both are made of."""
+"""JSON-RPC 2.0 over TCP: the server side for clients, the client side for endpoints, and the message codec."""
--- a/zinclever/jsonrpc/front.py
+++ b/zinclever/jsonrpc/front.py
@@ -1,7 +1,7 @@
-"""The clients' side of JSON-RPC: texts are read and checked, calls handed on, responses written.
+"""The server side of JSON-RPC: parses requests from clients, dispatches calls and writes responses.
 
-A call's time counts from when its text was whole, for as long as its class's ``deadline``. A client that
-ends its connection, or its sending, has left: its calls are given up; its notifications go on.
+The deadline of a call is its class's ``deadline``, counted from the time at which its text was received completely. A
+client that closes its connection, or its sending side, is gone: its calls are abandoned, its notifications continue.
 """
 
 from __future__ import annotations
@@ -16,349 +16,391 @@
 from ..core.dispatcher import Dispatcher
 from ..core.protocol import FinalAnswer, IncomingRequest, Refused, Served
 from . import codec
-from .codec import Batch, Call, Invalid
+from .codec import Batch, Call, RejectedCall
 from .connection import Payload
 from .framing import Framer, FramingError, frame
 from .rules import Method, Rules
 
 log = logging.getLogger(__name__)
 
-MOST_BATCH = 1000  # calls of one batch: what a front holds at once for one text
-MOST_OPEN = 1000  # calls of one connection that are out at once; beyond that it is not read
-MOST_GATHERED = 4 << 20  # bytes of a batch's responses: what comes beyond them is told as failed
-MOST_UNREAD = 4 << 20  # bytes that a client may leave unread before it is dropped, with its calls
-READ_FOR = 5.0  # s in which a text that has begun has to be whole
-WRITE_FOR = 5.0  # s in which a client has to go on reading its responses
-LINGER = 1.0  # s in which the rest of what could not be read is dropped, so that its error arrives
-SHARE = 2  # clients get one part in so many of the descriptors
-RESERVED_METHODS = "rpc."  # the specification keeps them: only those that are listed go on
-END_ADVICE = 500.0  # ms: after which a client of a sidecar that ends should come again
+MAX_BATCH_CALLS = 1000
+MAX_PENDING_CALLS = 1000  # per connection; at this number the connection is not read
+MAX_BATCH_RESPONSE_BYTES = 4 << 20  # further calls of the batch are answered as failed
+MAX_UNREAD_BYTES = 4 << 20  # buffered responses of one client; beyond that it is disconnected
+READ_TIMEOUT = 5.0  # s within which a text must be complete after its first bytes
+WRITE_TIMEOUT = 5.0  # s within which a client must resume reading its responses
+LINGER_TIME = 1.0  # s for which data is discarded after a framing error, so that the client receives the response
+CLIENT_DESCRIPTOR_DIVISOR = 2  # client connections may use the descriptor limit divided by this number
+RESERVED_METHOD_PREFIX = "rpc."  # reserved by the specification: such methods are forwarded only if they are listed
+SHUTDOWN_RETRY_AFTER = 500.0  # ms: advised delay before a repeat for calls that are refused during the shutdown
 
 
 class Front:
-    """What the connections of one service share."""
+    """Accepts the client connections of one service and holds their shared state."""
 
     def __init__(self, dispatcher: Dispatcher, rules: Rules) -> None:
         self.dispatcher, self.descriptors, self.rules = dispatcher, dispatcher.descriptors, rules
         self.loop = asyncio.get_running_loop()
-        self.numbers = itertools.count(1)
+        self.request_ids = itertools.count(1)
         self.connections: dict[ServerConnection, None] = {}
-        """Those open, the one that has sent nothing for longest first."""
+        """Open connections, least recently active first."""
         self.counts: Counter[str] = Counter()
-        self.ending = False
-        self.empty = asyncio.Event()
+        """Number of error responses by code, and of clients disconnected for unread responses (``unread``)."""
+        self.is_closing = False
+        self.all_disconnected = asyncio.Event()
         self.configure()
 
     def configure(self) -> None:
-        self.waits = [c.deadline for c in self.dispatcher.settings.classes]
-        self.most = max(1, min(self.descriptors.limit // SHARE, self.rules.most_clients))
+        """Apply the settings of the dispatcher and the limits of the service."""
+        self.deadlines = [c.deadline for c in self.dispatcher.settings.classes]
+        self.max_connections = max(1, min(self.descriptors.limit // CLIENT_DESCRIPTOR_DIVISOR, self.rules.most_clients))
 
     def reconfigure(self, rules: Rules) -> None:
-        """Other methods from now on; connections that are open keep their framing."""
+        """Apply changed rules. Open connections keep their framing."""
         self.rules = rules
         self.configure()
 
     def connection(self) -> ServerConnection:
+        """Create the protocol instance for a new client connection."""
         return ServerConnection(self)
 
-    def joined(self, connection: ServerConnection) -> None:
-        """A client has connected. Where descriptors are short, the one idle for longest makes room."""
+    def on_connected(self, connection: ServerConnection) -> None:
+        """Register a client connection.
+
+        If there are too many connections, or no descriptor is free and none can be freed by evicting a connection to
+        an endpoint, the idle client connection that has been inactive for longest is closed. If none is idle and there
+        are too many connections, the new one is closed.
+        """
         descriptors = self.descriptors
         descriptors.clients += 1
         self.connections[connection] = None
-        if len(self.connections) > self.most or (descriptors.full() and not descriptors.evict()):
+        if len(self.connections) > self.max_connections or (descriptors.full() and not descriptors.evict()):
             for other in self.connections:
                 if other is not connection and other.close_idle():
                     return
-            if len(self.connections) > self.most:
-                connection.drop()
+            if len(self.connections) > self.max_connections:
+                connection.abort()
 
-    def left(self, connection: ServerConnection) -> None:
+    def on_disconnected(self, connection: ServerConnection) -> None:
+        """Remove a client connection that was closed."""
         self.descriptors.clients -= 1
         del self.connections[connection]
         if not self.connections:
-            self.empty.set()
+            self.all_disconnected.set()
 
-    def heard(self, connection: ServerConnection) -> None:
+    def on_activity(self, connection: ServerConnection) -> None:
+        """Mark a connection as the most recently active one."""
         del self.connections[connection]
         self.connections[connection] = None
 
     def begin_drain(self) -> None:
-        """Clients that have not heard of the end yet are served as before, until idle ones are closed."""
+        """Do nothing: clients are served as before until :meth:`close_idle`."""
 
     def close_idle(self) -> None:
-        """From now on calls are refused, and connections end with their last response."""
-        self.ending = True
+        """Close idle connections, refuse new calls, and close the other connections after their last response."""
+        self.is_closing = True
         for connection in list(self.connections):
             connection.close_idle()
 
     async def wait_disconnected(self) -> None:
+        """Wait until no client is connected."""
         while self.connections:
-            self.empty.clear()
-            await self.empty.wait()
+            self.all_disconnected.clear()
+            await self.all_disconnected.wait()
 
     def stop(self) -> None:
+        """Close all connections at once."""
         for connection in list(self.connections):
-            connection.drop()
+            connection.abort()
+
+    def make_request(self, call: Call, waited: float) -> IncomingRequest | RejectedCall:
+        """Create the request of a call according to its method's class, or the error to answer it with.
 
-    def read(self, call: Call, waited: float) -> IncomingRequest | Invalid:
-        """A call that has ``waited`` so many ms here, sorted into its class; or the error that it is owed."""
-        answer_to = codec.NULL if call.id is None else call.id
+        Args:
+            call: The call.
+            waited: Time in ms that the call has waited in this process, which is subtracted from its deadline.
+        """
+        reply_id = codec.NULL if call.id is None else call.id
         method = self.rules.methods.get(call.method)
         if method is None:
             default = self.rules.default
-            if default is None or call.method.startswith(RESERVED_METHODS):
-                return Invalid(answer_to, codec.METHOD_NOT_FOUND, "Method not found")
+            if default is None or call.method.startswith(RESERVED_METHOD_PREFIX):
+                return RejectedCall(reply_id, codec.METHOD_NOT_FOUND, "Method not found")
             method = Method(default)
         key = ""
         if method.key:
-            found = codec.point(call.params, method.key)
+            found = codec.resolve_pointer(call.params, method.key)
             if found is None:
-                told = f"Invalid params: no key at /{'/'.join(method.key)}"
-                return Invalid(answer_to, codec.INVALID_PARAMS, told)
+                message = f"Invalid params: no key at /{'/'.join(method.key)}"
+                return RejectedCall(reply_id, codec.INVALID_PARAMS, message)
             key = found
         return IncomingRequest(
-            id=str(next(self.numbers)),
+            id=str(next(self.request_ids)),
             klass=method.klass,
             tenant=0,
             key=key,
-            wait=max(0.0, self.waits[method.klass] - waited),
+            wait=max(0.0, self.deadlines[method.klass] - waited),
             work=0.0,
             retry=False,
             payload=Payload(call.head, call.tail),
         )
 
 
-class Gathering:
-    """The responses to one batch, until all are there."""
+class BatchResponse:
+    """Collects the responses to the calls of a batch."""
 
-    __slots__ = ("left", "responses", "size")
+    __slots__ = ("missing", "responses", "size")
 
-    def __init__(self, left: int) -> None:
-        self.left = left
+    def __init__(self, missing: int) -> None:
+        self.missing = missing
+        """Number of responses still to come."""
         self.responses: list[bytes] = []
         self.size = 0
+        """Total size of the responses in bytes."""
 
 
 class ServerConnection(asyncio.Protocol):
-    """One client's connection: many calls at once, answered as they end."""
+    """A client connection. Calls run concurrently and are answered in the order in which they finish."""
 
     transport: asyncio.Transport
 
     def __init__(self, front: Front) -> None:
         self.front = front
         self.framing = front.rules.framing
-        self.framer = Framer(self.framing, front.rules.most_text)
-        self.open: dict[str, Call] = {}
-        """Calls that are out, by the ledger's id: each is owed a response, but for notifications."""
+        self.framer = Framer(self.framing, front.rules.max_text_bytes)
+        self.pending_calls: dict[str, Call] = {}
+        """Unfinished calls, by request id. Each must be answered, unless it is a notification."""
         self.identities: set[bytes | str] = set()
-        self.waiting: deque[bytes] = deque()
-        """Whole texts, of one piece at most, that came while too many calls were out."""
-        self.paused = self.full = self.gone = self.rejecting = self.lingering = self.going = False
-        self.slow: asyncio.TimerHandle | None = None
-        self.unread: asyncio.TimerHandle | None = None
-        self.waited = 0.0  # ms that the bytes at hand lay in the kernel
-        self.fresh = True  # nothing has come yet
+        """Identities of the ids of unfinished calls."""
+        self.unprocessed: deque[bytes] = deque()
+        """Complete texts that were received while too many calls were pending, at most one chunk of data."""
+        self.write_paused = self.at_limit = self.closed = self.rejecting = self.lingering = self.processing = False
+        self.read_timer: asyncio.TimerHandle | None = None
+        """Runs while a text is incomplete."""
+        self.write_timer: asyncio.TimerHandle | None = None
+        """Runs while the client doesn't read its responses."""
+        self.waited = 0.0
+        """Time in ms for which the last data received had been in the kernel's buffer."""
+        self.is_first_read = True
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection."""
         self.transport = cast(asyncio.Transport, transport)
-        self.front.joined(self)
+        self.front.on_connected(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.gone = True
-        for timer in (self.slow, self.unread):
+        """Abandon the pending calls; notifications continue."""
+        self.closed = True
+        for timer in (self.read_timer, self.write_timer):
             if timer is not None:
                 timer.cancel()
-        self.front.left(self)
-        self.waiting.clear()
-        calls, self.open = self.open, {}
-        for number, call in calls.items():
+        self.front.on_disconnected(self)
+        self.unprocessed.clear()
+        calls, self.pending_calls = self.pending_calls, {}
+        for request_id, call in calls.items():
             if call.id is not None:
-                self.front.dispatcher.leave(number)
+                self.front.dispatcher.leave(request_id)
 
     # --- reading ---
 
     def data_received(self, data: bytes) -> None:
-        if self.gone or self.rejecting:
+        """Process the complete texts, and limit the time for which a text may be incomplete."""
+        if self.closed or self.rejecting:
             return
-        self.front.heard(self)
-        self.waited = self.front.dispatcher.waited(self.transport, self.fresh)
-        self.fresh = False
-        wrong: FramingError | None = None
+        self.front.on_activity(self)
+        self.waited = self.front.dispatcher.waited(self.transport, self.is_first_read)
+        self.is_first_read = False
+        framing_error: FramingError | None = None
         try:
-            self.waiting.extend(self.framer.feed(data))
+            self.unprocessed.extend(self.framer.feed(data))
         except FramingError as error:
-            wrong = error
-            self.waiting.extend(error.before)
-        self.go_on()
-        if wrong is not None:
-            self.reject(str(wrong))
-        elif self.framer.partial() and self.slow is None:
-            self.slow = self.front.loop.call_later(READ_FOR, self.too_slow)
-        elif not self.framer.partial() and self.slow is not None:
-            self.slow.cancel()
-            self.slow = None
-
-    def too_slow(self) -> None:
-        self.slow = None
-        if self.paused or self.full:  # it is the sidecar that doesn't read
-            self.slow = self.front.loop.call_later(READ_FOR, self.too_slow)
+            framing_error = error
+            self.unprocessed.extend(error.complete_texts)
+        self.process_texts()
+        if framing_error is not None:
+            self.reject(str(framing_error))
+        elif self.framer.has_partial_text() and self.read_timer is None:
+            self.read_timer = self.front.loop.call_later(READ_TIMEOUT, self.on_read_timeout)
+        elif not self.framer.has_partial_text() and self.read_timer is not None:
+            self.read_timer.cancel()
+            self.read_timer = None
+
+    def on_read_timeout(self) -> None:
+        """Reject an incomplete text, unless reading is paused: then the delay isn't the client's."""
+        self.read_timer = None
+        if self.write_paused or self.at_limit:
+            self.read_timer = self.front.loop.call_later(READ_TIMEOUT, self.on_read_timeout)
         else:
             self.reject("a text was not whole in time")
 
-    def go_on(self) -> None:
-        """Take what has come, as far as calls may be out; beyond that the client isn't read."""
-        if self.going:  # a call was answered at once: the loop below goes on
+    def process_texts(self) -> None:
+        """Process received texts until too many calls are pending, and pause or resume reading accordingly."""
+        if self.processing:  # a call was answered synchronously: the loop below continues
             return
-        self.going = True
-        while self.waiting and not self.paused and len(self.open) < MOST_OPEN and not self.gone:
-            self.take(self.waiting.popleft())
-        self.going = False
-        full = bool(self.waiting) or len(self.open) >= MOST_OPEN
-        if full != self.full:
-            self.full = full
-            self.steer()
-
-    def steer(self) -> None:
-        if not self.gone and not self.transport.is_closing():
-            if self.full or self.paused:
+        self.processing = True
+        while (
+            self.unprocessed
+            and not self.write_paused
+            and len(self.pending_calls) < MAX_PENDING_CALLS
+            and not self.closed
+        ):
+            self.process_text(self.unprocessed.popleft())
+        self.processing = False
+        at_limit = bool(self.unprocessed) or len(self.pending_calls) >= MAX_PENDING_CALLS
+        if at_limit != self.at_limit:
+            self.at_limit = at_limit
+            self.update_reading()
+
+    def update_reading(self) -> None:
+        """Pause reading while too many calls are pending or the client doesn't read; resume it otherwise."""
+        if not self.closed and not self.transport.is_closing():
+            if self.at_limit or self.write_paused:
                 self.transport.pause_reading()
             else:
                 self.transport.resume_reading()
 
-    def take(self, text: bytes) -> None:
-        told = codec.read_request(text, MOST_BATCH)
-        if isinstance(told, Batch):
-            owed = sum(not (isinstance(call, Call) and call.id is None) for call in told.calls)
-            gathering = Gathering(owed)
-            for call in told.calls:
-                self.begin(call, gathering)
+    def process_text(self, text: bytes) -> None:
+        """Parse a text and process its calls."""
+        request = codec.read_request(text, MAX_BATCH_CALLS)
+        if isinstance(request, Batch):
+            expected = sum(not (isinstance(call, Call) and call.id is None) for call in request.calls)
+            batch = BatchResponse(expected)
+            for call in request.calls:
+                self.process_call(call, batch)
         else:
-            self.begin(told, None)
+            self.process_call(request, None)
 
-    def begin(self, told: Call | Invalid, gathering: Gathering | None) -> None:
-        """Hand a call on, or answer it from here."""
-        if isinstance(told, Invalid):
-            self.respond(self.invalid(told), gathering)
+    def process_call(self, call: Call | RejectedCall, batch: BatchResponse | None) -> None:
+        """Dispatch a call, or answer it with an error."""
+        if isinstance(call, RejectedCall):
+            self.respond(self.render_error(call), batch)
             return
-        if told.id is not None and told.identity in self.identities:
-            # To its own id the error could be taken for the response to the call that is out.
-            again = Invalid(codec.NULL, codec.INVALID_REQUEST, "Invalid Request: this id is in use by a call")
-            self.respond(self.invalid(again), gathering)
+        if call.id is not None and call.identity in self.identities:
+            # With its own id, the error could be taken for the response to the pending call.
+            duplicate = RejectedCall(codec.NULL, codec.INVALID_REQUEST, "Invalid Request: this id is in use by a call")
+            self.respond(self.render_error(duplicate), batch)
             return
-        incoming = self.front.read(told, self.waited)
-        if isinstance(incoming, Invalid):
-            if told.id is not None:
-                self.respond(self.invalid(incoming), gathering)
-        elif self.front.ending:
-            if told.id is not None:
-                self.respond(codec.write_refused(told.id, END_ADVICE), gathering)
+        request = self.front.make_request(call, self.waited)
+        if isinstance(request, RejectedCall):
+            if call.id is not None:
+                self.respond(self.render_error(request), batch)
+        elif self.front.is_closing:
+            if call.id is not None:
+                self.respond(codec.write_refused(call.id, SHUTDOWN_RETRY_AFTER), batch)
         else:
-            if told.identity is not None:
-                self.identities.add(told.identity)
-            self.open[incoming.id] = told
-            self.front.dispatcher.take(incoming, partial(self.finish, incoming.id, gathering))
+            if call.identity is not None:
+                self.identities.add(call.identity)
+            self.pending_calls[request.id] = call
+            self.front.dispatcher.take(request, partial(self.finish, request.id, batch))
 
-    def invalid(self, told: Invalid) -> bytes:
-        self.front.counts[str(told.code)] += 1
-        return codec.write_error(told.id, told.code, told.message)
+    def render_error(self, rejected: RejectedCall) -> bytes:
+        """Count an error and return its response."""
+        self.front.counts[str(rejected.code)] += 1
+        return codec.write_error(rejected.id, rejected.code, rejected.message)
 
     # --- writing ---
 
-    def finish(self, number: str, gathering: Gathering | None, final: FinalAnswer) -> None:
-        """The ledger's final answer to a call."""
-        call = self.open.pop(number, None)
+    def finish(self, request_id: str, batch: BatchResponse | None, final: FinalAnswer) -> None:
+        """Respond to a call with the dispatcher's final answer."""
+        call = self.pending_calls.pop(request_id, None)
         if call is None:
             return
         if call.id is not None:
             if call.identity is not None:
                 self.identities.discard(call.identity)
             text = render(call.id, final)
-            if gathering is not None and gathering.size + len(text) > MOST_GATHERED:
+            if batch is not None and batch.size + len(text) > MAX_BATCH_RESPONSE_BYTES:
                 text = codec.write_failed(call.id)
-            self.respond(text, gathering)
-        if self.waiting or self.full:
-            self.go_on()
-        self.end_if_through()
-
-    def respond(self, text: bytes, gathering: Gathering | None) -> None:
-        """Write a response, or put it with the others of its batch."""
-        if gathering is None:
+            self.respond(text, batch)
+        if self.unprocessed or self.at_limit:
+            self.process_texts()
+        self.close_if_done()
+
+    def respond(self, text: bytes, batch: BatchResponse | None) -> None:
+        """Write a response; the responses to a batch are written together once all are there."""
+        if batch is None:
             self.write(text)
             return
-        gathering.size += len(text)
-        gathering.responses.append(text)
-        gathering.left -= 1
-        if not gathering.left:
-            self.write(b"[%b]" % b",".join(gathering.responses))
+        batch.size += len(text)
+        batch.responses.append(text)
+        batch.missing -= 1
+        if not batch.missing:
+            self.write(b"[%b]" % b",".join(batch.responses))
 
     def write(self, text: bytes) -> None:
-        if self.gone or self.transport.is_closing():
+        """Write a text, and disconnect the client if too many of its responses are unread."""
+        if self.closed or self.transport.is_closing():
             return
         self.transport.write(frame(self.framing, text))
-        if self.transport.get_write_buffer_size() > MOST_UNREAD:
+        if self.transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
             self.front.counts["unread"] += 1
-            self.drop()
+            self.abort()
 
     def pause_writing(self) -> None:
-        """The client doesn't read: nothing more of its is read until it does."""
-        self.paused = True
-        self.steer()
-        self.unread = self.front.loop.call_later(WRITE_FOR, self.drop)
+        """Stop reading from a client that doesn't read its responses, and disconnect it after ``WRITE_TIMEOUT``."""
+        self.write_paused = True
+        self.update_reading()
+        self.write_timer = self.front.loop.call_later(WRITE_TIMEOUT, self.abort)
 
     def resume_writing(self) -> None:
-        self.paused = False
-        if self.unread is not None:
-            self.unread.cancel()
-            self.unread = None
-        self.go_on()
-        self.steer()
+        """Resume reading once the client has read its responses."""
+        self.write_paused = False
+        if self.write_timer is not None:
+            self.write_timer.cancel()
+            self.write_timer = None
+        self.process_texts()
+        self.update_reading()
 
-    # --- ends that the server chooses ---
+    # --- closing ---
 
     def reject(self, reason: str) -> None:
-        """What comes can't be cut into texts: say so, and end once the calls before it are answered."""
-        if self.rejecting or self.gone:
+        """Respond to an invalid stream with an error, and close the connection after the pending calls."""
+        if self.rejecting or self.closed:
             return
         self.rejecting = True
-        self.write(self.invalid(Invalid(codec.NULL, codec.PARSE_ERROR, f"Parse error: {reason}")))
-        self.end_if_through()
+        self.write(self.render_error(RejectedCall(codec.NULL, codec.PARSE_ERROR, f"Parse error: {reason}")))
+        self.close_if_done()
 
-    def end_if_through(self) -> None:
-        if self.gone or not self.through():
+    def close_if_done(self) -> None:
+        """Close the connection after its last response, if it was rejected or the service shuts down."""
+        if self.closed or not self.has_no_calls():
             return
         if self.rejecting and not self.lingering:
-            # What still comes is read and dropped for a while: closing on it would reset the response away.
+            # Closing a socket with unread data sends a reset, which may destroy the response before the client has
+            # read it: received data is discarded for a while.
             self.lingering = True
             self.transport.resume_reading()
             self.transport.write_eof()
-            self.front.loop.call_later(LINGER, self.drop)
-        elif self.front.ending and not self.rejecting and not self.readable():
+            self.front.loop.call_later(LINGER_TIME, self.abort)
+        elif self.front.is_closing and not self.rejecting and not self.has_unread_data():
             self.transport.close()
 
-    def through(self) -> bool:
-        return not self.waiting and all(call.id is None for call in self.open.values())
+    def has_no_calls(self) -> bool:
+        """Return whether no response is owed. Pending notifications don't count."""
+        return not self.unprocessed and all(call.id is None for call in self.pending_calls.values())
 
     def close_idle(self) -> bool:
-        """Close the connection between calls; False if one is out, or on its way."""
-        if self.gone or not self.through() or self.framer.partial() or self.readable():
+        """Close the connection if it is idle; return False if a call is pending or being received."""
+        if self.closed or not self.has_no_calls() or self.framer.has_partial_text() or self.has_unread_data():
             return False
         self.transport.close()
         return True
 
-    def readable(self) -> bool:
-        """Whether the kernel holds something that the loop has not read yet."""
+    def has_unread_data(self) -> bool:
+        """Return whether the kernel holds received data that the event loop has not read."""
         return self.front.dispatcher.host.unread(self.transport.get_extra_info("socket"))
 
-    def drop(self) -> None:
-        if not self.gone:
+    def abort(self) -> None:
+        """Close the connection at once, with its pending calls."""
+        if not self.closed:
             self.transport.abort()
 
 
 def render(id: bytes, final: FinalAnswer) -> bytes:
+    """Return the response for a final answer."""
     if isinstance(final, Served):
         return b"%b%b%b" % (final.reply.head, id, final.reply.tail)
-    said = final.reply.error if final.reply is not None else b""
+    upstream = final.reply.error if final.reply is not None else b""
     if isinstance(final, Refused):
-        return codec.write_refused(id, final.retry_after, said)
-    return codec.write_failed(id, said)
+        return codec.write_refused(id, final.retry_after, upstream)
+    return codec.write_failed(id, upstream)
--- a/zinclever/jsonrpc/rules.py
+++ b/zinclever/jsonrpc/rules.py
@@ -1,4 +1,4 @@
-"""Which class each method of a service is of."""
+"""Configuration of a JSON-RPC service: framing, methods and limits."""
 
 from __future__ import annotations
 
@@ -9,21 +9,23 @@
 
 
 class Method(NamedTuple):
-    """What the operator file says of a method."""
+    """The configuration of one method."""
 
     klass: int
+    """Index of the method's request class in the settings."""
     key: tuple[str, ...] = ()
-    """A JSON Pointer into params; empty: none."""
+    """Reference tokens of the JSON Pointer into ``params`` that finds the deduplication key; empty if there is none."""
 
 
 class Rules(NamedTuple):
-    """The names of one service, as its operator file has them."""
+    """The protocol settings of one service, from the operator file."""
 
     framing: Framing
     methods: Mapping[str, Method]
+    """Methods and their aliases, by name."""
     default: int | None
-    """The class of methods that are not listed; None: they are answered -32601."""
-    most_text: int
-    """Bytes of one text, a whole batch among them."""
+    """Class of methods that are not listed; None if they are answered with error -32601."""
+    max_text_bytes: int
+    """Maximum size of one text from a client, including a whole batch."""
     most_clients: int
-    """Connections at once."""
+    """Maximum number of open client connections."""
--- a/zinclever/jsonrpc/wire.py
+++ b/zinclever/jsonrpc/wire.py
@@ -1,4 +1,4 @@
-"""Calls on JSON-RPC endpoints over shared connections."""
+"""The client side of JSON-RPC: calls to endpoints over shared connections."""
 
 from __future__ import annotations
 
@@ -15,24 +15,30 @@
 
 
 class JsonRpcWire(SharedPools[ClientConnection]):
-    """Calls on endpoints, many on a connection."""
+    """Sends calls to the endpoints of one service. Each connection carries many calls at once."""
 
     def __init__(self, framing: Framing, proofs: Proofs, descriptors: Descriptors, host: Host) -> None:
-        super().__init__(self.open, descriptors)
+        super().__init__(self.open_connection, descriptors)
         self.framing, self.proofs, self.host = framing, proofs, host
         self.counts: Counter[str] = Counter()
-        """What endpoints sent that answered no pending call, by kind."""
+        """Number of responses and texts from endpoints that matched no pending call, by kind."""
 
-    async def open(self, address: Address, timeout: float, watcher: Watcher[ClientConnection]) -> ClientConnection:
-        return await dial(self.host, address, timeout, self.framing, self.outcome, watcher, self.counts)
+    async def open_connection(
+        self, address: Address, timeout: float, watcher: Watcher[ClientConnection]
+    ) -> ClientConnection:
+        """Connect to an endpoint. Raises OSError if no connection is made within ``timeout`` seconds."""
+        return await dial(self.host, address, timeout, self.framing, self.classify, watcher, self.counts)
 
-    def outcome(self, response: Response) -> interface.Outcome:
-        """By what holds now: a reload changes it for connections that are open, too."""
-        return self.proofs.outcome(response)
+    def classify(self, response: Response) -> interface.Outcome:
+        """Return the outcome of a response under the current mapping, so that a reload affects open connections."""
+        return self.proofs.classify(response)
 
     def start(self, endpoint: str, payload: Payload, left: float, ended: OnEnded, unsafe: bool) -> Exchange:
-        """Begin a call. ``left`` and ``unsafe`` change nothing: a shared connection can't hold a byte back
-        without holding back the neighbours', and JSON-RPC has no place for a deadline."""
+        """Start a call.
+
+        ``left`` and ``unsafe`` are ignored: on a shared connection, the last byte of a call can't be withheld without
+        delaying other calls, and JSON-RPC has no field for a deadline.
+        """
         exchange = Exchange(payload, ended)
         self.send_attempt(endpoint, exchange)
         return exchange
