--- a/zinclever/jsonrpc/front.py
+++ b/zinclever/jsonrpc/front.py
@@ -118,7 +118,7 @@
 
         Args:
             call: The call.
-            waited: Time in ms that the call has waited in this process, which is subtracted from its deadline.
+            waited: Time in ms for which the text waited in the kernel's buffer; it is subtracted from the deadline.
         """
         reply_id = codec.NULL if call.id is None else call.id
         method = self.rules.methods.get(call.method)
