--- a/tests/test_jsonrpc_codec.py
+++ b/tests/test_jsonrpc_codec.py
@@ -134,13 +134,13 @@
     ],
 )
 def test_pointer_is_resolved(pointer: str, params: Any, found: str | None) -> None:
-    assert codec.resolve_pointer(params, codec.read_pointer(pointer)) == found
+    assert codec.resolve_pointer(params, codec.parse_json_pointer(pointer)) == found
 
 
 @pytest.mark.parametrize("pointer", ["", "key", "/a~2", "/a~"])
 def test_invalid_pointers_are_rejected(pointer: str) -> None:
     with pytest.raises(ValueError, match="not a JSON Pointer"):
-        codec.read_pointer(pointer)
+        codec.parse_json_pointer(pointer)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_jsonrpc_wire.py
+++ b/tests/test_jsonrpc_wire.py
@@ -17,7 +17,7 @@
 from zinclever import interface
 from zinclever.core import shared
 from zinclever.jsonrpc import codec, connection
-from zinclever.jsonrpc.connection import ClientConnection, Exchange, Payload, Proofs, dial
+from zinclever.jsonrpc.connection import ClientConnection, ErrorCodeMapping, Exchange, Payload, dial
 from zinclever.standins import Fault, always, audit
 
 
@@ -214,9 +214,9 @@
         listener.listen()
         listener.setblocking(False)
         self.watcher = RecordingWatcher()
-        proofs = Proofs(frozenset(), frozenset())
+        error_codes = ErrorCodeMapping(frozenset(), frozenset())
         self.connection = await dial(
-            SYSTEM, listener.getsockname(), 5.0, "lines", proofs.classify, self.watcher, Counter()
+            SYSTEM, listener.getsockname(), 5.0, "lines", error_codes.classify, self.watcher, Counter()
         )
         self.other, _ = await self.loop.sock_accept(listener)
         listener.close()
--- a/zinclever/jsonrpc/codec.py
+++ b/zinclever/jsonrpc/codec.py
@@ -264,7 +264,7 @@
     return str(params) if isinstance(params, int | float) and not isinstance(params, bool) else None
 
 
-def read_pointer(text: str) -> tuple[str, ...]:
+def parse_json_pointer(text: str) -> tuple[str, ...]:
     """Split a JSON Pointer (RFC 6901) into its reference tokens. Raises ValueError if it is invalid."""
     if not text.startswith("/") or re.search(r"~(?![01])", text):
         raise ValueError(f"not a JSON Pointer: {text!r}")
--- a/zinclever/jsonrpc/connection.py
+++ b/zinclever/jsonrpc/connection.py
@@ -42,7 +42,7 @@
     """The error object as written; empty if the response holds a result."""
 
 
-class Proofs(NamedTuple):
+class ErrorCodeMapping(NamedTuple):
     """Maps the error codes of a service's endpoints to outcomes. Errors with other codes count as served."""
 
     never_ran: frozenset[int]
--- a/zinclever/jsonrpc/front.py
+++ b/zinclever/jsonrpc/front.py
@@ -35,7 +35,7 @@
 SHUTDOWN_RETRY_AFTER = 500.0  # ms: advised delay before a repeat for calls that are refused during the shutdown
 
 
-class Front:
+class Frontend:
     """Accepts the client connections of one service and holds their shared state."""
 
     def __init__(self, dispatcher: Dispatcher, rules: Rules) -> None:
@@ -53,7 +53,7 @@
     def configure(self) -> None:
         """Apply the settings of the dispatcher and the limits of the service."""
         self.deadlines = [c.deadline for c in self.dispatcher.settings.classes]
-        self.max_connections = max(1, min(self.descriptors.limit // CLIENT_DESCRIPTOR_DIVISOR, self.rules.most_clients))
+        self.max_connections = max(1, min(self.descriptors.limit // CLIENT_DESCRIPTOR_DIVISOR, self.rules.max_clients))
 
     def reconfigure(self, rules: Rules) -> None:
         """Apply changed rules. Open connections keep their framing."""
@@ -164,7 +164,7 @@
 
     transport: asyncio.Transport
 
-    def __init__(self, front: Front) -> None:
+    def __init__(self, front: Frontend) -> None:
         self.front = front
         self.framing = front.rules.framing
         self.framer = Framer(self.framing, front.rules.max_text_bytes)
--- a/zinclever/jsonrpc/rules.py
+++ b/zinclever/jsonrpc/rules.py
@@ -27,5 +27,5 @@
     """Class of methods that are not listed; None if they are answered with error -32601."""
     max_text_bytes: int
     """Maximum size of one text from a client, including a whole batch."""
-    most_clients: int
+    max_clients: int
     """Maximum number of open client connections."""
--- a/zinclever/jsonrpc/wire.py
+++ b/zinclever/jsonrpc/wire.py
@@ -10,16 +10,16 @@
 from ..core.protocol import Address, OnEnded
 from ..core.shared import SharedPools, Watcher
 from .codec import Response
-from .connection import ClientConnection, Exchange, Payload, Proofs, dial
+from .connection import ClientConnection, ErrorCodeMapping, Exchange, Payload, dial
 from .framing import Framing
 
 
 class JsonRpcWire(SharedPools[ClientConnection]):
     """Sends calls to the endpoints of one service. Each connection carries many calls at once."""
 
-    def __init__(self, framing: Framing, proofs: Proofs, descriptors: Descriptors, host: Host) -> None:
+    def __init__(self, framing: Framing, error_codes: ErrorCodeMapping, descriptors: Descriptors, host: Host) -> None:
         super().__init__(self.open_connection, descriptors)
-        self.framing, self.proofs, self.host = framing, proofs, host
+        self.framing, self.error_codes, self.host = framing, error_codes, host
         self.counts: Counter[str] = Counter()
         """Number of responses and texts from endpoints that matched no pending call, by kind."""
 
@@ -31,7 +31,7 @@
 
     def classify(self, response: Response) -> interface.Outcome:
         """Return the outcome of a response under the current mapping, so that a reload affects open connections."""
-        return self.proofs.classify(response)
+        return self.error_codes.classify(response)
 
     def start(self, endpoint: str, payload: Payload, left: float, ended: OnEnded, unsafe: bool) -> Exchange:
         """Start a call.
