--- a/zinclever/jsonrpc/wire.py
+++ b/zinclever/jsonrpc/wire.py
@@ -18,12 +18,12 @@
     """Sends calls to the endpoints of one service. Each connection carries many calls at once."""
 
     def __init__(self, framing: Framing, error_codes: ErrorCodeMapping, descriptors: Descriptors, host: Host) -> None:
-        super().__init__(self.open_connection, descriptors)
+        super().__init__(self.dial_endpoint, descriptors)
         self.framing, self.error_codes, self.host = framing, error_codes, host
         self.counts: Counter[str] = Counter()
         """Number of responses and texts from endpoints that matched no pending call, by kind."""
 
-    async def open_connection(
+    async def dial_endpoint(
         self, address: Address, timeout: float, watcher: Watcher[ClientConnection]
     ) -> ClientConnection:
         """Connect to an endpoint. Raises OSError if no connection is made within ``timeout`` seconds."""
