--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -16,7 +16,7 @@
 from zinclever import interface
 from zinclever.core import dispatcher
 from zinclever.http1 import bodies, clients, connection, server
-from zinclever.http1.bodies import Room, room_for
+from zinclever.http1.bodies import MemoryBudget, room_for
 
 LARGE = 1_000_003  # bytes: beyond what is held, and beyond what the kernel takes at once
 PAGE = bytes(range(256)) * (LARGE // 256 + 1)
@@ -176,8 +176,8 @@
 
 
 def test_a_server_that_falls_silent_ends_the_transfer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection, "TRANSFER_STALL", 0.1)
-    monkeypatch.setattr(connection, "STALL", 0.05)
+    monkeypatch.setattr(connection, "STREAM_STALL_TIMEOUT", 0.1)
+    monkeypatch.setattr(connection, "STALL_TIMEOUT", 0.05)
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await request(reader)
@@ -198,7 +198,7 @@
 
 def test_an_answer_in_pieces_is_not_spoilt(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against taking a slow server for one that stopped: it is silence that counts, not the whole time."""
-    monkeypatch.setattr(connection, "STALL", 0.2)
+    monkeypatch.setattr(connection, "STALL_TIMEOUT", 0.2)
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await request(reader)
@@ -235,15 +235,15 @@
             c.writer.transport.pause_reading()  # type: ignore[attr-defined]
             c.send()
             await ended(s, "served")
-            (one,) = s.front.since[clients.State.WRITING] or s.front.since[clients.State.PASSING]
-            while one.state is not clients.State.WRITING:
+            (one,) = s.front.entered_at[clients.ConnectionState.WRITING] or s.front.entered_at[clients.ConnectionState.STREAMING]
+            while one.state is not clients.ConnectionState.WRITING:
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.2)
             assert one.transport.get_write_buffer_size() < 1 << 20 and written < size // 2
             c.writer.transport.resume_reading()  # type: ignore[attr-defined]
             await c.reader.readuntil(b"\r\n\r\n")
             assert len(await c.reader.readexactly(size)) == size
-            assert list(s.front.since[clients.State.IDLE]) == [one]
+            assert list(s.front.entered_at[clients.ConnectionState.IDLE]) == [one]
 
     run(test)
 
@@ -322,12 +322,12 @@
             writer.write(response(200, b"ok"))
 
     async with endpoint(serve) as at, sidecar(send_to("e"), known(e=at)) as s:
-        s.front.room.limit = more.get("room", bodies.ROOM_UNTOLD)
+        s.front.room.limit = more.get("room", bodies.DEFAULT_BODY_MEMORY)
         yield s, got
 
 
 @pytest.mark.parametrize(
-    "size", [0, 1, connection.SMALL_BODY, connection.SMALL_BODY + 1, bodies.HELD_FREELY, bodies.HELD_FREELY + 1, LARGE]
+    "size", [0, 1, connection.MAX_COPIED_BODY, connection.MAX_COPIED_BODY + 1, bodies.UNRESERVED_BODY_SIZE, bodies.UNRESERVED_BODY_SIZE + 1, LARGE]
 )
 @pytest.mark.parametrize("method", ["/read", "/tip"])
 @pytest.mark.parametrize("chunked", [False, True])
@@ -348,7 +348,7 @@
                 c.send(method, method="POST", body=PAGE[:size])
             assert (await c.answer()).status == 200
             assert got[0].body == PAGE[:size]
-            assert s.front.room.taken == 0 and s.wire.dispatches == 1
+            assert s.front.room.used == 0 and s.wire.dispatches == 1
 
     run_real(test)
 
@@ -366,34 +366,34 @@
                 clients[n].writer.write(head % (n, size) + PAGE[: size - 1])
             while len(s.front.room.waiting) < 3:
                 await asyncio.sleep(0)
-            assert s.front.room.taken == 2 * size and not got
+            assert s.front.room.used == 2 * size and not got
             for c in clients:
                 c.writer.write(PAGE[size - 1 : size])
             for c in clients:
                 assert (await c.answer()).status == 200
             assert [m.body for m in got] == [PAGE[:size]] * 5
-            assert s.front.room.taken == 0 and not s.front.room.waiting
+            assert s.front.room.used == 0 and not s.front.room.waiting
 
     run(test)
 
 
 def test_who_finds_no_room_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     """Nothing of it has gone out: a repeat is harmless, and the client is told when."""
-    monkeypatch.setattr(clients, "ROOM_FOR", 0.2)
+    monkeypatch.setattr(clients, "MEMORY_TIMEOUT", 0.2)
 
     async def test() -> None:
         async with uploads(room=100_000) as (s, got):
             first, second = await s.client(), await s.client()
             head = b"POST /tip HTTP/1.1\r\nHost: x\r\nReq-Id: %b\r\nReq-Deadline: 9\r\nContent-Length: 90000\r\n\r\n"
             first.writer.write(head % b"r1")
-            while not s.front.room.taken:
+            while not s.front.room.used:
                 await asyncio.sleep(0)
             second.writer.write(head % b"r2")
             refused = await second.answer()
             assert refused.status == 503 and float(refused.headers["retry-after"]) > 0
             first.writer.write(PAGE[:90000])
             assert (await first.answer()).status == 200 and len(got) == 1
-            assert s.front.room.taken == 0
+            assert s.front.room.used == 0
 
     run(test)
 
@@ -406,12 +406,12 @@
             coding = b"Transfer-Encoding: chunked" if chunked else b"Content-Length: 200000"
             c.writer.write(b"POST /tip HTTP/1.1\r\nHost: x\r\nReq-Id: r1\r\nReq-Deadline: 9\r\n%b\r\n\r\n" % coding)
             c.writer.write(b"30d40\r\n" * chunked + PAGE[:100_000])
-            while not s.front.room.taken:
+            while not s.front.room.used:
                 await asyncio.sleep(0)
             c.writer.transport.abort()
             while s.front.count():
                 await asyncio.sleep(0)
-            assert s.front.room.taken == 0
+            assert s.front.room.used == 0
 
     run(test)
 
@@ -419,7 +419,7 @@
 def test_a_slow_body_is_waited_for_and_a_stopped_one_isn_t(monkeypatch: pytest.MonkeyPatch) -> None:
     for module in (clients, server):
         monkeypatch.setattr(module, "READ_FOR", 0.3)
-    monkeypatch.setattr(server, "SLOWEST", 1000)
+    monkeypatch.setattr(server, "MIN_UPLOAD_RATE", 1000)
 
     async def test() -> None:
         async with uploads() as (s, _):
@@ -438,7 +438,7 @@
 
 @pytest.mark.parametrize("chunked", [False, True])
 def test_too_large_a_body_is_told_at_once(chunked: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server, "MOST_UPLOAD", 100_000)
+    monkeypatch.setattr(server, "MAX_REQUEST_BODY", 100_000)
 
     async def test() -> None:
         async with uploads() as (s, got):
@@ -448,7 +448,7 @@
             if chunked:
                 c.writer.write(b"186a1\r\n" + PAGE[:100_001])
             assert (await c.answer()).status == 413
-            assert not got and s.front.room.taken == 0
+            assert not got and s.front.room.used == 0
 
     run(test)
 
@@ -475,13 +475,13 @@
         for served in room.granted():
             assert served == line.pop(0)
             held[served[0]] = served[1]
-        assert room.taken == sum(held.values()) <= 100
-        assert not line or room.taken + line[0][1] > 100
+        assert room.used == sum(held.values()) <= 100
+        assert not line or room.used + line[0][1] > 100
 
 
 def test_room_follows_the_memory() -> None:
-    assert room_for(None) == bodies.ROOM_UNTOLD
-    assert room_for(32 << 20) == bodies.LEAST_ROOM
+    assert room_for(None) == bodies.DEFAULT_BODY_MEMORY
+    assert room_for(32 << 20) == bodies.MIN_BODY_MEMORY
     assert room_for(80 << 20) == int(0.4 * (50 << 20))
 
 
@@ -571,7 +571,7 @@
             assert not any(isinstance(e, interface.UploadEnded) for _, e in s.balancer.received_events)
             c.writer.write(b"1\r\n%b\r\n0\r\n\r\n" % PAGE[LARGE - 1 : LARGE] if chunked else PAGE[LARGE - 1 : LARGE])
             assert (await c.answer()).status == 200
-            assert got.whole == [PAGE[:LARGE]] and s.wire.dispatches == 1 and s.front.room.taken == 0
+            assert got.whole == [PAGE[:LARGE]] and s.wire.dispatches == 1 and s.front.room.used == 0
             c.send(method, method="POST", Req_Id="r2", body=b"x")
             assert (await c.answer()).status == 200  # both connections are kept
             (end,) = s.balancer.ends()[:1]
@@ -612,7 +612,7 @@
     """Guards against an endpoint that takes half a body for a whole one: its connection ends before the last byte."""
     for module in (clients, server):
         monkeypatch.setattr(module, "READ_FOR", 0.2)
-    monkeypatch.setattr(server, "SLOWEST", 1 << 30)
+    monkeypatch.setattr(server, "MIN_UPLOAD_RATE", 1 << 30)
 
     async def test() -> None:
         got = Got()
@@ -630,7 +630,7 @@
             while s.front.count() or s.sidecar.requests or s.wire.open:
                 c.writer.transport.abort()
                 await asyncio.sleep(0.01)
-            assert s.front.room.taken == 0 and s.sidecar.counts.concurrent == 0
+            assert s.front.room.used == 0 and s.sidecar.counts.concurrent == 0
 
     run(test)
 
@@ -647,7 +647,7 @@
             c.writer.write(head_of("/tip", LARGE) + PAGE[:100_000])
             got = await c.answer()
             assert got.status == 503 and got.headers["connection"] == "close" and got.headers["retry-after"] == "0.700"
-            assert s.front.room.taken == 0 and s.sidecar.counts.of("tip").refused == 1
+            assert s.front.room.used == 0 and s.sidecar.counts.of("tip").refused == 1
 
     run(test)
 
@@ -668,17 +668,17 @@
             assert len(data) == 1
 
     body, first, late = bodies.Body(None), Taker(), Taker()
-    body.follow(first)
+    body.subscribe(first)
     for n, piece in enumerate(pieces):
         if n == joins:
-            body.follow(late)
+            body.subscribe(late)
         if n == leaves:
-            body.leave(first)
+            body.unsubscribe(first)
         body.add(piece)
         assert len(first.got) < sum(map(len, pieces[: n + 1]))
     body.finish()
     whole = b"".join(pieces)
-    assert body.bytes() == whole == body.bytes()
+    assert body.content() == whole == body.content()
     assert first.done is (leaves >= len(pieces)) and (not first.done or first.got == whole)
     assert late.done is (joins < len(pieces)) and (not late.done or late.got == whole)
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -40,7 +40,7 @@
         (head("GET /read HTTP/1.1", "Req-Id: r", "Req-Deadline: nan"), 400),
         (head("GET /read HTTP/1.1", "Req-Id: r", "Req-Deadline: -1"), 400),
         (head("POST /unlock HTTP/1.1", "Req-Id: r", "Req-Deadline: 5", "Content-Length: 0"), 400),
-        (head("POST /tip HTTP/1.1", "Req-Id: r", "Req-Deadline: 5", f"Content-Length: {server.MOST_UPLOAD + 1}"), 413),
+        (head("POST /tip HTTP/1.1", "Req-Id: r", "Req-Deadline: 5", f"Content-Length: {server.MAX_REQUEST_BODY + 1}"), 413),
         (head("GET /read HTTP/1.1", "Req-Id: r", "Req-Deadline: 5", "X-Fill: " + "x" * 40000), 431),
         (b"what is this\r\n\r\n", 400),
         (GOOD.replace(b"Host: x\r\n", b""), 400),
@@ -108,8 +108,8 @@
             c = await s.client()
             c.writer.write(b"".join(GOOD.replace(b"r1", b"r%d" % n) for n in range(1, 300)))
             await s.balancer.until(lambda: len(s.balancer.received_events) == 2)
-            (one,) = s.front.since[clients.State.BUSY]
-            assert len(one.queue) == server.PIPELINED and one.rejected == 400
+            (one,) = s.front.entered_at[clients.ConnectionState.PROCESSING]
+            assert len(one.pipelined) == server.MAX_PIPELINED and one.rejected_status == 400
 
     run(test)
 
@@ -145,10 +145,10 @@
 @pytest.mark.parametrize(
     ("data", "status"),
     [
-        (b"GET /read HTTP/1.1\r\nX-Fill: " + b"x" * 2 * http.MOST_HEAD, 431),
-        (b"GET /" + b"x" * 2 * http.MOST_HEAD, 431),
+        (b"GET /read HTTP/1.1\r\nX-Fill: " + b"x" * 2 * http.MAX_HEAD_SIZE, 431),
+        (b"GET /" + b"x" * 2 * http.MAX_HEAD_SIZE, 431),
         (head("POST /tip HTTP/1.1", "Req-Id: r", "Req-Deadline: 5", "Content-Length: 60000000"), 413),
-        (head("POST /tip HTTP/1.1", "Transfer-Encoding: chunked") + b"1;" + b"x" * 2 * server.MOST_CHUNKED, 413),
+        (head("POST /tip HTTP/1.1", "Transfer-Encoding: chunked") + b"1;" + b"x" * 2 * server.MAX_CHUNKED_OVERHEAD, 413),
         (head("POST /tip HTTP/1.1", "Content-Length: 5", "Transfer-Encoding: chunked") + b"0\r\n\r\n", 400),
         (head("POST /tip HTTP/1.1", "Content-Length: 5", "Content-Length: 5") + b"abcde", 400),
         (head("POST /tip HTTP/1.1", "Content-Length: +5") + b"abcde", 400),
@@ -174,11 +174,11 @@
 def test_idle_connections_end_longest_idle_first(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against connections kept for good by several that ask once; a request that has come in
     meanwhile, unread, keeps its connection."""
-    monkeypatch.setattr(clients, "IDLE_AT_LEAST", 0.0)
-    monkeypatch.setattr(clients, "SWEEP", 1000.0)
+    monkeypatch.setattr(clients, "MIN_IDLE_TIME", 0.0)
+    monkeypatch.setattr(clients, "SWEEP_INTERVAL", 1000.0)
 
     async def test() -> None:
-        async with sidecar(refuse_all, known(e=closed_port()), sockets=clients.EASY * 2) as s:
+        async with sidecar(refuse_all, known(e=closed_port()), sockets=clients.IDLE_SHARE_DIVISOR * 2) as s:
             several = [await s.client() for _ in range(4)]
             for n in (2, 1, 0, 3):
                 assert (await several[n].ask(Req_Id=f"r{n}")).status == 503
@@ -200,7 +200,7 @@
     comes back on one keeps it."""
 
     async def test() -> None:
-        async with sidecar(refuse_all, known(e=closed_port()), sockets=clients.BRIEF * 8) as s:
+        async with sidecar(refuse_all, known(e=closed_port()), sockets=clients.SINGLE_USE_DIVISOR * 8) as s:
             proven = await s.client()
             for n in range(2):
                 assert "connection" not in (await proven.ask(Req_Id=f"p{n}")).headers
@@ -225,7 +225,7 @@
                 usual = await s.client()
                 assert (await usual.ask(Req_Id=f"u{n}")).status == 503
                 assert silent
-                await asyncio.sleep(2 * clients.FRESH)
+                await asyncio.sleep(2 * clients.NEW_CONNECTION_GRACE)
             assert (await first.ask(Req_Id="r1")).status == 503
             assert s.front.count() <= 64
 
@@ -234,13 +234,13 @@
 
 def test_client_that_does_not_read_is_not_buffered_for(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against answers that pile up for a client that sends on and never reads."""
-    monkeypatch.setattr(clients, "WRITE_FOR", 0.5)
+    monkeypatch.setattr(clients, "WRITE_TIMEOUT", 0.5)
     page = b"x" * http.MOST_BODY
 
     async def test() -> None:
         async with serving(always(response(200, page))) as (_, at), sidecar(send_to("e"), known(e=at)) as s:
             c = await s.client()
-            many = b"".join(GOOD.replace(b"r1", b"r%d" % n) for n in range(server.PIPELINED))
+            many = b"".join(GOOD.replace(b"r1", b"r%d" % n) for n in range(server.MAX_PIPELINED))
             with contextlib.suppress(ConnectionError):
                 for n in range(100):
                     c.writer.write(many.replace(b"Req-Id: r", b"Req-Id: %d-" % n))
@@ -248,7 +248,7 @@
                     await asyncio.sleep(0.02)
                     if not s.front.count():
                         break
-                    (one,) = (c for state in s.front.since.values() for c in state)
+                    (one,) = (c for state in s.front.entered_at.values() for c in state)
                     if not one.ending:
                         assert one.transport.get_write_buffer_size() <= 2 * len(page) + 4096
             while s.front.count():
@@ -352,8 +352,8 @@
 
 def test_who_writes_slowly_is_missed_more_than_who_stopped(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against cutting off ordinary clients, as the oldest, for hundreds that never send a whole request."""
-    monkeypatch.setattr(clients, "STALE", 0.2)
-    monkeypatch.setattr(clients, "FRESH", 0.01)
+    monkeypatch.setattr(clients, "STALLED_AFTER", 0.2)
+    monkeypatch.setattr(clients, "NEW_CONNECTION_GRACE", 0.01)
 
     async def test() -> None:
         async with sidecar(refuse_all, known(e=closed_port()), sockets=128) as s:
@@ -361,7 +361,7 @@
             stopped = [await s.client() for _ in range(s.front.most - 1)]
             for c in stopped:
                 c.writer.write(GOOD[:20])
-            for n in range(20):  # far longer than STALE
+            for n in range(20):  # far longer than STALLED_AFTER
                 slow.writer.write(GOOD[n : n + 1])
                 await asyncio.sleep(0.03)
             others = [await s.client() for _ in range(s.front.most // 2)]
--- a/zinclever/http1/__init__.py
+++ b/zinclever/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1: the application's side, attempts on endpoints, and the connections that carry them."""
+"""HTTP/1.1: connections of clients, attempts on endpoints, and the connections that carry these attempts."""
--- a/zinclever/http1/bodies.py
+++ b/zinclever/http1/bodies.py
@@ -1,9 +1,8 @@
-"""Bodies of requests that are held until their requests are answered, and how much memory they may take. No I/O, no
-clock.
+"""Buffered request bodies and the memory that they may use. No I/O, no clock.
 
-A body is held whole, so that a further attempt can send it again. Small ones go out once they are whole. Larger ones
-need room first, wait for it in turn, and go out as they come: the time that a slow endpoint takes to read them would
-else be their client's.
+A body is buffered completely until its request is answered, so that a retry can send it again. A small body is
+forwarded once it is complete. A larger one first has to reserve memory, in order of arrival, and is then forwarded
+while it is received: otherwise the time that a slow endpoint takes to read it would be added to its client's wait.
 """
 
 from __future__ import annotations
@@ -11,108 +10,111 @@
 from collections.abc import Hashable
 from typing import Protocol
 
-HELD_FREELY = 64 * 1024  # bytes of a body that need no room: as many as descriptors are little memory
-STEP = 256 * 1024  # bytes of room taken at a time for a body whose length isn't told
-LEAST_ROOM = 4 << 20  # bytes, however little memory there is
-ROOM_UNTOLD = 64 << 20  # bytes, where nobody says how much memory there is
-BASE = 30 << 20  # bytes that a sidecar uses without: the program, its connections, answers that are passed on
-SHARE = 0.4  # of the rest: a body is held twice for a moment, and every attempt has the kernel's copy besides
+UNRESERVED_BODY_SIZE = 64 * 1024  # bytes of a body that need no reservation: the number of connections bounds these
+RESERVATION_STEP = 256 * 1024  # bytes reserved at a time for a body of unknown length
+MIN_BODY_MEMORY = 4 << 20  # bytes, however little memory the process has
+DEFAULT_BODY_MEMORY = 64 << 20  # bytes, if the memory of the process is unknown
+BASE_MEMORY = 30 << 20  # bytes that a sidecar uses without bodies: the program, its connections, streamed responses
+BODY_MEMORY_SHARE = 0.4  # of the rest: a body is briefly held twice, and each attempt has a copy in the kernel
 
 
 def room_for(memory: float | None) -> int:
-    """Bytes of room in so many bytes of memory; None: not told."""
+    """Return the bytes that bodies may use if the process may use ``memory`` bytes; None: unknown."""
     if memory is None:
-        return ROOM_UNTOLD
-    return max(LEAST_ROOM, int(SHARE * (memory - BASE)))
+        return DEFAULT_BODY_MEMORY
+    return max(MIN_BODY_MEMORY, int(BODY_MEMORY_SHARE * (memory - BASE_MEMORY)))
 
 
-class Room:
-    """What is taken of a bound, and who waits for more of it, in the order in which they came."""
+class MemoryBudget:
+    """Reservations of a bounded number of bytes, and a first-in, first-out queue of owners that wait for one."""
 
-    __slots__ = ("limit", "taken", "waiting")
+    __slots__ = ("limit", "used", "waiting")
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
-        self.taken = 0
+        self.used = 0
         self.waiting: dict[Hashable, int] = {}
 
-    def take(self, who: Hashable, need: int) -> bool:
-        """Take so many bytes; where there are none ``who`` waits for them, behind those that wait already."""
-        if not self.waiting and self.taken + need <= self.limit:
-            self.taken += need
+    def reserve(self, owner: Hashable, size: int) -> bool:
+        """Reserve ``size`` bytes. If they are not available, append ``owner`` to the queue and return False."""
+        if not self.waiting and self.used + size <= self.limit:
+            self.used += size
             return True
-        self.waiting[who] = need
+        self.waiting[owner] = size
         return False
 
-    def give(self, taken: int) -> None:
-        self.taken -= taken
+    def release(self, size: int) -> None:
+        """Return reserved bytes. Call :meth:`grant_waiting` afterwards."""
+        self.used -= size
 
-    def leave(self, who: Hashable) -> None:
-        """Wait no longer."""
-        self.waiting.pop(who, None)
+    def stop_waiting(self, owner: Hashable) -> None:
+        """Remove an owner from the queue, if it is queued."""
+        self.waiting.pop(owner, None)
 
-    def granted(self) -> list[tuple[Hashable, int]]:
-        """Who has waited and has its bytes now."""
-        served: list[tuple[Hashable, int]] = []
-        for who, need in self.waiting.items():
-            if self.taken + need > self.limit:
+    def grant_waiting(self) -> list[tuple[Hashable, int]]:
+        """Reserve bytes for as many queued owners as possible; return these owners and sizes in queue order."""
+        granted: list[tuple[Hashable, int]] = []
+        for owner, size in self.waiting.items():
+            if self.used + size > self.limit:
                 break
-            self.taken += need
-            served.append((who, need))
-        for who, _ in served:
-            del self.waiting[who]
-        return served
+            self.used += size
+            granted.append((owner, size))
+        for owner, _ in granted:
+            del self.waiting[owner]
+        return granted
 
 
-class Taker(Protocol):
-    """Gets a body as it comes, in order: each byte once."""
+class BodyConsumer(Protocol):
+    """Receives each byte of a body once, in order, while the body is being received."""
 
-    def more(self, data: bytes) -> None: ...
+    def on_data(self, data: bytes) -> None:
+        """Handle bytes of the body, except its last byte."""
 
-    def last(self, data: bytes) -> None:
-        """The last byte; called once, and nothing comes after it."""
+    def on_last_byte(self, data: bytes) -> None:
+        """Handle the last byte. Called once; no call follows."""
 
 
 class Body:
-    """A body that comes in. Its last byte is kept back until it is known to be the last: an endpoint has a whole
-    request only once its client has sent one."""
+    """A body that is being received. Its last byte is withheld until the client has sent the complete body, so that no
+    endpoint can have a complete request before."""
 
-    __slots__ = ("back", "length", "parts", "takers", "whole")
+    __slots__ = ("consumers", "is_complete", "length", "parts", "withheld")
 
     def __init__(self, length: int | None) -> None:
         self.length = length
-        """As its client told it; None: it comes in chunks."""
+        """Content-Length; None if the body is chunked."""
         self.parts: list[bytes] = []
-        self.back = b""
-        self.whole = False
-        self.takers: dict[Taker, None] = {}
+        self.withheld = b""
+        self.is_complete = False
+        self.consumers: dict[BodyConsumer, None] = {}
 
     def add(self, data: bytes) -> None:
-        """Bytes as they have come, one at least."""
-        sure, self.back = self.back + data[:-1], data[-1:]
-        if sure:
-            self.parts.append(sure)
-            for taker in list(self.takers):
-                taker.more(sure)
+        """Append received bytes, at least one."""
+        released, self.withheld = self.withheld + data[:-1], data[-1:]
+        if released:
+            self.parts.append(released)
+            for consumer in list(self.consumers):
+                consumer.on_data(released)
 
     def finish(self) -> None:
-        """It is whole. At least one byte has come."""
-        self.whole = True
-        takers, self.takers = self.takers, {}
-        for taker in takers:
-            taker.last(self.back)
-
-    def follow(self, taker: Taker) -> None:
-        """Begin to get what has come, and what is still to come."""
-        self.takers[taker] = None
+        """Mark the body as complete. It has at least one byte."""
+        self.is_complete = True
+        consumers, self.consumers = self.consumers, {}
+        for consumer in consumers:
+            consumer.on_last_byte(self.withheld)
+
+    def subscribe(self, consumer: BodyConsumer) -> None:
+        """Pass the bytes received so far, and all later ones, to a consumer."""
+        self.consumers[consumer] = None
         for part in self.parts:
-            taker.more(part)
+            consumer.on_data(part)
 
-    def leave(self, taker: Taker) -> None:
-        self.takers.pop(taker, None)
+    def unsubscribe(self, consumer: BodyConsumer) -> None:
+        """Pass no more bytes to a consumer."""
+        self.consumers.pop(consumer, None)
 
-    def bytes(self) -> bytes:
-        """All of it, once it is whole: put together for the first who asks."""
-        if len(self.parts) > 1 or self.back:
-            self.parts, self.back = [b"".join((*self.parts, self.back))], b""
+    def content(self) -> bytes:
+        """Return the complete body, once :attr:`is_complete` is set. The first call joins the parts."""
+        if len(self.parts) > 1 or self.withheld:
+            self.parts, self.withheld = [b"".join((*self.parts, self.withheld))], b""
         return self.parts[0]
--- a/zinclever/http1/clients.py
+++ b/zinclever/http1/clients.py
@@ -1,4 +1,4 @@
-"""Who is connected and since when: room is made for newcomers, and who takes too long is ended."""
+"""Registry of client connections: enforces timeouts, and closes connections to make place for new ones."""
 
 from __future__ import annotations
 
@@ -11,156 +11,164 @@
 if TYPE_CHECKING:
     from .server import ServerConnection
 
-SHARE = 2  # clients get one part in so many of the descriptors: a third for requests, the rest idle or bad
-EASY = 16  # one part in so many that may be idle without being hurried
-BRIEF = 8  # one part in so many, from which on a connection ends with its first answer
-READ_FOR = 2.4  # s from connecting, or from its first byte, in which a request has to be whole, and more for ...
-ROOM_FOR = 2.0  # s that a body may wait for room
-IDLE_FOR = 30.0  # s that a connection may be idle while there are few
-IDLE_AT_LEAST = 2.0  # s that a connection may be idle while there are many
-WRITE_FOR = 5.0  # s in which a client has to go on reading its answer
-LINGER = 1.0  # s in which the rest of a rejected request is read and dropped, so that its answer arrives
-STALE = 0.5  # s without a byte after which a request that is not whole is missed least: clients that write slowly
-# pause for less, those that stop half way are silent for ever
-FRESH = 0.1  # s after connecting in which a client is about to send: others make room first
-TURNED = 24  # connections beyond the share that are kept for one refusal each: out of the reserve of descriptors
-SWEEP = 0.2  # s between two looks at who has been too slow
-
-
-class State(enum.Enum):
+CLIENT_SHARE_DIVISOR = 2  # clients may use 1/2 of the descriptors: a third of it for requests, the rest idle or bad
+IDLE_SHARE_DIVISOR = 16  # up to 1/16 of the descriptors may be idle for IDLE_TIMEOUT, any more for MIN_IDLE_TIME
+SINGLE_USE_DIVISOR = 8  # once 1/8 of the descriptors is idle, a connection is closed after its first response
+READ_FOR = 2.4  # s for receiving a request, from its first byte or from connecting; MIN_UPLOAD_RATE extends it
+MEMORY_TIMEOUT = 2.0  # s that a body may wait for memory
+IDLE_TIMEOUT = 30.0  # s that a connection may be idle while few are
+MIN_IDLE_TIME = 2.0  # s that a connection may be idle while many are
+WRITE_TIMEOUT = 5.0  # s in which a client has to continue reading its response
+LINGER_TIMEOUT = 1.0  # s for which the rest of a rejected request is read and discarded, so that the response arrives
+STALLED_AFTER = 0.5  # s without a byte after which an incomplete request is evicted first: the pauses of clients that
+# write slowly are shorter, and clients that stopped midway never continue
+NEW_CONNECTION_GRACE = 0.1  # s after connecting in which a client is about to send: others are evicted before it
+MAX_REFUSED_CONNECTIONS = 24  # connections above the limit that stay open for one 503: out of the descriptor reserve
+SWEEP_INTERVAL = 0.2  # s between two checks of the timeouts
+
+
+class ConnectionState(enum.Enum):
     """What a connection waits for."""
 
-    __hash__ = object.__hash__  # looked up several times a request; Enum's own is a call in Python
+    __hash__ = object.__hash__  # hashed several times per request, and Enum's own __hash__ is a call in Python
 
-    READING = "a whole request"
-    WAITING = "room for its body"
-    UPLOADING = "the rest of a body that goes on as it comes"
-    BUSY = "an answer from the ledger"
-    PASSING = "the rest of an answer that is passed on as it comes"
-    WRITING = "its client to read the answer"
+    READING = "a complete request"
+    WAITING_FOR_MEMORY = "memory for its request body"
+    UPLOADING = "the rest of a body that is forwarded while it is received"
+    PROCESSING = "a response from the request handler"
+    STREAMING = "the rest of a streamed response"
+    WRITING = "its client to read the response"
     IDLE = "the next request"
-    LINGERING = "its client to read a rejection"
-    CLOSING = "its end"
+    LINGERING = "its client to read an error response"
+    CLOSING = "the end of the connection"
 
 
-class Clients:
-    """The connections of clients, by what each waits for; they take their part of the descriptors."""
+class ConnectionRegistry:
+    """The connections of clients, by state. They use the clients' share of the descriptors."""
 
     def __init__(self, descriptors: Descriptors) -> None:
         self.descriptors = descriptors
         self.loop = asyncio.get_running_loop()
-        self.since: dict[State, dict[ServerConnection, float]] = {state: {} for state in State}
-        """The connections in each state, those longest in it first."""
-        self.clients = 0
+        self.entered_at: dict[ConnectionState, dict[ServerConnection, float]] = {state: {} for state in ConnectionState}
+        """For each state, its connections and the instant at which each entered it, earliest first."""
+        self.open_connections = 0
         self.read_for = self.idle_for = 0.0
-        """s, where somebody says so: else READ_FOR and IDLE_FOR."""
-        self.turned = 0
-        """Of them, those that are to be turned away."""
-        self.sweeper: asyncio.TimerHandle | None = None
-        self.empty = asyncio.Event()  # set once the last connection has ended while draining
-        self.divide()
-
-    def divide(self) -> None:
-        """Take the clients' share of the descriptors."""
+        """s; where 0, READ_FOR and IDLE_TIMEOUT apply."""
+        self.refused_connections = 0
+        """Number of open connections whose first request is refused."""
+        self.sweep_timer: asyncio.TimerHandle | None = None
+        self.all_disconnected = asyncio.Event()  # set when the last connection has ended
+        self.compute_limits()
+
+    def compute_limits(self) -> None:
+        """Derive the limits on connections from the limit on descriptors."""
         limit = self.descriptors.limit
-        self.most = max(1, limit // SHARE)
-        self.easy = limit // EASY
-        self.brief = limit // BRIEF
+        self.most = max(1, limit // CLIENT_SHARE_DIVISOR)
+        self.relaxed_idle_limit = limit // IDLE_SHARE_DIVISOR
+        self.single_use_limit = limit // SINGLE_USE_DIVISOR
 
     def count(self) -> int:
-        return self.clients
+        """Return the number of open connections."""
+        return self.open_connections
 
-    def joined(self, connection: ServerConnection) -> None:
-        """A client has connected: its descriptor comes out of what endpoints may use.
+    def on_connected(self, connection: ServerConnection) -> None:
+        """Register a new connection; its descriptor is no longer available to endpoints.
 
-        Guards against running out of descriptors: beyond the clients' share, or where no connection to an
-        endpoint is idle, one of theirs is closed, and it is the new one if all the others are in use.
+        Guards against running out of descriptors: above the clients' share, or if no connection to an endpoint is idle
+        and could be closed, one client connection is closed, the new one only if all others are in use.
         """
         descriptors = self.descriptors
         descriptors.clients += 1
-        self.clients += 1
-        self.since[State.READING][connection] = self.loop.time()
-        if self.clients > self.most or (descriptors.full() and not descriptors.evict()):
-            self.make_room(connection)
-        if self.sweeper is None:
-            self.sweeper = self.loop.call_later(SWEEP, self.sweep)
-
-    def left(self, connection: ServerConnection) -> None:
-        self.since[connection.state].pop(connection, None)
+        self.open_connections += 1
+        self.entered_at[ConnectionState.READING][connection] = self.loop.time()
+        if self.open_connections > self.most or (descriptors.full() and not descriptors.evict()):
+            self.evict_one(connection)
+        if self.sweep_timer is None:
+            self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.sweep)
+
+    def on_disconnected(self, connection: ServerConnection) -> None:
+        """Remove a connection that has ended."""
+        self.entered_at[connection.state].pop(connection, None)
         self.descriptors.clients -= 1
-        self.clients -= 1
-        self.turned -= connection.turned_away
+        self.open_connections -= 1
+        self.refused_connections -= connection.is_refused
         if not self.count():
-            self.empty.set()
+            self.all_disconnected.set()
 
-    def enter(self, connection: ServerConnection, state: State) -> None:
-        del self.since[connection.state][connection]
+    def set_state(self, connection: ServerConnection, state: ConnectionState) -> None:
+        """Move a connection to a state; the timeout of that state starts."""
+        del self.entered_at[connection.state][connection]
         connection.state = state
-        self.since[state][connection] = self.loop.time()
+        self.entered_at[state][connection] = self.loop.time()
 
-    def make_room(self, newcomer: ServerConnection) -> None:
-        """Close the connection that is missed least: the new one only where it goes beyond the share."""
-        for connection in self.since[State.LINGERING]:
+    def evict_one(self, new_connection: ServerConnection) -> None:
+        """Close the least useful connection; the new one is refused only above the clients' share."""
+        for connection in self.entered_at[ConnectionState.LINGERING]:
             connection.drop()
             return
-        reading, now = self.since[State.READING], self.loop.time()
-        stalest = min(reading, key=heard_at)  # the newcomer is one of them
-        if stalest.heard_at + STALE < now:
-            stalest.drop()
+        reading, now = self.entered_at[ConnectionState.READING], self.loop.time()
+        most_stalled = min(reading, key=last_received_at)  # the new connection is one of them
+        if most_stalled.last_received_at + STALLED_AFTER < now:
+            most_stalled.drop()
             return
         oldest = next(iter(reading))
-        if reading[oldest] + FRESH < now:
+        if reading[oldest] + NEW_CONNECTION_GRACE < now:
             oldest.drop()
             return
-        for connection in self.since[State.IDLE]:
+        for connection in self.entered_at[ConnectionState.IDLE]:
             if connection.close_idle():
                 return
         if self.count() > self.most:
-            self.turn_away(newcomer)
-
-    def turn_away(self, newcomer: ServerConnection) -> None:
-        """There is no room for it, and its client is about to send: a request that finds its connection closed is lost,
-        one that is refused is not."""
-        if self.turned < TURNED:
-            self.turned += 1
-            newcomer.turned_away = True
+            self.refuse(new_connection)
+
+    def refuse(self, new_connection: ServerConnection) -> None:
+        """Let a connection above the limit answer one request with 503; drop it if too many do so already.
+
+        Its client is about to send a request: that is lost on a closed connection, but a refused one can be retried.
+        """
+        if self.refused_connections < MAX_REFUSED_CONNECTIONS:
+            self.refused_connections += 1
+            new_connection.is_refused = True
         else:
-            newcomer.drop()
+            new_connection.drop()
 
-    def short_of_connections(self) -> bool:
-        """Whether idle connections take up so much that there would be none left for requests.
+    def has_too_many_idle(self) -> bool:
+        """Return whether idle connections leave too few for requests.
 
-        Guards against clients that ask once and keep their connection: closing it once it has been idle for
-        long enough comes too late where many do.
+        Guards against many clients that send one request and keep their connection: the idle timeout would close these
+        connections too late.
         """
-        return len(self.since[State.IDLE]) >= self.brief
+        return len(self.entered_at[ConnectionState.IDLE]) >= self.single_use_limit
 
     def sweep(self) -> None:
-        """End what has taken too long, those that have waited longest first."""
-        self.sweeper = self.loop.call_later(SWEEP, self.sweep) if self.count() else None
+        """Enforce the timeouts of all states, on the connections that have been longest in their state first."""
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.sweep) if self.count() else None
         now = self.loop.time()
-        for state in (State.READING, State.UPLOADING):
+        for state in (ConnectionState.READING, ConnectionState.UPLOADING):
             for connection in self.overdue(state, self.read_for or READ_FOR):
-                if connection.patience() + self.since[state][connection] <= now:
-                    connection.too_slow()
-        for connection in self.overdue(State.WAITING, ROOM_FOR):
-            connection.finds_no_room()
-        for state in (State.WRITING, State.LINGERING, State.CLOSING):
-            for connection in self.overdue(state, LINGER if state is State.LINGERING else WRITE_FOR):
+                if connection.allowed_read_time() + self.entered_at[state][connection] <= now:
+                    connection.on_read_timeout()
+        for connection in self.overdue(ConnectionState.WAITING_FOR_MEMORY, MEMORY_TIMEOUT):
+            connection.on_memory_timeout()
+        for state in (ConnectionState.WRITING, ConnectionState.LINGERING, ConnectionState.CLOSING):
+            for connection in self.overdue(
+                state, LINGER_TIMEOUT if state is ConnectionState.LINGERING else WRITE_TIMEOUT
+            ):
                 connection.drop()
-        many = len(self.since[State.IDLE]) - self.easy
-        for connection in self.overdue(State.IDLE, IDLE_AT_LEAST):
-            if many <= 0:
+        excess = len(self.entered_at[ConnectionState.IDLE]) - self.relaxed_idle_limit
+        for connection in self.overdue(ConnectionState.IDLE, MIN_IDLE_TIME):
+            if excess <= 0:
                 break
-            many -= connection.close_idle()
-        for connection in self.overdue(State.IDLE, self.idle_for or IDLE_FOR):
+            excess -= connection.close_idle()
+        for connection in self.overdue(ConnectionState.IDLE, self.idle_for or IDLE_TIMEOUT):
             connection.close_idle()
 
-    def overdue(self, state: State, limit: float) -> list[ServerConnection]:
-        due = self.loop.time() - limit
+    def overdue(self, state: ConnectionState, limit: float) -> list[ServerConnection]:
+        """Return the connections that have been in a state for at least ``limit`` seconds, longest first."""
+        latest = self.loop.time() - limit
         found: list[ServerConnection] = []
-        for connection, since in self.since[state].items():
-            if since > due:
+        for connection, entered_at in self.entered_at[state].items():
+            if entered_at > latest:
                 break
             found.append(connection)
         return found
@@ -168,20 +176,22 @@
     async def wait_disconnected(self) -> None:
         """Wait until no client is connected."""
         while self.count():
-            self.empty.clear()
-            await self.empty.wait()
+            self.all_disconnected.clear()
+            await self.all_disconnected.wait()
 
     def close_idle(self) -> None:
-        """Close all connections between requests, at the end."""
-        for state in (State.IDLE, State.READING):
-            for connection in list(self.since[state]):
+        """Close all connections between requests, at shutdown."""
+        for state in (ConnectionState.IDLE, ConnectionState.READING):
+            for connection in list(self.entered_at[state]):
                 connection.close_idle()
 
     def stop(self) -> None:
-        if self.sweeper is not None:
-            self.sweeper.cancel()
-            self.sweeper = None
+        """Stop checking timeouts."""
+        if self.sweep_timer is not None:
+            self.sweep_timer.cancel()
+            self.sweep_timer = None
 
 
-def heard_at(connection: ServerConnection) -> float:
-    return connection.heard_at
+def last_received_at(connection: ServerConnection) -> float:
+    """Return when a connection last received bytes, as a sort key."""
+    return connection.last_received_at
--- a/zinclever/http1/connection.py
+++ b/zinclever/http1/connection.py
@@ -1,7 +1,7 @@
-"""A client connection that carries one request at a time and tells how far a request got.
+"""A client connection that carries one request at a time and reports how much of a request was sent.
 
-An ordinary HTTP client hides whether a request's last byte was written and may send it again by itself;
-the rules on repeats need the first and forbid the second.
+An ordinary HTTP client hides whether a request's last byte was written and may repeat a request by itself; the rules on
+retries need the first and forbid the second.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 from ..core.stall_detector import SETTLE_TIME, STALL_THRESHOLD_MS
 
 Headers = list[tuple[bytes, bytes]]
-BLANK = b" \t"  # what may stand on either side of a header's value (RFC 9110, 5.5); the parser leaves it behind
-BODILESS = (204, 304)
+OPTIONAL_WHITESPACE = b" \t"  # around a header's value (RFC 9110, 5.5); the parser doesn't remove the trailing part
+BODILESS_STATUSES = (204, 304)
 
-#: Headers that hold for one connection only, and those that the sidecar words itself.
+#: Headers that apply to one connection only, and those that the sidecar sets itself.
 OWN_HEADERS = frozenset(
     {
         b"connection",
@@ -38,98 +38,105 @@
         b"upgrade",
     }
 )
-MOST_BODY = 64 * 1024  # of an answer that is held until it is whole; a longer one is passed on as it comes
-MOST_ANSWER = 40 << 20  # bytes of one that is passed on: the longest have 32 MB
-MOST_HEAD = 32 * 1024
-SMALL_BODY = 16 * 1024  # bytes of a request's body that are copied behind its head, for one call of the kernel
-MOST_BYTES = 8 * MOST_HEAD  # of an answer beyond its body: head, sizes of chunks, 1xx answers ahead
-STALL = 0.5  # s between two pieces of an answer that is held: what stops is spoilt, and another attempt may help
-LINGERS = 0.03  # s after its first bytes from which on an answer of untold length is passed on as it comes
-TRANSFER_STALL = 10.0  # s between two pieces of one that is passed on: its client can't get another
-TRANSFER_BUFFER = 64 * 1024  # bytes that the kernel holds of it: a client that reads slowly slows the server down
+MOST_BODY = 64 * 1024  # bytes of a response body that is buffered until it is complete; a longer one is streamed
+MAX_STREAMED_BODY = 40 << 20  # bytes of a response body that is streamed: the longest have 32 MB
+MAX_HEAD_SIZE = 32 * 1024  # bytes
+MAX_COPIED_BODY = 16 * 1024  # bytes of a request body that is copied behind its head, to send both in one system call
+MOST_BYTES = 8 * MAX_HEAD_SIZE  # of a response apart from its body: head, chunk sizes, preceding 1xx responses
+STALL_TIMEOUT = 0.5  # s between two reads of a buffered response: a retry may help if the server has stalled
+MAX_BUFFERING_TIME = 0.03  # s from its first bytes after which a response of unknown length is streamed
+STREAM_STALL_TIMEOUT = 10.0  # s between two reads of a streamed response, which can't be retried any more
+STREAM_RECEIVE_BUFFER = 64 * 1024  # bytes of it in the kernel: a client that reads slowly slows the server down
 
 
-class Reader(Protocol):
-    """Gets the rest of an answer as it comes."""
+class ResponseReader(Protocol):
+    """Receives the rest of a streamed response."""
 
-    def more(self, data: bytes) -> None: ...
+    def on_data(self, data: bytes) -> None:
+        """Handle the next bytes of the body."""
 
-    def end(self, whole: bool) -> None:
-        """Called once; after it nothing more comes. Not ``whole``: the server has broken off."""
+    def on_end(self, complete: bool) -> None:
+        """Handle the end of the response. Called once; no call follows. Not ``complete``: the server broke off."""
 
 
-class Transfer:
-    """The rest of an answer that is too large to be held. Who takes it by :meth:`start` owns the connection that it
-    comes on, until the reader is told of the end or it is aborted."""
+class ResponseStream:
+    """The rest of a response that is too large to be buffered.
+
+    Whoever calls :meth:`start` owns the connection that the response arrives on, until the reader is notified of the
+    end or the stream is aborted.
+    """
 
     __slots__ = ("connection", "length", "reader")
 
     def __init__(self, connection: ClientConnection, length: int | None) -> None:
         self.connection, self.length = connection, length
-        """Of the whole body, where the server told it."""
-        self.reader: Reader | None = None
+        """Length of the complete body; None if the server did not send it."""
+        self.reader: ResponseReader | None = None
 
-    def start(self, reader: Reader) -> None:
+    def start(self, reader: ResponseReader) -> None:
+        """Pass the rest of the response to a reader."""
         self.reader = reader
 
     def pause(self) -> None:
+        """Stop reading from the server."""
         self.connection.pause()
 
     def resume(self) -> None:
+        """Continue to read from the server."""
         self.connection.resume()
 
     def abort(self) -> None:
-        """End the connection; the reader is told nothing."""
+        """Abort the connection; the reader is not notified."""
         self.reader = None
         self.connection.abort()
 
 
 class Reply(NamedTuple):
-    """An answer: whole, or its beginning and a transfer that brings the rest."""
+    """A response: complete, or its beginning and a stream with the rest."""
 
     status: int
     headers: Headers
     body: bytes
-    rest: Transfer | None = None
+    stream: ResponseStream | None = None
 
     def header(self, name: bytes) -> bytes | None:
-        """The value of the first header with that lower-case name."""
+        """Return the value of the first header with that lower-case name."""
         return next((v for k, v in self.headers if k.lower() == name), None)
 
 
 class Broken(NamedTuple):
-    """The connection ended before a whole answer."""
+    """The connection ended before a complete response."""
 
     unsent: bool
-    """The request's last byte was never handed over, so that it can't have run."""
+    """The request's last byte was never written to the kernel, so that the request can't have been executed."""
 
 
-Done = Callable[[Reply | Broken], None]
-#: Told once the kernel has a request's last byte.
-Sent = Callable[[], None]
+OnResult = Callable[[Reply | Broken], None]
+#: Called once the kernel has a request's last byte.
+OnSent = Callable[[], None]
 
 
-def end_to_end(headers: Headers, left_out: frozenset[bytes]) -> bytes:
-    """Header lines that a proxy passes on: all but those of the connection, which ``left_out`` holds among others.
+def end_to_end(headers: Headers, excluded: frozenset[bytes]) -> bytes:
+    """Return the header lines that a proxy forwards: all but ``excluded``, which contains the hop-by-hop headers.
 
-    A header that ``Connection`` names is of the connection too.
+    Headers that are listed in ``Connection`` are hop-by-hop too.
     """
     lines: list[bytes] = []
     for name, value in headers:
-        low = name.lower()
-        if low == b"connection":
-            named = {part.strip().lower() for part in value.split(b",")}
-            if not named <= left_out:
-                return end_to_end(headers, left_out | named)
-        if low not in left_out:
+        lower_name = name.lower()
+        if lower_name == b"connection":
+            listed = {part.strip().lower() for part in value.split(b",")}
+            if not listed <= excluded:
+                return end_to_end(headers, excluded | listed)
+        if lower_name not in excluded:
             lines.append(b"%b: %b\r\n" % (name, value))
     return b"".join(lines)
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection to a server. The owner sees to it that only one request is out on it."""
+    """One connection to a server. Its owner ensures that only one request is in flight on it."""
 
-    __deletable__ = ("parser",)  # mypyc: it refers back
+    __deletable__ = ("parser",)  # for mypyc: the parser refers back to this object
 
     def __init__(
         self,
@@ -138,36 +145,45 @@
         on_lost: Callable[[ClientConnection], None],
         most_body: int = MOST_BODY,
         transfers: bool = False,
-        stall: float = STALL,
+        stall: float = STALL_TIMEOUT,
     ) -> None:
-        """``most_body``: bytes that are held of an answer; with ``transfers`` a longer one is passed on. ``stall``: s
-        between two pieces of one that is held."""
-        self.patience = stall
+        """Create a connection.
+
+        Args:
+            sock: The connected socket.
+            on_free: Called when the connection can carry the next request.
+            on_lost: Called when the connection has ended.
+            most_body: Bytes of a response body that are buffered.
+            transfers: Whether a longer body is streamed; otherwise it counts as a broken response.
+            stall: Seconds between two reads of a buffered response.
+        """
+        self.stall_timeout = stall
         self.sock, self.on_free, self.on_lost, self.most_body = sock, on_free, on_lost, most_body
-        self.most_answer = MOST_ANSWER if transfers else most_body
-        self.rest: Transfer | None = None
-        self.body: list[bytes] = []
+        self.max_body = MAX_STREAMED_BODY if transfers else most_body
+        self.stream: ResponseStream | None = None
+        self.body_parts: list[bytes] = []
         self.paused = False
-        self.heard_at = self.begun_at = 0.0
+        self.heard_at = self.response_began_at = 0.0
         self.parser = httptools.HttpResponseParser(self)
-        self.done: Done | None = None
-        self.sent: Sent | None = None
-        self.stall: asyncio.TimerHandle | None = None
-        self.held: tuple[bytes, asyncio.TimerHandle] | None = None
-        """The request's last byte, until it goes out."""
+        self.on_result: OnResult | None = None
+        self.on_sent: OnSent | None = None
+        self.stall_timer: asyncio.TimerHandle | None = None
+        self.withheld: tuple[bytes, asyncio.TimerHandle] | None = None
+        """The request's last byte, until it is sent."""
         self.unsent = self.lost = False
-        self.until_end = False  # here, too: a connection may end before its first request
+        self.ends_at_close = False  # set here too, as a connection may end before its first request
         self.uploading = self.chunked = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Store the transport."""
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(high=0)  # resume_writing then tells of the last byte
+        self.transport.set_write_buffer_limits(high=0)  # so that resume_writing is called when the last byte is written
 
     def reusable(self) -> bool:
-        """Whether nothing has come since the last answer: neither an end nor stray bytes.
+        """Return whether nothing was received since the last response: neither an end of file nor stray bytes.
 
-        Asked of the kernel, as the loop may not have read them yet: what is written to a connection that
-        the server has closed ends as a reset, which may have run.
+        The kernel is asked, as the loop may not have read them yet: a request that is written to a connection that the
+        server has closed ends with a reset, after which it may have been executed.
         """
         if self.lost or self.transport.is_closing():
             return False
@@ -179,39 +195,42 @@
             return False
         return False
 
-    def request(self, head: bytes, done: Done, hold: float = 0.0, sent: Sent | None = None, body: bytes = b"") -> None:
-        """Write one request; ``done`` is called once, unless the exchange is aborted before.
+    def request(
+        self, head: bytes, on_result: OnResult, hold: float = 0.0, on_sent: OnSent | None = None, body: bytes = b""
+    ) -> None:
+        """Write one request; ``on_result`` is called once, unless the exchange is aborted before.
 
-        With ``hold`` its last byte follows so many seconds later, if the connection is still sound then.
+        If ``hold`` is set, the last byte is written that many seconds later, if the connection is still usable then.
         """
-        self.expect(done, sent)
-        small = len(body) <= SMALL_BODY
-        data, tail = (head + body, b"") if small else (head, memoryview(body))
+        self.begin_exchange(on_result, on_sent)
+        is_copied = len(body) <= MAX_COPIED_BODY
+        data, rest = (head + body, b"") if is_copied else (head, memoryview(body))
         if hold > 0.0:
-            self.hold_back((data if small else body)[-1:], hold)
-            data, tail = (data[:-1], tail) if small else (data, tail[:-1])
-        if self.write(data) and (small or self.write(tail)):
+            self.withhold((data if is_copied else body)[-1:], hold)
+            data, rest = (data[:-1], rest) if is_copied else (data, rest[:-1])
+        if self.write(data) and (is_copied or self.write(rest)):
             self.resume_writing()
 
-    def expect(self, done: Done, sent: Sent | None) -> None:
-        """An exchange begins."""
-        self.done, self.sent = done, sent
-        self.received = 0  # raw bytes: guards against a head without end, which the parser holds back
-        self.begun = self.complete = self.keep = self.large = self.until_end = False
+    def begin_exchange(self, on_result: OnResult, on_sent: OnSent | None) -> None:
+        """Reset the state of the previous exchange."""
+        self.on_result, self.on_sent = on_result, on_sent
+        self.received_bytes = 0  # limits a head that never ends, which the parser buffers
+        self.response_begun = self.response_complete = self.keep_alive = self.is_large = self.ends_at_close = False
         self.unsent = True
 
-    def hold_back(self, last: bytes, hold: float) -> None:
-        timer = asyncio.get_running_loop().call_later(hold, self.complete_request)
-        self.held = last, timer
+    def withhold(self, last_byte: bytes, hold: float) -> None:
+        """Send the last byte of the request after ``hold`` seconds."""
+        timer = asyncio.get_running_loop().call_later(hold, self.send_withheld)
+        self.withheld = last_byte, timer
 
-    def begin_upload(self, head: bytes, done: Done, sent: Sent | None, chunked: bool) -> None:
-        """Write a request whose body follows by :meth:`upload`, and ends by :meth:`end_upload`."""
-        self.expect(done, sent)
+    def begin_upload(self, head: bytes, on_result: OnResult, on_sent: OnSent | None, chunked: bool) -> None:
+        """Write the head of a request. :meth:`upload` writes its body, and :meth:`end_upload` ends it."""
+        self.begin_exchange(on_result, on_sent)
         self.uploading, self.chunked = True, chunked
         self.write(head)
 
     def upload(self, data: bytes) -> None:
-        """The next bytes of the body: one at least."""
+        """Write the next bytes of the body, at least one."""
         if not self.uploading or self.transport.is_closing():
             return
         if not self.chunked:
@@ -219,68 +238,70 @@
         elif self.write(b"%x\r\n" % len(data)) and self.write(data):
             self.write(b"\r\n")
 
-    def end_upload(self, last: bytes, hold: float) -> None:
-        """The last byte of the body; with ``hold`` the request's last byte is held back as in :meth:`request`."""
+    def end_upload(self, last_byte: bytes, hold: float) -> None:
+        """Write the last byte of the body; the request's last byte may be withheld as in :meth:`request`."""
         if not self.uploading or self.transport.is_closing():
             return
         self.uploading = False
-        data = b"1\r\n%b\r\n0\r\n\r\n" % last if self.chunked else last
+        data = b"1\r\n%b\r\n0\r\n\r\n" % last_byte if self.chunked else last_byte
         if hold > 0.0:
-            self.hold_back(data[-1:], hold)
+            self.withhold(data[-1:], hold)
             data = data[:-1]
         if not data or self.write(data):
             self.resume_writing()
 
     def outstanding(self) -> bool:
-        """Whether bytes of the request have not been written yet, so that it can't have run."""
-        return self.uploading or self.held is not None
+        """Return whether bytes of the request are not written yet, so that it can't have been executed."""
+        return self.uploading or self.withheld is not None
 
     def write(self, data: bytes | memoryview) -> bool:
-        """Hand bytes of the request to the kernel, or to the transport as far as it has no room; False once the
-        connection has ended."""
+        """Write bytes of the request to the kernel, and to the transport what the kernel doesn't accept.
+
+        Returns False if the connection has ended.
+        """
         try:
             written = 0 if self.transport.get_write_buffer_size() else self.sock.send(data)
         except BlockingIOError:
             written = 0
         except OSError:
-            self.transport.abort()  # connection_lost tells the owner
+            self.transport.abort()  # connection_lost notifies the owner
             return False
         if written < len(data):
-            self.transport.write(memoryview(data)[written:])  # a body is kept in any case: no second copy of it
+            self.transport.write(memoryview(data)[written:])  # a view, as the body is kept for retries anyway
         return True
 
-    def complete_request(self) -> None:
-        """The last byte, unless the connection has ended meanwhile: what broke before it never ran."""
-        if self.held is None:
+    def send_withheld(self) -> None:
+        """Send the last byte, unless the connection has ended: a request that broke before it was never executed."""
+        if self.withheld is None:
             return
-        last, timer = self.held
+        last_byte, timer = self.withheld
         if 1000.0 * (asyncio.get_running_loop().time() - timer.when()) > STALL_THRESHOLD_MS:
-            # The process stood still: whether the client still waits is told in the loop's next turn.
-            self.hold_back(last, SETTLE_TIME)
+            # The process was stalled: the loop's next iteration shows whether the client is still waiting.
+            self.withhold(last_byte, SETTLE_TIME)
             return
         if not self.reusable():
-            self.transport.abort()  # connection_lost tells the owner
+            self.transport.abort()  # connection_lost notifies the owner
             return
-        self.held = None
-        if self.write(last):
+        self.withheld = None
+        if self.write(last_byte):
             self.resume_writing()
 
     def resume_writing(self) -> None:
-        """The kernel has all that was handed to the transport."""
+        """Handle that the kernel has accepted all bytes that were written to the transport."""
         self.unsent = self.outstanding() or self.transport.get_write_buffer_size() > 0
-        if not self.unsent and self.sent is not None:
-            sent, self.sent = self.sent, None
-            sent()
+        if not self.unsent and self.on_sent is not None:
+            on_sent, self.on_sent = self.on_sent, None
+            on_sent()
 
     def abort(self) -> None:
-        """End the connection now and tell nobody of the exchange on it.
+        """Abort the connection without reporting a result for its exchange.
 
-        The shut-down reaches the server before a byte of any later attempt does: the transport closes the
-        socket only in the loop's next round, and until then a repeat would count as a second copy.
+        The shutdown reaches the server before any byte of a later attempt: the transport closes the socket only in the
+        loop's next iteration, and until then a retry would count as a concurrent duplicate.
         """
-        self.done = None
-        self.stop_timers()
-        self.rest = None
+        self.on_result = None
+        self.cancel_timers()
+        self.stream = None
         self.uploading = False
         if not self.lost:
             with contextlib.suppress(OSError):
@@ -288,188 +309,211 @@
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        if self.done is None and self.rest is None:
+        """Parse received bytes; complete, stream or continue to buffer the response."""
+        if self.on_result is None and self.stream is None:
             self.abort()
             return
-        self.received += len(data)
+        self.received_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.keep = False
-            if not self.complete:
-                self.spoilt()
+            self.keep_alive = False
+            if not self.response_complete:
+                self.fail()
                 return
-        if self.complete:
+        if self.response_complete:
             self.finish()
             return
-        if self.rest is not None:
-            self.pass_on(self.rest)
-        elif self.begun and self.body and (self.large or self.size > self.most_body or self.lingers()):
-            self.open()
-        elif self.received > MOST_BYTES + self.most_body:
-            self.spoilt()
+        if self.stream is not None:
+            self.forward_body(self.stream)
+        elif (
+            self.response_begun
+            and self.body_parts
+            and (self.is_large or self.size > self.most_body or self.exceeds_buffering_time())
+        ):
+            self.begin_stream()
+        elif self.received_bytes > MOST_BYTES + self.most_body:
+            self.fail()
             return
-        if self.begun and (self.done is not None or self.rest is not None):
-            self.watch()
+        if self.response_begun and (self.on_result is not None or self.stream is not None):
+            self.watch_for_stall()
 
-    def lingers(self) -> bool:
-        """An answer of untold length goes on for so long that it may well be too large to be held."""
-        if self.most_answer == self.most_body or self.status != 200 or self.length() is not None:
+    def exceeds_buffering_time(self) -> bool:
+        """Return whether a response of unknown length has taken so long that it is probably too large to buffer."""
+        if self.max_body == self.most_body or self.status != 200 or self.content_length() is not None:
             return False
-        return self.stall is not None and asyncio.get_running_loop().time() > self.begun_at + LINGERS
+        return (
+            self.stall_timer is not None
+            and asyncio.get_running_loop().time() > self.response_began_at + MAX_BUFFERING_TIME
+        )
 
-    def open(self) -> None:
-        """Hand over what has come of an answer that is too large to be held, and the way to the rest."""
+    def begin_stream(self) -> None:
+        """Report the received part of a response that is too large to buffer, and a stream for the rest."""
         with contextlib.suppress(OSError):
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, TRANSFER_BUFFER)
-        done, self.done = self.done, None
-        told = self.length()
-        rest = self.rest = Transfer(self, int(told) if told is not None else None)
-        body = b"".join(self.body)
-        self.body = []
-        if done is not None:
-            done(Reply(self.status, self.headers, body, rest))
-        if self.rest is rest and rest.reader is None:
-            self.abort()  # nobody waits for it any more
-
-    def pass_on(self, rest: Transfer) -> None:
-        """What has come since to the reader."""
-        body, self.body = b"".join(self.body), []
-        if body and rest.reader is not None:
-            rest.reader.more(body)
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, STREAM_RECEIVE_BUFFER)
+        on_result, self.on_result = self.on_result, None
+        length = self.content_length()
+        stream = self.stream = ResponseStream(self, int(length) if length is not None else None)
+        body = b"".join(self.body_parts)
+        self.body_parts = []
+        if on_result is not None:
+            on_result(Reply(self.status, self.headers, body, stream))
+        if self.stream is stream and stream.reader is None:
+            self.abort()  # nobody reads the rest
+
+    def forward_body(self, stream: ResponseStream) -> None:
+        """Pass newly received bytes of the body to the stream's reader."""
+        body, self.body_parts = b"".join(self.body_parts), []
+        if body and stream.reader is not None:
+            stream.reader.on_data(body)
 
     def pause(self) -> None:
-        """The reader has enough for now."""
+        """Stop reading: the reader can't take more for now."""
         if not self.paused and not self.lost:
             self.paused = True
             self.transport.pause_reading()
 
     def resume(self) -> None:
+        """Continue reading; the stall timeout starts anew."""
         if self.paused and not self.lost:
             self.paused = False
             self.heard_at = asyncio.get_running_loop().time()
             self.transport.resume_reading()
 
-    def watch(self) -> None:
-        """See to it that the rest of an answer that has begun follows."""
+    def watch_for_stall(self) -> None:
+        """Record that a part of the response was received; start the stall timer if it isn't running."""
         loop = asyncio.get_running_loop()
         self.heard_at = loop.time()
-        if self.stall is None:
-            self.begun_at = self.heard_at
-            self.stall = loop.call_later(self.patience, self.look)
+        if self.stall_timer is None:
+            self.response_began_at = self.heard_at
+            self.stall_timer = loop.call_later(self.stall_timeout, self.check_stall)
 
-    def look(self) -> None:
-        """Whether the server has said nothing for too long, while it could."""
+    def check_stall(self) -> None:
+        """Fail the exchange if the server has sent nothing for too long. Time while reading is paused doesn't count."""
         loop = asyncio.get_running_loop()
-        patience = TRANSFER_STALL if self.rest is not None else self.patience
-        left = patience if self.paused else self.heard_at + patience - loop.time()
-        if left > 0.0:
-            self.stall = loop.call_later(left, self.look)
+        timeout = STREAM_STALL_TIMEOUT if self.stream is not None else self.stall_timeout
+        time_left = timeout if self.paused else self.heard_at + timeout - loop.time()
+        if time_left > 0.0:
+            self.stall_timer = loop.call_later(time_left, self.check_stall)
         else:
-            self.spoilt()
+            self.fail()
 
-    def spoilt(self) -> None:
-        """What comes is no answer, or too much of one: the request may have run."""
-        done, rest = self.done, self.rest
+    def fail(self) -> None:
+        """Abort the exchange, as the response is invalid, too large or stalled: the request may have been executed."""
+        on_result, stream = self.on_result, self.stream
         self.abort()
-        if done is not None:
-            done(Broken(self.unsent))
-        elif rest is not None and rest.reader is not None:
-            rest.reader.end(False)
+        if on_result is not None:
+            on_result(Broken(self.unsent))
+        elif stream is not None and stream.reader is not None:
+            stream.reader.on_end(False)
 
     def finish(self) -> None:
-        """Hand the answer over; the connection is free before, so that what follows may use it."""
-        done, self.done = self.done, None
-        rest, self.rest = self.rest, None
-        self.stop_timers()
+        """Report the complete response. The connection is released before, so that the callback can reuse it."""
+        on_result, self.on_result = self.on_result, None
+        stream, self.stream = self.stream, None
+        self.cancel_timers()
         if self.paused:
             self.resume()
-        body = b"".join(self.body)
-        if self.keep and not self.unsent:
+        body = b"".join(self.body_parts)
+        if self.keep_alive and not self.unsent:
             self.on_free(self)
         else:
             self.abort()
-        if done is not None:
-            done(Reply(self.status, self.headers, body))
-        elif rest is not None and rest.reader is not None:
+        if on_result is not None:
+            on_result(Reply(self.status, self.headers, body))
+        elif stream is not None and stream.reader is not None:
             if body:
-                rest.reader.more(body)
-            rest.reader.end(True)
-
-    def stop_timers(self) -> None:
-        if self.held is not None:
-            self.held[1].cancel()
-            self.held = None
-        if self.stall is not None:
-            self.stall.cancel()
-            self.stall = None
+                stream.reader.on_data(body)
+            stream.reader.on_end(True)
+
+    def cancel_timers(self) -> None:
+        """Cancel the timers of the withheld byte and of stalls."""
+        if self.withheld is not None:
+            self.withheld[1].cancel()
+            self.withheld = None
+        if self.stall_timer is not None:
+            self.stall_timer.cancel()
+            self.stall_timer = None
 
     def eof_received(self) -> bool:
+        """Let the transport close itself."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Report the end of the connection. It completes a response without a length or chunks."""
         self.lost = True
-        self.stop_timers()
-        del self.parser  # which refers back
+        self.cancel_timers()
+        del self.parser  # it refers back to this object
         self.on_lost(self)
-        done, self.done = self.done, None
-        rest, self.rest = self.rest, None
-        whole = exc is None and self.until_end and not self.unsent
-        if done is not None:
-            done(Reply(self.status, self.headers, b"".join(self.body)) if whole else Broken(self.unsent))
-        elif rest is not None and rest.reader is not None:
-            rest.reader.end(whole)
-
-    # --- the parser's callbacks ---
+        on_result, self.on_result = self.on_result, None
+        stream, self.stream = self.stream, None
+        is_complete = exc is None and self.ends_at_close and not self.unsent
+        if on_result is not None:
+            on_result(
+                Reply(self.status, self.headers, b"".join(self.body_parts)) if is_complete else Broken(self.unsent)
+            )
+        elif stream is not None and stream.reader is not None:
+            stream.reader.on_end(is_complete)
+
+    # --- callbacks of the parser ---
 
     def on_message_begin(self) -> None:
-        if self.complete:  # bytes beyond the answer
-            self.keep = False
+        """Begin a response."""
+        if self.response_complete:  # bytes after the response
+            self.keep_alive = False
             return
-        self.begun = True
+        self.response_begun = True
         self.headers: Headers = []
-        self.body = []
+        self.body_parts = []
         self.size = 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if not self.complete:
-            self.headers.append((name, value.strip(BLANK)))
+        """Add a header. Raises ValueError if the head is too long."""
+        if not self.response_complete:
+            self.headers.append((name, value.strip(OPTIONAL_WHITESPACE)))
             self.size += len(name) + len(value)
-            if self.size > MOST_HEAD:
+            if self.size > MAX_HEAD_SIZE:
                 raise ValueError("head too long")
 
     def on_headers_complete(self) -> None:
-        """The status is read here: guards against that of a message beyond the answer."""
-        if not self.complete:
+        """Read the status and the body's length. Raises ValueError if the body is too long.
+
+        The status is read here as the parser may already be at a message behind the response when this one is reported.
+        """
+        if not self.response_complete:
             self.status = self.parser.get_status_code()
             self.size = 0
-            told = self.length()
-            length = int(told) if told is not None else 0
-            if length > self.most_answer or (length > self.most_body and self.status != 200):
+            header = self.content_length()
+            length = int(header) if header is not None else 0
+            if length > self.max_body or (length > self.most_body and self.status != 200):
                 raise ValueError("body too long")
-            self.large = length > self.most_body
-            coded = any(k.lower() == b"transfer-encoding" for k, _ in self.headers)
-            self.until_end = told is None and not coded and self.status not in BODILESS and self.status >= 200
-
-    def length(self) -> bytes | None:
-        """What the server says of the body's length."""
+            self.is_large = length > self.most_body
+            has_coding = any(k.lower() == b"transfer-encoding" for k, _ in self.headers)
+            self.ends_at_close = (
+                header is None and not has_coding and self.status not in BODILESS_STATUSES and self.status >= 200
+            )
+
+    def content_length(self) -> bytes | None:
+        """Return the Content-Length header of the response."""
         return next((v for k, v in self.headers if k.lower() == b"content-length"), None)
 
     def on_body(self, body: bytes) -> None:
-        if not self.complete:
-            self.body.append(body)
+        """Add bytes of the body. Raises ValueError if it is too long."""
+        if not self.response_complete:
+            self.body_parts.append(body)
             self.size += len(body)
-            if self.size > (self.most_answer if self.status == 200 else self.most_body):
+            if self.size > (self.max_body if self.status == 200 else self.most_body):
                 raise ValueError("body too long")
 
     def on_message_complete(self) -> None:
-        if self.complete:
-            self.keep = False
+        """Complete the response; an interim one (1xx) is discarded."""
+        if self.response_complete:
+            self.keep_alive = False
         elif self.status < 200:
-            self.begun = False  # an interim answer: the final one is still to come
+            self.response_begun = False  # the final response is still to come
         else:
-            self.keep = self.parser.should_keep_alive()
-            self.complete = True
+            self.keep_alive = self.parser.should_keep_alive()
+            self.response_complete = True
 
 
 async def dial(
@@ -480,9 +524,10 @@
     on_lost: Callable[[ClientConnection], None],
     most_body: int = MOST_BODY,
     transfers: bool = False,
-    stall: float = STALL,
+    stall: float = STALL_TIMEOUT,
 ) -> ClientConnection:
-    """A new connection, within ``timeout`` seconds; OSError (time-outs are one) where there is none."""
+    """Open a connection within ``timeout`` seconds; other arguments as for ClientConnection. Raises OSError on failure,
+    also on a timeout."""
     loop = asyncio.get_running_loop()
     sock = host.socket()
     try:
--- a/zinclever/http1/desk.py
+++ b/zinclever/http1/desk.py
@@ -1,5 +1,5 @@
-"""What the connections of one listener's clients ask of the side behind them, whatever that side is: a ledger of the
-sidecar alone, the mesh's way out, or its calls."""
+"""The base class of request handlers. A handler owns the client connections of one listener and answers their requests:
+through a dispatcher, or as the mesh's egress or its control API."""
 
 from __future__ import annotations
 
@@ -11,70 +11,72 @@
 from ..core.counts import ReplyCounts
 from ..core.descriptors import Descriptors
 from ..core.protocol import FinalAnswer, IncomingRequest
-from .bodies import ROOM_UNTOLD, Body, Room
-from .clients import Clients
+from .bodies import DEFAULT_BODY_MEMORY, Body, MemoryBudget
+from .clients import ConnectionRegistry
 from .connection import Headers
-from .heads import Answer, Whole
+from .heads import Answer, CompleteRequest
 from .server import ServerConnection
 
 
-class Desk(Clients):
-    """Who is connected and since when, room for bodies, and what becomes of a request that has come in."""
+class Desk(ConnectionRegistry):
+    """Client connections, memory for request bodies, and the methods that process a received request."""
 
     def __init__(self, descriptors: Descriptors) -> None:
         super().__init__(descriptors)
-        self.room = Room(ROOM_UNTOLD)
-        """For bodies that are too large to be held freely."""
+        self.room = MemoryBudget(DEFAULT_BODY_MEMORY)
+        """For bodies larger than UNRESERVED_BODY_SIZE."""
         self.draining = False
         self.most_upload = 0
-        """Bytes of a request's body, where somebody says so: else the server's own bound."""
+        """Limit on a request body in bytes; where 0, MAX_REQUEST_BODY applies."""
         self.whole_only = False
-        """Requests are handed on once their bodies are whole, however large they are."""
+        """Requests are forwarded only once their bodies are complete, however large these are."""
 
-    def give(self, taken: int) -> None:
-        """Room that is free again goes to those that wait for it."""
-        if not taken:
+    def release_memory(self, size: int) -> None:
+        """Return reserved bytes, and grant them to the connections that wait for memory."""
+        if not size:
             return
-        self.room.give(taken)
-        for who, need in self.room.granted():
-            cast(ServerConnection, who).granted(need)
+        self.room.release(size)
+        for owner, granted in self.room.grant_waiting():
+            cast(ServerConnection, owner).on_memory_granted(granted)
 
     def connection(self) -> ServerConnection:
+        """Return the protocol for a client that connects."""
         return ServerConnection(self)
 
     def begin_drain(self) -> None:
+        """Close each connection with its next response."""
         self.draining = True
 
     @abstractmethod
-    def read(self, method: str, target: str, headers: Headers, body: bytes | Body, waited: float) -> IncomingRequest:
-        """A request that has ``waited`` so many ms here, checked; :class:`~.heads.Rejected` where it is none."""
+    def read(self, method: str, target: str, headers: Headers, body: bytes | Body, waited_ms: float) -> IncomingRequest:
+        """Validate a request that arrived ``waited_ms`` ms ago. Raises Rejected if it is invalid."""
 
     @abstractmethod
-    def take(self, told: IncomingRequest, answer: Callable[[FinalAnswer | Answer], None]) -> None:
-        """A request to be answered once, unless its client leaves before."""
+    def take(self, request: IncomingRequest, on_answer: Callable[[FinalAnswer | Answer], None]) -> None:
+        """Process a request. ``on_answer`` is called once, unless the client disconnects before."""
 
     @abstractmethod
     def abandon(self, request_id: str) -> None:
-        """The client has gone away."""
+        """Handle that the client of an unanswered request has disconnected."""
 
     @abstractmethod
-    def replies(self, told: IncomingRequest) -> ReplyCounts:
-        """Where a request counts."""
+    def replies(self, request: IncomingRequest) -> ReplyCounts:
+        """Return the counters for the final answer to a request."""
 
     @abstractmethod
     def unread(self, sock: Any) -> bool:
-        """Whether the kernel holds bytes, or an end, that nobody has read from a connection."""
+        """Return whether the kernel holds unread bytes of a connection, or its end."""
 
     def uploaded(self, request_id: str) -> None:
-        """The last byte of a body that was handed on as it came is there."""
+        """Handle that the last byte of a body that was forwarded while being received has arrived."""
 
-    def waited(self, transport: asyncio.BaseTransport, first: bool) -> float:
-        """ms that what is read from a connection right now has waited for this process, as far as anybody asks."""
+    def receive_delay(self, transport: asyncio.BaseTransport, is_first: bool) -> float:
+        """Return how many ms the bytes being read from a connection waited for this process; 0 if not measured."""
         return 0.0
 
-    def answers_itself(self, whole: Whole) -> Answer | None:
-        """The answer to a request that concerns the listener itself."""
+    def local_response(self, request: CompleteRequest) -> Answer | None:
+        """Return the response to a request that concerns the listener itself, such as a health check."""
         return None
 
-    def passing(self, by: int) -> None:
-        """An answer that is passed on as it comes has begun, or ended."""
+    def add_streaming(self, change: int) -> None:
+        """Handle that the streaming of a response has begun (1) or ended (-1)."""
--- a/zinclever/http1/front.py
+++ b/zinclever/http1/front.py
@@ -1,4 +1,4 @@
-"""What the connections of one service's clients share: the ledger, the settings as names, room for bodies."""
+"""The request handler of one service: maps requests to the classes and tenants of the settings."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from .bodies import Body
 from .connection import Headers
 from .desk import Desk
-from .heads import Answer, Rejected, Whole, cookie, number, request_head
+from .heads import Answer, CompleteRequest, Rejected, find_cookie, parse_positive_number, render_request_head
 from .wire import Payload
 
-HEALTH = "/_health"
+HEALTH_PATH = "/_health"
 
 
 class Front(Desk):
-    """The ledger, the settings as names, who is connected and since when."""
+    """Passes valid requests to a dispatcher, and answers health checks."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
         super().__init__(dispatcher.descriptors)
@@ -27,66 +27,82 @@
         self.configure()
 
     def configure(self) -> None:
-        """Take the names, and the share of descriptors, from the ledger's settings."""
+        """Take the names of classes and tenants, and the limits on connections, from the dispatcher's settings."""
         settings = self.dispatcher.settings
         self.classes = {c.name: n for n, c in enumerate(settings.classes)}
         self.tenants = {t.name: n for n, t in enumerate(settings.tenants)}
-        self.keyed = [c.repeat == "deduplicated" for c in settings.classes]
-        self.waits = [c.deadline for c in settings.classes]
-        self.divide()
+        self.needs_key = [c.repeat == "deduplicated" for c in settings.classes]
+        self.deadlines = [c.deadline for c in settings.classes]
+        self.compute_limits()
 
-    def take(self, told: IncomingRequest, answer: Callable[[FinalAnswer | Answer], None]) -> None:
-        self.dispatcher.take(told, answer)
+    def take(self, request: IncomingRequest, on_answer: Callable[[FinalAnswer | Answer], None]) -> None:
+        """Pass a request to the dispatcher."""
+        self.dispatcher.take(request, on_answer)
 
     def abandon(self, request_id: str) -> None:
+        """Tell the dispatcher that the client of a request has disconnected."""
         self.dispatcher.leave(request_id)
 
     def uploaded(self, request_id: str) -> None:
+        """Tell the dispatcher that the body of a request is complete."""
         self.dispatcher.uploaded(request_id)
 
-    def replies(self, told: IncomingRequest) -> ReplyCounts:
-        return self.dispatcher.counts.of(self.dispatcher.settings.classes[told.klass].name)
+    def replies(self, request: IncomingRequest) -> ReplyCounts:
+        """Return the counters of the request's class."""
+        return self.dispatcher.counts.of(self.dispatcher.settings.classes[request.klass].name)
 
     def unread(self, sock: Any) -> bool:
+        """Return whether the kernel holds unread bytes of a connection, or its end."""
         return self.dispatcher.host.unread(sock)
 
-    def waited(self, transport: asyncio.BaseTransport, first: bool) -> float:
-        return self.dispatcher.waited(transport, first)
+    def receive_delay(self, transport: asyncio.BaseTransport, is_first: bool) -> float:
+        """Return how many ms the bytes being read from a connection waited for this process; 0 if not measured."""
+        return self.dispatcher.waited(transport, is_first)
 
-    def answers_itself(self, whole: Whole) -> Answer | None:
-        if whole.method == "GET" and whole.target == HEALTH:
+    def local_response(self, request: CompleteRequest) -> Answer | None:
+        """Answer a health check: 200 once the dispatcher is ready, else 500."""
+        if request.method == "GET" and request.target == HEALTH_PATH:
             return Answer(200 if self.dispatcher.ready else 500)
         return None
 
-    def passing(self, by: int) -> None:
-        self.dispatcher.counts.concurrent += by
+    def add_streaming(self, change: int) -> None:
+        """Count a response that is being streamed as a concurrent request."""
+        self.dispatcher.counts.concurrent += change
 
-    def read(self, method: str, target: str, headers: Headers, body: bytes | Body, waited: float) -> IncomingRequest:
-        """A request that has ``waited`` so many ms here, checked: guards against the balancer being fed what it can't
-        answer rightly."""
-        named: dict[bytes, bytes] = {}
+    def read(self, method: str, target: str, headers: Headers, body: bytes | Body, waited_ms: float) -> IncomingRequest:
+        """Validate a request that arrived ``waited_ms`` ms ago.
+
+        Guards against passing requests to the balancer that it can't handle correctly.
+
+        Raises:
+            Rejected: With 404 for an unknown class, 400 for a missing, invalid or duplicate header value.
+        """
+        values: dict[bytes, bytes] = {}
         for name, value in headers:
-            named.setdefault(name.lower(), value)  # without the blanks round it
+            values.setdefault(name.lower(), value)  # surrounding whitespace is already removed
         path = target.partition("?")[0]
         klass = self.classes.get(path.lstrip("/").partition("/")[0])
         if klass is None:
             raise Rejected(404)
-        request_id = named.get(b"req-id", b"").decode("latin-1")
+        request_id = values.get(b"req-id", b"").decode("latin-1")
         if not request_id or request_id in self.dispatcher.requests:
             raise Rejected(400)
-        if self.keyed[klass] and not named.get(b"idempotency-key"):
+        if self.needs_key[klass] and not values.get(b"idempotency-key"):
             raise Rejected(400)
-        owner = named.get(b"req-owner", b"").decode("latin-1")
+        owner = values.get(b"req-owner", b"").decode("latin-1")
         if self.tenants and owner not in self.tenants:
             raise Rejected(400)
         return IncomingRequest(
             id=request_id,
             klass=klass,
             tenant=self.tenants.get(owner, 0),
-            key=cookie(named.get(b"cookie", b""), b"key"),
-            wait=max(0.0, min(1000.0 * number(named.get(b"req-deadline")), self.waits[klass]) - waited),
-            work=number(named[b"req-cost"]) / 1000.0 if b"req-cost" in named else 0.0,  # from µs
-            retry=named.get(b"req-retry") == b"1",
-            payload=Payload(request_head(method, target, headers), body, method != "GET" or bool(body)),
+            key=find_cookie(values.get(b"cookie", b""), b"key"),
+            wait=max(
+                0.0,
+                min(1000.0 * parse_positive_number(values.get(b"req-deadline")), self.deadlines[klass]) - waited_ms,
+            ),
+            work=parse_positive_number(values[b"req-cost"]) / 1000.0 if b"req-cost" in values else 0.0,  # µs
+            retry=values.get(b"req-retry") == b"1",
+            payload=Payload(render_request_head(method, target, headers), body, method != "GET" or bool(body)),
             uploading=isinstance(body, Body),
         )
--- a/zinclever/http1/heads.py
+++ b/zinclever/http1/heads.py
@@ -1,4 +1,4 @@
-"""Heads of requests and answers as text: what is checked before a request is taken, and how an answer is worded."""
+"""Heads of HTTP requests and responses: checks on received ones, and the text of those that are sent."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 from .connection import OWN_HEADERS, Headers, end_to_end
 
-REASONS = {s.value: s.phrase.encode() for s in http.HTTPStatus}
-TO_ENDPOINTS = OWN_HEADERS | {b"req-deadline"}  # what is not passed on as it came
+REASON_PHRASES = {s.value: s.phrase.encode() for s in http.HTTPStatus}
+NON_FORWARDED_REQUEST_HEADERS = OWN_HEADERS | {b"req-deadline"}  # each attempt has a Req-Deadline of its own
 NUMBER = re.compile(rb"[0-9]{1,12}(\.[0-9]{0,12})?")
 
 
 class Answer(NamedTuple):
-    """What the application gets."""
+    """A response to a client."""
 
     status: int
     headers: bytes = b""
@@ -23,21 +23,22 @@
 
 
 class Rejected(Exception):
-    """A request that is answered by the server itself and never reaches the balancer."""
+    """An invalid request: the sidecar itself answers it with ``status``, and the balancer never receives it."""
 
     def __init__(self, status: int) -> None:
         self.status = status
 
 
-def number(text: bytes | None) -> float:
-    """A finite number above 0, or a rejection."""
+def parse_positive_number(text: bytes | None) -> float:
+    """Return a header value as a finite number above 0. Raises Rejected with 400 if it is missing or invalid."""
     value = float(text) if text and NUMBER.fullmatch(text) else math.nan
     if not value > 0.0:
         raise Rejected(400)
     return value
 
 
-def cookie(text: bytes, name: bytes) -> str:
+def find_cookie(text: bytes, name: bytes) -> str:
+    """Return the value of a cookie in a Cookie header; empty if it is not there."""
     for part in text.split(b";"):
         key, _, value = part.strip().partition(b"=")
         if key == name:
@@ -45,38 +46,46 @@
     return ""
 
 
-class Whole(NamedTuple):
-    """A request that has come in whole, not checked yet."""
+class CompleteRequest(NamedTuple):
+    """A request that was received completely, and is not validated yet."""
 
     method: str
     target: str
     headers: Headers
     body: bytes
-    room: int
-    """Taken for the body."""
-    keep: bool
+    reserved_memory: int
+    """Bytes that are reserved for the body."""
+    keep_alive: bool
     version: str
-    at: float
-    """When it was whole, on the loop's clock: its client's deadline counts from then."""
+    completed_at: float
+    """On the loop's clock: the client's deadline counts from then."""
 
 
-def render(answer: Answer, keep: bool) -> bytes:
-    return render_head(answer.status, answer.headers, len(answer.body), False, keep) + answer.body
+def render_response(response: Answer, keep_alive: bool) -> bytes:
+    """Return a complete response."""
+    return (
+        render_response_head(response.status, response.headers, len(response.body), False, keep_alive) + response.body
+    )
 
 
-def render_head(status: int, headers: bytes, length: int | None, chunked: bool, keep: bool) -> bytes:
+def render_response_head(status: int, headers: bytes, length: int | None, chunked: bool, keep_alive: bool) -> bytes:
+    """Return the head of a response. ``length``: of the body; None: unknown."""
     framing = b"Transfer-Encoding: chunked\r\n" if chunked else b""
     if length is not None:
         framing = b"Content-Length: %d\r\n" % length
     return b"HTTP/1.1 %d %b\r\n%b%b%b\r\n" % (
         status,
-        REASONS.get(status, b""),
+        REASON_PHRASES.get(status, b""),
         headers,
         framing,
-        b"" if keep else b"Connection: close\r\n",
+        b"" if keep_alive else b"Connection: close\r\n",
     )
 
 
-def request_head(method: str, target: str, headers: Headers) -> bytes:
-    """The head that goes to every endpoint, but for its last headers, which its attempt words."""
-    return b"%b %b HTTP/1.1\r\n%b" % (method.encode(), target.encode("latin-1"), end_to_end(headers, TO_ENDPOINTS))
+def render_request_head(method: str, target: str, headers: Headers) -> bytes:
+    """Return the head that all attempts share. Each attempt appends its deadline and the body's framing."""
+    return b"%b %b HTTP/1.1\r\n%b" % (
+        method.encode(),
+        target.encode("latin-1"),
+        end_to_end(headers, NON_FORWARDED_REQUEST_HEADERS),
+    )
--- a/zinclever/http1/server.py
+++ b/zinclever/http1/server.py
@@ -1,4 +1,4 @@
-"""One connection of the application: requests are read, handed on and answered."""
+"""One client connection: receives requests, passes them to the request handler and writes the responses."""
 
 from __future__ import annotations
 
@@ -11,494 +11,539 @@
 
 from ..core.counts import ReplyCounts
 from ..core.protocol import FinalAnswer, IncomingRequest, Refused, Served
-from .bodies import HELD_FREELY, STEP, Body
-from .clients import READ_FOR, State
-from .connection import BLANK, MOST_BODY, MOST_HEAD, OWN_HEADERS, Headers, Reply, Transfer, end_to_end
-from .heads import Answer, Rejected, Whole, render, render_head
+from .bodies import RESERVATION_STEP, UNRESERVED_BODY_SIZE, Body
+from .clients import READ_FOR, ConnectionState
+from .connection import (
+    MAX_HEAD_SIZE,
+    MOST_BODY,
+    OPTIONAL_WHITESPACE,
+    OWN_HEADERS,
+    Headers,
+    Reply,
+    ResponseStream,
+    end_to_end,
+)
+from .heads import Answer, CompleteRequest, Rejected, render_response, render_response_head
 
 if TYPE_CHECKING:
     from .desk import Desk
 
 log = logging.getLogger(__name__)
 
-MOST_UPLOAD = 40 << 20  # bytes of a request's body: the longest have 32 MB
-VERSIONS = ("1.1", "1.0")
-MOST_CHUNKED = 4 * MOST_BODY  # raw bytes of a body's chunks beyond ...
-CHUNKED = 8  # ... this multiple of what they hold: chunks of one byte have six
-PIPELINED = 8  # whole requests that may wait behind the one that is out; ordinary clients send one at a time
-SLOWEST = 32 * 1024  # ... a body: a second for so many bytes that have come of it; clients send twice as fast
-LINGER_BYTES = 4 * MOST_BODY  # that are read so at most: the rest is left to the kernel, which resets
-ADVICE = b"Retry-After: 1.000\r\n"  # for who has found no room, for a body or a connection
-TO_CLIENTS = OWN_HEADERS | {b"srv-load"}
+MAX_REQUEST_BODY = 40 << 20  # bytes: the longest bodies have 32 MB
+SUPPORTED_VERSIONS = ("1.1", "1.0")
+MAX_CHUNKED_OVERHEAD = 4 * MOST_BODY  # a chunked body may have this many raw bytes more than ...
+MAX_CHUNKED_RATIO = 8  # ... this multiple of its content: chunks of one byte have six raw bytes
+MAX_PIPELINED = 8  # complete requests that may wait behind the current one; ordinary clients send one at a time
+MIN_UPLOAD_RATE = 32 * 1024  # bytes/s: received bytes of a body extend its read timeout; clients send twice as fast
+MAX_LINGER_BYTES = 4 * MOST_BODY  # read while lingering; the rest stays in the kernel, which resets the connection
+RETRY_AFTER_HEADER = b"Retry-After: 1.000\r\n"  # in the refusal if there was no memory, or too many connections
+NON_FORWARDED_RESPONSE_HEADERS = OWN_HEADERS | {b"srv-load"}
 
 
 class ServerConnection(asyncio.Protocol):
-    """One connection of the application: its requests are served one after another."""
+    """One client connection: its requests are processed one after another."""
 
-    __deletable__ = ("parser",)  # mypyc: it refers back
+    __deletable__ = ("parser",)  # for mypyc: the parser refers back to this object
 
     transport: asyncio.Transport
 
-    def __init__(self, front: Desk) -> None:
-        self.front = front
-        self.state = State.READING
-        self.heard_at = front.loop.time()  # when it connected, or last sent something
-        self.request_id: str | None = None  # of the request that is owed its answer
-        self.waited = 0.0  # ms that the bytes at hand lay in the kernel
-        self.fresh = True  # nothing has come yet
-        self.keep = True  # the request that is out leaves the connection open
-        self.version = "1.1"  # of that request
-        self.proven = False  # the client has used it again
-        self.started = False  # a request has begun to come in
-        self.queue: deque[Whole] = deque()  # whole requests behind the one that is out
-        self.rejected = 0  # status for what came after them and is no request
-        self.ending = False  # what still comes is dropped
-        self.turned_away = False  # its first request gets a refusal, and the connection ends with it
-        self.paused = False  # the client doesn't read its answers
-        self.source: Transfer | None = None  # of the answer that is passed on
-        self.chunked = False  # it is, in chunks
-        self.replies = ReplyCounts()  # where the request that is out counts
-        self.raw = 0  # bytes since the last whole request
+    def __init__(self, handler: Desk) -> None:
+        self.handler = handler
+        self.state = ConnectionState.READING
+        self.last_received_at = handler.loop.time()  # or when it connected
+        self.request_id: str | None = None  # of the current request, until its response begins
+        self.receive_delay = 0.0  # ms that the bytes being parsed waited in the kernel
+        self.nothing_received = True
+        self.keep_alive = True  # the connection stays open after the current request
+        self.version = "1.1"  # of the current request
+        self.is_reused = False  # a response was written before
+        self.request_started = False  # part of a request was received
+        self.pipelined: deque[CompleteRequest] = deque()  # behind the current request
+        self.rejected_status = 0  # status of the response to invalid data behind these requests; 0: none
+        self.ending = False  # all further received bytes are discarded
+        self.is_refused = False  # the first request is answered with 503, and the connection closed
+        self.paused = False  # the client doesn't read its responses
+        self.stream: ResponseStream | None = None  # of the response that is being streamed
+        self.chunked = False  # that response is sent in chunks
+        self.reply_counts = ReplyCounts()  # counters for the current request
+        self.raw_bytes = 0  # received since the last complete request
         self.in_body = False
-        self.size = 0  # of the head, then of the body
-        self.upload: Body | None = None  # of the request that is out, while it is coming in
-        self.room = 0  # taken for the body that is coming in
-        self.out_room = 0  # and for that of the request that is out
+        self.size = 0  # bytes of the head, then of the body
+        self.upload: Body | None = None  # of the current request, while the body is being received
+        self.reserved_memory = 0  # for the body that is being received
+        self.request_memory = 0  # for the body of the current request
         self.parser = httptools.HttpRequestParser(self)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection."""
         self.transport = cast(asyncio.Transport, transport)
-        self.front.joined(self)
+        self.handler.on_connected(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Release all resources; the handler abandons the current request."""
         self.ending = True
-        self.front.left(self)
-        self.leave_room(all=True)
-        self.queue.clear()
-        del self.parser  # which refers back
-        if self.source is not None:
-            self.end_source()
+        self.handler.on_disconnected(self)
+        self.release_reserved(all=True)
+        self.pipelined.clear()
+        del self.parser  # it refers back to this object
+        if self.stream is not None:
+            self.abort_stream()
         if self.request_id is not None:
-            self.front.abandon(self.request_id)
+            self.handler.abandon(self.request_id)
 
     def data_received(self, data: bytes) -> None:
-        self.raw += len(data)
-        self.waited = self.front.waited(self.transport, self.fresh)
-        self.fresh = False
-        self.heard_at = self.front.loop.time()
+        """Parse received bytes; reject invalid requests."""
+        self.raw_bytes += len(data)
+        self.receive_delay = self.handler.receive_delay(self.transport, self.nothing_received)
+        self.nothing_received = False
+        self.last_received_at = self.handler.loop.time()
         if self.ending:
-            if self.raw > LINGER_BYTES:
+            if self.raw_bytes > MAX_LINGER_BYTES:
                 self.transport.pause_reading()
             return
         try:
             self.parser.feed_data(data)
-        except httptools.HttpParserCallbackError as wrong:
-            cause = wrong.__context__
+        except httptools.HttpParserCallbackError as error:
+            cause = error.__context__
             if isinstance(cause, Rejected):
                 self.reject(cause.status)
             else:
-                log.error("request not taken", exc_info=cause)
+                log.error("internal error while handling a request", exc_info=cause)
                 self.reject(500)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            if self.keep:  # else what comes behind the last request is of no interest
+            if self.keep_alive:  # otherwise data behind the last request is ignored
                 self.reject(400)
         else:
-            self.check_progress()
+            self.check_limits()
 
-    def check_progress(self) -> None:
-        """Bound what is held of a request that is not whole: the parser keeps a header until its end."""
-        most = MOST_CHUNKED + CHUNKED * self.size if self.in_body else MOST_HEAD
-        if self.started and self.raw > most:
+    def check_limits(self) -> None:
+        """Limit the memory of an incomplete request: the parser buffers a header until its end."""
+        max_raw_bytes = MAX_CHUNKED_OVERHEAD + MAX_CHUNKED_RATIO * self.size if self.in_body else MAX_HEAD_SIZE
+        if self.request_started and self.raw_bytes > max_raw_bytes:
             self.reject(413 if self.in_body else 431)
-        elif self.started and self.state is State.IDLE:
-            self.front.enter(self, State.READING)
-        elif self.queue and not self.ending:
+        elif self.request_started and self.state is ConnectionState.IDLE:
+            self.handler.set_state(self, ConnectionState.READING)
+        elif self.pipelined and not self.ending:
             self.transport.pause_reading()
 
-    # --- the parser's callbacks ---
+    # --- callbacks of the parser ---
 
     def on_message_begin(self) -> None:
-        self.started = True
+        """Begin a request."""
+        self.request_started = True
         self.in_body = False
         self.url = b""
-        self.body: list[bytes] = []
+        self.body_parts: list[bytes] = []
         self.headers: Headers = []
         self.size = 0
 
     def on_url(self, url: bytes) -> None:
+        """Add a part of the request target. Raises Rejected with 431 if the head is too long."""
         self.url += url
-        self.grow(len(url))
+        self.count_head_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.headers.append((name, value.strip(BLANK)))
-        self.grow(len(name) + len(value))
-
-    def grow(self, more: int) -> None:
-        self.size += more
-        if self.size > MOST_HEAD:
+        """Add a header. Raises Rejected with 431 if the head is too long."""
+        self.headers.append((name, value.strip(OPTIONAL_WHITESPACE)))
+        self.count_head_bytes(len(name) + len(value))
+
+    def count_head_bytes(self, count: int) -> None:
+        """Add to the size of the head. Raises Rejected with 431 if it is too long."""
+        self.size += count
+        if self.size > MAX_HEAD_SIZE:
             raise Rejected(431)
 
     def on_headers_complete(self) -> None:
+        """Check the head, answer ``Expect: 100-continue``, and reserve memory for a large body of known length.
+
+        Raises:
+            Rejected: With 505, 400 or 413.
+        """
         self.in_body = True
         version = self.parser.get_http_version()
-        if version not in VERSIONS:
+        if version not in SUPPORTED_VERSIONS:
             raise Rejected(505)
-        self.size = length = hosts = 0
-        expects = False
+        self.size = length = host_count = 0
+        expects_continue = False
         for name, value in self.headers:
-            low = name.lower()
-            if low == b"content-length":
+            lower_name = name.lower()
+            if lower_name == b"content-length":
                 length = int(value)
-            elif low == b"expect":
-                expects = value.lower() == b"100-continue"
-            elif low == b"host":
-                hosts += 1
-        if hosts > 1 or (not hosts and version == "1.1"):
+            elif lower_name == b"expect":
+                expects_continue = value.lower() == b"100-continue"
+            elif lower_name == b"host":
+                host_count += 1
+        if host_count > 1 or (not host_count and version == "1.1"):
             raise Rejected(400)  # RFC 9112, 3.2
-        if length > min(self.front.most_upload or MOST_UPLOAD, self.front.room.limit):
+        if length > min(self.handler.most_upload or MAX_REQUEST_BODY, self.handler.room.limit):
             raise Rejected(413)
         self.length = length or None
-        if expects and not self.owing():
+        if expects_continue and not self.is_responding():
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        if length > HELD_FREELY and self.take_room(length):
+        if length > UNRESERVED_BODY_SIZE and self.reserve_memory(length):
             self.begin_upload()
 
     def on_body(self, body: bytes) -> None:
+        """Add bytes of the body; reserve memory as the body grows. Raises Rejected with 413 if it is too long."""
         self.size += len(body)
         if self.upload is not None:
             self.upload.add(body)
         elif not self.ending:
-            self.body.append(body)
-        if self.size > (self.front.most_upload or MOST_UPLOAD):
+            self.body_parts.append(body)
+        if self.size > (self.handler.most_upload or MAX_REQUEST_BODY):
             raise Rejected(413)
-        lacks = self.size > max(HELD_FREELY, self.room) and not self.ending and self not in self.front.room.waiting
-        if lacks and self.take_room(max(STEP, self.size - self.room)):
+        needs_memory = (
+            self.size > max(UNRESERVED_BODY_SIZE, self.reserved_memory)
+            and not self.ending
+            and self not in self.handler.room.waiting
+        )
+        if needs_memory and self.reserve_memory(max(RESERVATION_STEP, self.size - self.reserved_memory)):
             self.begin_upload()
 
-    # --- room for a body ---
+    # --- memory for a body ---
 
-    def take_room(self, need: int) -> bool:
-        """Room for a body that is coming in, at once or in its turn: until then no more of it is read."""
-        if self.front.room.take(self, need):
-            self.room += need
+    def reserve_memory(self, size: int) -> bool:
+        """Reserve memory for the body that is being received. Without it, stop reading until it is granted."""
+        if self.handler.room.reserve(self, size):
+            self.reserved_memory += size
             return True
         self.transport.pause_reading()
-        if self.state in (State.READING, State.IDLE, State.UPLOADING):
-            self.front.enter(self, State.WAITING)
+        if self.state in (ConnectionState.READING, ConnectionState.IDLE, ConnectionState.UPLOADING):
+            self.handler.set_state(self, ConnectionState.WAITING_FOR_MEMORY)
         return False
 
-    def granted(self, need: int) -> None:
-        self.room += need
-        if self.state is State.WAITING:
-            self.front.enter(self, State.READING if self.upload is None else State.UPLOADING)
-        if not self.queue and not self.ending:
+    def on_memory_granted(self, size: int) -> None:
+        """Continue to receive a body that waited for memory."""
+        self.reserved_memory += size
+        if self.state is ConnectionState.WAITING_FOR_MEMORY:
+            self.handler.set_state(self, ConnectionState.READING if self.upload is None else ConnectionState.UPLOADING)
+        if not self.pipelined and not self.ending:
             self.transport.resume_reading()
         try:
             self.begin_upload()
-        except Rejected as wrong:
-            self.reject(wrong.status)
+        except Rejected as error:
+            self.reject(error.status)
 
-    # --- bodies that go on as they come ---
+    # --- bodies that are forwarded while they are received ---
 
     def begin_upload(self) -> None:
-        """Hand on a request whose body is still coming in, unless another one is before it on this connection."""
-        if self.upload is not None or self.ending or self.owing() or self.queue or self.paused or self.front.whole_only:
+        """Forward a request whose body is still being received, unless this connection has an earlier open request."""
+        if (
+            self.upload is not None
+            or self.ending
+            or self.is_responding()
+            or self.pipelined
+            or self.paused
+            or self.handler.whole_only
+        ):
             return
         body = Body(self.length)
-        if self.turned_away:
+        if self.is_refused:
             raise Rejected(503)
         method, target = self.parser.get_method().decode("latin-1"), self.url.decode("latin-1")
-        told = self.front.read(method, target, self.headers, body, 0.0)
-        for part in self.body:
+        request = self.handler.read(method, target, self.headers, body, 0.0)
+        for part in self.body_parts:
             body.add(part)
-        self.body = []
-        self.keep, self.version = self.parser.should_keep_alive(), self.parser.get_http_version()
+        self.body_parts = []
+        self.keep_alive, self.version = self.parser.should_keep_alive(), self.parser.get_http_version()
         self.upload = body
-        self.front.enter(self, State.UPLOADING)
-        self.hand_on(told)
+        self.handler.set_state(self, ConnectionState.UPLOADING)
+        self.forward(request)
 
     def end_upload(self, body: Body) -> None:
-        """The body is whole: the request's time begins."""
-        self.upload, self.out_room, self.room = None, self.room, 0
-        self.started, self.raw, self.in_body = False, 0, False
-        self.front.room.leave(self)
-        self.front.enter(self, State.BUSY)
+        """Complete the body; the deadline of the request counts from now."""
+        self.upload, self.request_memory, self.reserved_memory = None, self.reserved_memory, 0
+        self.request_started, self.raw_bytes, self.in_body = False, 0, False
+        self.handler.room.stop_waiting(self)
+        self.handler.set_state(self, ConnectionState.PROCESSING)
         assert self.request_id is not None
         request_id = self.request_id
         body.finish()
-        self.front.uploaded(request_id)
+        self.handler.uploaded(request_id)
 
-    def give_up_upload(self) -> None:
-        """What has come of a body will not be whole, or is of no use: nothing more goes out of it."""
+    def abort_upload(self) -> None:
+        """Forward no more of a body that will not be completed, or is not needed any more."""
         if self.upload is not None:
             self.upload = None
             request_id, self.request_id = self.request_id, None
             if request_id is not None:
-                self.front.abandon(request_id)
+                self.handler.abandon(request_id)
 
-    def finds_no_room(self) -> None:
-        """A refusal: nothing of the request has gone out."""
-        self.front.room.leave(self)
+    def on_memory_timeout(self) -> None:
+        """Refuse a request that waited too long for memory. Nothing of it was forwarded."""
+        self.handler.room.stop_waiting(self)
         self.reject(503)
 
-    def leave_room(self, all: bool = False) -> None:
-        """Give up the room of what is coming in, and with ``all`` that of what has come."""
-        self.front.room.leave(self)
-        given, self.room = self.room, 0
+    def release_reserved(self, all: bool = False) -> None:
+        """Release the memory of the body that is being received; with ``all``, that of complete requests too."""
+        self.handler.room.stop_waiting(self)
+        released, self.reserved_memory = self.reserved_memory, 0
         if all:
-            given += self.out_room + sum(whole.room for whole in self.queue)
-            self.out_room = 0
-        self.front.give(given)
+            released += self.request_memory + sum(request.reserved_memory for request in self.pipelined)
+            self.request_memory = 0
+        self.handler.release_memory(released)
 
-    def patience(self) -> float:
-        """s for which what is coming in may take."""
-        return (self.front.read_for or READ_FOR) + (self.size / SLOWEST if self.in_body else 0.0)
+    def allowed_read_time(self) -> float:
+        """Return the seconds that receiving the current request may take."""
+        return (self.handler.read_for or READ_FOR) + (self.size / MIN_UPLOAD_RATE if self.in_body else 0.0)
 
     def on_message_complete(self) -> None:
+        """Begin the received request, or queue it. Raises Rejected with 400 if too many are queued."""
         if self.upload is not None:
             self.end_upload(self.upload)
             return
-        self.started, self.raw = False, 0
-        whole = Whole(
+        self.request_started, self.raw_bytes = False, 0
+        request = CompleteRequest(
             self.parser.get_method().decode("latin-1"),
             self.url.decode("latin-1"),
             self.headers,
-            b"".join(self.body),
-            self.room,
+            b"".join(self.body_parts),
+            self.reserved_memory,
             self.parser.should_keep_alive(),
             self.parser.get_http_version(),
-            self.front.loop.time() - self.waited / 1000.0,
+            self.handler.loop.time() - self.receive_delay / 1000.0,
         )
-        self.room, self.in_body, self.body = 0, False, []
-        self.front.room.leave(self)
+        self.reserved_memory, self.in_body, self.body_parts = 0, False, []
+        self.handler.room.stop_waiting(self)
         if self.ending:
-            self.front.give(whole.room)
+            self.handler.release_memory(request.reserved_memory)
             return
-        if not self.owing() and not self.paused:
-            self.begin(whole)
-        elif len(self.queue) < PIPELINED:
-            self.queue.append(whole)
+        if not self.is_responding() and not self.paused:
+            self.begin_request(request)
+        elif len(self.pipelined) < MAX_PIPELINED:
+            self.pipelined.append(request)
         else:
-            self.front.give(whole.room)
+            self.handler.release_memory(request.reserved_memory)
             raise Rejected(400)
 
-    # --- requests and answers ---
+    # --- requests and responses ---
 
-    def owing(self) -> bool:
-        """An answer is still to be written, or to be written to its end."""
-        return self.state is State.BUSY or self.source is not None
+    def is_responding(self) -> bool:
+        """Return whether the response to the current request is still to be written, at least in part."""
+        return self.state is ConnectionState.PROCESSING or self.stream is not None
 
-    def begin(self, whole: Whole) -> None:
-        """Hand a request on, or answer it from here."""
-        self.keep, self.version, self.out_room = whole.keep, whole.version, whole.room
-        self.front.enter(self, State.BUSY)
-        own = self.front.answers_itself(whole)
-        if own is not None:
-            self.answer(own)
+    def begin_request(self, request: CompleteRequest) -> None:
+        """Pass a request to the handler, or answer it directly. Raises Rejected if it is invalid."""
+        self.keep_alive, self.version, self.request_memory = (
+            request.keep_alive,
+            request.version,
+            request.reserved_memory,
+        )
+        self.handler.set_state(self, ConnectionState.PROCESSING)
+        response = self.handler.local_response(request)
+        if response is not None:
+            self.respond(response)
             return
-        waited = 1000.0 * (self.front.loop.time() - whole.at)
-        told = self.front.read(whole.method, whole.target, whole.headers, whole.body, waited)
-        if self.turned_away:
-            self.refuse(told)
+        waited_ms = 1000.0 * (self.handler.loop.time() - request.completed_at)
+        incoming = self.handler.read(request.method, request.target, request.headers, request.body, waited_ms)
+        if self.is_refused:
+            self.refuse(incoming)
         else:
-            self.hand_on(told)
-
-    def refuse(self, told: IncomingRequest) -> None:
-        """Nothing of it goes out: a repeat is harmless."""
-        self.front.replies(told).refused += 1
-        self.keep = False
-        self.answer(Answer(503, ADVICE))
-
-    def hand_on(self, told: IncomingRequest) -> None:
-        self.request_id = told.id
-        self.replies = self.front.replies(told)
-        self.front.take(told, self.finish)
-
-    def finish(self, final: FinalAnswer | Answer) -> None:
-        """The final answer: the ledger's, or one that is worded already."""
+            self.forward(incoming)
+
+    def refuse(self, request: IncomingRequest) -> None:
+        """Answer 503 and close the connection. Nothing of the request is forwarded: it can be retried."""
+        self.handler.replies(request).refused += 1
+        self.keep_alive = False
+        self.respond(Answer(503, RETRY_AFTER_HEADER))
+
+    def forward(self, request: IncomingRequest) -> None:
+        """Pass a valid request to the handler."""
+        self.request_id = request.id
+        self.reply_counts = self.handler.replies(request)
+        self.handler.take(request, self.on_final_answer)
+
+    def on_final_answer(self, final: FinalAnswer | Answer) -> None:
+        """Write the response for the dispatcher's final answer, or a response that the handler has made."""
         if isinstance(final, Answer):
-            self.answer(final)
+            self.respond(final)
         elif isinstance(final, Served):
             reply: Reply = final.reply
-            if reply.rest is not None:
-                self.pass_on(reply, reply.rest)
+            if reply.stream is not None:
+                self.stream_response(reply, reply.stream)
             else:
-                self.answer(Answer(200, end_to_end(reply.headers, TO_CLIENTS), reply.body))
+                self.respond(Answer(200, end_to_end(reply.headers, NON_FORWARDED_RESPONSE_HEADERS), reply.body))
         elif isinstance(final, Refused):
-            after = final.retry_after / 1000.0
-            self.answer(Answer(503, b"Retry-After: %.3f\r\n" % after if after > 0.0 else b""))
+            retry_after = final.retry_after / 1000.0
+            self.respond(Answer(503, b"Retry-After: %.3f\r\n" % retry_after if retry_after > 0.0 else b""))
         else:
-            self.answer(Answer(502))
+            self.respond(Answer(502))
 
-    def let_go(self) -> None:
-        """The body of the request that was out is not needed any more."""
-        given, self.out_room = self.out_room, 0
-        self.front.give(given)
+    def release_request_memory(self) -> None:
+        """Release the memory of the current request's body, which is no longer needed."""
+        released, self.request_memory = self.request_memory, 0
+        self.handler.release_memory(released)
 
-    def answer(self, answer: Answer) -> None:
-        """The answer to the request that is out."""
+    def respond(self, response: Answer) -> None:
+        """Write the response to the current request."""
         self.request_id = None
         if self.upload is not None:
-            self.cut_short(answer)
+            self.respond_before_body_end(response)
             return
-        self.let_go()
+        self.release_request_memory()
         if self.transport.is_closing():
             return
-        self.stays()
-        self.front.enter(self, State.IDLE)
-        self.transport.write(render(answer, self.keep))
-        self.settle()
-
-    def stays(self) -> None:
-        """Settle whether the connection stays open after the answer that is about to be written."""
-        brief = not self.proven and self.front.short_of_connections()
-        self.keep = self.keep and (bool(self.queue or self.rejected) or not (self.front.draining or brief))
-        self.proven = True
-
-    def settle(self) -> None:
-        """An answer has been written to its end."""
-        if not self.keep:
+        self.update_keep_alive()
+        self.handler.set_state(self, ConnectionState.IDLE)
+        self.transport.write(render_response(response, self.keep_alive))
+        self.after_response()
+
+    def update_keep_alive(self) -> None:
+        """Decide whether the connection stays open after the response that is about to be written."""
+        is_single_use = not self.is_reused and self.handler.has_too_many_idle()
+        self.keep_alive = self.keep_alive and (
+            bool(self.pipelined or self.rejected_status) or not (self.handler.draining or is_single_use)
+        )
+        self.is_reused = True
+
+    def after_response(self) -> None:
+        """Close the connection after a complete response, or continue with the next request."""
+        if not self.keep_alive:
             self.close()
         elif self.paused:
-            self.front.enter(self, State.WRITING)
-        elif self.queue or self.rejected:
-            self.go_on()
-        elif self.started:
-            self.front.enter(self, State.READING)
+            self.handler.set_state(self, ConnectionState.WRITING)
+        elif self.pipelined or self.rejected_status:
+            self.begin_pipelined()
+        elif self.request_started:
+            self.handler.set_state(self, ConnectionState.READING)
 
-    # --- answers that are passed on as they come ---
+    # --- streamed responses ---
 
-    def pass_on(self, reply: Reply, rest: Transfer) -> None:
-        """Begin an answer that is too large to be held; its source follows the pace of the client."""
+    def stream_response(self, reply: Reply, stream: ResponseStream) -> None:
+        """Begin a response that is too large to buffer; it is read from the endpoint as fast as the client reads."""
         self.request_id = None
-        if self.upload is not None:  # an answer to half a request
-            rest.abort()
-            self.cut_short(Answer(502))
+        if self.upload is not None:  # a response to an incomplete request
+            stream.abort()
+            self.respond_before_body_end(Answer(502))
             return
-        self.let_go()
+        self.release_request_memory()
         if self.transport.is_closing():
-            rest.abort()
+            stream.abort()
             return
-        self.source = rest
-        self.front.passing(1)
-        self.chunked = rest.length is None and self.version == "1.1"
-        self.stays()
-        if rest.length is None and not self.chunked:
-            self.keep = False  # its end is the connection's
-        self.front.enter(self, State.PASSING)
-        headers = end_to_end(reply.headers, TO_CLIENTS)
-        self.transport.write(render_head(200, headers, rest.length, self.chunked, self.keep))
-        rest.start(self)
-        self.more(reply.body)
-
-    def more(self, data: bytes) -> None:
-        """A piece of the answer, from its source."""
+        self.stream = stream
+        self.handler.add_streaming(1)
+        self.chunked = stream.length is None and self.version == "1.1"
+        self.update_keep_alive()
+        if stream.length is None and not self.chunked:
+            self.keep_alive = False  # the end of the connection marks the end of the response
+        self.handler.set_state(self, ConnectionState.STREAMING)
+        headers = end_to_end(reply.headers, NON_FORWARDED_RESPONSE_HEADERS)
+        self.transport.write(render_response_head(200, headers, stream.length, self.chunked, self.keep_alive))
+        stream.start(self)
+        self.on_data(reply.body)
+
+    def on_data(self, data: bytes) -> None:
+        """Write the next bytes of a streamed response."""
         self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self.chunked else data)
 
-    def end(self, whole: bool) -> None:
-        """The answer is whole, or its source has broken off: then the connection does, so that the client can tell."""
-        self.source = None
-        self.front.passing(-1)
+    def on_end(self, complete: bool) -> None:
+        """End a streamed response. If it is incomplete, abort the connection, so that the client can tell."""
+        self.stream = None
+        self.handler.add_streaming(-1)
         if self.transport.is_closing():
             return
-        if not whole:
-            self.replies.mark_failed()
+        if not complete:
+            self.reply_counts.mark_failed()
             self.drop()
             return
         if self.chunked:
             self.transport.write(b"0\r\n\r\n")
-        self.front.enter(self, State.IDLE)
-        self.settle()
-
-    def end_source(self) -> None:
-        """The client has left, or is left: the rest is of no use."""
-        source, self.source = self.source, None
-        if source is not None:
-            self.front.passing(-1)
-            source.abort()
-
-    def go_on(self) -> None:
-        """What came behind the request that has been answered."""
-        if self.queue:
+        self.handler.set_state(self, ConnectionState.IDLE)
+        self.after_response()
+
+    def abort_stream(self) -> None:
+        """Stop streaming a response whose client connection has ended."""
+        stream, self.stream = self.stream, None
+        if stream is not None:
+            self.handler.add_streaming(-1)
+            stream.abort()
+
+    def begin_pipelined(self) -> None:
+        """Continue with the data that was received behind the answered request."""
+        if self.pipelined:
             try:
-                self.begin(self.queue.popleft())
-            except Rejected as wrong:
-                self.leave_room(all=True)
-                self.queue.clear()
-                self.reject(wrong.status)
-        elif self.rejected:
-            self.reject(self.rejected)
-        if not self.queue and not self.ending:
+                self.begin_request(self.pipelined.popleft())
+            except Rejected as error:
+                self.release_reserved(all=True)
+                self.pipelined.clear()
+                self.reject(error.status)
+        elif self.rejected_status:
+            self.reject(self.rejected_status)
+        if not self.pipelined and not self.ending:
             self.transport.resume_reading()
 
     def pause_writing(self) -> None:
-        """The client doesn't read: no further request of its is begun, or answer passed on, until it does."""
+        """Begin no further request, and pause a streamed response, until the client reads again."""
         self.paused = True
-        if self.source is not None:
-            self.source.pause()
-            self.front.enter(self, State.WRITING)
+        if self.stream is not None:
+            self.stream.pause()
+            self.handler.set_state(self, ConnectionState.WRITING)
 
     def resume_writing(self) -> None:
+        """Continue a paused stream, or with the next request."""
         self.paused = False
-        if self.source is not None:
-            self.front.enter(self, State.PASSING)
-            self.source.resume()
-        elif self.state is State.WRITING:
-            self.front.enter(self, State.READING if self.started else State.IDLE)
-            self.go_on()
-
-    def cut_short(self, answer: Answer) -> None:
-        """Answer a request whose body is still coming in, and end the connection: the rest is dropped."""
+        if self.stream is not None:
+            self.handler.set_state(self, ConnectionState.STREAMING)
+            self.stream.resume()
+        elif self.state is ConnectionState.WRITING:
+            self.handler.set_state(self, ConnectionState.READING if self.request_started else ConnectionState.IDLE)
+            self.begin_pipelined()
+
+    def respond_before_body_end(self, response: Answer) -> None:
+        """Answer a request whose body is still being received, and close the connection; discard the rest."""
         self.upload = None
         if not self.transport.is_closing():
-            self.linger(answer)
-
-    def linger(self, answer: Answer) -> None:
-        """The last answer on this connection, while its client may still be sending."""
-        self.ending, self.raw, self.body = True, 0, []
-        self.leave_room(all=True)
-        self.front.enter(self, State.LINGERING)
-        self.transport.write(render(answer, keep=False))
+            self.linger(response)
+
+    def linger(self, response: Answer) -> None:
+        """Write the last response on this connection. What the client still sends is read, so that it isn't reset."""
+        self.ending, self.raw_bytes, self.body_parts = True, 0, []
+        self.release_reserved(all=True)
+        self.handler.set_state(self, ConnectionState.LINGERING)
+        self.transport.write(render_response(response, keep_alive=False))
         self.transport.write_eof()
         self.transport.resume_reading()
 
     def reject(self, status: int) -> None:
-        """Answer what is no proper request, after those before it, and end the connection."""
-        self.give_up_upload()
-        if self.request_id is not None or self.source is not None or self.queue:
-            self.rejected = status
+        """Answer an invalid request, after the valid ones before it, and close the connection."""
+        self.abort_upload()
+        if self.request_id is not None or self.stream is not None or self.pipelined:
+            self.rejected_status = status
             self.transport.pause_reading()
         elif not self.ending:
-            self.linger(Answer(status, ADVICE if status == 503 else b""))
+            self.linger(Answer(status, RETRY_AFTER_HEADER if status == 503 else b""))
 
-    # --- ends that the server chooses ---
+    # --- connections that the server ends ---
 
-    def too_slow(self) -> None:
-        """A request is not whole in time; who has sent nothing gets no answer."""
-        if self.started:
+    def on_read_timeout(self) -> None:
+        """Reject a request that is not complete in time; without a request, drop the connection."""
+        if self.request_started:
             self.reject(408)
         else:
             self.drop()
 
     def close(self) -> None:
+        """Close the connection after the bytes that are already buffered for it."""
         self.ending = True
-        self.front.enter(self, State.CLOSING)
+        self.handler.set_state(self, ConnectionState.CLOSING)
         self.transport.close()
 
     def drop(self) -> None:
+        """Abort the connection."""
         self.ending = True
-        self.end_source()
-        self.front.enter(self, State.CLOSING)
+        self.abort_stream()
+        self.handler.set_state(self, ConnectionState.CLOSING)
         self.transport.abort()
 
     def close_idle(self) -> bool:
-        """Close the connection between requests; False if one is there or on its way.
+        """Close the connection between requests; return False if a request is being received or processed.
 
-        Asked of the kernel, as the loop may not have read it yet.
+        The kernel is asked, as the loop may not have read a request yet.
         """
-        if self.started or self.ending:
+        if self.request_started or self.ending:
             return False
-        if self.front.unread(self.transport.get_extra_info("socket")):
+        if self.handler.unread(self.transport.get_extra_info("socket")):
             return False
         self.close()
         return True
