--- a/tests/broken.py
+++ b/tests/broken.py
@@ -1,4 +1,4 @@
-"""The program with a breach put in on purpose, named by the first argument: the rig has to find each."""
+"""The program with an injected defect, which the first argument names: the rig has to detect each of them."""
 
 from __future__ import annotations
 
@@ -8,41 +8,41 @@
 from typing import Any
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
-os.environ["ZINCLEVER_NATIVE"] = "text"  # a compiled module can't be changed from outside
+os.environ["ZINCLEVER_NATIVE"] = "text"  # a compiled module can't be patched
 
 from zinclever import __main__, discovery, interface, policy
 
 
 def resends() -> None:
-    """What may have run goes out again, whatever its class."""
-    before = policy.balancer.Balancer.on_ended
+    """Retry requests that may have been executed, whatever their class."""
+    original = policy.balancer.Balancer.on_ended
 
     def on_ended(self: Any, now: float, event: interface.AttemptEnded) -> None:
-        before(self, now, event._replace(outcome="connect_failed") if event.outcome == "reset" else event)
+        original(self, now, event._replace(outcome="connect_failed") if event.outcome == "reset" else event)
 
     policy.balancer.Balancer.on_ended = on_ended  # type: ignore[method-assign]
 
 
 def drains_ignored() -> None:
-    """What leaves is taken to stay."""
+    """Treat terminating endpoints as ready."""
     discovery.catalog.PHASES["terminating"] = "ready"
 
 
 def answers_twice() -> None:
-    """Whoever has been served is served once more."""
+    """Write a second response after each response."""
     from zinclever.http1.server import ServerConnection
 
-    before = ServerConnection.answer
+    original = ServerConnection.respond
 
-    def answer(self: Any, told: Any) -> None:
-        before(self, told)
+    def respond(self: Any, response: Any) -> None:
+        original(self, response)
         self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx")
 
-    ServerConnection.answer = answer  # type: ignore[method-assign, assignment]
+    ServerConnection.respond = respond  # type: ignore[method-assign]
 
 
 def dies() -> None:
-    """It says why, and ends."""
+    """Exit at once with a message and status 3."""
     print("no luck today", file=sys.stderr)
     raise SystemExit(3)
 
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -1,4 +1,4 @@
-"""Bodies and answers that are too large for the memory at hand, and every form that HTTP/1.1 has for them."""
+"""Streaming of large responses and request bodies in every framing of HTTP/1.1, and the memory limit of bodies."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from zinclever.http1 import bodies, clients, connection, server
 from zinclever.http1.bodies import MemoryBudget, room_for
 
-LARGE = 1_000_003  # bytes: beyond what is held, and beyond what the kernel takes at once
+LARGE = 1_000_003  # bytes: too many to be buffered as a response, or to be accepted by the kernel at once
 PAGE = bytes(range(256)) * (LARGE // 256 + 1)
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 @asynccontextmanager
 async def endpoint(serve: Serve) -> AsyncIterator[str]:
-    """A server that writes as the test says, and its address."""
+    """Run a server whose connections ``serve`` handles; yield its address."""
     tasks: set[asyncio.Task[None]] = set()
 
     async def on_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -49,12 +49,13 @@
             task.cancel()
 
 
-async def request(reader: asyncio.StreamReader) -> bytes:
+async def read_head(reader: asyncio.StreamReader) -> bytes:
+    """Read the head of a request."""
     return await reader.readuntil(b"\r\n\r\n")
 
 
-async def dechunk(reader: asyncio.StreamReader) -> bytes:
-    """A chunked body; IncompleteReadError where it ends before its last chunk."""
+async def read_chunked(reader: asyncio.StreamReader) -> bytes:
+    """Read a chunked body. Raises IncompleteReadError if it ends before its last chunk."""
     parts: list[bytes] = []
     while size := int((await reader.readuntil(b"\r\n")).strip(), 16):
         parts.append(await reader.readexactly(size))
@@ -63,27 +64,31 @@
     return b"".join(parts)
 
 
-def chunks(body: bytes, size: int) -> bytes:
-    pieces = [body[n : n + size] for n in range(0, len(body), size)]
-    return b"".join(b"%x\r\n%b\r\n" % (len(p), p) for p in pieces) + b"0\r\n\r\n"
+def encode_chunked(body: bytes, size: int) -> bytes:
+    """Encode a body in chunks of ``size`` bytes."""
+    parts = [body[n : n + size] for n in range(0, len(body), size)]
+    return b"".join(b"%x\r\n%b\r\n" % (len(p), p) for p in parts) + b"0\r\n\r\n"
 
 
-async def ended(s: Setup, outcome: str) -> None:
+async def until_attempt_ended(s: Setup, outcome: str) -> None:
+    """Wait for the end of an attempt; check its outcome."""
     await s.balancer.until(lambda: bool(s.balancer.ends()))
     assert s.balancer.ends()[0].outcome == outcome and s.balancer.ends()[0].complete
 
 
 @pytest.mark.parametrize("form", ["length", "chunked", "end"])
-def test_a_large_answer_is_passed_on_whole(form: str) -> None:
-    """Each form in which a server may word an answer's length; the connection is kept where it can be."""
+def test_large_response_is_streamed_completely(form: str) -> None:
+    """For each framing of a response; the connection is reused unless its end marks the end of the response."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            await request(reader)
+            await read_head(reader)
             if form == "length":
                 writer.write(b"HTTP/1.1 200 OK\r\nCONTENT-LENGTH: %d \r\n\r\n" % LARGE + PAGE[:LARGE])
             elif form == "chunked":
-                writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked \r\n\r\n" + chunks(PAGE[:LARGE], 7777))
+                writer.write(
+                    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked \r\n\r\n" + encode_chunked(PAGE[:LARGE], 7777)
+                )
             else:
                 writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + PAGE[:LARGE])
                 await writer.drain()
@@ -101,7 +106,7 @@
                 else:
                     head = await c.reader.readuntil(b"\r\n\r\n")
                     assert b"transfer-encoding: chunked" in head.lower() and b"content-length" not in head.lower()
-                    assert await dechunk(c.reader) == PAGE[:LARGE]
+                    assert await read_chunked(c.reader) == PAGE[:LARGE]
             assert len(s.wire.idle) == (0 if form == "end" else 1) and s.wire.open == len(s.wire.idle)
             assert s.sidecar.counts.concurrent == 0 and s.sidecar.counts.of("read").served == 2
             assert [e.outcome for e in s.balancer.ends()] == ["served"] * 2
@@ -109,9 +114,9 @@
     run(test)
 
 
-def test_a_small_answer_without_a_length_ends_with_its_connection() -> None:
+def test_small_response_without_a_length_ends_with_its_connection() -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await request(reader)
+        await read_head(reader)
         writer.write(b"HTTP/1.1 200 OK\r\n\r\npage")
 
     async def test() -> None:
@@ -122,17 +127,19 @@
     run(test)
 
 
-def test_the_first_bytes_don_t_wait_for_the_rest() -> None:
-    """Guards against an answer that comes to its client only once it is whole; and the module hears of the first
-    bytes, not of how long the transfer took."""
+def test_first_bytes_are_streamed_before_the_rest_is_received() -> None:
+    """Guards against a large response that is delayed until it is complete.
+
+    The attempt ends with its first bytes, so that the balancer doesn't learn the duration of the transfer as a latency.
+    """
 
     async def test() -> None:
-        go_on = asyncio.Event()
+        send_rest = asyncio.Event()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await request(reader)
+            await read_head(reader)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % LARGE + PAGE[:10])
-            await go_on.wait()
+            await send_rest.wait()
             writer.write(PAGE[10:LARGE])
             await writer.drain()
 
@@ -141,24 +148,26 @@
             c.send()
             await c.reader.readuntil(b"\r\n\r\n")
             assert await c.reader.readexactly(10) == PAGE[:10]
-            await ended(s, "served")
+            await until_attempt_ended(s, "served")
             assert s.sidecar.counts.concurrent == 1
-            go_on.set()
+            send_rest.set()
             assert await c.reader.readexactly(LARGE - 10) == PAGE[10:LARGE]
 
     run(test)
 
 
 @pytest.mark.parametrize("form", ["length", "chunked"])
-def test_what_breaks_off_can_be_told(form: str) -> None:
-    """Guards against half an answer that looks whole, and against a second answer behind it."""
+def test_client_can_detect_a_truncated_response(form: str) -> None:
+    """Guards against a truncated response that looks complete, and against a second response behind it."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await request(reader)
+        await read_head(reader)
         if form == "length":
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % LARGE + PAGE[: LARGE // 2])
         else:
-            writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks(PAGE[:LARGE], 7777)[:-7])
+            writer.write(
+                b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + encode_chunked(PAGE[:LARGE], 7777)[:-7]
+            )
         await writer.drain()
 
     async def test() -> None:
@@ -167,7 +176,7 @@
             c.send()
             await c.reader.readuntil(b"\r\n\r\n")
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
-                await (c.reader.readexactly(LARGE) if form == "length" else dechunk(c.reader))
+                await (c.reader.readexactly(LARGE) if form == "length" else read_chunked(c.reader))
             replies = s.sidecar.counts.of("read")
             assert (replies.served, replies.failed, s.sidecar.counts.concurrent) == (0, 1, 0)
             assert s.wire.open == 0
@@ -175,12 +184,12 @@
     run(test)
 
 
-def test_a_server_that_falls_silent_ends_the_transfer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_stalled_server_ends_the_stream(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection, "STREAM_STALL_TIMEOUT", 0.1)
     monkeypatch.setattr(connection, "STALL_TIMEOUT", 0.05)
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await request(reader)
+        await read_head(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % LARGE + PAGE[:10])
         await asyncio.Event().wait()
 
@@ -196,12 +205,12 @@
     run(test)
 
 
-def test_an_answer_in_pieces_is_not_spoilt(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against taking a slow server for one that stopped: it is silence that counts, not the whole time."""
+def test_response_in_small_parts_is_not_a_stall(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against taking a slow server for a stalled one: the time between two reads counts, not the total time."""
     monkeypatch.setattr(connection, "STALL_TIMEOUT", 0.2)
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await request(reader)
+        await read_head(reader)
         for piece in (b"HTTP/1.1 200 OK\r\nContent-Le", b"ngth: 6\r\n\r\n", *(b"%d" % n for n in range(6))):
             writer.write(piece)
             await asyncio.sleep(0.06)
@@ -213,8 +222,8 @@
     run(test)
 
 
-def test_a_client_that_reads_slowly_holds_its_server_up() -> None:
-    """Guards against an answer that piles up in memory: the server is read no faster than the client reads."""
+def test_slow_client_slows_the_server_down() -> None:
+    """Guards against buffering a response in memory: it is read no faster than the client reads it."""
     size = 24 << 20
 
     async def test() -> None:
@@ -222,60 +231,63 @@
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             nonlocal written
-            await request(reader)
+            await read_head(reader)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
-            piece = bytes(1 << 16)
+            part = bytes(1 << 16)
             while written < size:
-                writer.write(piece)
+                writer.write(part)
                 await writer.drain()
-                written += len(piece)
+                written += len(part)
 
         async with endpoint(serve) as at, sidecar(send_to("e"), known(e=at)) as s:
             c = await s.client()
             c.writer.transport.pause_reading()  # type: ignore[attr-defined]
             c.send()
-            await ended(s, "served")
-            (one,) = s.front.entered_at[clients.ConnectionState.WRITING] or s.front.entered_at[clients.ConnectionState.STREAMING]
-            while one.state is not clients.ConnectionState.WRITING:
+            await until_attempt_ended(s, "served")
+            (server_connection,) = (
+                s.front.entered_at[clients.ConnectionState.WRITING]
+                or s.front.entered_at[clients.ConnectionState.STREAMING]
+            )
+            while server_connection.state is not clients.ConnectionState.WRITING:
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.2)
-            assert one.transport.get_write_buffer_size() < 1 << 20 and written < size // 2
+            assert server_connection.transport.get_write_buffer_size() < 1 << 20 and written < size // 2
             c.writer.transport.resume_reading()  # type: ignore[attr-defined]
             await c.reader.readuntil(b"\r\n\r\n")
             assert len(await c.reader.readexactly(size)) == size
-            assert list(s.front.entered_at[clients.ConnectionState.IDLE]) == [one]
+            assert list(s.front.entered_at[clients.ConnectionState.IDLE]) == [server_connection]
 
     run(test)
 
 
-def test_a_client_that_leaves_ends_the_transfer() -> None:
+def test_disconnected_client_ends_the_stream() -> None:
     async def test() -> None:
-        gone = asyncio.Event()
+        connection_ended = asyncio.Event()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await request(reader)
+            await read_head(reader)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % LARGE + PAGE[:10])
             try:
                 await reader.read(1)
             finally:
-                gone.set()
+                connection_ended.set()
 
         async with endpoint(serve) as at, sidecar(send_to("e"), known(e=at)) as s:
             c = await s.client()
             c.send()
             await c.reader.readuntil(b"\r\n\r\n")
             c.writer.transport.abort()
-            await gone.wait()
+            await connection_ended.wait()
             assert s.wire.open == 0 and s.sidecar.counts.concurrent == 0
 
     run(test)
 
 
-def test_what_comes_behind_a_transfer_is_answered_behind_it() -> None:
+def test_request_pipelined_behind_a_stream_is_answered_after_it() -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            asked = await request(reader)
-            size = LARGE if b"r1" in asked else 3
+            head = await read_head(reader)
+            size = LARGE if b"r1" in head else 3
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + PAGE[:size])
             await writer.drain()
 
@@ -289,9 +301,9 @@
     run(test)
 
 
-def test_an_answer_of_three_gigabytes_is_spoilt() -> None:
+def test_response_of_three_gigabytes_is_rejected() -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await request(reader)
+        await read_head(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + PAGE)
         await asyncio.Event().wait()
 
@@ -309,30 +321,40 @@
     run(test)
 
 
-# --- bodies of requests ---
+# --- request bodies ---
 
 
 @asynccontextmanager
-async def uploads(**more: int) -> AsyncIterator[tuple[Setup, list[Message]]]:
-    got: list[Message] = []
+async def uploads(**options: int) -> AsyncIterator[tuple[Setup, list[Message]]]:
+    """Run a sidecar whose bodies may use ``memory`` bytes, and an endpoint; yield the requests that it receives."""
+    received: list[Message] = []
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while (message := await read_message(reader)) is not None:
-            got.append(message)
+            received.append(message)
             writer.write(response(200, b"ok"))
 
     async with endpoint(serve) as at, sidecar(send_to("e"), known(e=at)) as s:
-        s.front.room.limit = more.get("room", bodies.DEFAULT_BODY_MEMORY)
-        yield s, got
+        s.front.room.limit = options.get("memory", bodies.DEFAULT_BODY_MEMORY)
+        yield s, received
 
 
 @pytest.mark.parametrize(
-    "size", [0, 1, connection.MAX_COPIED_BODY, connection.MAX_COPIED_BODY + 1, bodies.UNRESERVED_BODY_SIZE, bodies.UNRESERVED_BODY_SIZE + 1, LARGE]
+    "size",
+    [
+        0,
+        1,
+        connection.MAX_COPIED_BODY,
+        connection.MAX_COPIED_BODY + 1,
+        bodies.UNRESERVED_BODY_SIZE,
+        bodies.UNRESERVED_BODY_SIZE + 1,
+        LARGE,
+    ],
 )
 @pytest.mark.parametrize("method", ["/read", "/tip"])
 @pytest.mark.parametrize("chunked", [False, True])
-def test_a_body_goes_on_unchanged(size: int, method: str, chunked: bool) -> None:
-    """At each size where it is treated otherwise; the last byte of what may not be repeated follows the rest."""
+def test_body_is_forwarded_unchanged(size: int, method: str, chunked: bool) -> None:
+    """At each size from which it is handled differently. The last byte of an unsafe request is withheld briefly."""
 
     async def test() -> None:
         async with uploads() as (s, got):
@@ -343,7 +365,7 @@
                     b"Expect: 100-continue \r\nTransfer-Encoding: chunked \r\n\r\n" % method.encode()
                 )
                 assert (await c.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100")
-                c.writer.write(chunks(PAGE[:size], 4096))
+                c.writer.write(encode_chunked(PAGE[:size], 4096))
             else:
                 c.send(method, method="POST", body=PAGE[:size])
             assert (await c.answer()).status == 200
@@ -353,12 +375,12 @@
     run_real(test)
 
 
-def test_bodies_wait_for_room_in_turn() -> None:
-    """Guards against bodies that add up to more than the memory: those that come later are not read on."""
+def test_bodies_wait_for_memory_in_order_of_arrival() -> None:
+    """Guards against bodies that exceed the memory in total: later ones are not read until memory is available."""
     size = 300_000
 
     async def test() -> None:
-        async with uploads(room=2 * size + 1) as (s, got):
+        async with uploads(memory=2 * size + 1) as (s, got):
             clients: list[Client] = []
             for n in range(5):
                 clients.append(await s.client())
@@ -377,12 +399,12 @@
     run(test)
 
 
-def test_who_finds_no_room_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Nothing of it has gone out: a repeat is harmless, and the client is told when."""
+def test_request_that_waits_too_long_for_memory_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Nothing of it was forwarded: it is answered with 503 and Retry-After."""
     monkeypatch.setattr(clients, "MEMORY_TIMEOUT", 0.2)
 
     async def test() -> None:
-        async with uploads(room=100_000) as (s, got):
+        async with uploads(memory=100_000) as (s, got):
             first, second = await s.client(), await s.client()
             head = b"POST /tip HTTP/1.1\r\nHost: x\r\nReq-Id: %b\r\nReq-Deadline: 9\r\nContent-Length: 90000\r\n\r\n"
             first.writer.write(head % b"r1")
@@ -399,9 +421,9 @@
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-def test_room_is_given_back_when_the_client_leaves(chunked: bool) -> None:
+def test_memory_is_released_when_the_client_disconnects(chunked: bool) -> None:
     async def test() -> None:
-        async with uploads(room=1_000_000) as (s, _):
+        async with uploads(memory=1_000_000) as (s, _):
             c = await s.client()
             coding = b"Transfer-Encoding: chunked" if chunked else b"Content-Length: 200000"
             c.writer.write(b"POST /tip HTTP/1.1\r\nHost: x\r\nReq-Id: r1\r\nReq-Deadline: 9\r\n%b\r\n\r\n" % coding)
@@ -416,28 +438,28 @@
     run(test)
 
 
-def test_a_slow_body_is_waited_for_and_a_stopped_one_isn_t(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_stalled_upload_times_out_and_slow_one_does_not(monkeypatch: pytest.MonkeyPatch) -> None:
     for module in (clients, server):
         monkeypatch.setattr(module, "READ_FOR", 0.3)
     monkeypatch.setattr(server, "MIN_UPLOAD_RATE", 1000)
 
     async def test() -> None:
         async with uploads() as (s, _):
-            slow, stopped = await s.client(), await s.client()
+            slow, stalled = await s.client(), await s.client()
             head = b"POST /tip HTTP/1.1\r\nHost: x\r\nReq-Id: %b\r\nReq-Deadline: 9\r\nContent-Length: 1500\r\n\r\n"
             slow.writer.write(head % b"r1")
-            stopped.writer.write(head % b"r2" + PAGE[:100])
+            stalled.writer.write(head % b"r2" + PAGE[:100])
             for n in range(15):
                 slow.writer.write(PAGE[100 * n : 100 * n + 100])
                 await asyncio.sleep(0.06)
             assert (await slow.answer()).status == 200
-            assert (await stopped.answer()).status == 408
+            assert (await stalled.answer()).status == 408
 
     run(test)
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-def test_too_large_a_body_is_told_at_once(chunked: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_too_large_body_is_rejected_immediately(chunked: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server, "MAX_REQUEST_BODY", 100_000)
 
     async def test() -> None:
@@ -455,95 +477,102 @@
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(
-    st.lists(st.tuples(st.sampled_from(["take", "give", "leave"]), st.integers(0, 5), st.integers(1, 60)), max_size=60)
+    st.lists(
+        st.tuples(st.sampled_from(["reserve", "release", "stop_waiting"]), st.integers(0, 5), st.integers(1, 60)),
+        max_size=60,
+    )
 )
-def test_room_is_never_overdrawn_and_is_served_in_turn(steps: list[tuple[str, int, int]]) -> None:
-    """Against a naive list: what is taken stays within the limit, and nobody is served before who came first."""
-    room, held, line = Room(100), {}, []  # type: ignore[var-annotated]
-    for what, who, need in steps:
-        if what == "take" and who not in held and who not in dict(line):
-            if room.take(who, need):
-                assert not line
-                held[who] = need
+def test_memory_budget_is_never_exceeded_and_is_granted_in_order(steps: list[tuple[str, int, int]]) -> None:
+    """Against a simple model: the used bytes stay within the limit, and owners are served in order of arrival."""
+    budget, reserved, queue = MemoryBudget(100), {}, []  # type: ignore[var-annotated]
+    for operation, owner, size in steps:
+        if operation == "reserve" and owner not in reserved and owner not in dict(queue):
+            if budget.reserve(owner, size):
+                assert not queue
+                reserved[owner] = size
             else:
-                line.append((who, need))
-        elif what == "give" and who in held:
-            room.give(held.pop(who))
-        elif what == "leave" and who in dict(line):
-            room.leave(who)
-            line = [x for x in line if x[0] != who]
-        for served in room.granted():
-            assert served == line.pop(0)
-            held[served[0]] = served[1]
-        assert room.used == sum(held.values()) <= 100
-        assert not line or room.used + line[0][1] > 100
-
-
-def test_room_follows_the_memory() -> None:
+                queue.append((owner, size))
+        elif operation == "release" and owner in reserved:
+            budget.release(reserved.pop(owner))
+        elif operation == "stop_waiting" and owner in dict(queue):
+            budget.stop_waiting(owner)
+            queue = [entry for entry in queue if entry[0] != owner]
+        for granted in budget.grant_waiting():
+            assert granted == queue.pop(0)
+            reserved[granted[0]] = granted[1]
+        assert budget.used == sum(reserved.values()) <= 100
+        assert not queue or budget.used + queue[0][1] > 100
+
+
+def test_body_memory_is_derived_from_the_process_memory() -> None:
     assert room_for(None) == bodies.DEFAULT_BODY_MEMORY
     assert room_for(32 << 20) == bodies.MIN_BODY_MEMORY
     assert room_for(80 << 20) == int(0.4 * (50 << 20))
 
 
-# --- bodies that go out as they come ---
+# --- bodies that are forwarded while they are received ---
 
 
-class Got:
-    """What a server has read of its requests."""
+class ReceivedBodies:
+    """What a server has read of its requests' bodies."""
 
     def __init__(self) -> None:
-        self.read = 0
-        self.whole: list[bytes] = []
+        self.byte_count = 0
+        self.complete: list[bytes] = []
         self.changed = asyncio.Event()
 
-    async def until(self, met: Callable[[], bool]) -> None:
-        while not met():
+    async def until(self, condition: Callable[[], bool]) -> None:
+        """Wait until a condition is met; it is checked whenever bytes are received."""
+        while not condition():
             self.changed.clear()
             await self.changed.wait()
 
 
-def reading(got: Got, answer: bytes = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", breaks_at: int = -1) -> Serve:
-    """A server that counts what it reads, and breaks its first connection after so many bytes."""
+def body_reader(
+    received: ReceivedBodies, response: bytes = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", breaks_at: int = -1
+) -> Serve:
+    """Return a server that records the bodies it reads. It aborts its first connection after ``breaks_at`` bytes."""
     connections = 0
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         nonlocal connections
         connections += 1
-        breaks = breaks_at >= 0 and connections == 1
+        is_breaking = breaks_at >= 0 and connections == 1
         while True:
-            head = (await request(reader)).lower()
+            head = (await read_head(reader)).lower()
             parts: list[bytes] = []
 
-            async def piece(n: int, parts: list[bytes] = parts) -> None:
+            async def read_part(n: int, parts: list[bytes] = parts) -> None:
                 data = await reader.read(n)
                 if not data:
                     raise ConnectionError
                 parts.append(data)
-                got.read += len(data)
-                got.changed.set()
+                received.byte_count += len(data)
+                received.changed.set()
 
             if b"chunked" in head:
                 while size := int((await reader.readuntil(b"\r\n")).strip(), 16):
                     end = sum(map(len, parts)) + size
                     while sum(map(len, parts)) < end:
-                        await piece(end - sum(map(len, parts)))
+                        await read_part(end - sum(map(len, parts)))
                     await reader.readexactly(2)
                 await reader.readexactly(2)
             else:
                 size = int(head.split(b"content-length:")[1].split()[0])
-                while (left := size - sum(map(len, parts))) > 0:
-                    if breaks and size - left > breaks_at:
+                while (remaining := size - sum(map(len, parts))) > 0:
+                    if is_breaking and size - remaining > breaks_at:
                         writer.transport.abort()
                         return
-                    await piece(left)
-            got.whole.append(b"".join(parts))
-            got.changed.set()
-            writer.write(answer)
+                    await read_part(remaining)
+            received.complete.append(b"".join(parts))
+            received.changed.set()
+            writer.write(response)
 
     return serve
 
 
 def head_of(method: str, length: int | None, request_id: str = "r1") -> bytes:
+    """Return the head of a request; its body is chunked if ``length`` is None."""
     coding = "Transfer-Encoding: chunked" if length is None else f"Content-Length: {length}"
     return (
         f"POST {method} HTTP/1.1\r\nHost: x\r\nReq-Id: {request_id}\r\nReq-Deadline: 9\r\n{coding}\r\n\r\n"
@@ -552,28 +581,30 @@
 
 @pytest.mark.parametrize("method", ["/read", "/tip"])
 @pytest.mark.parametrize("chunked", [False, True])
-def test_a_large_body_goes_out_as_it_comes(method: str, chunked: bool) -> None:
-    """The endpoint reads while the client still sends, and has a whole request only once the client has sent one; the
-    request's time begins then."""
+def test_large_body_is_forwarded_while_it_is_received(method: str, chunked: bool) -> None:
+    """The endpoint reads while the client still sends, and has a complete request only once the client has sent one.
+
+    The deadline counts from then.
+    """
 
     async def test() -> None:
-        got = Got()
-        async with endpoint(reading(got)) as at, sidecar(send_to("e"), known(e=at)) as s:
+        received = ReceivedBodies()
+        async with endpoint(body_reader(received)) as at, sidecar(send_to("e"), known(e=at)) as s:
             c = await s.client()
             c.writer.write(head_of(method, None if chunked else LARGE))
             if chunked:
                 c.writer.write(b"%x\r\n%b\r\n" % (LARGE - 1, PAGE[: LARGE - 1]))
             else:
                 c.writer.write(PAGE[: LARGE - 1])
-            await got.until(lambda: got.read >= LARGE - 2)
-            assert not got.whole and s.wire.dispatches == 0 and s.sidecar.counts.concurrent == 0
+            await received.until(lambda: received.byte_count >= LARGE - 2)
+            assert not received.complete and s.wire.dispatches == 0 and s.sidecar.counts.concurrent == 0
             assert s.sidecar.requests["r1"].guard is None
             assert not any(isinstance(e, interface.UploadEnded) for _, e in s.balancer.received_events)
             c.writer.write(b"1\r\n%b\r\n0\r\n\r\n" % PAGE[LARGE - 1 : LARGE] if chunked else PAGE[LARGE - 1 : LARGE])
             assert (await c.answer()).status == 200
-            assert got.whole == [PAGE[:LARGE]] and s.wire.dispatches == 1 and s.front.room.used == 0
+            assert received.complete == [PAGE[:LARGE]] and s.wire.dispatches == 1 and s.front.room.used == 0
             c.send(method, method="POST", Req_Id="r2", body=b"x")
-            assert (await c.answer()).status == 200  # both connections are kept
+            assert (await c.answer()).status == 200  # both connections are reused
             (end,) = s.balancer.ends()[:1]
             ended_at = next(now for now, e in s.balancer.received_events if isinstance(e, interface.UploadEnded))
             answered_at = next(now for now, e in s.balancer.received_events if e is end)
@@ -583,8 +614,8 @@
 
 
 @pytest.mark.parametrize("method", ["/read", "/tip", "/unlock"])
-def test_what_breaks_before_the_last_byte_goes_again(method: str) -> None:
-    """Half of a body has gone out: it can't have run, and the whole one is kept for another attempt."""
+def test_upload_that_breaks_before_its_last_byte_is_retried(method: str) -> None:
+    """An incomplete request can't have been executed, and its body is buffered for another attempt."""
 
     def react(event: interface.Event) -> Iterable[interface.Action]:
         if isinstance(event, interface.RequestArrived) or (
@@ -593,8 +624,8 @@
             yield interface.Send(event.request, "e", 1e18)
 
     async def test() -> None:
-        got = Got()
-        async with endpoint(reading(got, breaks_at=LARGE // 3)) as at, sidecar(react, known(e=at)) as s:
+        received = ReceivedBodies()
+        async with endpoint(body_reader(received, breaks_at=LARGE // 3)) as at, sidecar(react, known(e=at)) as s:
             c = await s.client()
             c.writer.write(head_of(method, LARGE).replace(b"Host", b"Idempotency-Key: k\r\nHost"))
             c.writer.write(PAGE[: LARGE // 2])
@@ -602,31 +633,31 @@
             assert s.balancer.ends()[0].outcome == "dropped"
             c.writer.write(PAGE[LARGE // 2 : LARGE])
             assert (await c.answer()).status == 200
-            assert got.whole == [PAGE[:LARGE]] and s.wire.dispatches == 1
+            assert received.complete == [PAGE[:LARGE]] and s.wire.dispatches == 1
 
     run(test)
 
 
-@pytest.mark.parametrize("end", ["leaves", "stops", "spoils"])
-def test_a_client_that_doesn_t_end_its_body_runs_nothing(end: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against an endpoint that takes half a body for a whole one: its connection ends before the last byte."""
+@pytest.mark.parametrize("end", ["disconnects", "stalls", "invalid_chunk"])
+def test_incomplete_upload_is_never_executed(end: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against an endpoint that takes an incomplete body for a complete one: the last byte is never sent."""
     for module in (clients, server):
         monkeypatch.setattr(module, "READ_FOR", 0.2)
     monkeypatch.setattr(server, "MIN_UPLOAD_RATE", 1 << 30)
 
     async def test() -> None:
-        got = Got()
-        async with endpoint(reading(got)) as at, sidecar(send_to("e"), known(e=at)) as s:
+        received = ReceivedBodies()
+        async with endpoint(body_reader(received)) as at, sidecar(send_to("e"), known(e=at)) as s:
             c = await s.client()
             c.writer.write(head_of("/tip", None) + b"%x\r\n%b\r\n" % (LARGE, PAGE[:LARGE]))
-            await got.until(lambda: got.read >= LARGE - 1)
-            if end == "leaves":
+            await received.until(lambda: received.byte_count >= LARGE - 1)
+            if end == "disconnects":
                 c.writer.transport.abort()
             else:
-                c.writer.write(b"no chunk\r\n" * (end == "spoils"))
-                assert (await c.answer()).status == (400 if end == "spoils" else 408)
+                c.writer.write(b"no chunk\r\n" * (end == "invalid_chunk"))
+                assert (await c.answer()).status == (400 if end == "invalid_chunk" else 408)
             await s.balancer.until(lambda: bool(s.balancer.ends()))
-            assert s.balancer.ends()[0].outcome == "not_sent" and s.wire.dispatches == 0 and not got.whole
+            assert s.balancer.ends()[0].outcome == "not_sent" and s.wire.dispatches == 0 and not received.complete
             while s.front.count() or s.sidecar.requests or s.wire.open:
                 c.writer.transport.abort()
                 await asyncio.sleep(0.01)
@@ -635,8 +666,8 @@
     run(test)
 
 
-def test_a_refusal_cuts_the_upload_short() -> None:
-    """An answer is not held back until the client has sent what is of no use."""
+def test_refusal_is_sent_before_the_upload_ends() -> None:
+    """Guards against delaying the response until the client has sent a body that nobody needs."""
 
     async def test() -> None:
         async with sidecar(
@@ -654,42 +685,45 @@
 
 @settings(max_examples=100, derandomize=True, deadline=None)
 @given(st.lists(st.binary(min_size=1, max_size=9), min_size=1, max_size=9), st.integers(0, 9), st.integers(0, 9))
-def test_every_taker_gets_each_byte_once_and_the_last_one_last(pieces: list[bytes], joins: int, leaves: int) -> None:
-    class Taker:
+def test_each_consumer_receives_each_byte_once_and_the_last_byte_separately(
+    parts: list[bytes], subscribed_at: int, unsubscribed_at: int
+) -> None:
+    class Consumer:
         def __init__(self) -> None:
-            self.got, self.done = b"", False
+            self.received, self.done = b"", False
 
-        def more(self, data: bytes) -> None:
+        def on_data(self, data: bytes) -> None:
             assert not self.done
-            self.got += data
+            self.received += data
 
-        def last(self, data: bytes) -> None:
-            self.got, self.done = self.got + data, True
+        def on_last_byte(self, data: bytes) -> None:
+            self.received, self.done = self.received + data, True
             assert len(data) == 1
 
-    body, first, late = bodies.Body(None), Taker(), Taker()
+    body, first, late = bodies.Body(None), Consumer(), Consumer()
     body.subscribe(first)
-    for n, piece in enumerate(pieces):
-        if n == joins:
+    for n, part in enumerate(parts):
+        if n == subscribed_at:
             body.subscribe(late)
-        if n == leaves:
+        if n == unsubscribed_at:
             body.unsubscribe(first)
-        body.add(piece)
-        assert len(first.got) < sum(map(len, pieces[: n + 1]))
+        body.add(part)
+        assert len(first.received) < sum(map(len, parts[: n + 1]))
     body.finish()
-    whole = b"".join(pieces)
-    assert body.content() == whole == body.content()
-    assert first.done is (leaves >= len(pieces)) and (not first.done or first.got == whole)
-    assert late.done is (joins < len(pieces)) and (not late.done or late.got == whole)
+    content = b"".join(parts)
+    assert body.content() == content == body.content()
+    assert first.done is (unsubscribed_at >= len(parts)) and (not first.done or first.received == content)
+    assert late.done is (subscribed_at < len(parts)) and (not late.done or late.received == content)
 
 
-def held() -> list[object]:
+def body_holders() -> list[object]:
+    """Return the existing objects that may refer to a body."""
     return [x for x in gc.get_objects() if isinstance(x, bodies.Body | dispatcher.Request | dispatcher.Attempt)]
 
 
 @pytest.mark.parametrize("size", [100, LARGE])
-def test_what_was_held_for_a_request_goes_with_its_answer(size: int) -> None:
-    """Guards against bodies that wait for the collector of cycles: on a day of large ones they filled the memory."""
+def test_memory_of_a_request_is_freed_with_its_response(size: int) -> None:
+    """Guards against reference cycles that keep bodies in memory until the garbage collector runs."""
 
     async def test() -> None:
         async with uploads() as (s, _):
@@ -697,12 +731,12 @@
             gc.collect()
             gc.disable()
             try:
-                others = {id(x) for x in held()}
+                others = {id(x) for x in body_holders()}
                 for n in range(3):
                     c.send("/tip", method="POST", Req_Id=f"r{n}", body=PAGE[:size])
                     assert (await c.answer()).status == 200
                 s.balancer.received_events.clear()
-                assert {id(x) for x in held()} <= others
+                assert {id(x) for x in body_holders()} <= others
             finally:
                 gc.enable()
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""What the application may send, and what it is answered when it is no proper request."""
+"""Requests of clients: validation, pipelining, timeouts, and the limits on connections."""
 
 from __future__ import annotations
 
@@ -40,7 +40,12 @@
         (head("GET /read HTTP/1.1", "Req-Id: r", "Req-Deadline: nan"), 400),
         (head("GET /read HTTP/1.1", "Req-Id: r", "Req-Deadline: -1"), 400),
         (head("POST /unlock HTTP/1.1", "Req-Id: r", "Req-Deadline: 5", "Content-Length: 0"), 400),
-        (head("POST /tip HTTP/1.1", "Req-Id: r", "Req-Deadline: 5", f"Content-Length: {server.MAX_REQUEST_BODY + 1}"), 413),
+        (
+            head(
+                "POST /tip HTTP/1.1", "Req-Id: r", "Req-Deadline: 5", f"Content-Length: {server.MAX_REQUEST_BODY + 1}"
+            ),
+            413,
+        ),
         (head("GET /read HTTP/1.1", "Req-Id: r", "Req-Deadline: 5", "X-Fill: " + "x" * 40000), 431),
         (b"what is this\r\n\r\n", 400),
         (GOOD.replace(b"Host: x\r\n", b""), 400),
@@ -49,9 +54,9 @@
         (head("GET /read HTTP/1.1", "Req-Id: r", "Req-Deadline: 5", "Content-Length: x"), 400),
     ],
 )
-def test_improper_requests(data: bytes, status: int) -> None:
-    """Guards against feeding the balancer what it can't answer, and against a refusal, which promises
-    something, in place of a plain error."""
+def test_invalid_requests_are_rejected(data: bytes, status: int) -> None:
+    """Guards against passing requests to the balancer that it can't handle, and against answering 503, which promises
+    that a retry is harmless, instead of 4xx."""
 
     async def test() -> None:
         async with sidecar(refuse_all, known(e=closed_port())) as s:
@@ -67,14 +72,14 @@
 
 @pytest.mark.parametrize("at_once", [True, False])
 def test_pipelined_requests_are_served_in_order(at_once: bool) -> None:
-    """Guards against losing a request for what came before or behind it, and against mixing their answers."""
+    """Guards against losing a request because of data before or behind it, and against mixing up responses."""
 
     async def test() -> None:
-        asked = asyncio.Event()
+        first_arrived = asyncio.Event()
 
         def react(event: interface.Event) -> Iterable[interface.Action]:
             if isinstance(event, interface.RequestArrived):
-                asked.set()
+                first_arrived.set()
                 if event.request != "r1":
                     yield interface.Refuse(event.request, 1000.0 * int(event.request[1:]))
             elif isinstance(event, interface.TimerFired):
@@ -84,11 +89,11 @@
             c = await s.client()
             behind = b"".join(GOOD.replace(b"r1", b"r%d" % n) for n in range(2, 6)) + b"no request\r\n\r\n"
             c.writer.write(GOOD + behind if at_once else GOOD)
-            await asked.wait()
+            await first_arrived.wait()
             if not at_once:
                 c.writer.write(behind)
             other = await s.client()
-            assert (await other.ask("/_health")).status == 200  # what was sent before has been read
+            assert (await other.ask("/_health")).status == 200  # data sent before has been read
             assert len([e for _, e in s.balancer.received_events if isinstance(e, interface.RequestArrived)]) == 1
             s.sidecar.feed(interface.TimerFired("x"))
             for n in range(1, 6):
@@ -100,16 +105,16 @@
     run(test)
 
 
-def test_pipelined_requests_are_few() -> None:
-    """Guards against a client that sends hundreds at once: what is held for it is bounded."""
+def test_number_of_pipelined_requests_is_limited() -> None:
+    """Guards against buffering hundreds of requests that a client sends at once."""
 
     async def test() -> None:
         async with sidecar(lambda event: (), known(e=closed_port())) as s:
             c = await s.client()
             c.writer.write(b"".join(GOOD.replace(b"r1", b"r%d" % n) for n in range(1, 300)))
             await s.balancer.until(lambda: len(s.balancer.received_events) == 2)
-            (one,) = s.front.entered_at[clients.ConnectionState.PROCESSING]
-            assert len(one.pipelined) == server.MAX_PIPELINED and one.rejected_status == 400
+            (connection,) = s.front.entered_at[clients.ConnectionState.PROCESSING]
+            assert len(connection.pipelined) == server.MAX_PIPELINED and connection.rejected_status == 400
 
     run(test)
 
@@ -123,21 +128,21 @@
         (head("POST /tip HTTP/1.1", "Req-Id: r", "Req-Deadline: 5", "Content-Length: 9") + b"abc", 408),
     ],
 )
-def test_slow_request_ends(data: bytes, status: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against connections that are held for ever by who never sends a whole request; a kept
-    connection of a client that has been served is no such."""
+def test_incomplete_request_times_out(data: bytes, status: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against clients that never send a complete request and keep their connection; an idle connection on which
+    a request was answered stays open."""
     for module in (clients, server):
         monkeypatch.setattr(module, "READ_FOR", 0.3)
 
     async def test() -> None:
         async with sidecar(refuse_all, known(e=closed_port())) as s:
-            kept, slow = await s.client(), await s.client()
-            assert (await kept.ask()).status == 503
+            idle, slow = await s.client(), await s.client()
+            assert (await idle.ask()).status == 503
             slow.writer.write(data)
             if status:
                 assert (await slow.answer()).status == status
             assert await read_message(slow.reader) is None
-            assert (await kept.ask(Req_Id="r2")).status == 503
+            assert (await idle.ask(Req_Id="r2")).status == 503
 
     run(test)
 
@@ -148,7 +153,10 @@
         (b"GET /read HTTP/1.1\r\nX-Fill: " + b"x" * 2 * http.MAX_HEAD_SIZE, 431),
         (b"GET /" + b"x" * 2 * http.MAX_HEAD_SIZE, 431),
         (head("POST /tip HTTP/1.1", "Req-Id: r", "Req-Deadline: 5", "Content-Length: 60000000"), 413),
-        (head("POST /tip HTTP/1.1", "Transfer-Encoding: chunked") + b"1;" + b"x" * 2 * server.MAX_CHUNKED_OVERHEAD, 413),
+        (
+            head("POST /tip HTTP/1.1", "Transfer-Encoding: chunked") + b"1;" + b"x" * 2 * server.MAX_CHUNKED_OVERHEAD,
+            413,
+        ),
         (head("POST /tip HTTP/1.1", "Content-Length: 5", "Transfer-Encoding: chunked") + b"0\r\n\r\n", 400),
         (head("POST /tip HTTP/1.1", "Content-Length: 5", "Content-Length: 5") + b"abcde", 400),
         (head("POST /tip HTTP/1.1", "Content-Length: +5") + b"abcde", 400),
@@ -158,8 +166,8 @@
         (head("GET /read HTTP/1.1", "Req-Id: r", "Req-Deadline: 1_0"), 400),
     ],
 )
-def test_what_cannot_be_framed_is_rejected_before_its_end(data: bytes, status: int) -> None:
-    """Guards against holding, or passing on, a request whose end is in doubt or far away."""
+def test_request_with_invalid_framing_or_size_is_rejected_before_its_end(data: bytes, status: int) -> None:
+    """Guards against buffering or forwarding a request whose end is ambiguous or far away."""
 
     async def test() -> None:
         async with sidecar(refuse_all, known(e=closed_port())) as s:
@@ -171,49 +179,48 @@
     run(test)
 
 
-def test_idle_connections_end_longest_idle_first(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against connections kept for good by several that ask once; a request that has come in
-    meanwhile, unread, keeps its connection."""
+def test_longest_idle_connections_are_closed_first(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against idle connections that are kept forever; one with an unread request in the kernel is not closed."""
     monkeypatch.setattr(clients, "MIN_IDLE_TIME", 0.0)
     monkeypatch.setattr(clients, "SWEEP_INTERVAL", 1000.0)
 
     async def test() -> None:
         async with sidecar(refuse_all, known(e=closed_port()), sockets=clients.IDLE_SHARE_DIVISOR * 2) as s:
-            several = [await s.client() for _ in range(4)]
+            idle = [await s.client() for _ in range(4)]
             for n in (2, 1, 0, 3):
-                assert (await several[n].ask(Req_Id=f"r{n}")).status == 503
-            raw = several[1].writer.get_extra_info("socket")
+                assert (await idle[n].ask(Req_Id=f"r{n}")).status == 503
+            raw = idle[1].writer.get_extra_info("socket")
             raw = socket.fromfd(raw.fileno(), socket.AF_INET, socket.SOCK_STREAM)
             raw.send(GOOD)
             raw.close()
-            s.front.sweep()  # down to two: the longest idle one, then the one after the one that asks
-            assert (await several[1].answer()).status == 503
-            assert await read_message(several[2].reader) is None
-            assert await read_message(several[0].reader) is None
-            assert (await several[3].ask(Req_Id="r9")).status == 503
+            s.front.sweep()  # closes two: the longest idle, and the next one without a request
+            assert (await idle[1].answer()).status == 503
+            assert await read_message(idle[2].reader) is None
+            assert await read_message(idle[0].reader) is None
+            assert (await idle[3].ask(Req_Id="r9")).status == 503
 
     run_real(test)
 
 
-def test_connections_used_once_end_with_their_answer_where_many_are_idle() -> None:
-    """Guards against clients that ask once and keep their connection, so many that others find none; who
-    comes back on one keeps it."""
+def test_new_connection_is_closed_after_its_first_response_if_many_are_idle() -> None:
+    """Guards against many clients that send one request and keep their connection, until others can't connect; a reused
+    connection stays open."""
 
     async def test() -> None:
         async with sidecar(refuse_all, known(e=closed_port()), sockets=clients.SINGLE_USE_DIVISOR * 8) as s:
-            proven = await s.client()
+            reused = await s.client()
             for n in range(2):
-                assert "connection" not in (await proven.ask(Req_Id=f"p{n}")).headers
-            once = [await s.client() for _ in range(10)]
-            ends = [(await c.ask(Req_Id=f"r{n}")).headers.get("connection") for n, c in enumerate(once)]
-            assert ends == [None] * 7 + ["close"] * 3
-            assert "connection" not in (await proven.ask(Req_Id="p2")).headers
+                assert "connection" not in (await reused.ask(Req_Id=f"p{n}")).headers
+            new = [await s.client() for _ in range(10)]
+            headers = [(await c.ask(Req_Id=f"r{n}")).headers.get("connection") for n, c in enumerate(new)]
+            assert headers == [None] * 7 + ["close"] * 3
+            assert "connection" not in (await reused.ask(Req_Id="p2")).headers
 
     run(test)
 
 
-def test_silent_clients_by_hundreds_leave_room() -> None:
-    """Guards against running out of descriptors: who connects and says nothing is closed first."""
+def test_hundreds_of_silent_clients_are_evicted() -> None:
+    """Guards against running out of descriptors: clients that connect and send nothing are closed first."""
 
     async def test() -> None:
         async with sidecar(refuse_all, known(e=closed_port()), sockets=128) as s:
@@ -222,8 +229,8 @@
             for n in range(6):
                 silent = [await s.client() for _ in range(50)]
                 assert s.front.count() <= 64 + 50
-                usual = await s.client()
-                assert (await usual.ask(Req_Id=f"u{n}")).status == 503
+                active = await s.client()
+                assert (await active.ask(Req_Id=f"u{n}")).status == 503
                 assert silent
                 await asyncio.sleep(2 * clients.NEW_CONNECTION_GRACE)
             assert (await first.ask(Req_Id="r1")).status == 503
@@ -232,46 +239,46 @@
     run(test)
 
 
-def test_client_that_does_not_read_is_not_buffered_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against answers that pile up for a client that sends on and never reads."""
+def test_responses_are_not_buffered_for_a_client_that_does_not_read(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against memory growth for a client that keeps sending requests and never reads the responses."""
     monkeypatch.setattr(clients, "WRITE_TIMEOUT", 0.5)
     page = b"x" * http.MOST_BODY
 
     async def test() -> None:
         async with serving(always(response(200, page))) as (_, at), sidecar(send_to("e"), known(e=at)) as s:
             c = await s.client()
-            many = b"".join(GOOD.replace(b"r1", b"r%d" % n) for n in range(server.MAX_PIPELINED))
+            batch = b"".join(GOOD.replace(b"r1", b"r%d" % n) for n in range(server.MAX_PIPELINED))
             with contextlib.suppress(ConnectionError):
                 for n in range(100):
-                    c.writer.write(many.replace(b"Req-Id: r", b"Req-Id: %d-" % n))
+                    c.writer.write(batch.replace(b"Req-Id: r", b"Req-Id: %d-" % n))
                     await c.writer.drain()
                     await asyncio.sleep(0.02)
                     if not s.front.count():
                         break
-                    (one,) = (c for state in s.front.entered_at.values() for c in state)
-                    if not one.ending:
-                        assert one.transport.get_write_buffer_size() <= 2 * len(page) + 4096
+                    (connection,) = (c for state in s.front.entered_at.values() for c in state)
+                    if not connection.ending:
+                        assert connection.transport.get_write_buffer_size() <= 2 * len(page) + 4096
             while s.front.count():
                 await asyncio.sleep(0.02)
 
     run(test)
 
 
-def test_id_that_is_in_use_is_not_taken_twice() -> None:
-    """Guards against two clients' requests in one place of the ledger."""
+def test_request_id_that_is_in_use_is_rejected() -> None:
+    """Guards against two open requests with the same id in the dispatcher."""
 
     async def test() -> None:
         async with sidecar(lambda event: (), known(e=closed_port())) as s:
-            one, two = await s.client(), await s.client()
-            one.send(Req_Id="same")
+            first, second = await s.client(), await s.client()
+            first.send(Req_Id="same")
             await s.balancer.until(lambda: len(s.balancer.received_events) == 2)
-            assert (await two.ask(Req_Id="same")).status == 400
+            assert (await second.ask(Req_Id="same")).status == 400
             assert len(s.sidecar.requests) == 1
 
     run(test)
 
 
-def test_request_in_pieces_and_kept_connection() -> None:
+def test_request_sent_byte_by_byte_and_reused_connection() -> None:
     async def test() -> None:
         async with sidecar(refuse_all, known(e=closed_port())) as s:
             c = await s.client()
@@ -286,8 +293,8 @@
     run(test)
 
 
-def test_health_waits_for_a_list() -> None:
-    """Guards against clients that are sent to a sidecar with nowhere to go."""
+def test_health_check_fails_until_an_endpoint_list_is_known() -> None:
+    """Guards against sending clients to a sidecar that knows no endpoints."""
 
     async def test() -> None:
         async with sidecar(refuse_all) as s:
@@ -300,7 +307,7 @@
     run(test)
 
 
-def test_tenants_are_told_by_name() -> None:
+def test_tenant_is_identified_by_name() -> None:
     async def test() -> None:
         tenants = (interface.Tenant(5.0, name="acme"), interface.Tenant(5.0, name="umbra"))
         async with sidecar(refuse_all, known(e=closed_port()), tenants=tenants, rules=RULES) as s:
@@ -312,8 +319,8 @@
     run(test)
 
 
-def test_idle_client_makes_room_for_a_new_one() -> None:
-    """Guards against running out of descriptors on connections that clients keep; one in use stays."""
+def test_idle_connection_is_closed_for_a_new_one() -> None:
+    """Guards against running out of descriptors because of idle connections; one in use stays open."""
 
     async def test() -> None:
         def react(event: interface.Event) -> Iterable[interface.Action]:
@@ -334,8 +341,8 @@
     run(test)
 
 
-def test_client_that_asks_before_its_body_is_told_to_go_on() -> None:
-    """Guards against a client that waits to be told, and a deadline that passes meanwhile."""
+def test_expect_100_continue_is_answered() -> None:
+    """Guards against a client that waits for 100 Continue until its deadline has passed."""
 
     async def test() -> None:
         async with sidecar(refuse_all, known(e=closed_port())) as s:
@@ -350,16 +357,16 @@
     run(test)
 
 
-def test_who_writes_slowly_is_missed_more_than_who_stopped(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against cutting off ordinary clients, as the oldest, for hundreds that never send a whole request."""
+def test_stalled_clients_are_evicted_before_slow_ones(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against closing slow clients, as the oldest, because of hundreds that never send a complete request."""
     monkeypatch.setattr(clients, "STALLED_AFTER", 0.2)
     monkeypatch.setattr(clients, "NEW_CONNECTION_GRACE", 0.01)
 
     async def test() -> None:
         async with sidecar(refuse_all, known(e=closed_port()), sockets=128) as s:
             slow = await s.client()
-            stopped = [await s.client() for _ in range(s.front.most - 1)]
-            for c in stopped:
+            stalled = [await s.client() for _ in range(s.front.most - 1)]
+            for c in stalled:
                 c.writer.write(GOOD[:20])
             for n in range(20):  # far longer than STALLED_AFTER
                 slow.writer.write(GOOD[n : n + 1])
