--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -16,7 +16,7 @@
 from zinclever import interface
 from zinclever.core import dispatcher
 from zinclever.http1 import bodies, clients, connection, server
-from zinclever.http1.bodies import MemoryBudget, room_for
+from zinclever.http1.bodies import MemoryBudget, body_memory_limit
 
 LARGE = 1_000_003  # bytes: too many to be buffered as a response, or to be accepted by the kernel at once
 PAGE = bytes(range(256)) * (LARGE // 256 + 1)
@@ -505,9 +505,9 @@
 
 
 def test_body_memory_is_derived_from_the_process_memory() -> None:
-    assert room_for(None) == bodies.DEFAULT_BODY_MEMORY
-    assert room_for(32 << 20) == bodies.MIN_BODY_MEMORY
-    assert room_for(80 << 20) == int(0.4 * (50 << 20))
+    assert body_memory_limit(None) == bodies.DEFAULT_BODY_MEMORY
+    assert body_memory_limit(32 << 20) == bodies.MIN_BODY_MEMORY
+    assert body_memory_limit(80 << 20) == int(0.4 * (50 << 20))
 
 
 # --- bodies that are forwarded while they are received ---
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -242,7 +242,7 @@
 def test_responses_are_not_buffered_for_a_client_that_does_not_read(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against memory growth for a client that keeps sending requests and never reads the responses."""
     monkeypatch.setattr(clients, "WRITE_TIMEOUT", 0.5)
-    page = b"x" * http.MOST_BODY
+    page = b"x" * http.MAX_BUFFERED_BODY
 
     async def test() -> None:
         async with serving(always(response(200, page))) as (_, at), sidecar(send_to("e"), known(e=at)) as s:
--- a/zinclever/http1/bodies.py
+++ b/zinclever/http1/bodies.py
@@ -18,7 +18,7 @@
 BODY_MEMORY_SHARE = 0.4  # of the rest: a body is briefly held twice, and each attempt has a copy in the kernel
 
 
-def room_for(memory: float | None) -> int:
+def body_memory_limit(memory: float | None) -> int:
     """Return the bytes that bodies may use if the process may use ``memory`` bytes; None: unknown."""
     if memory is None:
         return DEFAULT_BODY_MEMORY
--- a/zinclever/http1/clients.py
+++ b/zinclever/http1/clients.py
@@ -52,7 +52,7 @@
         self.entered_at: dict[ConnectionState, dict[ServerConnection, float]] = {state: {} for state in ConnectionState}
         """For each state, its connections and the instant at which each entered it, earliest first."""
         self.open_connections = 0
-        self.read_for = self.idle_for = 0.0
+        self.read_timeout = self.max_idle_time = 0.0
         """s; where 0, READ_FOR and IDLE_TIMEOUT apply."""
         self.refused_connections = 0
         """Number of open connections whose first request is refused."""
@@ -145,7 +145,7 @@
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.sweep) if self.count() else None
         now = self.loop.time()
         for state in (ConnectionState.READING, ConnectionState.UPLOADING):
-            for connection in self.overdue(state, self.read_for or READ_FOR):
+            for connection in self.overdue(state, self.read_timeout or READ_FOR):
                 if connection.allowed_read_time() + self.entered_at[state][connection] <= now:
                     connection.on_read_timeout()
         for connection in self.overdue(ConnectionState.WAITING_FOR_MEMORY, MEMORY_TIMEOUT):
@@ -160,7 +160,7 @@
             if excess <= 0:
                 break
             excess -= connection.close_idle()
-        for connection in self.overdue(ConnectionState.IDLE, self.idle_for or IDLE_TIMEOUT):
+        for connection in self.overdue(ConnectionState.IDLE, self.max_idle_time or IDLE_TIMEOUT):
             connection.close_idle()
 
     def overdue(self, state: ConnectionState, limit: float) -> list[ServerConnection]:
--- a/zinclever/http1/connection.py
+++ b/zinclever/http1/connection.py
@@ -23,7 +23,7 @@
 BODILESS_STATUSES = (204, 304)
 
 #: Headers that apply to one connection only, and those that the sidecar sets itself.
-OWN_HEADERS = frozenset(
+NON_FORWARDED_HEADERS = frozenset(
     {
         b"connection",
         b"content-length",
@@ -38,11 +38,15 @@
         b"upgrade",
     }
 )
-MOST_BODY = 64 * 1024  # bytes of a response body that is buffered until it is complete; a longer one is streamed
+MAX_BUFFERED_BODY = (
+    64 * 1024
+)  # bytes of a response body that is buffered until it is complete; a longer one is streamed
 MAX_STREAMED_BODY = 40 << 20  # bytes of a response body that is streamed: the longest have 32 MB
 MAX_HEAD_SIZE = 32 * 1024  # bytes
 MAX_COPIED_BODY = 16 * 1024  # bytes of a request body that is copied behind its head, to send both in one system call
-MOST_BYTES = 8 * MAX_HEAD_SIZE  # of a response apart from its body: head, chunk sizes, preceding 1xx responses
+MAX_RESPONSE_OVERHEAD = (
+    8 * MAX_HEAD_SIZE
+)  # of a response apart from its body: head, chunk sizes, preceding 1xx responses
 STALL_TIMEOUT = 0.5  # s between two reads of a buffered response: a retry may help if the server has stalled
 MAX_BUFFERING_TIME = 0.03  # s from its first bytes after which a response of unknown length is streamed
 STREAM_STALL_TIMEOUT = 10.0  # s between two reads of a streamed response, which can't be retried any more
@@ -143,7 +147,7 @@
         sock: Socket,
         on_free: Callable[[ClientConnection], None],
         on_lost: Callable[[ClientConnection], None],
-        most_body: int = MOST_BODY,
+        max_buffered_body: int = MAX_BUFFERED_BODY,
         transfers: bool = False,
         stall: float = STALL_TIMEOUT,
     ) -> None:
@@ -158,8 +162,8 @@
             stall: Seconds between two reads of a buffered response.
         """
         self.stall_timeout = stall
-        self.sock, self.on_free, self.on_lost, self.most_body = sock, on_free, on_lost, most_body
-        self.max_body = MAX_STREAMED_BODY if transfers else most_body
+        self.sock, self.on_free, self.on_lost, self.max_buffered_body = sock, on_free, on_lost, max_buffered_body
+        self.max_body = MAX_STREAMED_BODY if transfers else max_buffered_body
         self.stream: ResponseStream | None = None
         self.body_parts: list[bytes] = []
         self.paused = False
@@ -250,7 +254,7 @@
         if not data or self.write(data):
             self.resume_writing()
 
-    def outstanding(self) -> bool:
+    def has_unsent_bytes(self) -> bool:
         """Return whether bytes of the request are not written yet, so that it can't have been executed."""
         return self.uploading or self.withheld is not None
 
@@ -288,7 +292,7 @@
 
     def resume_writing(self) -> None:
         """Handle that the kernel has accepted all bytes that were written to the transport."""
-        self.unsent = self.outstanding() or self.transport.get_write_buffer_size() > 0
+        self.unsent = self.has_unsent_bytes() or self.transport.get_write_buffer_size() > 0
         if not self.unsent and self.on_sent is not None:
             on_sent, self.on_sent = self.on_sent, None
             on_sent()
@@ -329,10 +333,10 @@
         elif (
             self.response_begun
             and self.body_parts
-            and (self.is_large or self.size > self.most_body or self.exceeds_buffering_time())
+            and (self.is_large or self.size > self.max_buffered_body or self.exceeds_buffering_time())
         ):
             self.begin_stream()
-        elif self.received_bytes > MOST_BYTES + self.most_body:
+        elif self.received_bytes > MAX_RESPONSE_OVERHEAD + self.max_buffered_body:
             self.fail()
             return
         if self.response_begun and (self.on_result is not None or self.stream is not None):
@@ -340,7 +344,7 @@
 
     def exceeds_buffering_time(self) -> bool:
         """Return whether a response of unknown length has taken so long that it is probably too large to buffer."""
-        if self.max_body == self.most_body or self.status != 200 or self.content_length() is not None:
+        if self.max_body == self.max_buffered_body or self.status != 200 or self.content_length() is not None:
             return False
         return (
             self.stall_timer is not None
@@ -485,9 +489,9 @@
             self.size = 0
             header = self.content_length()
             length = int(header) if header is not None else 0
-            if length > self.max_body or (length > self.most_body and self.status != 200):
+            if length > self.max_body or (length > self.max_buffered_body and self.status != 200):
                 raise ValueError("body too long")
-            self.is_large = length > self.most_body
+            self.is_large = length > self.max_buffered_body
             has_coding = any(k.lower() == b"transfer-encoding" for k, _ in self.headers)
             self.ends_at_close = (
                 header is None and not has_coding and self.status not in BODILESS_STATUSES and self.status >= 200
@@ -502,7 +506,7 @@
         if not self.response_complete:
             self.body_parts.append(body)
             self.size += len(body)
-            if self.size > (self.max_body if self.status == 200 else self.most_body):
+            if self.size > (self.max_body if self.status == 200 else self.max_buffered_body):
                 raise ValueError("body too long")
 
     def on_message_complete(self) -> None:
@@ -522,7 +526,7 @@
     timeout: float,
     on_free: Callable[[ClientConnection], None],
     on_lost: Callable[[ClientConnection], None],
-    most_body: int = MOST_BODY,
+    max_buffered_body: int = MAX_BUFFERED_BODY,
     transfers: bool = False,
     stall: float = STALL_TIMEOUT,
 ) -> ClientConnection:
@@ -535,7 +539,7 @@
         async with asyncio.timeout(timeout):
             await loop.sock_connect(sock, address)
         _, connection = await loop.create_connection(
-            lambda: ClientConnection(sock, on_free, on_lost, most_body, transfers, stall), sock=sock
+            lambda: ClientConnection(sock, on_free, on_lost, max_buffered_body, transfers, stall), sock=sock
         )
     except BaseException:
         sock.close()
--- a/zinclever/http1/desk.py
+++ b/zinclever/http1/desk.py
@@ -14,11 +14,11 @@
 from .bodies import DEFAULT_BODY_MEMORY, Body, MemoryBudget
 from .clients import ConnectionRegistry
 from .connection import Headers
-from .heads import Answer, CompleteRequest
+from .heads import CompleteRequest, HttpResponse
 from .server import ServerConnection
 
 
-class Desk(ConnectionRegistry):
+class RequestHandler(ConnectionRegistry):
     """Client connections, memory for request bodies, and the methods that process a received request."""
 
     def __init__(self, descriptors: Descriptors) -> None:
@@ -26,9 +26,9 @@
         self.room = MemoryBudget(DEFAULT_BODY_MEMORY)
         """For bodies larger than UNRESERVED_BODY_SIZE."""
         self.draining = False
-        self.most_upload = 0
+        self.max_body_size = 0
         """Limit on a request body in bytes; where 0, MAX_REQUEST_BODY applies."""
-        self.whole_only = False
+        self.requires_complete_body = False
         """Requests are forwarded only once their bodies are complete, however large these are."""
 
     def release_memory(self, size: int) -> None:
@@ -52,11 +52,11 @@
         """Validate a request that arrived ``waited_ms`` ms ago. Raises Rejected if it is invalid."""
 
     @abstractmethod
-    def take(self, request: IncomingRequest, on_answer: Callable[[FinalAnswer | Answer], None]) -> None:
+    def take(self, request: IncomingRequest, on_answer: Callable[[FinalAnswer | HttpResponse], None]) -> None:
         """Process a request. ``on_answer`` is called once, unless the client disconnects before."""
 
     @abstractmethod
-    def abandon(self, request_id: str) -> None:
+    def on_client_disconnected(self, request_id: str) -> None:
         """Handle that the client of an unanswered request has disconnected."""
 
     @abstractmethod
@@ -67,14 +67,14 @@
     def unread(self, sock: Any) -> bool:
         """Return whether the kernel holds unread bytes of a connection, or its end."""
 
-    def uploaded(self, request_id: str) -> None:
+    def upload_finished(self, request_id: str) -> None:
         """Handle that the last byte of a body that was forwarded while being received has arrived."""
 
     def receive_delay(self, transport: asyncio.BaseTransport, is_first: bool) -> float:
         """Return how many ms the bytes being read from a connection waited for this process; 0 if not measured."""
         return 0.0
 
-    def local_response(self, request: CompleteRequest) -> Answer | None:
+    def local_response(self, request: CompleteRequest) -> HttpResponse | None:
         """Return the response to a request that concerns the listener itself, such as a health check."""
         return None
 
--- a/zinclever/http1/front.py
+++ b/zinclever/http1/front.py
@@ -11,14 +11,14 @@
 from ..core.protocol import FinalAnswer, IncomingRequest
 from .bodies import Body
 from .connection import Headers
-from .desk import Desk
-from .heads import Answer, CompleteRequest, Rejected, find_cookie, parse_positive_number, render_request_head
+from .desk import RequestHandler
+from .heads import CompleteRequest, HttpResponse, Rejected, find_cookie, parse_positive_number, render_request_head
 from .wire import Payload
 
 HEALTH_PATH = "/_health"
 
 
-class Front(Desk):
+class Frontend(RequestHandler):
     """Passes valid requests to a dispatcher, and answers health checks."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
@@ -35,17 +35,17 @@
         self.deadlines = [c.deadline for c in settings.classes]
         self.compute_limits()
 
-    def take(self, request: IncomingRequest, on_answer: Callable[[FinalAnswer | Answer], None]) -> None:
+    def take(self, request: IncomingRequest, on_answer: Callable[[FinalAnswer | HttpResponse], None]) -> None:
         """Pass a request to the dispatcher."""
         self.dispatcher.take(request, on_answer)
 
-    def abandon(self, request_id: str) -> None:
+    def on_client_disconnected(self, request_id: str) -> None:
         """Tell the dispatcher that the client of a request has disconnected."""
         self.dispatcher.leave(request_id)
 
-    def uploaded(self, request_id: str) -> None:
+    def upload_finished(self, request_id: str) -> None:
         """Tell the dispatcher that the body of a request is complete."""
-        self.dispatcher.uploaded(request_id)
+        self.dispatcher.upload_finished(request_id)
 
     def replies(self, request: IncomingRequest) -> ReplyCounts:
         """Return the counters of the request's class."""
@@ -59,10 +59,10 @@
         """Return how many ms the bytes being read from a connection waited for this process; 0 if not measured."""
         return self.dispatcher.waited(transport, is_first)
 
-    def local_response(self, request: CompleteRequest) -> Answer | None:
+    def local_response(self, request: CompleteRequest) -> HttpResponse | None:
         """Answer a health check: 200 once the dispatcher is ready, else 500."""
         if request.method == "GET" and request.target == HEALTH_PATH:
-            return Answer(200 if self.dispatcher.ready else 500)
+            return HttpResponse(200 if self.dispatcher.ready else 500)
         return None
 
     def add_streaming(self, change: int) -> None:
--- a/zinclever/http1/heads.py
+++ b/zinclever/http1/heads.py
@@ -7,14 +7,14 @@
 import re
 from typing import NamedTuple
 
-from .connection import OWN_HEADERS, Headers, end_to_end
+from .connection import NON_FORWARDED_HEADERS, Headers, end_to_end
 
 REASON_PHRASES = {s.value: s.phrase.encode() for s in http.HTTPStatus}
-NON_FORWARDED_REQUEST_HEADERS = OWN_HEADERS | {b"req-deadline"}  # each attempt has a Req-Deadline of its own
+NON_FORWARDED_REQUEST_HEADERS = NON_FORWARDED_HEADERS | {b"req-deadline"}  # each attempt has a Req-Deadline of its own
 NUMBER = re.compile(rb"[0-9]{1,12}(\.[0-9]{0,12})?")
 
 
-class Answer(NamedTuple):
+class HttpResponse(NamedTuple):
     """A response to a client."""
 
     status: int
@@ -61,7 +61,7 @@
     """On the loop's clock: the client's deadline counts from then."""
 
 
-def render_response(response: Answer, keep_alive: bool) -> bytes:
+def render_response(response: HttpResponse, keep_alive: bool) -> bytes:
     """Return a complete response."""
     return (
         render_response_head(response.status, response.headers, len(response.body), False, keep_alive) + response.body
--- a/zinclever/http1/server.py
+++ b/zinclever/http1/server.py
@@ -14,31 +14,33 @@
 from .bodies import RESERVATION_STEP, UNRESERVED_BODY_SIZE, Body
 from .clients import READ_FOR, ConnectionState
 from .connection import (
+    MAX_BUFFERED_BODY,
     MAX_HEAD_SIZE,
-    MOST_BODY,
+    NON_FORWARDED_HEADERS,
     OPTIONAL_WHITESPACE,
-    OWN_HEADERS,
     Headers,
     Reply,
     ResponseStream,
     end_to_end,
 )
-from .heads import Answer, CompleteRequest, Rejected, render_response, render_response_head
+from .heads import CompleteRequest, HttpResponse, Rejected, render_response, render_response_head
 
 if TYPE_CHECKING:
-    from .desk import Desk
+    from .desk import RequestHandler
 
 log = logging.getLogger(__name__)
 
 MAX_REQUEST_BODY = 40 << 20  # bytes: the longest bodies have 32 MB
 SUPPORTED_VERSIONS = ("1.1", "1.0")
-MAX_CHUNKED_OVERHEAD = 4 * MOST_BODY  # a chunked body may have this many raw bytes more than ...
+MAX_CHUNKED_OVERHEAD = 4 * MAX_BUFFERED_BODY  # a chunked body may have this many raw bytes more than ...
 MAX_CHUNKED_RATIO = 8  # ... this multiple of its content: chunks of one byte have six raw bytes
 MAX_PIPELINED = 8  # complete requests that may wait behind the current one; ordinary clients send one at a time
 MIN_UPLOAD_RATE = 32 * 1024  # bytes/s: received bytes of a body extend its read timeout; clients send twice as fast
-MAX_LINGER_BYTES = 4 * MOST_BODY  # read while lingering; the rest stays in the kernel, which resets the connection
+MAX_LINGER_BYTES = (
+    4 * MAX_BUFFERED_BODY
+)  # read while lingering; the rest stays in the kernel, which resets the connection
 RETRY_AFTER_HEADER = b"Retry-After: 1.000\r\n"  # in the refusal if there was no memory, or too many connections
-NON_FORWARDED_RESPONSE_HEADERS = OWN_HEADERS | {b"srv-load"}
+NON_FORWARDED_RESPONSE_HEADERS = NON_FORWARDED_HEADERS | {b"srv-load"}
 
 
 class ServerConnection(asyncio.Protocol):
@@ -48,7 +50,7 @@
 
     transport: asyncio.Transport
 
-    def __init__(self, handler: Desk) -> None:
+    def __init__(self, handler: RequestHandler) -> None:
         self.handler = handler
         self.state = ConnectionState.READING
         self.last_received_at = handler.loop.time()  # or when it connected
@@ -90,7 +92,7 @@
         if self.stream is not None:
             self.abort_stream()
         if self.request_id is not None:
-            self.handler.abandon(self.request_id)
+            self.handler.on_client_disconnected(self.request_id)
 
     def data_received(self, data: bytes) -> None:
         """Parse received bytes; reject invalid requests."""
@@ -176,7 +178,7 @@
                 host_count += 1
         if host_count > 1 or (not host_count and version == "1.1"):
             raise Rejected(400)  # RFC 9112, 3.2
-        if length > min(self.handler.most_upload or MAX_REQUEST_BODY, self.handler.room.limit):
+        if length > min(self.handler.max_body_size or MAX_REQUEST_BODY, self.handler.room.limit):
             raise Rejected(413)
         self.length = length or None
         if expects_continue and not self.is_responding():
@@ -191,7 +193,7 @@
             self.upload.add(body)
         elif not self.ending:
             self.body_parts.append(body)
-        if self.size > (self.handler.most_upload or MAX_REQUEST_BODY):
+        if self.size > (self.handler.max_body_size or MAX_REQUEST_BODY):
             raise Rejected(413)
         needs_memory = (
             self.size > max(UNRESERVED_BODY_SIZE, self.reserved_memory)
@@ -235,7 +237,7 @@
             or self.is_responding()
             or self.pipelined
             or self.paused
-            or self.handler.whole_only
+            or self.handler.requires_complete_body
         ):
             return
         body = Body(self.length)
@@ -260,7 +262,7 @@
         assert self.request_id is not None
         request_id = self.request_id
         body.finish()
-        self.handler.uploaded(request_id)
+        self.handler.upload_finished(request_id)
 
     def abort_upload(self) -> None:
         """Forward no more of a body that will not be completed, or is not needed any more."""
@@ -268,7 +270,7 @@
             self.upload = None
             request_id, self.request_id = self.request_id, None
             if request_id is not None:
-                self.handler.abandon(request_id)
+                self.handler.on_client_disconnected(request_id)
 
     def on_memory_timeout(self) -> None:
         """Refuse a request that waited too long for memory. Nothing of it was forwarded."""
@@ -286,7 +288,7 @@
 
     def allowed_read_time(self) -> float:
         """Return the seconds that receiving the current request may take."""
-        return (self.handler.read_for or READ_FOR) + (self.size / MIN_UPLOAD_RATE if self.in_body else 0.0)
+        return (self.handler.read_timeout or READ_FOR) + (self.size / MIN_UPLOAD_RATE if self.in_body else 0.0)
 
     def on_message_complete(self) -> None:
         """Begin the received request, or queue it. Raises Rejected with 400 if too many are queued."""
@@ -346,7 +348,7 @@
         """Answer 503 and close the connection. Nothing of the request is forwarded: it can be retried."""
         self.handler.replies(request).refused += 1
         self.keep_alive = False
-        self.respond(Answer(503, RETRY_AFTER_HEADER))
+        self.respond(HttpResponse(503, RETRY_AFTER_HEADER))
 
     def forward(self, request: IncomingRequest) -> None:
         """Pass a valid request to the handler."""
@@ -354,28 +356,28 @@
         self.reply_counts = self.handler.replies(request)
         self.handler.take(request, self.on_final_answer)
 
-    def on_final_answer(self, final: FinalAnswer | Answer) -> None:
+    def on_final_answer(self, final: FinalAnswer | HttpResponse) -> None:
         """Write the response for the dispatcher's final answer, or a response that the handler has made."""
-        if isinstance(final, Answer):
+        if isinstance(final, HttpResponse):
             self.respond(final)
         elif isinstance(final, Served):
             reply: Reply = final.reply
             if reply.stream is not None:
                 self.stream_response(reply, reply.stream)
             else:
-                self.respond(Answer(200, end_to_end(reply.headers, NON_FORWARDED_RESPONSE_HEADERS), reply.body))
+                self.respond(HttpResponse(200, end_to_end(reply.headers, NON_FORWARDED_RESPONSE_HEADERS), reply.body))
         elif isinstance(final, Refused):
             retry_after = final.retry_after / 1000.0
-            self.respond(Answer(503, b"Retry-After: %.3f\r\n" % retry_after if retry_after > 0.0 else b""))
+            self.respond(HttpResponse(503, b"Retry-After: %.3f\r\n" % retry_after if retry_after > 0.0 else b""))
         else:
-            self.respond(Answer(502))
+            self.respond(HttpResponse(502))
 
     def release_request_memory(self) -> None:
         """Release the memory of the current request's body, which is no longer needed."""
         released, self.request_memory = self.request_memory, 0
         self.handler.release_memory(released)
 
-    def respond(self, response: Answer) -> None:
+    def respond(self, response: HttpResponse) -> None:
         """Write the response to the current request."""
         self.request_id = None
         if self.upload is not None:
@@ -415,7 +417,7 @@
         self.request_id = None
         if self.upload is not None:  # a response to an incomplete request
             stream.abort()
-            self.respond_before_body_end(Answer(502))
+            self.respond_before_body_end(HttpResponse(502))
             return
         self.release_request_memory()
         if self.transport.is_closing():
@@ -490,13 +492,13 @@
             self.handler.set_state(self, ConnectionState.READING if self.request_started else ConnectionState.IDLE)
             self.begin_pipelined()
 
-    def respond_before_body_end(self, response: Answer) -> None:
+    def respond_before_body_end(self, response: HttpResponse) -> None:
         """Answer a request whose body is still being received, and close the connection; discard the rest."""
         self.upload = None
         if not self.transport.is_closing():
             self.linger(response)
 
-    def linger(self, response: Answer) -> None:
+    def linger(self, response: HttpResponse) -> None:
         """Write the last response on this connection. What the client still sends is read, so that it isn't reset."""
         self.ending, self.raw_bytes, self.body_parts = True, 0, []
         self.release_reserved(all=True)
@@ -512,7 +514,7 @@
             self.rejected_status = status
             self.transport.pause_reading()
         elif not self.ending:
-            self.linger(Answer(status, RETRY_AFTER_HEADER if status == 503 else b""))
+            self.linger(HttpResponse(status, RETRY_AFTER_HEADER if status == 503 else b""))
 
     # --- connections that the server ends ---
 
--- a/zinclever/http1/wire.py
+++ b/zinclever/http1/wire.py
@@ -110,7 +110,7 @@
 
     def begun(self) -> bool:
         """Return whether the endpoint may have received the complete request."""
-        return self.connection is not None and not self.connection.outstanding()
+        return self.connection is not None and not self.connection.has_unsent_bytes()
 
     def cancel(self, silent: bool) -> None:
         """Stop waiting and abort the connection. Nothing is reported."""
