--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -518,7 +518,7 @@
 
     def __init__(self) -> None:
         self.byte_count = 0
-        self.complete: list[bytes] = []
+        self.complete_bodies: list[bytes] = []
         self.changed = asyncio.Event()
 
     async def until(self, condition: Callable[[], bool]) -> None:
@@ -564,7 +564,7 @@
                         writer.transport.abort()
                         return
                     await read_part(remaining)
-            received.complete.append(b"".join(parts))
+            received.complete_bodies.append(b"".join(parts))
             received.changed.set()
             writer.write(response)
 
@@ -597,12 +597,12 @@
             else:
                 c.writer.write(PAGE[: LARGE - 1])
             await received.until(lambda: received.byte_count >= LARGE - 2)
-            assert not received.complete and s.wire.dispatches == 0 and s.sidecar.counts.concurrent == 0
+            assert not received.complete_bodies and s.wire.dispatches == 0 and s.sidecar.counts.concurrent == 0
             assert s.sidecar.requests["r1"].guard is None
             assert not any(isinstance(e, interface.UploadEnded) for _, e in s.balancer.received_events)
             c.writer.write(b"1\r\n%b\r\n0\r\n\r\n" % PAGE[LARGE - 1 : LARGE] if chunked else PAGE[LARGE - 1 : LARGE])
             assert (await c.answer()).status == 200
-            assert received.complete == [PAGE[:LARGE]] and s.wire.dispatches == 1 and s.front.room.used == 0
+            assert received.complete_bodies == [PAGE[:LARGE]] and s.wire.dispatches == 1 and s.front.room.used == 0
             c.send(method, method="POST", Req_Id="r2", body=b"x")
             assert (await c.answer()).status == 200  # both connections are reused
             (end,) = s.balancer.ends()[:1]
@@ -633,7 +633,7 @@
             assert s.balancer.ends()[0].outcome == "dropped"
             c.writer.write(PAGE[LARGE // 2 : LARGE])
             assert (await c.answer()).status == 200
-            assert received.complete == [PAGE[:LARGE]] and s.wire.dispatches == 1
+            assert received.complete_bodies == [PAGE[:LARGE]] and s.wire.dispatches == 1
 
     run(test)
 
@@ -657,7 +657,9 @@
                 c.writer.write(b"no chunk\r\n" * (end == "invalid_chunk"))
                 assert (await c.answer()).status == (400 if end == "invalid_chunk" else 408)
             await s.balancer.until(lambda: bool(s.balancer.ends()))
-            assert s.balancer.ends()[0].outcome == "not_sent" and s.wire.dispatches == 0 and not received.complete
+            assert (
+                s.balancer.ends()[0].outcome == "not_sent" and s.wire.dispatches == 0 and not received.complete_bodies
+            )
             while s.front.count() or s.sidecar.requests or s.wire.open:
                 c.writer.transport.abort()
                 await asyncio.sleep(0.01)
--- a/zinclever/http1/bodies.py
+++ b/zinclever/http1/bodies.py
@@ -10,7 +10,7 @@
 from collections.abc import Hashable
 from typing import Protocol
 
-UNRESERVED_BODY_SIZE = 64 * 1024  # bytes of a body that need no reservation: the number of connections bounds these
+UNRESERVED_BODY_SIZE = 64 * 1024  # bytes of a body that need no reservation: as descriptors are limited, little memory
 RESERVATION_STEP = 256 * 1024  # bytes reserved at a time for a body of unknown length
 MIN_BODY_MEMORY = 4 << 20  # bytes, however little memory the process has
 DEFAULT_BODY_MEMORY = 64 << 20  # bytes, if the memory of the process is unknown
@@ -75,8 +75,11 @@
 
 
 class Body:
-    """A body that is being received. Its last byte is withheld until the client has sent the complete body, so that no
-    endpoint can have a complete request before."""
+    """A body that is being received.
+
+    Its last byte is withheld until the client has sent the complete body, so that no endpoint can have a complete request
+    before.
+    """
 
     __slots__ = ("consumers", "is_complete", "length", "parts", "withheld")
 
--- a/zinclever/http1/connection.py
+++ b/zinclever/http1/connection.py
@@ -363,7 +363,7 @@
         if on_result is not None:
             on_result(Reply(self.status, self.headers, body, stream))
         if self.stream is stream and stream.reader is None:
-            self.abort()  # nobody reads the rest
+            self.abort()  # the stream was not started: the rest is not needed
 
     def forward_body(self, stream: ResponseStream) -> None:
         """Pass newly received bytes of the body to the stream's reader."""
@@ -530,8 +530,11 @@
     transfers: bool = False,
     stall: float = STALL_TIMEOUT,
 ) -> ClientConnection:
-    """Open a connection within ``timeout`` seconds; other arguments as for ClientConnection. Raises OSError on failure,
-    also on a timeout."""
+    """Open a connection within ``timeout`` seconds. The other arguments are those of ClientConnection.
+
+    Raises:
+        OSError: The connection could not be opened in time.
+    """
     loop = asyncio.get_running_loop()
     sock = host.socket()
     try:
--- a/zinclever/http1/desk.py
+++ b/zinclever/http1/desk.py
@@ -1,5 +1,8 @@
-"""The base class of request handlers. A handler owns the client connections of one listener and answers their requests:
-through a dispatcher, or as the mesh's egress or its control API."""
+"""The base class of request handlers.
+
+A handler owns the client connections of one listener and answers their requests: through a dispatcher, or as the mesh's
+egress or its control API.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +27,7 @@
     def __init__(self, descriptors: Descriptors) -> None:
         super().__init__(descriptors)
         self.room = MemoryBudget(DEFAULT_BODY_MEMORY)
-        """For bodies larger than UNRESERVED_BODY_SIZE."""
+        """Memory for bodies larger than UNRESERVED_BODY_SIZE."""
         self.draining = False
         self.max_body_size = 0
         """Limit on a request body in bytes; where 0, MAX_REQUEST_BODY applies."""
@@ -57,7 +60,7 @@
 
     @abstractmethod
     def on_client_disconnected(self, request_id: str) -> None:
-        """Handle that the client of an unanswered request has disconnected."""
+        """Stop processing a request: called if its client disconnects before the response begins."""
 
     @abstractmethod
     def replies(self, request: IncomingRequest) -> ReplyCounts:
@@ -68,7 +71,7 @@
         """Return whether the kernel holds unread bytes of a connection, or its end."""
 
     def upload_finished(self, request_id: str) -> None:
-        """Handle that the last byte of a body that was forwarded while being received has arrived."""
+        """Called when a body that is forwarded while it is received is complete."""
 
     def receive_delay(self, transport: asyncio.BaseTransport, is_first: bool) -> float:
         """Return how many ms the bytes being read from a connection waited for this process; 0 if not measured."""
@@ -79,4 +82,4 @@
         return None
 
     def add_streaming(self, change: int) -> None:
-        """Handle that the streaming of a response has begun (1) or ended (-1)."""
+        """Called when the streaming of a response begins (``change`` is 1) or ends (-1)."""
--- a/zinclever/http1/front.py
+++ b/zinclever/http1/front.py
@@ -40,11 +40,11 @@
         self.dispatcher.take(request, on_answer)
 
     def on_client_disconnected(self, request_id: str) -> None:
-        """Tell the dispatcher that the client of a request has disconnected."""
+        """Let the dispatcher stop processing a request whose client has disconnected."""
         self.dispatcher.leave(request_id)
 
     def upload_finished(self, request_id: str) -> None:
-        """Tell the dispatcher that the body of a request is complete."""
+        """Let the dispatcher start the deadline of a request whose body is complete."""
         self.dispatcher.upload_finished(request_id)
 
     def replies(self, request: IncomingRequest) -> ReplyCounts:
@@ -75,7 +75,7 @@
         Guards against passing requests to the balancer that it can't handle correctly.
 
         Raises:
-            Rejected: With 404 for an unknown class, 400 for a missing, invalid or duplicate header value.
+            Rejected: With 404 for an unknown class, 400 for a missing or invalid header or an id that is in use.
         """
         values: dict[bytes, bytes] = {}
         for name, value in headers:
@@ -101,7 +101,7 @@
                 0.0,
                 min(1000.0 * parse_positive_number(values.get(b"req-deadline")), self.deadlines[klass]) - waited_ms,
             ),
-            work=parse_positive_number(values[b"req-cost"]) / 1000.0 if b"req-cost" in values else 0.0,  # µs
+            work=parse_positive_number(values[b"req-cost"]) / 1000.0 if b"req-cost" in values else 0.0,  # from µs
             retry=values.get(b"req-retry") == b"1",
             payload=Payload(render_request_head(method, target, headers), body, method != "GET" or bool(body)),
             uploading=isinstance(body, Body),
--- a/zinclever/http1/server.py
+++ b/zinclever/http1/server.py
@@ -83,7 +83,7 @@
         self.handler.on_connected(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Release all resources; the handler abandons the current request."""
+        """Release all resources; the handler stops processing the current request."""
         self.ending = True
         self.handler.on_disconnected(self)
         self.release_reserved(all=True)
@@ -440,7 +440,7 @@
         self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self.chunked else data)
 
     def on_end(self, complete: bool) -> None:
-        """End a streamed response. If it is incomplete, abort the connection, so that the client can tell."""
+        """End a streamed response. If it is incomplete, abort the connection, so that the client can detect it."""
         self.stream = None
         self.handler.add_streaming(-1)
         if self.transport.is_closing():
