--- a/zinclever/http1/bodies.py
+++ b/zinclever/http1/bodies.py
@@ -77,8 +77,7 @@
 class Body:
     """A body that is being received.
 
-    Its last byte is withheld until the client has sent the complete body, so that no endpoint can have a complete request
-    before.
+    Its last byte is withheld until the client has sent the complete body: no endpoint has a complete request before that.
     """
 
     __slots__ = ("consumers", "is_complete", "length", "parts", "withheld")
