--- a/zinclever/http1/connection.py
+++ b/zinclever/http1/connection.py
@@ -38,19 +38,15 @@
         b"upgrade",
     }
 )
-MAX_BUFFERED_BODY = (
-    64 * 1024
-)  # bytes of a response body that is buffered until it is complete; a longer one is streamed
+MAX_BUFFERED_BODY = 64 * 1024  # bytes of a response body that is buffered completely; a longer one is streamed
 MAX_STREAMED_BODY = 40 << 20  # bytes of a response body that is streamed: the longest have 32 MB
 MAX_HEAD_SIZE = 32 * 1024  # bytes
 MAX_COPIED_BODY = 16 * 1024  # bytes of a request body that is copied behind its head, to send both in one system call
-MAX_RESPONSE_OVERHEAD = (
-    8 * MAX_HEAD_SIZE
-)  # of a response apart from its body: head, chunk sizes, preceding 1xx responses
+MAX_RESPONSE_OVERHEAD = 8 * MAX_HEAD_SIZE  # bytes of a response apart from its body: head, chunk sizes, 1xx responses
 STALL_TIMEOUT = 0.5  # s between two reads of a buffered response: a retry may help if the server has stalled
 MAX_BUFFERING_TIME = 0.03  # s from its first bytes after which a response of unknown length is streamed
 STREAM_STALL_TIMEOUT = 10.0  # s between two reads of a streamed response, which can't be retried any more
-STREAM_RECEIVE_BUFFER = 64 * 1024  # bytes of it in the kernel: a client that reads slowly slows the server down
+STREAM_RECEIVE_BUFFER = 64 * 1024  # bytes; kept small, so that a client that reads slowly slows the server down
 
 
 class ResponseReader(Protocol):
