--- a/zinclever/http1/connection.py
+++ b/zinclever/http1/connection.py
@@ -144,7 +144,7 @@
         on_free: Callable[[ClientConnection], None],
         on_lost: Callable[[ClientConnection], None],
         max_buffered_body: int = MAX_BUFFERED_BODY,
-        transfers: bool = False,
+        can_stream: bool = False,
         stall: float = STALL_TIMEOUT,
     ) -> None:
         """Create a connection.
@@ -154,12 +154,12 @@
             on_free: Called when the connection can carry the next request.
             on_lost: Called when the connection has ended.
             most_body: Bytes of a response body that are buffered.
-            transfers: Whether a longer body is streamed; otherwise it counts as a broken response.
+            can_stream: Whether a longer body is streamed; otherwise it counts as a broken response.
             stall: Seconds between two reads of a buffered response.
         """
         self.stall_timeout = stall
         self.sock, self.on_free, self.on_lost, self.max_buffered_body = sock, on_free, on_lost, max_buffered_body
-        self.max_body = MAX_STREAMED_BODY if transfers else max_buffered_body
+        self.max_body = MAX_STREAMED_BODY if can_stream else max_buffered_body
         self.stream: ResponseStream | None = None
         self.body_parts: list[bytes] = []
         self.paused = False
@@ -523,7 +523,7 @@
     on_free: Callable[[ClientConnection], None],
     on_lost: Callable[[ClientConnection], None],
     max_buffered_body: int = MAX_BUFFERED_BODY,
-    transfers: bool = False,
+    can_stream: bool = False,
     stall: float = STALL_TIMEOUT,
 ) -> ClientConnection:
     """Open a connection within ``timeout`` seconds. The other arguments are those of ClientConnection.
@@ -538,7 +538,7 @@
         async with asyncio.timeout(timeout):
             await loop.sock_connect(sock, address)
         _, connection = await loop.create_connection(
-            lambda: ClientConnection(sock, on_free, on_lost, max_buffered_body, transfers, stall), sock=sock
+            lambda: ClientConnection(sock, on_free, on_lost, max_buffered_body, can_stream, stall), sock=sock
         )
     except BaseException:
         sock.close()
--- a/zinclever/http1/server.py
+++ b/zinclever/http1/server.py
@@ -36,9 +36,7 @@
 MAX_CHUNKED_RATIO = 8  # ... this multiple of its content: chunks of one byte have six raw bytes
 MAX_PIPELINED = 8  # complete requests that may wait behind the current one; ordinary clients send one at a time
 MIN_UPLOAD_RATE = 32 * 1024  # bytes/s: received bytes of a body extend its read timeout; clients send twice as fast
-MAX_LINGER_BYTES = (
-    4 * MAX_BUFFERED_BODY
-)  # read while lingering; the rest stays in the kernel, which resets the connection
+MAX_LINGER_BYTES = 4 * MAX_BUFFERED_BODY  # read while lingering; the kernel resets the connection if more arrives
 RETRY_AFTER_HEADER = b"Retry-After: 1.000\r\n"  # in the refusal if there was no memory, or too many connections
 NON_FORWARDED_RESPONSE_HEADERS = NON_FORWARDED_HEADERS | {b"srv-load"}
 
--- a/zinclever/http1/wire.py
+++ b/zinclever/http1/wire.py
@@ -125,7 +125,7 @@
     """Sends attempts to endpoints over HTTP/1.1, one at a time per connection."""
 
     def __init__(self, descriptors: Descriptors, host: Host) -> None:
-        super().__init__(partial(dial, host, transfers=True), descriptors)
+        super().__init__(partial(dial, host, can_stream=True), descriptors)
         self.dispatches = 0
         """Number of attempts whose last byte was written to the kernel."""
 
