--- a/tests/mesh/test_explore.py
+++ b/tests/mesh/test_explore.py
@@ -1,4 +1,4 @@
-"""The replica, explored: every replica of events to a depth, and variants that are broken on purpose."""
+"""The model checker on three replicas: invariants hold, and it detects replicas that are broken on purpose."""
 
 from __future__ import annotations
 
@@ -12,85 +12,85 @@
 from zinclever.mesh.transport.mesh_pb2 import ConsensusMessage, LogEntry
 
 
-class Explored(unittest.TestCase):
+class InvariantsHold(unittest.TestCase):
     @params(
-        ("a crash and a take-over", Budget(turns=1, crashes=1, losses=0), 2500, 7),
-        ("a lost disk and a take-over", Budget(turns=1, crashes=0, wipes=1, losses=0), 2500, 7),
-        ("two take-overs and a lost message", Budget(turns=2, crashes=0, losses=1), 2500, 6),
-        ("a doubled message", Budget(turns=1, crashes=0, losses=0, doubles=1), 2500, 7),
+        ("a crash and an election", Budget(turns=1, crashes=1, losses=0), 2500, 7),
+        ("a lost disk and an election", Budget(turns=1, crashes=0, wipes=1, losses=0), 2500, 7),
+        ("two elections and a lost message", Budget(turns=2, crashes=0, losses=1), 2500, 6),
+        ("a duplicated message", Budget(turns=1, crashes=0, losses=0, doubles=1), 2500, 7),
     )
-    def test_invariants(self, name: str, budget: Budget, most: int, depth: int) -> None:
-        self.assertGreater(Explorer(budget=budget).explore(most, depth), 500, name)
+    def test_invariants(self, name: str, budget: Budget, max_states: int, max_depth: int) -> None:
+        self.assertGreater(Explorer(budget=budget).explore(max_states, max_depth), 500, name)
 
     @params(
-        ("a member stands still during a take-over", Start.ASKED, Budget(turns=1, crashes=0, losses=0, pauses=1)),
+        ("a member is paused during an election", Start.ASKED, Budget(turns=1, crashes=0, losses=0, pauses=1)),
         (
-            "two operators, a read, and a leader that was replaced",
+            "two operators, a read and a replaced leader",
             Start.REPLACED,
             Budget(turns=0, crashes=0, losses=0, changes=2, reads=1),
         ),
         (
-            "a leader that was replaced, and a lost message",
+            "a replaced leader and a lost message",
             Start.REPLACED,
             Budget(turns=0, crashes=0, losses=1, changes=1, reads=1),
         ),
         (
-            "a member that has missed a version takes over",
+            "a member that lacks a version becomes leader",
             Start.BEHIND,
             Budget(turns=0, crashes=0, losses=0, changes=1, reads=1),
         ),
     )
-    def test_calls_of_operators(self, name: str, start: Start, budget: Budget) -> None:
+    def test_histories_of_calls_are_linearizable(self, name: str, start: Start, budget: Budget) -> None:
         explorer = Explorer(budget=budget, start=start)
         self.assertGreater(explorer.explore(1500, 12), 1000, name)
         self.assertGreater(len(explorer.judged), 1, name)
 
-    def test_copies_share_nothing_that_changes(self) -> None:
+    def test_changing_a_copy_leaves_the_original_unchanged(self) -> None:
         start = Explorer(budget=Budget(), start=Start.REPLACED).start
-        key, made = start.key(), start.copy()
-        self.assertEqual(made.key(), key)
-        for replica in made.orders:
+        key, copy = start.key(), start.copy()
+        self.assertEqual(copy.key(), key)
+        for replica in copy.replicas:
             replica.tick(99.0)
             replica.calls.fail_all()
             replica.last_contact.clear()
         self.assertEqual(start.key(), key)
 
 
-class BrokenOnPurpose(unittest.TestCase):
-    def found_cluster(self, kind: type[Replica], budget: Budget, start: Start = Start.ASKED) -> bool:
+class DetectsBrokenReplicas(unittest.TestCase):
+    def is_detected(self, replica_type: type[Replica], budget: Budget, start: Start = Start.ASKED) -> bool:
         try:
-            Explorer(kind, budget, start).explore(6000, 12)
+            Explorer(replica_type, budget, start).explore(6000, 12)
         except Broken:
             return True
         return False
 
-    def test_acknowledged_before_it_is_synced(self) -> None:
-        class Hasty(Replica):
+    def test_reply_before_the_entry_is_durable(self) -> None:
+        class RepliesBeforePersist(Replica):
             def persist(self, accepted: LogEntry | None, after: list[messages.Send]) -> None:
                 self.actions += after
                 super().persist(accepted, [])
 
-        self.assertTrue(self.found_cluster(Hasty, Budget(turns=0, crashes=0, losses=0)))
+        self.assertTrue(self.is_detected(RepliesBeforePersist, Budget(turns=0, crashes=0, losses=0)))
 
-    def test_an_epoch_that_goes_back(self) -> None:
-        class Meek(Replica):
+    def test_term_that_goes_back(self) -> None:
+        class LowersTerm(Replica):
             def on_append(self, now: float, m: ConsensusMessage) -> None:
                 self.vote = messages.Vote(min(self.vote.term, m.term), m.disk)
                 super().on_append(now, m)
 
-        self.assertTrue(self.found_cluster(Meek, Budget(turns=1, crashes=0, losses=0)))
+        self.assertTrue(self.is_detected(LowersTerm, Budget(turns=1, crashes=0, losses=0)))
 
-    def test_two_winners_on_one_version(self) -> None:
-        class Generous(Replica):
+    def test_two_changes_acknowledged_on_one_base(self) -> None:
+        class AcknowledgesTwo(Replica):
             def change(self, now: float, call: int, base: int, generation: int, text: bytes, digest: bytes) -> None:
                 super().change(now, call, base, generation, text, digest)
-                if self.calls.queued_changes:  # takes the next one for the same entry
+                if self.calls.queued_changes:  # also acknowledges the next change for this entry
                     self.reply(self.calls.queued_changes.popleft().call_id, 200, b"")
 
-        self.assertTrue(self.found_cluster(Generous, Budget(turns=0, crashes=0, losses=0)))
+        self.assertTrue(self.is_detected(AcknowledgesTwo, Budget(turns=0, crashes=0, losses=0)))
 
-    def test_two_settled_under_one_number(self) -> None:
-        class Proud(Replica):
+    def test_leader_ignores_entries_in_vote_replies(self) -> None:
+        class IgnoresVoteReplies(Replica):
             def on_vote_reply(self, now: float, m: ConsensusMessage) -> None:
                 if m.disk != self.own_voter.disk:
                     m.ClearField("entry")
@@ -98,24 +98,24 @@
                 super().on_vote_reply(now, m)
 
             def on_append_reply(self, now: float, m: ConsensusMessage) -> None:
-                self.acknowledged_by.add(self.own_voter.disk)  # and has_commit_quorum with what another has
+                self.acknowledged_by.add(self.own_voter.disk)  # as if it had persisted the entry itself
                 super().on_append_reply(now, m)
 
-        self.assertTrue(self.found_cluster(Proud, Budget(turns=1, crashes=0, losses=0)))
+        self.assertTrue(self.is_detected(IgnoresVoteReplies, Budget(turns=1, crashes=0, losses=0)))
 
-    def test_a_refusal_without_a_majority(self) -> None:
-        class Sure(Replica):
+    def test_leader_answers_without_confirmation_by_a_majority(self) -> None:
+        class SkipsConfirmation(Replica):
             def answer_confirmed(self) -> None:
                 if self.is_established():
                     self.calls.answer_confirmed(self.committed, [v.disk for v in self.committed.voters])
 
         changes = Budget(turns=0, crashes=0, losses=0, changes=1)
-        self.assertTrue(self.found_cluster(Sure, changes, Start.REPLACED))
+        self.assertTrue(self.is_detected(SkipsConfirmation, changes, Start.REPLACED))
         reads = Budget(turns=0, crashes=0, losses=0, reads=1)
-        self.assertTrue(self.found_cluster(Sure, reads, Start.REPLACED))
+        self.assertTrue(self.is_detected(SkipsConfirmation, reads, Start.REPLACED))
 
-    def test_a_confirmation_of_an_earlier_round(self) -> None:
-        class Content(Replica):
+    def test_leader_counts_confirmations_of_an_earlier_round(self) -> None:
+        class CountsOldRounds(Replica):
             def answer_confirmed(self) -> None:
                 for entry in self.calls.unconfirmed:
                     if self.calls.confirmations.confirmed:
@@ -125,11 +125,11 @@
                 super().answer_confirmed()
 
         self.assertTrue(
-            self.found_cluster(Content, Budget(turns=0, crashes=0, losses=0, reads=1), Start.REPLACED),
+            self.is_detected(CountsOldRounds, Budget(turns=0, crashes=0, losses=0, reads=1), Start.REPLACED),
         )
 
-    def test_a_voter_that_confirms_whoever_asks(self) -> None:
-        class Polite(Replica):
+    def test_voter_confirms_any_leader(self) -> None:
+        class AlwaysConfirms(Replica):
             def on_confirm_leadership(self, m: ConsensusMessage) -> None:
                 self.respond(
                     m,
@@ -142,23 +142,27 @@
                     ),
                 )
 
-        self.assertTrue(self.found_cluster(Polite, Budget(turns=0, crashes=0, losses=0, reads=1), Start.REPLACED))
+        self.assertTrue(self.is_detected(AlwaysConfirms, Budget(turns=0, crashes=0, losses=0, reads=1), Start.REPLACED))
 
-    def test_a_leader_that_answers_before_it_knows_what_is_committed(self) -> None:
-        class Eager(Replica):
+    def test_leader_answers_before_it_is_established(self) -> None:
+        class AlwaysEstablished(Replica):
             def is_established(self) -> bool:
                 return self.role is messages.ReplicaRole.LEADER
 
-        self.assertTrue(self.found_cluster(Eager, Budget(turns=0, crashes=0, losses=0, reads=1), Start.BEHIND))
+        self.assertTrue(
+            self.is_detected(AlwaysEstablished, Budget(turns=0, crashes=0, losses=0, reads=1), Start.BEHIND)
+        )
 
-    def test_a_change_that_is_forgotten_and_refused(self) -> None:
-        class Forgetful(Replica):
+    def test_applied_changes_are_forgotten_and_retries_refused(self) -> None:
+        class ForgetsAppliedCalls(Replica):
             def propose(self, now: float, entry: LogEntry) -> None:
                 del entry.applied_calls[:]
                 entry.applied_calls.add(generation=entry.generation)
                 super().propose(now, entry)
 
-        self.assertTrue(self.found_cluster(Forgetful, Budget(turns=0, crashes=0, losses=0, changes=1), Start.REPLACED))
+        self.assertTrue(
+            self.is_detected(ForgetsAppliedCalls, Budget(turns=0, crashes=0, losses=0, changes=1), Start.REPLACED)
+        )
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_explore_voters.py
+++ b/tests/mesh/test_explore_voters.py
@@ -1,4 +1,4 @@
-"""The replicas, explored while voters change: leave, replacement, a second loss; and variants broken on purpose."""
+"""The model checker on changes of the voters: leaves, replacements, a second loss, and replicas broken on purpose."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 LIVENESS_EVERY = 30
 
 
-def budget(**named: int) -> Budget:
-    """Nothing happens but what is named."""
-    made = Budget(turns=0, crashes=0, losses=0)
-    for name, count in named.items():
-        setattr(made, name, count)
-    return made
+def budget(**counts: int) -> Budget:
+    """Return a budget of the given events only."""
+    allowed = Budget(turns=0, crashes=0, losses=0)
+    for name, count in counts.items():
+        setattr(allowed, name, count)
+    return allowed
 
 
-class Explored(unittest.TestCase):
+class InvariantsHold(unittest.TestCase):
     @params(
         (VoterStart.FOLLOWER_LEAVES, budget(changes=1, destroyed=1)),
         (VoterStart.FOLLOWER_LEAVES, budget(turns=1, forced_ends=1)),
@@ -43,68 +43,70 @@
         self.assertGreaterEqual(explorer.explore(STATES, 40), STATES, start)
         self.assertGreater(explorer.recovered, 5, start)
 
-    def test_a_second_loss_is_played_only_once_the_first_is_over(self) -> None:
+    def test_second_disk_is_lost_only_after_the_first_is_replaced(self) -> None:
         explorer = VoterExplorer(budget=budget(destroyed=1), start=VoterStart.REPLACEMENT)
         state = explorer.start
         self.assertEqual(state.lost_disks, {"d2"})
-        self.assertFalse(list(explorer.moves_of_losses(state, 0)))
+        self.assertFalse(list(explorer.disk_loss_successors(state, 0)))
         for _ in range(3):
-            explorer.calm(state)
+            explorer.deliver_all(state)
             explorer.wait(state)
         self.assertEqual(state.lost_disks, set())
-        self.assertEqual([len(made.destroyed) for made in explorer.moves_of_losses(state, 0)], [2])
+        self.assertEqual([len(successor.destroyed) for successor in explorer.disk_loss_successors(state, 0)], [2])
 
 
-class FoundByExploration(unittest.TestCase):
-    """The shortest histories of faults that the exploration has found."""
+class FoundByModelChecker(unittest.TestCase):
+    """The shortest event sequences of faults that the model checker has found."""
 
-    def test_two_candidates_that_refuse_each_other(self) -> None:
+    def test_two_candidates_that_refuse_each_other_do_not_block_election(self) -> None:
         explorer = VoterExplorer(start=VoterStart.REPLACEMENT)
         state = explorer.start
         explorer.restart(state, 0)
-        explorer.turn(state)
-        self.assertEqual([state.orders[n].role for n in (0, 1)], [ReplicaRole.CANDIDATE] * 2)
-        explorer.check_recovers(state)
+        explorer.advance_time(state)
+        self.assertEqual([state.replicas[n].role for n in (0, 1)], [ReplicaRole.CANDIDATE] * 2)
+        explorer.check_liveness(state)
 
-    def test_a_candidate_that_the_entry_to_go_on_from_takes_out(self) -> None:
+    def test_candidate_excluded_by_a_proposed_entry_does_not_block_election(self) -> None:
         explorer = VoterExplorer(start=VoterStart.PLANNED)
         state = explorer.start
         state.paused.add(1)
         explorer.wait(state)  # the leader proposes voters without it ...
-        explorer.destroy(state, 0)  # ... and is gone
-        explorer.check_recovers(state)
+        explorer.destroy(state, 0)  # ... and is lost
+        explorer.check_liveness(state)
 
-    def test_an_acknowledgement_of_one_that_was_let_go(self) -> None:
+    def test_disk_of_a_member_with_granted_leave_does_not_count(self) -> None:
         explorer = VoterExplorer(start=VoterStart.LET_GO)
         state = explorer.start
         state.paused.add(2)
-        explorer.wait(state)  # the leader forgets that it leaves
-        explorer.ask_change(state, 0, 1, 3)
+        explorer.wait(state)  # the leader no longer counts it as leaving
+        explorer.request_change(state, 0, 1, 3)
         state.paused = {1}
-        explorer.calm(state)  # the leader and the one that was let go have heard all
-        explorer.end(state, 2, by_agreement=True)
-        explorer.check(state)
+        explorer.deliver_all(state)  # the leader and the leaving member have received everything
+        explorer.stop_member(state, 2, by_agreement=True)
+        explorer.check_invariants(state)
 
-    def test_a_late_word_that_lets_go(self) -> None:
+    def test_late_leave_reply_for_an_older_entry_is_ignored(self) -> None:
         explorer = VoterExplorer(start=VoterStart.FOLLOWER_LEAVES)
         state = explorer.start
-        state.post = [(to, m) for to, m in state.post if ConsensusMessage.FromString(m).kind != MessageKind.LEAVE]
-        explorer.calm(state)  # the second change, entry 3, is on the disk of the follower, and LEAVE was lost
-        self.assertEqual(state.held["d2"], 3)
+        state.in_flight = [
+            (to, m) for to, m in state.in_flight if ConsensusMessage.FromString(m).kind != MessageKind.LEAVE
+        ]
+        explorer.deliver_all(state)  # the follower has persisted the second change, entry 3; its LEAVE was lost
+        self.assertEqual(state.persisted_index["d2"], 3)
         late = ConsensusMessage(kind=MessageKind.LEAVE_REPLY, disk="d0", term=1, granted=True, index=2)
-        explorer.receive(state, 2, late.SerializeToString())
-        self.assertFalse(state.orders[2].leave_granted)
+        explorer.deliver(state, 2, late.SerializeToString())
+        self.assertFalse(state.replicas[2].leave_granted)
 
 
-class BrokenOnPurpose(unittest.TestCase):
+class DetectsBrokenReplicas(unittest.TestCase):
     def assert_found(
-        self, kind: type[Replica], start: VoterStart, allowed: Budget, message: str, liveness_every: int = 0
+        self, replica_type: type[Replica], start: VoterStart, allowed: Budget, message: str, liveness_every: int = 0
     ) -> None:
         with self.assertRaisesRegex(Broken, message):
-            VoterExplorer(kind, allowed, start, liveness_every).explore(6000, 40)
+            VoterExplorer(replica_type, allowed, start, liveness_every).explore(6000, 40)
 
-    def test_a_leader_that_lets_go_at_once(self) -> None:
-        class Careless(Replica):
+    def test_leader_grants_leave_at_once(self) -> None:
+        class GrantsLeaveAtOnce(Replica):
             def receive(self, now: float, m: ConsensusMessage) -> None:
                 super().receive(now, m)
                 if m.kind == MessageKind.LEAVE and self.role is ReplicaRole.LEADER:
@@ -114,46 +116,55 @@
                     self.respond(m, reply)
 
         allowed = budget(changes=1)
-        self.assert_found(Careless, VoterStart.FOLLOWER_LEAVES, allowed, "fewer disks than may be lost")
+        self.assert_found(GrantsLeaveAtOnce, VoterStart.FOLLOWER_LEAVES, allowed, "fewer disks than needed to survive")
 
-    def test_a_leader_that_counts_the_disk_of_one_that_was_let_go(self) -> None:
-        class Counting(Replica):
+    def test_leader_counts_the_disk_of_a_member_with_granted_leave(self) -> None:
+        class CountsLeavingMembers(Replica):
             def is_committed(self, now: float, entry: LogEntry) -> bool:
                 self.voter_changes.leaving_since.clear()
                 return super().is_committed(now, entry)
 
             def on_append(self, now: float, m: ConsensusMessage) -> None:
-                let_go, self.leave_granted = self.leave_granted, False
+                granted, self.leave_granted = self.leave_granted, False
                 super().on_append(now, m)
-                self.leave_granted = let_go
+                self.leave_granted = granted
 
-        self.assert_found(Counting, VoterStart.LET_GO, budget(changes=1), "fewer disks than may be lost")
+        self.assert_found(
+            CountsLeavingMembers, VoterStart.LET_GO, budget(changes=1), "fewer disks than needed to survive"
+        )
 
-    def test_a_newcomer_with_a_vote_before_it_has_the_state(self) -> None:
-        class Hasty(Replica):
+    def test_learner_becomes_a_voter_without_the_committed_state(self) -> None:
+        class AddsVotersTooEarly(Replica):
             def next_voter_change(self, now: float) -> VoterChange | None:
-                known = self.voter_changes
-                known.durable_index = {**dict.fromkeys(known.learners, 0), **known.durable_index}
+                changes = self.voter_changes
+                changes.durable_index = {**dict.fromkeys(changes.learners, 0), **changes.durable_index}
                 return super().next_voter_change(now)
 
-        self.assert_found(Hasty, VoterStart.UNHEARD, budget(waits=1), "doesn't have the state")
+        self.assert_found(
+            AddsVotersTooEarly,
+            VoterStart.UNHEARD,
+            budget(waits=1),
+            "a voter is added that doesn't have the committed state",
+        )
 
-    def test_a_change_committed_by_the_new_voters_alone(self) -> None:
-        class Hurried(Replica):
+    def test_change_of_voters_committed_by_the_new_voters_alone(self) -> None:
+        class IgnoresPreviousVoters(Replica):
             def is_committed(self, now: float, entry: LogEntry) -> bool:
                 return has_commit_quorum(entry.voters, self.acknowledged_by, self.tolerated_failures)
 
-        self.assert_found(Hurried, VoterStart.REPLACEMENT, budget(), "without a majority of the voters before it")
+        self.assert_found(
+            IgnoresPreviousVoters, VoterStart.REPLACEMENT, budget(), "without a majority of the previous voters"
+        )
 
-    def test_a_commit_by_one_disk(self) -> None:
-        class Lonely(Replica):
+    def test_commit_by_one_disk(self) -> None:
+        class CommitsOnOneDisk(Replica):
             def is_committed(self, now: float, entry: LogEntry) -> bool:
                 return len(self.acknowledged_by) > 0 and len(entry.voters) > 0
 
-        self.assert_found(Lonely, VoterStart.FOLLOWER_LEAVES, budget(), "without a majority|fewer disks")
+        self.assert_found(CommitsOnOneDisk, VoterStart.FOLLOWER_LEAVES, budget(), "without a majority|fewer disks")
 
-    def test_voters_that_go_out_by_silence(self) -> None:
-        class Shrinking(Replica):
+    def test_silent_voters_are_removed_without_replacement(self) -> None:
+        class RemovesSilentVoters(Replica):
             def next_voter_change(self, now: float) -> VoterChange | None:
                 voters = list(self.committed.voters)
                 silent = [
@@ -164,17 +175,17 @@
                 rest = [v for v in voters if v.disk != silent[0].disk]
                 return VoterChange(rest, VoterChangeReason.LOST, removed=silent[0])
 
-        self.assert_found(Shrinking, VoterStart.UNHEARD, budget(), "fewer voters")
+        self.assert_found(RemovesSilentVoters, VoterStart.UNHEARD, budget(), "fewer voters")
 
-    def test_a_candidate_that_never_wins(self) -> None:
-        class Shy(Replica):
+    def test_candidates_never_win(self) -> None:
+        class NeverCampaigns(Replica):
             def request_votes(self, now: float) -> None:
                 self.change_role(ReplicaRole.FOLLOWER, now)
 
             def start_election(self, now: float) -> None:
                 self.leader_last_contact = now
 
-        self.assert_found(Shy, VoterStart.LEADER_LEAVES, budget(), "no leader", liveness_every=1)
+        self.assert_found(NeverCampaigns, VoterStart.LEADER_LEAVES, budget(), "no leader", liveness_every=1)
 
 
 if __name__ == "__main__":
--- a/zinclever/mesh/model/__init__.py
+++ b/zinclever/mesh/model/__init__.py
@@ -1,1 +1,1 @@
-"""Simulated worlds of the mesh's state machines, for tests and measurements."""
+"""Simulations and a model checker for the mesh's state machines, used by tests and benchmarks."""
--- a/zinclever/mesh/model/explore.py
+++ b/zinclever/mesh/model/explore.py
@@ -1,10 +1,10 @@
-"""Every order in which a few things may happen to three members: a small model checker for the replicas.
+"""A bounded model checker for the replicas: explores the orders in which events may happen to three members.
 
-A state is what the members are, what is under way between them, and what may still befall them. From each state every
-move is tried; states that were seen are not entered again. Heartbeats arrive at once, but at a member that stands
-still, so that what is explored is what matters: votes, proposals, confirmations and answers, in any order, lost or
-doubled; a crash before or after any sync; a member that stands still, and reads what has come in any order once it
-runs again; operators that ask leaders for changes, also for the same again, and for what is in force.
+A state consists of the replicas, the messages in flight and the budget of faults that may still happen. Every possible
+event is applied to each state, breadth first; a state that was seen before is not expanded again. Heartbeats to running
+members are delivered at once, so that the exploration covers votes, proposals, confirmations and replies: in any order,
+lost or duplicated. Members crash before or after any persist, or pause and read the queued messages in any order once
+they resume. Operators send changes and reads to leaders, including repeated changes and ones that are already in force.
 """
 
 from __future__ import annotations
@@ -20,317 +20,348 @@
 from ..transport.mesh_pb2 import ConsensusMessage, LogEntry, Voter
 from .explored_state import Budget, State
 from .histories import Call, Told, linearizable
-from .members import text_of, version_of
+from .members import decode_config, encode_config
 
-ELECTION_STAGGER = 0.9  # s that pass in a turn: whoever doesn't receive from the leader tries to act
+ELECTION_STEP = 0.9  # s of one time step; a member without contact to the leader acts on its election timeout
 CHANGES = ((0, 1), (0, 2), (1, 3), (3, 5), (1, 1))
-"""What operators ask for, as base and generation: two on one version, one on each that may follow, and one whose number
-is not above the version that it builds on. Each may be asked for again."""
+"""Changes that operators request, as (base, generation): two for the same base, one for each possible next base, and
+one whose generation is not above its base. Each may be requested repeatedly."""
 
 
 class Broken(AssertionError):
-    """Something that must hold doesn't."""
+    """An invariant doesn't hold."""
 
 
 class Start(Enum):
     """What has happened before the exploration begins."""
 
-    ASKED = "the leader has been asked for two changes on one version"
-    REPLACED = "the leader stands still; another was elected, and a version acknowledged that the first doesn't know"
-    BEHIND = "a version was acknowledged that one member lacks and the next has only accepted; the leader stands still"
+    ASKED = "two changes with the same base were requested of the leader"
+    REPLACED = "the leader is paused; another was elected and acknowledged a change that the first doesn't know"
+    BEHIND = "the leader acknowledged a change and is paused; one member lacks it, the other has only accepted it"
 
 
 class Explorer:
-    """Explores from three voters with a leader and what has happened to them before."""
+    """Explores from a cluster of three voters with a leader, prepared as ``start`` says."""
 
-    def __init__(self, kind: type[Replica] = Replica, budget: Budget | None = None, start: Start = Start.ASKED) -> None:
-        self.kind = kind
+    def __init__(
+        self, replica_type: type[Replica] = Replica, budget: Budget | None = None, start: Start = Start.ASKED
+    ) -> None:
+        self.replica_type = replica_type
         voters = [Voter(disk=f"d{n}", name=f"m{n}", ip=f"10.0.0.{n}", port=1) for n in range(3)]
         self.voters = voters
         self.judged: dict[tuple[Call, ...], bool] = {}
+        """Whether each history of calls that was reached is linearizable."""
         self.states = 0
         first = LogEntry(term=1, index=1, voters=voters, founding_size=3)
-        orders = [kind(s, [(x.ip, 1) for x in voters], False, 1, 10.0, Vote(1, "d0"), first) for s in voters]
-        state = State(orders, [(Vote(1, "d0"), first)] * 3, ["d0", "d1", "d2"], [[], [], []])
+        replicas = [replica_type(s, [(x.ip, 1) for x in voters], False, 1, 10.0, Vote(1, "d0"), first) for s in voters]
+        state = State(replicas, [(Vote(1, "d0"), first)] * 3, ["d0", "d1", "d2"], [[], [], []])
         state.budget = budget or Budget()
-        for o in orders:
+        for o in replicas:
             o.commit(10.0, first)
             o.actions.clear()
             o.last_contact = {s.disk: 10.0 for s in voters if s.disk != o.own_voter.disk}
             o.leader, o.leader_last_contact = "d0", 10.0
-        orders[0].term = orders[0].established_term = 1
-        orders[0].change_role(ReplicaRole.LEADER, 10.0)
+        replicas[0].term = replicas[0].established_term = 1
+        replicas[0].change_role(ReplicaRole.LEADER, 10.0)
         self.start = state
         prepare: dict[Start, Callable[[State], None]] = {
-            Start.ASKED: self.prepare_asked,
-            Start.REPLACED: self.prepare_replaced,
-            Start.BEHIND: self.prepare_behind,
+            Start.ASKED: self.prepare_two_changes,
+            Start.REPLACED: self.prepare_replaced_leader,
+            Start.BEHIND: self.prepare_lagging_member,
         }
         prepare[start](state)
 
     # --- what has happened before ---
 
-    def prepare_asked(self, state: State) -> None:
-        self.ask_change(state, 0, 0, 1)
-        self.ask_change(state, 0, 0, 2)
+    def prepare_two_changes(self, state: State) -> None:
+        """Request two changes on the same base."""
+        self.request_change(state, 0, 0, 1)
+        self.request_change(state, 0, 0, 2)
 
-    def prepare_replaced(self, state: State) -> None:
-        self.ask_change(state, 0, 0, 1)
-        self.ask_read(state, 0)
-        self.calm(state)
+    def prepare_replaced_leader(self, state: State) -> None:
+        """Pause the leader, elect another one, and have it acknowledge a change."""
+        self.request_change(state, 0, 0, 1)
+        self.request_read(state, 0)
+        self.deliver_all(state)
         state.paused.add(0)
-        self.turn(state)
-        self.calm(state)
-        self.ask_change(state, 1, 1, 3)
-        self.calm(state)
-
-    def prepare_behind(self, state: State) -> None:
-        self.ask_change(state, 0, 0, 1)
+        self.advance_time(state)
+        self.deliver_all(state)
+        self.request_change(state, 1, 1, 3)
+        self.deliver_all(state)
+
+    def prepare_lagging_member(self, state: State) -> None:
+        """Acknowledge a change that only the leader knows to be committed, and pause the leader."""
+        self.request_change(state, 0, 0, 1)
         state.paused = {0, 1}
-        self.calm(state)  # the third accepts it
+        self.deliver_all(state)  # the third member accepts it
         state.paused = {1, 2}
-        self.calm(state)  # it is committed, and only the leader knows
+        self.deliver_all(state)  # it is committed, and only the leader knows
         state.paused = {0}
-        self.turn(state)
+        self.advance_time(state)
 
-    def calm(self, state: State) -> None:
-        """All that is under way arrives, in its order, but at members that stand still."""
+    def deliver_all(self, state: State) -> None:
+        """Complete all persists and deliver all messages in order, except those of paused members."""
         while self.advance(state):
             pass
 
     def advance(self, state: State) -> bool:
-        """The next of what is under way takes place, if there is any: saves first, then messages in their order."""
-        writing = next((n for n, acts in enumerate(state.pending_persists) if acts and n not in state.paused), None)
-        n = next((n for n, (to, _) in enumerate(state.post) if to not in state.paused), None)
-        if writing is not None:
-            self.sync(state, writing)
+        """Complete the next persist or, if there is none, deliver the next message. Return whether there was one."""
+        persisting = next((n for n, acts in enumerate(state.pending_persists) if acts and n not in state.paused), None)
+        n = next((n for n, (target, _) in enumerate(state.in_flight) if target not in state.paused), None)
+        if persisting is not None:
+            self.complete_persist(state, persisting)
         elif n is not None:
-            to, data = state.post.pop(n)
-            self.receive(state, to, data)
-        return writing is not None or n is not None
+            target, data = state.in_flight.pop(n)
+            self.deliver(state, target, data)
+        return persisting is not None or n is not None
 
     # --- the search ---
 
-    def explore(self, most: int, depth: int) -> int:
-        """States visited, breadth first: to a depth of so many moves, or until there are so many."""
-        self.check(self.start)
+    def explore(self, max_states: int, max_depth: int) -> int:
+        """Search breadth first, up to a number of states and of events in a row, and return the number of states.
+
+        Raises:
+            Broken: an invariant doesn't hold in a state that was reached.
+        """
+        self.check_invariants(self.start)
         seen = {self.start.key()}
         queue: deque[tuple[State, bytes, int]] = deque([(self.start, self.start.key(), 0)])
-        while queue and len(seen) < most:
-            state, known, at = queue.popleft()
-            if at == depth:
+        while queue and len(seen) < max_states:
+            state, key, depth = queue.popleft()
+            if depth == max_depth:
                 continue
-            for made in self.moves(state):
-                self.check(made)
-                k = made.key()
+            for successor in self.successors(state):
+                self.check_invariants(successor)
+                k = successor.key()
                 if k not in seen:
                     seen.add(k)
-                    queue.append((made, k, at + 1))
-            assert state.key() == known, "a move has changed the state that it was made from"
+                    queue.append((successor, k, depth + 1))
+            assert state.key() == key, "a transition has changed the state that it started from"
         self.states = len(seen)
         return self.states
 
-    def moves(self, state: State) -> Iterator[State]:
-        yield from self.moves_of_messages(state)
-        for n in range(len(state.orders)):
-            yield from self.moves_of_member(state, n)
-            if state.orders[n].role is ReplicaRole.LEADER and n not in state.off:
-                yield from self.moves_of_operators(state, n)
+    def successors(self, state: State) -> Iterator[State]:
+        """Yield the states after each event that may happen next."""
+        yield from self.delivery_successors(state)
+        for n in range(len(state.replicas)):
+            yield from self.member_successors(state, n)
+            if state.replicas[n].role is ReplicaRole.LEADER and n not in state.stopped:
+                yield from self.operator_successors(state, n)
         if state.budget.turns:
-            made = state.copy()
-            made.budget.turns -= 1
-            self.turn(made)
-            yield made
-
-    def moves_of_messages(self, state: State) -> Iterator[State]:
-        for n, (to, data) in enumerate(state.post):
-            if to in state.paused:
+            successor = state.copy()
+            successor.budget.turns -= 1
+            self.advance_time(successor)
+            yield successor
+
+    def delivery_successors(self, state: State) -> Iterator[State]:
+        """Each message in flight is delivered, lost or duplicated."""
+        for n, (target, data) in enumerate(state.in_flight):
+            if target in state.paused:
                 continue
-            made = state.copy()
-            del made.post[n]
-            self.receive(made, to, data)
-            yield made
+            successor = state.copy()
+            del successor.in_flight[n]
+            self.deliver(successor, target, data)
+            yield successor
             if state.budget.losses:
-                made = state.copy()
-                del made.post[n]
-                made.budget.losses -= 1
-                yield made
+                successor = state.copy()
+                del successor.in_flight[n]
+                successor.budget.losses -= 1
+                yield successor
             if state.budget.doubles:
-                made = state.copy()
-                made.budget.doubles -= 1
-                self.receive(made, to, data)
-                yield made
+                successor = state.copy()
+                successor.budget.doubles -= 1
+                self.deliver(successor, target, data)
+                yield successor
 
-    def moves_of_member(self, state: State, n: int) -> Iterator[State]:
+    def member_successors(self, state: State, n: int) -> Iterator[State]:
+        """A member resumes, completes a persist, ticks, crashes, loses its disk or pauses."""
         b = state.budget
         if n in state.paused:
-            made = state.copy()
-            made.paused.discard(n)
-            made.resumed.add(n)
-            yield made
+            successor = state.copy()
+            successor.paused.discard(n)
+            successor.resumed.add(n)
+            yield successor
             return
         if state.pending_persists[n]:
-            made = state.copy()
-            self.sync(made, n)
-            yield made
+            successor = state.copy()
+            self.complete_persist(successor, n)
+            yield successor
         if n in state.resumed:
-            made = state.copy()
-            self.tick(made, n)
-            yield made
+            successor = state.copy()
+            self.tick(successor, n)
+            yield successor
         if b.crashes:
-            made = state.copy()
-            made.budget.crashes -= 1
-            self.restart(made, n)
-            yield made
+            successor = state.copy()
+            successor.budget.crashes -= 1
+            self.restart(successor, n)
+            yield successor
         if b.wipes:
-            made = state.copy()
-            made.budget.wipes -= 1
-            made.names[n] = f"e{n}"
-            made.disk_ids[n] = (Vote(0, ""), None)
-            self.restart(made, n)
-            yield made
+            successor = state.copy()
+            successor.budget.wipes -= 1
+            successor.disk_names[n] = f"e{n}"
+            successor.durable[n] = (Vote(0, ""), None)
+            self.restart(successor, n)
+            yield successor
         if b.pauses:
-            made = state.copy()
-            made.budget.pauses -= 1
-            made.paused.add(n)
-            yield made
+            successor = state.copy()
+            successor.budget.pauses -= 1
+            successor.paused.add(n)
+            yield successor
 
-    def moves_of_operators(self, state: State, n: int) -> Iterator[State]:
-        """Of a member that stands still nothing is asked: a call that waits there is as one that comes later."""
+    def operator_successors(self, state: State, n: int) -> Iterator[State]:
+        """A leader gets a change or a read. Paused members get none: a queued call equals one that comes later."""
         if n in state.paused:
             return
         if state.budget.changes:
             for base, generation in CHANGES:
-                made = state.copy()
-                made.budget.changes -= 1
-                self.ask_change(made, n, base, generation)
-                yield made
+                successor = state.copy()
+                successor.budget.changes -= 1
+                self.request_change(successor, n, base, generation)
+                yield successor
         if state.budget.reads:
-            made = state.copy()
-            made.budget.reads -= 1
-            self.ask_read(made, n)
-            yield made
+            successor = state.copy()
+            successor.budget.reads -= 1
+            self.request_read(successor, n)
+            yield successor
 
-    # --- what a move does to a state ---
+    # --- events ---
 
-    def receive(self, state: State, to: int, data: bytes) -> None:
-        state.orders[to].receive(state.now, ConsensusMessage.FromString(data))
-        self.settle_down(state)
+    def deliver(self, state: State, target: int, data: bytes) -> None:
+        """Deliver a message to a member."""
+        state.replicas[target].receive(state.now, ConsensusMessage.FromString(data))
+        self.run_actions(state)
 
-    def sync(self, state: State, n: int) -> None:
-        """The oldest save of a member is on its disk."""
+    def complete_persist(self, state: State, n: int) -> None:
+        """The oldest pending persist of a member becomes durable."""
         act = state.pending_persists[n].pop(0)
-        state.disk_ids[n] = (act.vote, act.entry if act.entry is not None else state.disk_ids[n][1])
-        state.orders[n].on_persisted(state.now, act.token, True)
-        self.settle_down(state)
+        state.durable[n] = (act.vote, act.entry if act.entry is not None else state.durable[n][1])
+        state.replicas[n].on_persisted(state.now, act.token, True)
+        self.run_actions(state)
 
     def tick(self, state: State, n: int) -> None:
+        """Run a member's timers."""
         state.resumed.discard(n)
-        state.orders[n].tick(state.now)
-        self.settle_down(state)
+        state.replicas[n].tick(state.now)
+        self.run_actions(state)
 
-    def turn(self, state: State) -> None:
-        """Time passes, in which those that run hear each other."""
-        state.now += ELECTION_STAGGER
-        running = [o for n, o in enumerate(state.orders) if n not in state.paused | state.off]
+    def advance_time(self, state: State) -> None:
+        """Let time pass in which the running members stay in contact with each other, and tick them."""
+        state.now += ELECTION_STEP
+        running = [o for n, o in enumerate(state.replicas) if n not in state.paused | state.stopped]
         state.resumed.clear()
         for o in running:
             for other in running:
                 if other is not o:
                     o.last_contact[other.own_voter.disk] = state.now
-            o.ticked_at = o.voter_changes.ticked_at = state.now  # it has had turns all the while
+            o.ticked_at = o.voter_changes.ticked_at = state.now  # it ticked meanwhile: there was no stall
             o.tick(state.now)
-        self.settle_down(state)
+        self.run_actions(state)
 
     def restart(self, state: State, n: int) -> None:
-        voter = Voter(disk=state.names[n], name=f"m{n}", ip=f"10.0.0.{n}", port=1)
-        vote, accepted = state.disk_ids[n]
-        state.orders[n] = self.kind(voter, [(x.ip, 1) for x in self.voters], False, 1, state.now, vote, accepted)
+        """Restart a member from what is on its disk."""
+        voter = Voter(disk=state.disk_names[n], name=f"m{n}", ip=f"10.0.0.{n}", port=1)
+        vote, accepted = state.durable[n]
+        state.replicas[n] = self.replica_type(
+            voter, [(x.ip, 1) for x in self.voters], False, 1, state.now, vote, accepted
+        )
         state.pending_persists[n] = []
-        state.terms[n] = 0
+        state.highest_terms[n] = 0
         state.resumed.discard(n)
 
-    def ask_change(self, state: State, n: int, base: int, generation: int) -> None:
-        call, text = self.begin(state, Call(0, math.inf, "put", generation, base)), text_of(generation, 0)
-        state.orders[n].change(state.now, call, base, generation, text, text)
-        self.settle_down(state)
-
-    def ask_read(self, state: State, n: int) -> None:
-        state.orders[n].read(state.now, self.begin(state, Call(0, math.inf, "get", 0)))
-        self.settle_down(state)
-
-    def begin(self, state: State, call: Call) -> int:
-        """A call begins: its number."""
-        state.instant += 1
-        state.history += (replace(call, began=state.instant),)
+    def request_change(self, state: State, n: int, base: int, generation: int) -> None:
+        """An operator requests a change of a member."""
+        call, text = self.begin_call(state, Call(0, math.inf, "put", generation, base)), encode_config(generation, 0)
+        state.replicas[n].change(state.now, call, base, generation, text, text)
+        self.run_actions(state)
+
+    def request_read(self, state: State, n: int) -> None:
+        """An operator requests the current configuration of a member."""
+        state.replicas[n].read(state.now, self.begin_call(state, Call(0, math.inf, "get", 0)))
+        self.run_actions(state)
+
+    def begin_call(self, state: State, call: Call) -> int:
+        """Add a call to the history and return its id, which is its position there."""
+        state.event_count += 1
+        state.history += (replace(call, began=state.event_count),)
         return len(state.history) - 1
 
-    def answer(self, state: State, reply: Reply) -> None:
+    def record_reply(self, state: State, reply: Reply) -> None:
+        """Enter the reply to a call in the history."""
         told = {200: Told.DONE, 404: Told.DONE, 412: Told.STALE, 400: Told.NOT_ABOVE}.get(reply.status, Told.UNCLEAR)
-        state.instant += 1
-        call = replace(state.history[reply.call_id], ended=state.instant, told=told)
+        state.event_count += 1
+        call = replace(state.history[reply.call_id], ended=state.event_count, told=told)
         if call.kind == "get" and reply.status == 200:
-            call.generation, call.variant = version_of(reply.text)
+            call.generation, call.variant = decode_config(reply.text)
         state.history = (*state.history[: reply.call_id], call, *state.history[reply.call_id + 1 :])
 
-    def settle_down(self, state: State) -> None:
-        """Carry out what the members want: saves and messages wait for a move of their own."""
-        busy = True
-        while busy:
-            busy = False
-            for n, o in enumerate(state.orders):
+    def run_actions(self, state: State) -> None:
+        """Carry out the replicas' actions; persists and most messages are only queued, as events of their own."""
+        has_actions = True
+        while has_actions:
+            has_actions = False
+            for n, o in enumerate(state.replicas):
                 acts, o.actions = o.actions, []
                 for act in acts:
-                    busy = True
+                    has_actions = True
                     if isinstance(act, Persist):
                         state.pending_persists[n].append(act)
                     elif isinstance(act, Commit):
-                        self.committed(state, act.entry)
+                        self.on_committed(state, act.entry)
                     elif isinstance(act, Reply):
-                        self.answer(state, act)
+                        self.record_reply(state, act)
                     elif isinstance(act, Send):
-                        self.post(state, n, act)
+                        self.send(state, n, act)
+
+    def send(self, state: State, n: int, act: Send) -> None:
+        """Put a message in flight, once if it is there already.
 
-    def post(self, state: State, n: int, act: Send) -> None:
+        Messages to the sender itself and heartbeats to running members are delivered at once; messages to members that
+        are not running are dropped.
+        """
         data = act.message.SerializeToString(deterministic=True)
-        to = next((k for k, s in enumerate(self.voters) if s.ip == act.to.ip), None)
-        if to is None or to in state.off:
+        target = next((k for k, s in enumerate(self.voters) if s.ip == act.to.ip), None)
+        if target is None or target in state.stopped:
             return
-        if to == n or (act.message.kind == MessageKind.HEARTBEAT and to not in state.paused):
-            state.orders[to].receive(state.now, ConsensusMessage.FromString(data))
-        elif (to, data) not in state.post:
-            state.post.append((to, data))
-
-    # --- what must hold ---
-
-    def committed(self, state: State, entry: LogEntry) -> None:
-        kept = LogEntry()
-        kept.CopyFrom(entry)
-        kept.term = 0
-        text = kept.SerializeToString(deterministic=True)
+        if target == n or (act.message.kind == MessageKind.HEARTBEAT and target not in state.paused):
+            state.replicas[target].receive(state.now, ConsensusMessage.FromString(data))
+        elif (target, data) not in state.in_flight:
+            state.in_flight.append((target, data))
+
+    # --- invariants ---
+
+    def on_committed(self, state: State, entry: LogEntry) -> None:
+        """Record a committed entry; raise Broken if another entry was committed under its index."""
+        normalized = LogEntry()
+        normalized.CopyFrom(entry)
+        normalized.term = 0
+        text = normalized.SerializeToString(deterministic=True)
         if state.committed.setdefault(entry.index, text) != text:
-            raise Broken(f"two entries are committed under number {entry.index}")
+            raise Broken(f"two different entries are committed under index {entry.index}")
 
-    def check(self, state: State) -> None:
+    def check_invariants(self, state: State) -> None:
+        """Raise Broken if a state violates linearizability, durability or the monotonicity of terms."""
         if state.history not in self.judged:
             self.judged[state.history] = linearizable(state.history)
         if not self.judged[state.history]:
-            raise Broken(f"no order of the calls explains what they were told: {state.history}")
-        self.check_durable(state)
+            raise Broken(f"the history of calls is not linearizable: {state.history}")
+        self.check_durability(state)
         self.check_terms(state)
 
-    def check_durable(self, state: State) -> None:
-        """What is acknowledged is on enough disks, also after one more loss."""
+    def check_durability(self, state: State) -> None:
+        """Acknowledged changes are on enough disks to survive one more lost disk."""
         for call in state.history:
             if call.kind == "put" and call.told is Told.DONE:
-                have = sum(d[1] is not None and d[1].generation >= call.generation for d in state.disk_ids)
-                if have < 2 - (state.names != ["d0", "d1", "d2"]):
-                    raise Broken("what is acknowledged is on fewer disks than may be lost")
+                copies = sum(d[1] is not None and d[1].generation >= call.generation for d in state.durable)
+                if copies < 2 - (state.disk_names != ["d0", "d1", "d2"]):
+                    raise Broken(
+                        "an acknowledged change is on fewer disks than needed to survive the tolerated failures"
+                    )
 
     def check_terms(self, state: State) -> None:
-        for n, o in enumerate(state.orders):
-            if o.vote.term < state.terms[n]:
-                raise Broken("a term goes back")
-            state.terms[n] = o.vote.term
-            if o.vote.term < state.disk_ids[n][0].term:
-                raise Broken("a term goes below what is on the disk")
+        """A member's term never goes back, and is never below the one on its disk."""
+        for n, o in enumerate(state.replicas):
+            if o.vote.term < state.highest_terms[n]:
+                raise Broken("a member's term goes back")
+            state.highest_terms[n] = o.vote.term
+            if o.vote.term < state.durable[n][0].term:
+                raise Broken("a member's term is below the one on its disk")
--- a/zinclever/mesh/model/explored_state.py
+++ b/zinclever/mesh/model/explored_state.py
@@ -1,5 +1,4 @@
-"""A state of the explorer: the members, what is under way between them, what operators were told. Its copies and its
-key."""
+"""A state of the model checker: the replicas, the messages in flight and the operators' calls."""
 
 from __future__ import annotations
 
@@ -15,21 +14,25 @@
 
 @dataclass
 class Budget:
-    """What may still happen."""
+    """How many events of each kind may still happen."""
 
     turns: int = 2
+    """Time steps long enough for an election to start."""
     crashes: int = 1
     wipes: int = 0
+    """Restarts with an empty disk."""
     losses: int = 1
+    """Lost messages."""
     doubles: int = 0
+    """Messages that are delivered twice."""
     pauses: int = 0
     changes: int = 0
     reads: int = 0
     waits: int = 0
-    """Spans of time long enough for a silent voter to be replaced."""
+    """Time steps long enough for a silent voter to be replaced."""
     leaves: int = 0
     forced_ends: int = 0
-    """Members that are about to leave and are ended before the leader has let them go."""
+    """Members that ask to leave and are killed before the leader has granted it."""
     destroyed: int = 0
     """Machines that are lost for good, with their disk."""
     joins: int = 0
@@ -38,66 +41,73 @@
 
 @dataclass
 class State:
-    orders: list[Replica]
-    disk_ids: list[tuple[Vote, LogEntry | None]]
-    names: list[str]
+    """The replicas of a cluster and everything that surrounds them; the lists are indexed by member."""
+
+    replicas: list[Replica]
+    durable: list[tuple[Vote, LogEntry | None]]
+    """The vote and the accepted entry on each disk."""
+    disk_names: list[str]
     pending_persists: list[list[Persist]]
-    post: list[tuple[int, bytes]] = field(default_factory=list)
+    in_flight: list[tuple[int, bytes]] = field(default_factory=list)
+    """Messages on the network: target member and serialized message."""
     budget: Budget = field(default_factory=Budget)
     now: float = 10.0
     committed: dict[int, bytes] = field(default_factory=dict)
+    """The entry committed under each log index, serialized without its term."""
     history: tuple[Call, ...] = ()
-    """The calls of operators. Their instants count beginnings and ends of calls."""
-    instant: int = 0
-    terms: list[int] = field(default_factory=lambda: [0, 0, 0])
+    """The operators' calls, timed by :attr:`event_count`."""
+    event_count: int = 0
+    """How many calls have begun or ended."""
+    highest_terms: list[int] = field(default_factory=lambda: [0, 0, 0])
     paused: set[int] = field(default_factory=set)
     resumed: set[int] = field(default_factory=set)
-    """Those that run again and have had no turn since."""
-    off: set[int] = field(default_factory=set)
-    """Those that don't run now: not started yet, ended, or destroyed."""
+    """Members that were resumed and have not ticked since."""
+    stopped: set[int] = field(default_factory=set)
+    """Members that are not running: not started yet, shut down or destroyed."""
     destroyed: set[int] = field(default_factory=set)
-    let_go: set[int] = field(default_factory=set)
-    """Those that ended after the leader had let them go: they may never come back."""
+    left_members: set[int] = field(default_factory=set)
+    """Members that shut down after the leader had granted their leave; they may never come back."""
     lost_disks: set[str] = field(default_factory=set)
-    """Disks whose loss is not over: no successor has taken their place with what is committed."""
-    held: dict[str, int] = field(default_factory=dict)
-    """By disk, also a lost one: the newest entry that has been on it, while the voters are explored."""
-    newest: LogEntry | None = None
-    """The newest committed entry, while the voters are explored."""
+    """Lost disks that no replacement with the committed state has made up for yet."""
+    persisted_index: dict[str, int] = field(default_factory=dict)
+    """The newest log index that was ever on each disk, lost disks included. Only kept by the voter explorer."""
+    newest_committed: LogEntry | None = None
+    """The newest committed entry. Only kept by the voter explorer."""
 
     def copy(self) -> State:
-        """A state to be changed by a move."""
+        """Return a copy that a transition may change."""
         return State(
-            clone(self.orders),
-            list(self.disk_ids),
-            list(self.names),
+            clone(self.replicas),
+            list(self.durable),
+            list(self.disk_names),
             clone(self.pending_persists),
-            list(self.post),
+            list(self.in_flight),
             replace(self.budget),
             self.now,
             dict(self.committed),
             self.history,
-            self.instant,
-            list(self.terms),
+            self.event_count,
+            list(self.highest_terms),
             set(self.paused),
             set(self.resumed),
-            set(self.off),
+            set(self.stopped),
             set(self.destroyed),
-            set(self.let_go),
+            set(self.left_members),
             set(self.lost_disks),
-            dict(self.held),
-            self.newest,
+            dict(self.persisted_index),
+            self.newest_committed,
         )
 
     def age(self, instant: float) -> float:
+        """Return the time in seconds since an instant, capped and rounded so that equivalent states compare equal."""
         return round(min(self.now - instant, 99.0), 1)
 
     def key(self) -> bytes:
-        """States with the same key go on alike."""
-        made = hashlib.blake2b(digest_size=16)
-        for o, d, s in zip(self.orders, self.disk_ids, self.pending_persists, strict=True):
+        """Return a digest; states with equal digests behave the same from here on."""
+        digest = hashlib.blake2b(digest_size=16)
+        for o, d, s in zip(self.replicas, self.durable, self.pending_persists, strict=True):
             calls = o.calls
-            told = (
+            fields = (
                 o.role.name,
                 o.vote,
                 o.term,
@@ -117,28 +127,34 @@
                 ],
                 sorted((disk, self.age(at)) for disk, at in o.last_contact.items()),
                 [(a.vote, a.token - o.last_token) for a in s],
-                self.voter_changes_of(o),
+                self.voter_change_state(o),
             )
-            made.update(repr(told).encode())
+            digest.update(repr(fields).encode())
             for entry in (o.accepted, o.committed, o.proposed, d[1]):
-                made.update(b"-" if entry is None else entry.SerializeToString(deterministic=True))
-        rest = (sorted(self.post), self.budget, self.history, sorted(self.paused), sorted(self.resumed))
-        made.update(repr(rest).encode())
-        machines = (sorted(self.off), sorted(self.destroyed), sorted(self.let_go), sorted(self.lost_disks), self.names)
-        made.update(repr(sorted(self.held.items())).encode())
-        made.update(repr(machines).encode())
-        return made.digest()
+                digest.update(b"-" if entry is None else entry.SerializeToString(deterministic=True))
+        rest = (sorted(self.in_flight), self.budget, self.history, sorted(self.paused), sorted(self.resumed))
+        digest.update(repr(rest).encode())
+        machines = (
+            sorted(self.stopped),
+            sorted(self.destroyed),
+            sorted(self.left_members),
+            sorted(self.lost_disks),
+            self.disk_names,
+        )
+        digest.update(repr(sorted(self.persisted_index.items())).encode())
+        digest.update(repr(machines).encode())
+        return digest.digest()
 
-    def voter_changes_of(self, replica: Replica) -> tuple[object, ...]:
-        """What a replica knows of members that leave or want to be voters, for the key."""
-        known = replica.voter_changes
+    def voter_change_state(self, replica: Replica) -> tuple[object, ...]:
+        """Return what a replica knows of members that leave or want to become voters, as a part of the key."""
+        changes = replica.voter_changes
         return (
             replica.leaving,
             replica.leave_granted,
-            sorted((disk, self.age(at)) for disk, at in known.leaving_since.items()),
-            sorted((disk, self.age(since)) for disk, (_, since) in known.learners.items()),
-            sorted(known.durable_index.items()),
-            sorted((disk, self.age(at)) for disk, at in known.sent_at.items()),
-            self.age(known.resumed_at),
+            sorted((disk, self.age(at)) for disk, at in changes.leaving_since.items()),
+            sorted((disk, self.age(since)) for disk, (_, since) in changes.learners.items()),
+            sorted(changes.durable_index.items()),
+            sorted((disk, self.age(at)) for disk, at in changes.sent_at.items()),
+            self.age(changes.resumed_at),
             sorted(replica.reported.items()),
         )
--- a/zinclever/mesh/model/histories.py
+++ b/zinclever/mesh/model/histories.py
@@ -1,9 +1,9 @@
-"""Histories of operators' calls, and whether one order of them explains what each was told. Pure.
+"""Histories of operators' calls, and a check whether a history is linearizable. Pure.
 
-The configuration is a register: a change names the version that it builds on, a read gives the version in force. Each
-call takes effect at one instant between its beginning and its end; one without a clear answer at any instant after its
-beginning, or never. Source: Testing for Linearizability (Wing and Gong, 1993), with what has been tried remembered
-(Lowe, 2017).
+The configuration is a register: a change names the version that it is based on, and a read returns the current version.
+Each call takes effect at one instant between its beginning and its end; a call without a clear answer takes effect at
+any instant after its beginning, or never. The algorithm is that of Testing for Linearizability (Wing and Gong, 1993),
+with memoized search states (Lowe, 2017).
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from enum import Enum
 from typing import NamedTuple
 
-MOST_TRIED = 2_000_000  # states looked at before a history is given up
+MAX_SEARCH_STATES = 2_000_000  # search states after which the check of a history is given up
 
 
 class Told(Enum):
-    """What a call was answered with."""
+    """How a call was answered."""
 
     DONE = "200"
     STALE = "412: another version is current"
@@ -28,8 +28,11 @@
 
 @dataclass(slots=True, unsafe_hash=True)
 class Call:
-    """``generation``: of a change, the version that it makes; of a read, the one it was told. ``variant``: which of
-    several texts under that number. Instants in s."""
+    """An operator's change (``put``) or read (``get``), and how it was answered.
+
+    ``generation`` is the one that a change creates, or the one that a read returned; ``variant`` tells apart texts of
+    the same generation. Instants are in s.
+    """
 
     began: float
     ended: float
@@ -40,74 +43,80 @@
     variant: int = 0
 
 
-class Undecided(Exception):
-    """The history is too long to be judged."""
+class SearchLimitExceeded(Exception):
+    """The check of a history took too many search states."""
 
 
 class Version(NamedTuple):
-    """A configuration in force."""
+    """A version of the configuration."""
 
     generation: int
     variant: int = 0
 
 
-class Change(NamedTuple):
-    """What makes two calls the same change."""
+class ChangeId(NamedTuple):
+    """Identifies a change: calls with the same id are retries of one change."""
 
     base: int
     version: Version
 
 
-class State(NamedTuple):
-    """Which calls with a clear answer have had their turn (bits), the version in force, all changes that were taken."""
+class SearchState(NamedTuple):
+    """What a prefix of an order of the calls has led to."""
 
     done: int
+    """A bit for each call with a clear answer that is in the prefix."""
     version: Version
-    taken: frozenset[Change]
+    """The current version."""
+    applied: frozenset[ChangeId]
+
+
+def linearizable(history: Sequence[Call], initial_generation: int = 0) -> bool:
+    """Return whether some order of the calls, consistent with their beginnings and ends, explains all answers.
 
+    ``initial_generation`` is the generation that was current before the first call.
 
-def linearizable(history: Sequence[Call], first: int = 0) -> bool:
-    """Whether some order of the calls that keeps to their instants explains all answers; ``first``: the version that
-    was in force before. Undecided where there are too many orders."""
+    Raises:
+        SearchLimitExceeded: the history allows too many orders.
+    """
     calls = [c for c in history if c.kind == "put" or c.told is Told.DONE]
     ends = [math.inf if c.told is Told.UNCLEAR else c.ended for c in calls]
-    owed = sum(1 << n for n, c in enumerate(calls) if c.told is not Told.UNCLEAR)
-    tried: set[State] = set()
-    stack = [State(0, Version(first), frozenset())]
+    required = sum(1 << n for n, c in enumerate(calls) if c.told is not Told.UNCLEAR)
+    visited: set[SearchState] = set()
+    stack = [SearchState(0, Version(initial_generation), frozenset())]
     while stack:
         state = stack.pop()
         done = state.done
-        if done & owed == owed:
+        if done & required == required:
             return True
-        if state in tried:
+        if state in visited:
             continue
-        tried.add(state)
-        if len(tried) > MOST_TRIED:
-            raise Undecided(f"{len(calls)} calls")
-        left = [n for n in range(len(calls)) if not done >> n & 1]
-        before = min(ends[n] for n in left)
-        for n in left:
-            if calls[n].began <= before:
-                follows = after(calls[n], state)
-                if follows is not None:
-                    stack.append(follows._replace(done=done | (1 << n & owed)))
+        visited.add(state)
+        if len(visited) > MAX_SEARCH_STATES:
+            raise SearchLimitExceeded(f"{len(calls)} calls allow too many orders to check")
+        remaining = [n for n in range(len(calls)) if not done >> n & 1]
+        first_end = min(ends[n] for n in remaining)
+        for n in remaining:
+            if calls[n].began <= first_end:
+                successor = apply_call(calls[n], state)
+                if successor is not None:
+                    stack.append(successor._replace(done=done | (1 << n & required)))
     return False
 
 
-def after(call: Call, state: State) -> State | None:
-    """What is in force after a call takes effect, and what was taken; None where it can't have been told what it
-    was."""
+def apply_call(call: Call, state: SearchState) -> SearchState | None:
+    """Return the state after a call takes effect, or None if its answer is impossible in this state."""
     version = Version(call.generation, call.variant)
     if call.kind == "get":
         return state if version == state.version else None
-    change = Change(call.base, version)
+    change = ChangeId(call.base, version)
     current = state.version.generation
-    if change in state.taken:  # the same change again is told the same, or nothing that is clear
+    if change in state.applied:  # a retry gets the same answer, or no clear one
         return state if call.told is Told.DONE else None
     if call.told is Told.STALE:
         return state if call.base != current else None
     if call.told is Told.NOT_ABOVE:
         return state if call.base == current and call.generation <= current else None
     if call.base != current or call.generation <= current:
-        return None  # without a clear answer it need have no turn
-    return state._replace(version=version, taken=state.taken | {change})
+        return None  # a call without a clear answer need not take effect
+    return state._replace(version=version, applied=state.applied | {change})
--- a/zinclever/mesh/model/members.py
+++ b/zinclever/mesh/model/members.py
@@ -1,5 +1,8 @@
-"""A world of members of the core for tests: messages that are lost, doubled and late, disk_ids that are lost, machines
-that are replaced. Everything that happens is drawn from one seed."""
+"""A simulated cluster of replicas for tests, in which messages and disks are lost and machines are replaced.
+
+Messages are lost, duplicated and delayed; processes pause, crash and are terminated. Every random choice is drawn from
+one seed.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 
 @dataclass
 class Disk:
-    """What is synced. An empty one has a new identity."""
+    """What is durable on a disk. An empty disk has a new name, which is its identity."""
 
     name: str
     vote: Vote | None = None
@@ -26,16 +29,19 @@
 
 @dataclass
 class Machine:
+    """A machine with its disk and, while its process runs, a replica."""
+
     ip: str
     disk: Disk
     bootstrap: bool
     replica: Replica | None = None
     pending_persists: list[Persist] = field(default_factory=list)
-    """Asked for and not synced yet, in order."""
+    """Requested and not durable yet, in order."""
     terms: int = 0
+    """Lower bound of the replica's term."""
     paused: bool = False
     inbox: list[Arrival] = field(default_factory=list)
-    """What has come while it stood still, and is read bit by bit once it runs again."""
+    """Messages and calls that came while the process was paused; read one by one after it resumes."""
 
 
 class Arrival(NamedTuple):
@@ -46,7 +52,7 @@
 
 
 class World:
-    """Members by address. A clock of its own for each, all moving alike."""
+    """The simulated cluster, with its machines by address. All machines share one clock."""
 
     def __init__(
         self,
@@ -56,71 +62,85 @@
         kind: type[Replica] = Replica,
         founders: int | None = None,
     ) -> None:
-        """``members`` machines start with empty disks; the first ``founders`` of them (all, if None) are the seeds."""
+        """Start ``members`` machines with empty disks.
+
+        Args:
+            seed: Seeds the generator of all random choices.
+            members: Number of machines.
+            losses: Failures that the cluster tolerates.
+            kind: Class of the replicas.
+            founders: The first so many machines found the cluster; None: all of them.
+        """
         self.rng = random.Random(seed)
-        self.now, self.losses, self.kind = 0.0, losses, kind
+        self.now, self.losses, self.replica_type = 0.0, losses, kind
         addresses = [(f"10.0.0.{n}", 1) for n in range(members)]
         self.founders = addresses[:founders]
         self.machines: dict[str, Machine] = {}
-        self.post: list[tuple[float, str, str, ConsensusMessage]] = []
+        self.in_flight: list[tuple[float, str, str, ConsensusMessage]] = []
+        """Messages with the instant of their arrival, the sender's and the target's address."""
         self.cut: set[tuple[str, str]] = set()
+        """Directions, as (sender, target), in which all messages are lost."""
         self.full: set[str] = set()
-        """Machines whose disk_ids take nothing."""
+        """Machines whose disks fail all writes."""
         self.loss = self.doubles = 0.0
+        """Probabilities that a message is lost, and that it is duplicated."""
         self.answer_loss = 0.0
-        """The chance that the answer to an operator's call is lost."""
+        """Probability that the reply to an operator's call is lost."""
         self.delay = 0.002
         self.synced = 0.8
-        """The chance that a persist is done within a step."""
-        self.disk_ids = 0
+        """Probability that a persist completes within a step."""
+        self.disk_count = 0
         self.calls = 0
         self.asked: dict[int, Call] = {}
-        """Calls that are out."""
+        """Calls without a reply yet, by id."""
         self.history: list[Call] = []
-        """All calls, as their callers saw them."""
+        """All calls, as the operators observed them."""
         self.acked: dict[int, bytes] = {}
-        """Acknowledged: generation and text."""
-        self.winners: dict[int, set[int]] = {}
-        """By the version that an entry was made on: generations that were acknowledged."""
+        """Acknowledged changes: generation and text."""
+        self.acknowledged_by_base: dict[int, set[int]] = {}
+        """By the generation that changes were based on: the generations of those that were acknowledged."""
         self.refused: list[tuple[int, int]] = []
+        """Refused changes: base and generation."""
         self.committed: dict[int, bytes] = {}
-        """By number: the entry, but for its term."""
+        """By log index: the committed entry, serialized without its term."""
         self.ending: dict[str, tuple[float, bool]] = {}
-        """Members that got SIGTERM: when they are killed, and whether the machine goes with them."""
+        """Members that got SIGTERM: when they are killed, and whether the machine is removed with them."""
         for ip, _ in addresses:
             self.add(ip, bootstrap=True)
 
     # --- machines ---
 
     def add(self, ip: str, bootstrap: bool = False) -> None:
-        self.disk_ids += 1
-        self.machines[ip] = Machine(ip, Disk(f"d{self.disk_ids}"), bootstrap)
+        """Add a machine with an empty disk and start its process."""
+        self.disk_count += 1
+        self.machines[ip] = Machine(ip, Disk(f"d{self.disk_count}"), bootstrap)
         self.start(ip)
 
     def start(self, ip: str) -> None:
+        """Start the process of a machine with what is on its disk."""
         m = self.machines[ip]
         voter = Voter(disk=m.disk.name, name=ip, ip=ip, port=1)
         accepted = None
         if m.disk.accepted is not None:
             accepted = LogEntry()
             accepted.CopyFrom(m.disk.accepted)
-        m.replica = self.kind(voter, self.founders, m.bootstrap, self.losses, self.now, m.disk.vote, accepted)
+        m.replica = self.replica_type(voter, self.founders, m.bootstrap, self.losses, self.now, m.disk.vote, accepted)
         m.replica.known_addresses = [(o, 1) for o in self.machines]
         m.pending_persists = []
         m.paused, m.inbox = False, []
 
     def pause(self, ip: str) -> None:
-        """The process stands still: it reads nothing and does nothing, and keeps what it knows."""
+        """Pause a process: it reads and does nothing, and keeps its state."""
         self.machines[ip].paused = True
 
     def resume(self, ip: str) -> None:
-        """It runs again. What has come is read within the next instants, in any order beside turns and new calls."""
+        """Resume a process. It reads its inbox within 0.1 s, in any order relative to ticks and new calls."""
         m = self.machines[ip]
         m.paused = False
         m.inbox = [Arrival(self.now + 0.1 * self.rng.random(), arrival.read) for arrival in m.inbox]
 
     def arrive(self, m: Machine, read: Callable[[Replica], None]) -> None:
-        """A message or a call has come to a machine."""
+        """Let a machine read a message or a call, or queue it while the process is paused."""
         if m.replica is None:
             return
         if m.paused:
@@ -130,18 +150,18 @@
         self.carry_out(m)
 
     def read_inbox(self, m: Machine) -> None:
-        """What has come while it stood still."""
+        """Read, in random order, what is due of the messages and calls that came during a pause."""
         due = [arrival for arrival in m.inbox if arrival.at <= self.now]
         m.inbox = [arrival for arrival in m.inbox if arrival.at > self.now]
         self.rng.shuffle(due)
         for arrival in due:
             self.arrive(m, arrival.read)
 
-    def kill(self, ip: str, some: bool = True) -> None:
-        """Power is lost: of what is not synced a first part may be on the disk."""
+    def kill(self, ip: str, keep_some_writes: bool = True) -> None:
+        """End a process as by a power loss; some of the pending persists, the oldest ones, may have become durable."""
         m = self.machines[ip]
         self.ending.pop(ip, None)
-        if some and m.pending_persists:
+        if keep_some_writes and m.pending_persists:
             for act in m.pending_persists[: self.rng.randrange(len(m.pending_persists) + 1)]:
                 self.write(m, act)
         m.replica = None
@@ -149,17 +169,22 @@
         m.paused, m.inbox = False, []
 
     def wipe(self, ip: str) -> None:
-        self.kill(ip, some=False)
-        self.disk_ids += 1
-        self.machines[ip].disk = Disk(f"d{self.disk_ids}")
+        """Kill a process and replace its disk by an empty one."""
+        self.kill(ip, keep_some_writes=False)
+        self.disk_count += 1
+        self.machines[ip].disk = Disk(f"d{self.disk_count}")
         self.machines[ip].bootstrap = False
 
     def remove(self, ip: str) -> None:
+        """Kill a process and remove its machine."""
         self.kill(ip)
         del self.machines[ip]
 
     def terminate(self, ip: str, gone: bool = False, grace: float = 4.8) -> None:
-        """SIGTERM: the member leaves, and ends once it may or its grace is over; ``gone``: with its machine."""
+        """Send SIGTERM: the member leaves, and ends once it may or after ``grace`` s.
+
+        ``gone``: its machine is removed then.
+        """
         m = self.machines[ip]
         assert m.replica is not None
         self.ending[ip] = (self.now + grace, gone)
@@ -167,8 +192,9 @@
         self.carry_out(m)
 
     def end(self, ip: str) -> None:
+        """End a terminated process, and remove its machine if :meth:`terminate` was told to."""
         gone = self.ending[ip][1]
-        self.kill(ip, some=False)
+        self.kill(ip, keep_some_writes=False)
         if gone:
             del self.machines[ip]
 
@@ -177,6 +203,7 @@
         self.cut |= {(a, b) for a in self.machines for b in self.machines if ip in (a, b) and a != b}
 
     def write(self, m: Machine, act: Persist) -> None:
+        """Write a persist to the disk."""
         m.disk.vote = act.vote
         if act.entry is not None:
             m.disk.accepted = LogEntry()
@@ -185,23 +212,26 @@
     # --- time ---
 
     def run(self, span: float, step: float = 0.01) -> None:
+        """Let ``span`` s pass, in steps of ``step`` s."""
         until = self.now + span
         while self.now < until:
             self.now += step
             for ip in list(self.machines):
                 self.step(ip)
-            due = [p for p in self.post if p[0] <= self.now]
-            self.post = [p for p in self.post if p[0] > self.now]
+            due = [p for p in self.in_flight if p[0] <= self.now]
+            self.in_flight = [p for p in self.in_flight if p[0] > self.now]
             self.rng.shuffle(due)
-            for _, sender, to, message in due:
-                m = self.machines.get(to)
-                if m is not None and (sender, to) not in self.cut:
+            for _, sender, target, message in due:
+                m = self.machines.get(target)
+                if m is not None and (sender, target) not in self.cut:
                     self.deliver(m, message)
 
     def deliver(self, m: Machine, message: ConsensusMessage) -> None:
+        """Deliver a message to a machine."""
         self.arrive(m, lambda replica: replica.receive(self.now, message))
 
     def step(self, ip: str) -> None:
+        """Let a process read its inbox, complete persists, tick, and end if it is terminating."""
         m = self.machines[ip]
         if m.replica is None or m.paused:
             return
@@ -218,6 +248,7 @@
             self.end(ip)
 
     def carry_out(self, m: Machine) -> None:
+        """Carry out the actions of a replica."""
         assert m.replica is not None
         while m.replica.actions:
             acts, m.replica.actions = m.replica.actions, []
@@ -227,68 +258,72 @@
                 elif isinstance(act, Persist):
                     m.pending_persists.append(act)
                 elif isinstance(act, Commit):
-                    self.check(act.entry)
+                    self.check_agreement(act.entry)
                 elif isinstance(act, Reply):
-                    self.answer(act)
+                    self.record_reply(act)
         assert m.replica.vote.term >= m.terms, "a term went back"
         if m.disk.vote is not None:
             m.terms = max(m.terms, 0)
 
     def send(self, m: Machine, act: Send) -> None:
+        """Put a message in flight; it may be lost, duplicated and delayed."""
         message = ConsensusMessage()
         message.CopyFrom(act.message)
         if act.to.disk == m.disk.name:
-            self.post.append((self.now, m.ip, m.ip, message))
+            self.in_flight.append((self.now, m.ip, m.ip, message))
             return
         for _ in range(2 if self.rng.random() < self.doubles else 1):
             if self.rng.random() >= self.loss:
                 at = self.now + self.delay * (1 + 3 * self.rng.random() * self.rng.random())
-                self.post.append((at, m.ip, act.to.ip, message))
+                self.in_flight.append((at, m.ip, act.to.ip, message))
 
     # --- calls ---
 
     def leaders(self) -> list[str]:
+        """Return the addresses of the replicas that consider themselves leaders."""
         return [ip for ip, m in self.machines.items() if m.replica is not None and m.replica.role.name == "LEADER"]
 
     def put(self, ip: str, base: int, generation: int, variant: int = 0) -> Call | None:
-        """Ask the member at an address for a change; None where there is nobody."""
+        """Request a change from the member at an address; return None if it isn't running."""
         m = self.machines[ip]
         if m.replica is None:
             return None
-        call = self.begin(Call(self.now, math.inf, "put", generation, base, variant=variant))
-        number, text = self.calls, text_of(generation, variant)
-        self.arrive(m, lambda replica: replica.change(self.now, number, base, generation, text, text))
+        call = self.begin_call(Call(self.now, math.inf, "put", generation, base, variant=variant))
+        call_id, text = self.calls, encode_config(generation, variant)
+        self.arrive(m, lambda replica: replica.change(self.now, call_id, base, generation, text, text))
         return call
 
     def again(self, ip: str, call: Call) -> Call | None:
-        """The same change once more, as an operator sends it that had no clear answer."""
+        """Retry a change, as an operator does that got no clear answer."""
         return self.put(ip, call.base, call.generation, call.variant)
 
     def get(self, ip: str) -> Call | None:
-        """Ask the member at an address for the configuration; None where there is nobody."""
+        """Request the configuration from the member at an address; return None if it isn't running."""
         m = self.machines[ip]
         if m.replica is None:
             return None
-        call = self.begin(Call(self.now, math.inf, "get", 0))
-        number = self.calls
-        self.arrive(m, lambda replica: replica.read(self.now, number))
+        call = self.begin_call(Call(self.now, math.inf, "get", 0))
+        call_id = self.calls
+        self.arrive(m, lambda replica: replica.read(self.now, call_id))
         return call
 
-    def begin(self, call: Call) -> Call:
+    def begin_call(self, call: Call) -> Call:
+        """Add a call to the history, with the next id."""
         self.calls += 1
         self.asked[self.calls] = call
         self.history.append(call)
         return call
 
     def reads(self, ip: str) -> bool:
-        """Whether the member at an address answers a read within 2 s."""
+        """Return whether the member at an address answers a read within 2 s."""
         call = self.get(ip)
         until = self.now + 2.0
         while call is not None and call.told is Told.UNCLEAR and call.ended > self.now < until:
             self.run(0.01)
         return call is not None and call.told is Told.DONE
 
-    def answer(self, act: Reply) -> None:
+    def record_reply(self, act: Reply) -> None:
+        """Enter the reply to a call in the history, unless the reply is lost."""
         call = self.asked.pop(act.call_id, None)
         if call is None:
             return
@@ -298,36 +333,38 @@
         if call.kind == "get":
             if act.status in (200, 404):
                 call.told = Told.DONE
-                call.generation, call.variant = version_of(act.text) if act.status == 200 else (0, 0)
+                call.generation, call.variant = decode_config(act.text) if act.status == 200 else (0, 0)
         elif act.status == 200:
             call.told = Told.DONE
-            self.acked[call.generation] = text_of(call.generation, call.variant)
-            self.winners.setdefault(call.base, set()).add(call.generation)
+            self.acked[call.generation] = encode_config(call.generation, call.variant)
+            self.acknowledged_by_base.setdefault(call.base, set()).add(call.generation)
         elif act.status in (400, 412):
             call.told = Told.STALE if act.status == 412 else Told.NOT_ABOVE
             self.refused.append((call.base, call.generation))
 
-    # --- what must hold ---
+    # --- invariants ---
 
-    def check(self, entry: LogEntry) -> None:
-        """Agreement: what is committed under a number is one thing everywhere."""
-        kept = LogEntry()
-        kept.CopyFrom(entry)
-        kept.term = 0
-        text = kept.SerializeToString(deterministic=True)
+    def check_agreement(self, entry: LogEntry) -> None:
+        """Assert that every replica commits the same entry under an index."""
+        normalized = LogEntry()
+        normalized.CopyFrom(entry)
+        normalized.term = 0
+        text = normalized.SerializeToString(deterministic=True)
         known = self.committed.setdefault(entry.index, text)
-        assert known == text, f"two entries are committed under number {entry.index}"
+        assert known == text, f"two different entries are committed under index {entry.index}"
 
     def one_winner(self) -> None:
-        for base, generations in self.winners.items():
-            assert len(generations) == 1, f"on version {base} these were acknowledged: {generations}"
+        """Assert that at most one change was acknowledged for each base."""
+        for base, generations in self.acknowledged_by_base.items():
+            assert len(generations) == 1, f"several changes with base {base} were acknowledged: {generations}"
 
     def newest(self) -> LogEntry:
-        """What those that are there settle on, once all is quiet."""
-        found_cluster = [m.replica.committed for m in self.machines.values() if m.replica is not None]
-        return max(found_cluster, key=lambda c: c.index)
+        """Return the newest entry that a running replica has committed."""
+        committed = [m.replica.committed for m in self.machines.values() if m.replica is not None]
+        return max(committed, key=lambda c: c.index)
 
     def nothing_lost(self) -> None:
+        """Assert that the newest acknowledged change is committed."""
         newest = self.newest()
         if self.acked:
             assert newest.generation >= max(self.acked), (
@@ -335,7 +372,7 @@
             )
 
     def quiet(self, span: float = 6.0) -> None:
-        """No troubles from here on: everything comes together."""
+        """End all faults, restart and resume every process, and let ``span`` s pass for the cluster to converge."""
         self.cut.clear()
         self.full.clear()
         self.loss = self.doubles = 0.0
@@ -348,11 +385,12 @@
         self.run(span)
 
 
-def text_of(generation: int, variant: int) -> bytes:
-    """A configuration: its number, and which of several texts under it."""
+def encode_config(generation: int, variant: int) -> bytes:
+    """Return the text of a configuration with a generation; variants are different texts of one generation."""
     return b"config %d %d" % (generation, variant) if variant else b"config %d" % generation
 
 
-def version_of(text: bytes) -> tuple[int, int]:
+def decode_config(text: bytes) -> tuple[int, int]:
+    """Return the generation and the variant of a configuration."""
     _, generation, *variant = text.split()
     return int(generation), int(variant[0]) if variant else 0
--- a/zinclever/mesh/model/slow_links.py
+++ b/zinclever/mesh/model/slow_links.py
@@ -1,4 +1,4 @@
-"""A world of members whose links carry only so many bytes a second, each in its order, as TCP does."""
+"""A simulated cluster whose links have a limited rate and deliver messages in order, like TCP connections."""
 
 from __future__ import annotations
 
@@ -15,40 +15,48 @@
 from .members import Machine, World
 
 MEGABIT = 125_000.0  # bytes per s
-STORM_EACH = 0.5  # s between two changes of a storm
-ROUTE_BYTES = 190  # of a route in :func:`config_text`, about
+STORM_INTERVAL = 0.5  # s between two changes while operators keep changing the configuration
+ROUTE_BYTES = 190  # approximate size of a route in :func:`config_text`
 
 
 @lru_cache(8)
-def routes_of(size: int, kind: int) -> list[bytes]:
-    """The routes of a configuration of about ``size`` bytes, in the order of their names."""
-    drawn = random.Random(size * 1000 + kind)
+def make_routes(size: int, kind: int) -> list[bytes]:
+    """Return the serialized routes of a configuration of about ``size`` bytes, sorted by name."""
+    rng = random.Random(size * 1000 + kind)
     table = {}
     for _ in range(max(size // ROUTE_BYTES, 1)):
-        table[f"r-{drawn.getrandbits(40):x}"] = {
-            "Authority": f"h{drawn.getrandbits(24):x}.example",
-            "DeadlineS": drawn.randrange(1, 40) / 10,
+        table[f"r-{rng.getrandbits(40):x}"] = {
+            "Authority": f"h{rng.getrandbits(24):x}.example",
+            "DeadlineS": rng.randrange(1, 40) / 10,
             "MaxAttempts": 2,
-            "PathPrefix": f"/p{drawn.getrandbits(32):x}/",
-            "Priority": drawn.randrange(3),
-            "RouteClass": drawn.choice(("idempotent", "non_idempotent")),
+            "PathPrefix": f"/p{rng.getrandbits(32):x}/",
+            "Priority": rng.randrange(3),
+            "RouteClass": rng.choice(("idempotent", "non_idempotent")),
             "TargetLatencyS": 0.2,
-            "WeightedTargets": [{"Target": f"s{drawn.randrange(200)}a", "Weight": 100}],
+            "WeightedTargets": [{"Target": f"s{rng.randrange(200)}a", "Weight": 100}],
         }
     return [b'"%b":%b' % (name.encode(), orjson.dumps(table[name])) for name in sorted(table)]
 
 
 def config_text(size: int, generation: int, kind: int = 0) -> bytes:
-    """A configuration in which each generation has changed three routes; one of another kind shares nothing with it."""
-    routes = list(routes_of(size, kind))
+    """Return a configuration in which each generation changes three routes; different kinds have no route in common."""
+    routes = list(make_routes(size, kind))
     for n in range(3):
-        at = (generation * 7919 + n * 104729) % len(routes)
-        routes[at] = routes[at].replace(b"0.2", b"%d" % generation)
+        index = (generation * 7919 + n * 104729) % len(routes)
+        routes[index] = routes[index].replace(b"0.2", b"%d" % generation)
     return b'{"Generation":%d,"Routes":{%b}}' % (generation, b",".join(routes))
 
 
 class SlowWorld(World):
-    """``exchange`` False: texts go whole in their messages, as in the version before."""
+    """A cluster whose links transmit ``rate`` bytes a second.
+
+    Args:
+        seed: Seeds the generator of all random choices.
+        rate: Bytes a second of each link, in each direction.
+        exchange: False: configurations are sent whole within messages, as in the version before the text exchange.
+        old: Addresses of the members that run that version.
+        kind: Class of the replicas.
+    """
 
     def __init__(
         self, seed: int, rate: float, exchange: bool = True, old: tuple[str, ...] = (), kind: type[Replica] = Replica
@@ -56,25 +64,26 @@
         self.rate, self.exchange, self.old = rate, exchange, old
         self.texts: dict[str, TextExchange] = {}
         self.free_at: dict[tuple[str, str], float] = {}
-        """When a link has sent what was put on it."""
+        """By link: when it has transmitted everything that was put on it."""
         self.queued = 0.0
-        """The longest span in s for which a message waited for those before it on its link."""
+        """The longest time in s that a message waited for earlier ones on its link."""
         self.heartbeat_late = 0.0
-        """The longest span in s between a leader's saying something small and its arrival."""
+        """The longest time in s between a leader's sending a plain heartbeat and the end of its transmission."""
         self.snapshots = 0
-        """Messages that brought a committed entry to a member that lacked it."""
+        """Number of heartbeats that carried a committed entry to a lagging member."""
         self.sent_bytes: dict[tuple[str, str], int] = {}
         self.generation = 0
         self.confirmed = 0
         """The newest generation that was acknowledged to an operator."""
         self.stale_reads: list[tuple[int, int]] = []
-        """Reads that were answered with less than had been acknowledged before they were asked."""
-        self.promised: dict[int, int] = {}
-        """By call: a change's generation, or what was acknowledged when a read was asked."""
+        """Reads that returned an older generation than was acknowledged before them: call id, that generation."""
+        self.expected_generations: dict[int, int] = {}
+        """By call id: the generation of a change, or the newest one that was acknowledged when a read began."""
         super().__init__(seed, kind=kind)
         self.synced = 1.0
 
     def start(self, ip: str) -> None:
+        """Start the process of a machine with what is on its disk."""
         super().start(ip)
         m = self.machines[ip]
         texts = TextExchange(Voter(disk=m.disk.name, name=ip, ip=ip, port=1))
@@ -82,19 +91,22 @@
             texts.store.add(m.disk.accepted.text)
         self.texts[ip] = texts
 
-    def speaks_texts(self, ip: str) -> bool:
+    def uses_text_exchange(self, ip: str) -> bool:
+        """Return whether a member exchanges configurations by digest and blocks."""
         return self.exchange and ip not in self.old
 
     def send(self, m: Machine, act: Send) -> None:
+        """Put a message on its link, by way of the text exchange where the member uses it."""
         if act.to.disk == m.disk.name:
-            self.post.append((self.now, m.ip, m.ip, act.message))
-        elif self.speaks_texts(m.ip):
-            for ready in self.texts[m.ip].outgoing(self.now, act):
-                self.put_on_link(m.ip, ready)
+            self.in_flight.append((self.now, m.ip, m.ip, act.message))
+        elif self.uses_text_exchange(m.ip):
+            for prepared in self.texts[m.ip].outgoing(self.now, act):
+                self.put_on_link(m.ip, prepared)
         else:
             self.put_on_link(m.ip, act)
 
     def put_on_link(self, sender: str, send: Send) -> None:
+        """Transmit a message after those that are already on its link, unless it is lost."""
         link = (sender, send.to.ip)
         if self.loss and self.rng.random() < self.loss:
             return
@@ -108,75 +120,81 @@
         if message.kind == MessageKind.HEARTBEAT and not message.HasField("committed"):
             self.heartbeat_late = max(self.heartbeat_late, self.free_at[link] - self.now)
         self.snapshots += message.kind == MessageKind.HEARTBEAT and message.HasField("committed")
-        self.post.append((self.free_at[link] + self.delay, sender, send.to.ip, message))
+        self.in_flight.append((self.free_at[link] + self.delay, sender, send.to.ip, message))
 
     def run(self, span: float, step: float = 0.01) -> None:
+        """Let ``span`` s pass, in steps of ``step`` s; messages are delivered in the order of their arrival."""
         until = self.now + span
         while self.now < until:
             self.now += step
             for ip in list(self.machines):
                 self.step(ip)
-            due = sorted((p for p in self.post if p[0] <= self.now), key=lambda p: p[0])
-            self.post = [p for p in self.post if p[0] > self.now]
-            for _, sender, to, message in due:
-                self.arrive_by_link(sender, to, message)
-
-    def arrive_by_link(self, sender: str, to: str, message: ConsensusMessage) -> None:
-        m = self.machines.get(to)
-        if m is None or m.replica is None or (sender, to) in self.cut:
+            due = sorted((p for p in self.in_flight if p[0] <= self.now), key=lambda p: p[0])
+            self.in_flight = [p for p in self.in_flight if p[0] > self.now]
+            for _, sender, target, message in due:
+                self.deliver_from_link(sender, target, message)
+
+    def deliver_from_link(self, sender: str, target: str, message: ConsensusMessage) -> None:
+        """Deliver a message, and what the text exchange of the receiver makes of it, unless the link is cut."""
+        m = self.machines.get(target)
+        if m is None or m.replica is None or (sender, target) in self.cut:
             return
-        whole = [message]
-        if sender != to and self.speaks_texts(to):
-            whole = self.texts[to].incoming(self.now, message)
-        for ready in whole:
+        completed = [message]
+        if sender != target and self.uses_text_exchange(target):
+            completed = self.texts[target].incoming(self.now, message)
+        for ready in completed:
             self.deliver(m, ready)
         self.carry_out(m)
 
     def step(self, ip: str) -> None:
+        """Let the text exchange of a process tick, then the process itself."""
         if self.machines[ip].replica is not None:
             self.texts[ip].tick(self.now)
         super().step(ip)
 
     def carry_out(self, m: Machine) -> None:
+        """Carry out the actions of a replica, and send what its text exchange has queued."""
         super().carry_out(m)
         sends, self.texts[m.ip].outbox = self.texts[m.ip].outbox, []
         for send in sends:
             self.put_on_link(m.ip, send)
 
-    def check(self, entry: LogEntry) -> None:
-        """As in :class:`World`, by digest: the texts are large."""
-        kept = LogEntry()
-        kept.CopyFrom(entry)
-        kept.term = 0
-        text = hashlib.blake2b(kept.SerializeToString(deterministic=True)).digest()
+    def check_agreement(self, entry: LogEntry) -> None:
+        """As in :class:`World`, but keeps digests, because the entries are large."""
+        normalized = LogEntry()
+        normalized.CopyFrom(entry)
+        normalized.term = 0
+        text = hashlib.blake2b(normalized.SerializeToString(deterministic=True)).digest()
         known = self.committed.setdefault(entry.index, text)
-        assert known == text, f"two entries are committed under number {entry.index}"
+        assert known == text, f"two different entries are committed under index {entry.index}"
 
-    def answer(self, act: Reply) -> None:
-        bound = self.promised.pop(act.call_id)
+    def record_reply(self, act: Reply) -> None:
+        """Record an acknowledged change, or a read that returned too old a generation."""
+        expected = self.expected_generations.pop(act.call_id)
         if act.status != 200:
             return
         if not act.text:
-            self.confirmed = max(self.confirmed, bound)
-        elif int(act.text[len(b'{"Generation":') :].split(b",")[0]) < bound:
-            self.stale_reads.append((act.call_id, bound))
+            self.confirmed = max(self.confirmed, expected)
+        elif int(act.text[len(b'{"Generation":') :].split(b",")[0]) < expected:
+            self.stale_reads.append((act.call_id, expected))
 
-    # --- what tests do ---
+    # --- for tests ---
 
     def replica(self, ip: str) -> Replica:
+        """Return the running replica of a machine."""
         found = self.machines[ip].replica
         assert found is not None
         return found
 
     def change(self, size: int, kind: int = 0) -> int:
-        """An operator's order on top of what is committed, at the leader; its generation, or 0 without a leader."""
+        """Request a change on top of the leader's committed one; return its generation, or 0 without a leader."""
         leaders = self.leaders()
         if not leaders:
             return 0
         leader = self.replica(leaders[0])
         self.generation = max(self.generation, leader.committed.generation) + 1
         self.calls += 1
-        self.promised[self.calls] = self.generation
+        self.expected_generations[self.calls] = self.generation
         text = config_text(size, self.generation, kind)
         digest = b"%016d" % self.generation
         leader.change(self.now, self.calls, leader.committed.generation, self.generation, text, digest)
@@ -184,24 +202,33 @@
         return self.generation
 
     def read(self, ip: str) -> None:
-        """An operator's read at a member; what it is answered is judged in :meth:`answer`."""
+        """Request the configuration from a member; :meth:`record_reply` checks the reply."""
         self.calls += 1
-        self.promised[self.calls] = self.confirmed
+        self.expected_generations[self.calls] = self.confirmed
         self.replica(ip).read(self.now, self.calls)
         self.carry_out(self.machines[ip])
 
     def until_caught_up(self, ip: str, storm: int = 0, kind: int = 0, most: float = 60.0) -> float:
-        """Run until a member has committed what the leader had a second before, or ``most`` s have gone; the s it
-        took. ``storm``: bytes of the configuration that operators go on changing meanwhile, twice a second."""
+        """Run until a member has committed what the newest one had committed a second before.
+
+        Args:
+            ip: Address of the member.
+            storm: Size in bytes of the configuration that operators keep changing meanwhile; 0: no changes.
+            kind: Kind of that configuration.
+            most: Seconds after which to give up.
+
+        Returns:
+            The seconds that passed.
+        """
         began, changed_at = self.now, self.now
-        behind = [(self.now, self.newest().index)]
+        newest_indexes = [(self.now, self.newest().index)]
         while self.now - began < most:
             self.run(0.05)
-            if storm and self.now - changed_at >= STORM_EACH:
+            if storm and self.now - changed_at >= STORM_INTERVAL:
                 changed_at = self.now
                 self.change(storm, kind)
-            behind.append((self.now, self.newest().index))
-            target = max((number for at, number in behind if at <= self.now - 1.0), default=behind[0][1])
+            newest_indexes.append((self.now, self.newest().index))
+            target = max((index for at, index in newest_indexes if at <= self.now - 1.0), default=newest_indexes[0][1])
             if self.replica(ip).committed.index >= target:
                 break
         return self.now - began
