--- a/tests/mesh/test_explore.py
+++ b/tests/mesh/test_explore.py
@@ -14,30 +14,34 @@
 
 class InvariantsHold(unittest.TestCase):
     @params(
-        ("a crash and an election", Budget(turns=1, crashes=1, losses=0), 2500, 7),
-        ("a lost disk and an election", Budget(turns=1, crashes=0, wipes=1, losses=0), 2500, 7),
-        ("two elections and a lost message", Budget(turns=2, crashes=0, losses=1), 2500, 6),
-        ("a duplicated message", Budget(turns=1, crashes=0, losses=0, doubles=1), 2500, 7),
+        ("a crash and an election", Budget(time_steps=1, crashes=1, losses=0), 2500, 7),
+        ("a lost disk and an election", Budget(time_steps=1, crashes=0, wipes=1, losses=0), 2500, 7),
+        ("two elections and a lost message", Budget(time_steps=2, crashes=0, losses=1), 2500, 6),
+        ("a duplicated message", Budget(time_steps=1, crashes=0, losses=0, duplicates=1), 2500, 7),
     )
     def test_invariants(self, name: str, budget: Budget, max_states: int, max_depth: int) -> None:
         self.assertGreater(Explorer(budget=budget).explore(max_states, max_depth), 500, name)
 
     @params(
-        ("a member is paused during an election", Start.ASKED, Budget(turns=1, crashes=0, losses=0, pauses=1)),
+        (
+            "a member is paused during an election",
+            Start.TWO_CHANGES,
+            Budget(time_steps=1, crashes=0, losses=0, pauses=1),
+        ),
         (
             "two operators, a read and a replaced leader",
             Start.REPLACED,
-            Budget(turns=0, crashes=0, losses=0, changes=2, reads=1),
+            Budget(time_steps=0, crashes=0, losses=0, changes=2, reads=1),
         ),
         (
             "a replaced leader and a lost message",
             Start.REPLACED,
-            Budget(turns=0, crashes=0, losses=1, changes=1, reads=1),
+            Budget(time_steps=0, crashes=0, losses=1, changes=1, reads=1),
         ),
         (
             "a member that lacks a version becomes leader",
-            Start.BEHIND,
-            Budget(turns=0, crashes=0, losses=0, changes=1, reads=1),
+            Start.LAGGING_MEMBER,
+            Budget(time_steps=0, crashes=0, losses=0, changes=1, reads=1),
         ),
     )
     def test_histories_of_calls_are_linearizable(self, name: str, start: Start, budget: Budget) -> None:
@@ -57,7 +61,7 @@
 
 
 class DetectsBrokenReplicas(unittest.TestCase):
-    def is_detected(self, replica_type: type[Replica], budget: Budget, start: Start = Start.ASKED) -> bool:
+    def is_detected(self, replica_type: type[Replica], budget: Budget, start: Start = Start.TWO_CHANGES) -> bool:
         try:
             Explorer(replica_type, budget, start).explore(6000, 12)
         except Broken:
@@ -70,7 +74,7 @@
                 self.actions += after
                 super().persist(accepted, [])
 
-        self.assertTrue(self.is_detected(RepliesBeforePersist, Budget(turns=0, crashes=0, losses=0)))
+        self.assertTrue(self.is_detected(RepliesBeforePersist, Budget(time_steps=0, crashes=0, losses=0)))
 
     def test_term_that_goes_back(self) -> None:
         class LowersTerm(Replica):
@@ -78,7 +82,7 @@
                 self.vote = messages.Vote(min(self.vote.term, m.term), m.disk)
                 super().on_append(now, m)
 
-        self.assertTrue(self.is_detected(LowersTerm, Budget(turns=1, crashes=0, losses=0)))
+        self.assertTrue(self.is_detected(LowersTerm, Budget(time_steps=1, crashes=0, losses=0)))
 
     def test_two_changes_acknowledged_on_one_base(self) -> None:
         class AcknowledgesTwo(Replica):
@@ -87,7 +91,7 @@
                 if self.calls.queued_changes:  # also acknowledges the next change for this entry
                     self.reply(self.calls.queued_changes.popleft().call_id, 200, b"")
 
-        self.assertTrue(self.is_detected(AcknowledgesTwo, Budget(turns=0, crashes=0, losses=0)))
+        self.assertTrue(self.is_detected(AcknowledgesTwo, Budget(time_steps=0, crashes=0, losses=0)))
 
     def test_leader_ignores_entries_in_vote_replies(self) -> None:
         class IgnoresVoteReplies(Replica):
@@ -101,7 +105,7 @@
                 self.acknowledged_by.add(self.own_voter.disk)  # as if it had persisted the entry itself
                 super().on_append_reply(now, m)
 
-        self.assertTrue(self.is_detected(IgnoresVoteReplies, Budget(turns=1, crashes=0, losses=0)))
+        self.assertTrue(self.is_detected(IgnoresVoteReplies, Budget(time_steps=1, crashes=0, losses=0)))
 
     def test_leader_answers_without_confirmation_by_a_majority(self) -> None:
         class SkipsConfirmation(Replica):
@@ -109,9 +113,9 @@
                 if self.is_established():
                     self.calls.answer_confirmed(self.committed, [v.disk for v in self.committed.voters])
 
-        changes = Budget(turns=0, crashes=0, losses=0, changes=1)
+        changes = Budget(time_steps=0, crashes=0, losses=0, changes=1)
         self.assertTrue(self.is_detected(SkipsConfirmation, changes, Start.REPLACED))
-        reads = Budget(turns=0, crashes=0, losses=0, reads=1)
+        reads = Budget(time_steps=0, crashes=0, losses=0, reads=1)
         self.assertTrue(self.is_detected(SkipsConfirmation, reads, Start.REPLACED))
 
     def test_leader_counts_confirmations_of_an_earlier_round(self) -> None:
@@ -125,7 +129,7 @@
                 super().answer_confirmed()
 
         self.assertTrue(
-            self.is_detected(CountsOldRounds, Budget(turns=0, crashes=0, losses=0, reads=1), Start.REPLACED),
+            self.is_detected(CountsOldRounds, Budget(time_steps=0, crashes=0, losses=0, reads=1), Start.REPLACED),
         )
 
     def test_voter_confirms_any_leader(self) -> None:
@@ -142,7 +146,9 @@
                     ),
                 )
 
-        self.assertTrue(self.is_detected(AlwaysConfirms, Budget(turns=0, crashes=0, losses=0, reads=1), Start.REPLACED))
+        self.assertTrue(
+            self.is_detected(AlwaysConfirms, Budget(time_steps=0, crashes=0, losses=0, reads=1), Start.REPLACED)
+        )
 
     def test_leader_answers_before_it_is_established(self) -> None:
         class AlwaysEstablished(Replica):
@@ -150,7 +156,9 @@
                 return self.role is messages.ReplicaRole.LEADER
 
         self.assertTrue(
-            self.is_detected(AlwaysEstablished, Budget(turns=0, crashes=0, losses=0, reads=1), Start.BEHIND)
+            self.is_detected(
+                AlwaysEstablished, Budget(time_steps=0, crashes=0, losses=0, reads=1), Start.LAGGING_MEMBER
+            )
         )
 
     def test_applied_changes_are_forgotten_and_retries_refused(self) -> None:
@@ -161,7 +169,7 @@
                 super().propose(now, entry)
 
         self.assertTrue(
-            self.is_detected(ForgetsAppliedCalls, Budget(turns=0, crashes=0, losses=0, changes=1), Start.REPLACED)
+            self.is_detected(ForgetsAppliedCalls, Budget(time_steps=0, crashes=0, losses=0, changes=1), Start.REPLACED)
         )
 
 
--- a/tests/mesh/test_explore_voters.py
+++ b/tests/mesh/test_explore_voters.py
@@ -19,7 +19,7 @@
 
 def budget(**counts: int) -> Budget:
     """Return a budget of the given events only."""
-    allowed = Budget(turns=0, crashes=0, losses=0)
+    allowed = Budget(time_steps=0, crashes=0, losses=0)
     for name, count in counts.items():
         setattr(allowed, name, count)
     return allowed
@@ -28,15 +28,15 @@
 class InvariantsHold(unittest.TestCase):
     @params(
         (VoterStart.FOLLOWER_LEAVES, budget(changes=1, destroyed=1)),
-        (VoterStart.FOLLOWER_LEAVES, budget(turns=1, forced_ends=1)),
+        (VoterStart.FOLLOWER_LEAVES, budget(time_steps=1, forced_ends=1)),
         (VoterStart.FOLLOWER_LEAVES, budget(waits=2, wipes=2)),
-        (VoterStart.LET_GO, budget(turns=1, changes=1, destroyed=1)),
-        (VoterStart.LEADER_LEAVES, budget(turns=1, wipes=1)),
-        (VoterStart.REPLACEMENT, budget(destroyed=1, turns=1)),
-        (VoterStart.REPLACED, budget(destroyed=1, turns=1)),
-        (VoterStart.REPLACED, budget(wipes=1, turns=1, waits=1)),
-        (VoterStart.PLANNED, budget(waits=1, destroyed=1)),
-        (VoterStart.UNHEARD, budget(waits=2, turns=1, leaves=1)),
+        (VoterStart.LEAVE_GRANTED, budget(time_steps=1, changes=1, destroyed=1)),
+        (VoterStart.LEADER_LEAVES, budget(time_steps=1, wipes=1)),
+        (VoterStart.REPLACEMENT, budget(destroyed=1, time_steps=1)),
+        (VoterStart.REPLACED, budget(destroyed=1, time_steps=1)),
+        (VoterStart.REPLACED, budget(wipes=1, time_steps=1, waits=1)),
+        (VoterStart.PLANNED_REPLACEMENT, budget(waits=1, destroyed=1)),
+        (VoterStart.LEARNER_WAITS, budget(waits=2, time_steps=1, leaves=1)),
     )
     def test_invariants(self, start: VoterStart, allowed: Budget) -> None:
         explorer = VoterExplorer(budget=allowed, start=start, liveness_every=LIVENESS_EVERY)
@@ -67,7 +67,7 @@
         explorer.check_liveness(state)
 
     def test_candidate_excluded_by_a_proposed_entry_does_not_block_election(self) -> None:
-        explorer = VoterExplorer(start=VoterStart.PLANNED)
+        explorer = VoterExplorer(start=VoterStart.PLANNED_REPLACEMENT)
         state = explorer.start
         state.paused.add(1)
         explorer.wait(state)  # the leader proposes voters without it ...
@@ -75,7 +75,7 @@
         explorer.check_liveness(state)
 
     def test_disk_of_a_member_with_granted_leave_does_not_count(self) -> None:
-        explorer = VoterExplorer(start=VoterStart.LET_GO)
+        explorer = VoterExplorer(start=VoterStart.LEAVE_GRANTED)
         state = explorer.start
         state.paused.add(2)
         explorer.wait(state)  # the leader no longer counts it as leaving
@@ -130,7 +130,7 @@
                 self.leave_granted = granted
 
         self.assert_found(
-            CountsLeavingMembers, VoterStart.LET_GO, budget(changes=1), "fewer disks than needed to survive"
+            CountsLeavingMembers, VoterStart.LEAVE_GRANTED, budget(changes=1), "fewer disks than needed to survive"
         )
 
     def test_learner_becomes_a_voter_without_the_committed_state(self) -> None:
@@ -142,7 +142,7 @@
 
         self.assert_found(
             AddsVotersTooEarly,
-            VoterStart.UNHEARD,
+            VoterStart.LEARNER_WAITS,
             budget(waits=1),
             "a voter is added that doesn't have the committed state",
         )
@@ -175,7 +175,7 @@
                 rest = [v for v in voters if v.disk != silent[0].disk]
                 return VoterChange(rest, VoterChangeReason.LOST, removed=silent[0])
 
-        self.assert_found(RemovesSilentVoters, VoterStart.UNHEARD, budget(), "fewer voters")
+        self.assert_found(RemovesSilentVoters, VoterStart.LEARNER_WAITS, budget(), "fewer voters")
 
     def test_candidates_never_win(self) -> None:
         class NeverCampaigns(Replica):
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -373,7 +373,7 @@
         ):
             c = await s.client()
             assert (await c.ask()).status == 200
-            assert 0.2 < s.wire.idle_for < 0.4
+            assert 0.2 < s.wire.max_idle_time < 0.4
             assert await peer.ended.get() == 0
             assert not s.wire.idle and not s.wire.pools["e"].idle
 
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -99,7 +99,7 @@
             made = await dial(System(), (where, int(port)), 5.0, lambda c: None, lambda c: over.set())
 
             def client_left() -> None:
-                assert made.outstanding(), "the last byte has gone out"
+                assert made.has_unsent_bytes(), "the last byte has gone out"
                 made.abort()
 
             made.request(b"GET / HTTP/1.1\r\n\r\n", lambda result: None, hold=0.002)
--- a/zinclever/assembly.py
+++ b/zinclever/assembly.py
@@ -16,8 +16,8 @@
 from .core.service import Service
 from .discovery.catalog import Discovery
 from .discovery.fixed import StaticEndpoints
-from .http1.bodies import room_for
-from .http1.front import Front
+from .http1.bodies import body_memory_limit
+from .http1.front import Frontend
 from .http1.wire import HttpWire
 from .policy import Balancer
 
@@ -44,7 +44,7 @@
         )
         assert isinstance(self.dispatcher.source, Discovery)
         self.discovery = self.dispatcher.source
-        self.front = Front(self.dispatcher)
+        self.front = Frontend(self.dispatcher)
         self.processes = 1
         """Of this sidecar, that share what it may hold: more than one while one takes over from another."""
         self.divide()
@@ -74,7 +74,7 @@
     def divide(self) -> None:
         self.descriptors.configure(self.config.sockets // self.processes)
         memory = self.config.memory
-        self.front.room.limit = room_for(memory / self.processes if memory is not None else None)
+        self.front.room.limit = body_memory_limit(memory / self.processes if memory is not None else None)
         self.front.configure()
 
     def levels(self) -> Levels:
@@ -100,13 +100,13 @@
     """A JSON-RPC service, as the operator file words it."""
 
     def __init__(self, told: JsonRpcService, seed: int, descriptors: Descriptors, host: Host) -> None:
-        from .jsonrpc.front import Front as JsonRpcFront
+        from .jsonrpc.front import Frontend as JsonRpcFrontend
         from .jsonrpc.wire import JsonRpcWire
 
         self.spec, self.seed, self.host = told, seed, host
-        self.wire = JsonRpcWire(told.rules.framing, told.proofs, descriptors, host)
+        self.wire = JsonRpcWire(told.rules.framing, told.error_codes, descriptors, host)
         self.dispatcher = Dispatcher(Balancer(told.settings, seed), self.wire, self.source, descriptors, host)
-        self.front = JsonRpcFront(self.dispatcher, told.rules)
+        self.front = JsonRpcFrontend(self.dispatcher, told.rules)
         longest = max(c.deadline for c in told.settings.classes)
         self.service = Service(told.name, told.listen, self.dispatcher, self.front, (longest + EARLY) / 1000.0)
 
@@ -126,7 +126,7 @@
                 "effect at the next start only",
                 told.name,
             )
-        self.wire.proofs = told.proofs
+        self.wire.error_codes = told.error_codes
         source = self.dispatcher.source
         if isinstance(source, Discovery):
             source.configure(told.settings, told.zones)
--- a/zinclever/core/dispatcher.py
+++ b/zinclever/core/dispatcher.py
@@ -284,7 +284,7 @@
         self.counts.concurrent += 1
         request.guard = self.loop.call_later(max(0.0, wait - GUARD) / 1000.0, self.give_up, request)
 
-    def uploaded(self, request_id: str) -> None:
+    def upload_finished(self, request_id: str) -> None:
         """The last byte of a request's body has come: its time begins, and that of the attempts that have had the
         body as it came."""
         request = self.requests.get(request_id)
--- a/zinclever/core/pools.py
+++ b/zinclever/core/pools.py
@@ -77,7 +77,7 @@
     def configure(self, connect_timeout: float, idle_limit: float, connections: ConnectionLimiter) -> None:
         self.connections = connections
         self.connect_timeout = connect_timeout / 1000.0
-        self.idle_for = IDLE_SHARE * idle_limit / 1000.0
+        self.max_idle_time = IDLE_SHARE * idle_limit / 1000.0
 
     # --- where endpoints are ---
 
@@ -173,9 +173,9 @@
         now = self.loop.time()
         pool.answered_at = 1000.0 * now
         pool.idle.append(connection)
-        self.idle[connection] = (now + self.idle_for, pool)
+        self.idle[connection] = (now + self.max_idle_time, pool)
         if self.reaper is None:
-            self.reaper = self.loop.call_later(self.idle_for, self.reap)
+            self.reaper = self.loop.call_later(self.max_idle_time, self.reap)
 
     def reap(self) -> None:
         """Close what has been idle long enough, before its endpoint does."""
--- a/zinclever/core/protocol.py
+++ b/zinclever/core/protocol.py
@@ -38,7 +38,7 @@
     payload: Any
     """What the wire of the same protocol sends; the core doesn't look into it."""
     uploading: bool = False
-    """The payload is still coming in: :meth:`~zinclever.core.dispatcher.Dispatcher.uploaded` tells of its end."""
+    """The payload is still coming in: :meth:`~zinclever.core.dispatcher.Dispatcher.upload_finished` tells of its end."""
 
 
 class Served(NamedTuple):
--- a/zinclever/core/service.py
+++ b/zinclever/core/service.py
@@ -17,7 +17,7 @@
 BACKLOG = 1024
 
 
-class Front(Protocol):
+class Frontend(Protocol):
     """A protocol's side towards the clients."""
 
     def configure(self) -> None:
@@ -45,7 +45,7 @@
     name: str
     address: Address
     dispatcher: Dispatcher
-    front: Front
+    front: Frontend
     held_for: float = HELD_FOR
     """s for which what is held may go on at the end."""
     server: asyncio.Server | None = field(default=None, init=False)
--- a/zinclever/core/shared.py
+++ b/zinclever/core/shared.py
@@ -93,7 +93,7 @@
     def configure(self, connect_timeout: float, idle_limit: float, connections: ConnectionLimiter) -> None:
         self.connections = connections
         self.connect_timeout = connect_timeout / 1000.0
-        self.idle_for = IDLE_SHARE * idle_limit / 1000.0
+        self.max_idle_time = IDLE_SHARE * idle_limit / 1000.0
 
     # --- where endpoints are ---
 
@@ -208,9 +208,9 @@
     def idle(self, connection: C) -> None:
         if connection not in self.pool_by_connection or connection in self.resting:
             return
-        self.resting[connection] = self.loop.time() + self.idle_for
+        self.resting[connection] = self.loop.time() + self.max_idle_time
         if self.reaper is None:
-            self.reaper = self.loop.call_later(self.idle_for, self.reap)
+            self.reaper = self.loop.call_later(self.max_idle_time, self.reap)
 
     def retired(self, connection: C) -> None:
         pool = self.pool_by_connection.get(connection)
--- a/zinclever/mesh/model/explore.py
+++ b/zinclever/mesh/model/explore.py
@@ -19,7 +19,7 @@
 from ..consensus.replica import Replica
 from ..transport.mesh_pb2 import ConsensusMessage, LogEntry, Voter
 from .explored_state import Budget, State
-from .histories import Call, Told, linearizable
+from .histories import Call, Told, is_linearizable
 from .members import decode_config, encode_config
 
 ELECTION_STEP = 0.9  # s of one time step; a member without contact to the leader acts on its election timeout
@@ -35,16 +35,18 @@
 class Start(Enum):
     """What has happened before the exploration begins."""
 
-    ASKED = "two changes with the same base were requested of the leader"
+    TWO_CHANGES = "two changes with the same base were requested of the leader"
     REPLACED = "the leader is paused; another was elected and acknowledged a change that the first doesn't know"
-    BEHIND = "the leader acknowledged a change and is paused; one member lacks it, the other has only accepted it"
+    LAGGING_MEMBER = (
+        "the leader acknowledged a change and is paused; one member lacks it, the other has only accepted it"
+    )
 
 
 class Explorer:
     """Explores from a cluster of three voters with a leader, prepared as ``start`` says."""
 
     def __init__(
-        self, replica_type: type[Replica] = Replica, budget: Budget | None = None, start: Start = Start.ASKED
+        self, replica_type: type[Replica] = Replica, budget: Budget | None = None, start: Start = Start.TWO_CHANGES
     ) -> None:
         self.replica_type = replica_type
         voters = [Voter(disk=f"d{n}", name=f"m{n}", ip=f"10.0.0.{n}", port=1) for n in range(3)]
@@ -65,9 +67,9 @@
         replicas[0].change_role(ReplicaRole.LEADER, 10.0)
         self.start = state
         prepare: dict[Start, Callable[[State], None]] = {
-            Start.ASKED: self.prepare_two_changes,
+            Start.TWO_CHANGES: self.prepare_two_changes,
             Start.REPLACED: self.prepare_replaced_leader,
-            Start.BEHIND: self.prepare_lagging_member,
+            Start.LAGGING_MEMBER: self.prepare_lagging_member,
         }
         prepare[start](state)
 
@@ -147,9 +149,9 @@
             yield from self.member_successors(state, n)
             if state.replicas[n].role is ReplicaRole.LEADER and n not in state.stopped:
                 yield from self.operator_successors(state, n)
-        if state.budget.turns:
+        if state.budget.time_steps:
             successor = state.copy()
-            successor.budget.turns -= 1
+            successor.budget.time_steps -= 1
             self.advance_time(successor)
             yield successor
 
@@ -167,9 +169,9 @@
                 del successor.in_flight[n]
                 successor.budget.losses -= 1
                 yield successor
-            if state.budget.doubles:
+            if state.budget.duplicates:
                 successor = state.copy()
-                successor.budget.doubles -= 1
+                successor.budget.duplicates -= 1
                 self.deliver(successor, target, data)
                 yield successor
 
@@ -287,7 +289,9 @@
 
     def record_reply(self, state: State, reply: Reply) -> None:
         """Enter the reply to a call in the history."""
-        told = {200: Told.DONE, 404: Told.DONE, 412: Told.STALE, 400: Told.NOT_ABOVE}.get(reply.status, Told.UNCLEAR)
+        told = {200: Told.DONE, 404: Told.DONE, 412: Told.STALE, 400: Told.GENERATION_TOO_LOW}.get(
+            reply.status, Told.INDETERMINATE
+        )
         state.event_count += 1
         call = replace(state.history[reply.call_id], ended=state.event_count, told=told)
         if call.kind == "get" and reply.status == 200:
@@ -341,7 +345,7 @@
     def check_invariants(self, state: State) -> None:
         """Raise Broken if a state violates linearizability, durability or the monotonicity of terms."""
         if state.history not in self.judged:
-            self.judged[state.history] = linearizable(state.history)
+            self.judged[state.history] = is_linearizable(state.history)
         if not self.judged[state.history]:
             raise Broken(f"the history of calls is not linearizable: {state.history}")
         self.check_durability(state)
--- a/zinclever/mesh/model/explore_voters.py
+++ b/zinclever/mesh/model/explore_voters.py
@@ -36,7 +36,7 @@
     """What has happened before the exploration begins."""
 
     FOLLOWER_LEAVES = "a change is acknowledged, a follower has asked for leave, and another change was requested"
-    LET_GO = "a change is acknowledged, and a follower was granted leave and has not shut down yet"
+    LEAVE_GRANTED = "a change is acknowledged, and a follower was granted leave and has not shut down yet"
     LEADER_LEAVES = (
         "a change is acknowledged, another was requested, and the leader has handed over leadership to leave"
     )
@@ -44,8 +44,8 @@
         "a machine is destroyed, its replacement has the committed state, and the change of voters is proposed"
     )
     REPLACED = "a machine is destroyed, its replacement is a voter, and the entry after that is proposed"
-    PLANNED = "a fourth voter has joined, and the one that it replaces has asked for leave"
-    UNHEARD = "a machine is destroyed, and a learner without the committed state has started"
+    PLANNED_REPLACEMENT = "a fourth voter has joined, and the one that it replaces has asked for leave"
+    LEARNER_WAITS = "a machine is destroyed, and a learner without the committed state has started"
 
 
 class VoterExplorer(Explorer):
@@ -72,12 +72,12 @@
         self.add_standby(state)
         prepare = {
             VoterStart.FOLLOWER_LEAVES: self.prepare_follower_leaves,
-            VoterStart.LET_GO: self.prepare_leave_granted,
+            VoterStart.LEAVE_GRANTED: self.prepare_leave_granted,
             VoterStart.LEADER_LEAVES: self.prepare_leader_leaves,
             VoterStart.REPLACEMENT: self.prepare_replacement,
             VoterStart.REPLACED: self.prepare_replaced_voter,
-            VoterStart.PLANNED: self.prepare_planned_replacement,
-            VoterStart.UNHEARD: self.prepare_waiting_learner,
+            VoterStart.PLANNED_REPLACEMENT: self.prepare_planned_replacement,
+            VoterStart.LEARNER_WAITS: self.prepare_waiting_learner,
         }
         prepare[start](state)
 
--- a/zinclever/mesh/model/explored_state.py
+++ b/zinclever/mesh/model/explored_state.py
@@ -16,14 +16,14 @@
 class Budget:
     """How many events of each kind may still happen."""
 
-    turns: int = 2
+    time_steps: int = 2
     """Time steps long enough for an election to start."""
     crashes: int = 1
     wipes: int = 0
     """Restarts with an empty disk."""
     losses: int = 1
     """Lost messages."""
-    doubles: int = 0
+    duplicates: int = 0
     """Messages that are delivered twice."""
     pauses: int = 0
     changes: int = 0
--- a/zinclever/mesh/model/field.py
+++ b/zinclever/mesh/model/field.py
@@ -21,7 +21,7 @@
         self.protocol_version = 3
         self.now = 0.0
         self.loss = loss
-        self.doubles = 0.0
+        self.duplicates = 0.0
         """Probability that a datagram is duplicated."""
         self.gossips: dict[str, Gossip] = {}
         self.cut: set[tuple[str, str]] = set()
@@ -93,7 +93,7 @@
             target = names.get(address)
             if target is None or (name, target) in self.cut:
                 continue
-            for _ in range(2 if self.rng.random() < self.doubles else 1):
+            for _ in range(2 if self.rng.random() < self.duplicates else 1):
                 if self.rng.random() >= self.loss:
                     at = self.now + 0.002 + 0.01 * self.rng.random()
                     heapq.heappush(self.event_queue, (at, next(self.sequence), target, data, self.address(name)))
@@ -119,7 +119,7 @@
         self.gossips[name].broadcast(self.now, record)
         self.flush(name)
 
-    def knowing(self, record: Record) -> int:
+    def count_holders(self, record: Record) -> int:
         """Return how many nodes hold exactly this version of a record."""
         return sum(
             (r := s.records.get(record.kind, record.id)) is not None
@@ -127,10 +127,10 @@
             for s in self.gossips.values()
         )
 
-    def until_all_know(self, record: Record, limit: float = 10.0) -> float:
+    def time_to_reach_all(self, record: Record, limit: float = 10.0) -> float:
         """Run until all nodes hold a record, and return the time that it took in s; infinity beyond ``limit`` s."""
         began = self.now
-        while self.knowing(record) < len(self.gossips):
+        while self.count_holders(record) < len(self.gossips):
             self.run(0.02)
             if self.now - began > limit:
                 return float("inf")
--- a/zinclever/mesh/model/histories.py
+++ b/zinclever/mesh/model/histories.py
@@ -22,8 +22,8 @@
 
     DONE = "200"
     STALE = "412: another version is current"
-    NOT_ABOVE = "400: the number is not above the current one"
-    UNCLEAR = "no clear answer"
+    GENERATION_TOO_LOW = "400: the number is not above the current one"
+    INDETERMINATE = "no clear answer"
 
 
 @dataclass(slots=True, unsafe_hash=True)
@@ -39,7 +39,7 @@
     kind: str
     generation: int
     base: int = 0
-    told: Told = Told.UNCLEAR
+    told: Told = Told.INDETERMINATE
     variant: int = 0
 
 
@@ -71,7 +71,7 @@
     applied: frozenset[ChangeId]
 
 
-def linearizable(history: Sequence[Call], initial_generation: int = 0) -> bool:
+def is_linearizable(history: Sequence[Call], initial_generation: int = 0) -> bool:
     """Return whether some order of the calls, consistent with their beginnings and ends, explains all answers.
 
     ``initial_generation`` is the generation that was current before the first call.
@@ -80,8 +80,8 @@
         SearchLimitExceeded: the history allows too many orders.
     """
     calls = [c for c in history if c.kind == "put" or c.told is Told.DONE]
-    ends = [math.inf if c.told is Told.UNCLEAR else c.ended for c in calls]
-    required = sum(1 << n for n, c in enumerate(calls) if c.told is not Told.UNCLEAR)
+    ends = [math.inf if c.told is Told.INDETERMINATE else c.ended for c in calls]
+    required = sum(1 << n for n, c in enumerate(calls) if c.told is not Told.INDETERMINATE)
     visited: set[SearchState] = set()
     stack = [SearchState(0, Version(initial_generation), frozenset())]
     while stack:
@@ -115,7 +115,7 @@
         return state if call.told is Told.DONE else None
     if call.told is Told.STALE:
         return state if call.base != current else None
-    if call.told is Told.NOT_ABOVE:
+    if call.told is Told.GENERATION_TOO_LOW:
         return state if call.base == current and call.generation <= current else None
     if call.base != current or call.generation <= current:
         return None  # a call without a clear answer need not take effect
--- a/zinclever/mesh/model/members.py
+++ b/zinclever/mesh/model/members.py
@@ -82,9 +82,9 @@
         """Directions, as (sender, target), in which all messages are lost."""
         self.full: set[str] = set()
         """Machines whose disks fail all writes."""
-        self.loss = self.doubles = 0.0
+        self.loss = self.duplicates = 0.0
         """Probabilities that a message is lost, and that it is duplicated."""
-        self.answer_loss = 0.0
+        self.reply_loss = 0.0
         """Probability that the reply to an operator's call is lost."""
         self.delay = 0.002
         self.synced = 0.8
@@ -272,7 +272,7 @@
         if act.to.disk == m.disk.name:
             self.in_flight.append((self.now, m.ip, m.ip, message))
             return
-        for _ in range(2 if self.rng.random() < self.doubles else 1):
+        for _ in range(2 if self.rng.random() < self.duplicates else 1):
             if self.rng.random() >= self.loss:
                 at = self.now + self.delay * (1 + 3 * self.rng.random() * self.rng.random())
                 self.in_flight.append((at, m.ip, act.to.ip, message))
@@ -318,7 +318,7 @@
         """Return whether the member at an address answers a read within 2 s."""
         call = self.get(ip)
         until = self.now + 2.0
-        while call is not None and call.told is Told.UNCLEAR and call.ended > self.now < until:
+        while call is not None and call.told is Told.INDETERMINATE and call.ended > self.now < until:
             self.run(0.01)
         return call is not None and call.told is Told.DONE
 
@@ -327,7 +327,7 @@
         call = self.asked.pop(act.call_id, None)
         if call is None:
             return
-        if self.answer_loss and self.rng.random() < self.answer_loss:
+        if self.reply_loss and self.rng.random() < self.reply_loss:
             return
         call.ended = self.now
         if call.kind == "get":
@@ -339,7 +339,7 @@
             self.acked[call.generation] = encode_config(call.generation, call.variant)
             self.acknowledged_by_base.setdefault(call.base, set()).add(call.generation)
         elif act.status in (400, 412):
-            call.told = Told.STALE if act.status == 412 else Told.NOT_ABOVE
+            call.told = Told.STALE if act.status == 412 else Told.GENERATION_TOO_LOW
             self.refused.append((call.base, call.generation))
 
     # --- invariants ---
@@ -353,7 +353,7 @@
         known = self.committed.setdefault(entry.index, text)
         assert known == text, f"two different entries are committed under index {entry.index}"
 
-    def one_winner(self) -> None:
+    def assert_one_change_per_base(self) -> None:
         """Assert that at most one change was acknowledged for each base."""
         for base, generations in self.acknowledged_by_base.items():
             assert len(generations) == 1, f"several changes with base {base} were acknowledged: {generations}"
@@ -363,7 +363,7 @@
         committed = [m.replica.committed for m in self.machines.values() if m.replica is not None]
         return max(committed, key=lambda c: c.index)
 
-    def nothing_lost(self) -> None:
+    def assert_acknowledged_kept(self) -> None:
         """Assert that the newest acknowledged change is committed."""
         newest = self.newest()
         if self.acked:
@@ -375,8 +375,8 @@
         """End all faults, restart and resume every process, and let ``span`` s pass for the cluster to converge."""
         self.cut.clear()
         self.full.clear()
-        self.loss = self.doubles = 0.0
-        self.answer_loss = 0.0
+        self.loss = self.duplicates = 0.0
+        self.reply_loss = 0.0
         for ip, m in self.machines.items():
             if m.replica is None:
                 self.start(ip)
--- a/zinclever/mesh/model/slow_links.py
+++ b/zinclever/mesh/model/slow_links.py
@@ -47,7 +47,7 @@
     return b'{"Generation":%d,"Routes":{%b}}' % (generation, b",".join(routes))
 
 
-class SlowWorld(World):
+class SlowLinkWorld(World):
     """A cluster whose links transmit ``rate`` bytes a second.
 
     Args:
@@ -67,7 +67,7 @@
         """By link: when it has transmitted everything that was put on it."""
         self.queued = 0.0
         """The longest time in s that a message waited for earlier ones on its link."""
-        self.heartbeat_late = 0.0
+        self.max_heartbeat_delay = 0.0
         """The longest time in s between a leader's sending a plain heartbeat and the end of its transmission."""
         self.snapshots = 0
         """Number of heartbeats that carried a committed entry to a lagging member."""
@@ -118,7 +118,7 @@
         self.sent_bytes[link] = self.sent_bytes.get(link, 0) + size
         self.queued = max(self.queued, begins - self.now)
         if message.kind == MessageKind.HEARTBEAT and not message.HasField("committed"):
-            self.heartbeat_late = max(self.heartbeat_late, self.free_at[link] - self.now)
+            self.max_heartbeat_delay = max(self.max_heartbeat_delay, self.free_at[link] - self.now)
         self.snapshots += message.kind == MessageKind.HEARTBEAT and message.HasField("committed")
         self.in_flight.append((self.free_at[link] + self.delay, sender, send.to.ip, message))
 
@@ -208,7 +208,7 @@
         self.replica(ip).read(self.now, self.calls)
         self.carry_out(self.machines[ip])
 
-    def until_caught_up(self, ip: str, storm: int = 0, kind: int = 0, most: float = 60.0) -> float:
+    def run_until_caught_up(self, ip: str, storm: int = 0, kind: int = 0, most: float = 60.0) -> float:
         """Run until a member has committed what the newest one had committed a second before.
 
         Args:
--- a/zinclever/sim/applications.py
+++ b/zinclever/sim/applications.py
@@ -15,7 +15,7 @@
 from .model import RequestKind
 
 if TYPE_CHECKING:
-    from .scene import Scene
+    from .scene import BaseWorld
     from .sidecars import Sidecar
 
 MS = NS // 1000
@@ -55,7 +55,7 @@
 class Application:
     """One client process beside its sidecar."""
 
-    def __init__(self, world: Scene, sidecar: Sidecar, weight: float) -> None:
+    def __init__(self, world: BaseWorld, sidecar: Sidecar, weight: float) -> None:
         self.world, self.sidecar, self.weight = world, sidecar, weight
         self.name = sidecar.name
         self.rng = Random(f"{world.day.seed}/application/{self.name}")
@@ -196,7 +196,7 @@
         )
         self.wait = wait
         if not again:
-            self.asked_at = world.ms()
+            self.asked_at = world.now_ms()
             world.log.asked.append(
                 Asked(
                     self.asked_at,
@@ -216,7 +216,7 @@
         still."""
         self.timer = None
         if self.application.sidecar.paused_since(self.asked_at):
-            self.application.world.log.left.append(Left(self.application.world.ms(), self.name))
+            self.application.world.log.left.append(Left(self.application.world.now_ms(), self.name))
         story, self.story = self.story, None
         self.transport.abort()
         if story is not None:
@@ -251,13 +251,13 @@
             self.timer.cancel()
         status = self.parser.get_status_code()
         world = self.application.world
-        if world.ms() > self.asked_at + self.wait and self.application.sidecar.paused_since(self.asked_at):
-            world.log.left.append(Left(world.ms(), self.name))  # it had given up already
+        if world.now_ms() > self.asked_at + self.wait and self.application.sidecar.paused_since(self.asked_at):
+            world.log.left.append(Left(world.now_ms(), self.name))  # it had given up already
             self.application.failed(story)
             self.transport.abort()
             return
         said: Kind = "served" if status == 200 else "refused" if status in (429, 503) else "failed"
-        world.log.answered.append(Answered(world.ms(), self.name, said, self.body.decode("latin-1")))
+        world.log.answered.append(Answered(world.now_ms(), self.name, said, self.body.decode("latin-1")))
         world.counts.answers[said] += 1
         if self.closes:
             self.transport.close()
@@ -268,7 +268,7 @@
     def beyond(self) -> None:
         """Something more after a final answer, which the auditor finds: there is one to each request."""
         if self.name:
-            self.application.world.log.answered.append(Answered(self.application.world.ms(), self.name, "served"))
+            self.application.world.log.answered.append(Answered(self.application.world.now_ms(), self.name, "served"))
 
     def connection_lost(self, exc: Exception | None) -> None:
         application = self.application
@@ -283,7 +283,7 @@
         world = application.world
         if application.sidecar.killed_since(self.asked_at):
             # What a sidecar that was killed has held is the client's to repeat, as far as it may.
-            world.log.left.append(Left(world.ms(), self.name))
+            world.log.left.append(Left(world.now_ms(), self.name))
             application.failed(story)
         elif self.used and exc is None and not self.resent:
             # The sidecar closed it between requests, and this one crossed that.
--- a/zinclever/sim/cli.py
+++ b/zinclever/sim/cli.py
@@ -20,7 +20,7 @@
 from .model import Day
 from .world import World
 
-EXIT_WRONG = 2
+EXIT_INVALID_INPUT = 2
 """What was asked for can't be done: a file that holds no day."""
 EXIT_BREACH = 1
 """A day on which a rule was broken, or a sidecar failed."""
@@ -90,7 +90,7 @@
     except (OSError, dayfile.DayError) as wrong:
         for line in str(wrong).splitlines():
             click.echo(f"{path}: {line}", err=True)
-        raise SystemExit(EXIT_WRONG) from wrong
+        raise SystemExit(EXIT_INVALID_INPUT) from wrong
 
 
 @sim.command()
@@ -168,7 +168,7 @@
     if not found:
         raise click.ClickException(f"{file}: no rule is broken on this day")
     rule = found[0].partition(":")[0]
-    least = hunting.Cutter(hunting.breaks(rule), tries).cut(told)
+    least = hunting.DayMinimizer(hunting.breaks(rule), tries).cut(told)
     click.echo(dayfile.write(least), nl=False)
     parts = f"{hunting.size(least)} events, {least.sidecars} sidecars, {least.endpoints} endpoints"
     click.echo(f"{rule}: {parts}", err=True)
--- a/zinclever/sim/core.py
+++ b/zinclever/sim/core.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from ..simnet.scheduler import NS
-from .ground import Clock, Due
+from .ground import Clock, ScheduledCall
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
         self.scheduler, self.speed, self.warming = scheduler, speed, warming
         self.jobs: deque[Job] = deque()
         self.running: Job | None = None
-        self.end: Due | None = None
+        self.end: ScheduledCall | None = None
         self.worked = 0.0
         """s at speed 1"""
 
--- a/zinclever/sim/figures.py
+++ b/zinclever/sim/figures.py
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:
     from .applications import Story
-    from .scene import Scene
+    from .scene import BaseWorld
 
 WINDOW = 10  # s: the worst stretch of a day is looked for in windows of so long
 BEFORE = 4  # s of a day, from the first that counts, before any trouble begins
@@ -25,7 +25,7 @@
 class Counts:
     """By second of the world where a second matters."""
 
-    world: Scene
+    world: BaseWorld
     handshakes: Counter[tuple[int, str]] = field(default_factory=Counter)
     sent: Counter[tuple[int, str]] = field(default_factory=Counter)
     calls: Counter[int] = field(default_factory=Counter)
@@ -56,7 +56,7 @@
 class Figures:
     """Service by second, and by class: worth asked for, and worth answered within its aim."""
 
-    def __init__(self, world: Scene) -> None:
+    def __init__(self, world: BaseWorld) -> None:
         self.world = world
         self.asked: Counter[tuple[int, str]] = Counter()
         self.in_time: Counter[tuple[int, str]] = Counter()
@@ -139,7 +139,7 @@
         return min(self.share(first, first + WINDOW) for first in range(FIRST, last))
 
 
-def summary(world: Scene, breaches: list[Any]) -> dict[str, Any]:
+def summary(world: BaseWorld, breaches: list[Any]) -> dict[str, Any]:
     """One object for a day, ready to be printed as JSON."""
     day, counts, figures = world.day, world.counts, world.figures
     seconds = round(day.seconds)
--- a/zinclever/sim/ground.py
+++ b/zinclever/sim/ground.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 
-class Due(Protocol):
+class ScheduledCall(Protocol):
     """What is to happen at an instant."""
 
     def call_off(self) -> None: ...
@@ -20,9 +20,9 @@
     @property
     def now(self) -> int: ...
 
-    def at(self, when: int, act: Callable[..., object], /, *args: Any) -> Due: ...
+    def at(self, when: int, act: Callable[..., object], /, *args: Any) -> ScheduledCall: ...
 
-    def after(self, span: int, act: Callable[..., object], /, *args: Any) -> Due: ...
+    def after(self, span: int, act: Callable[..., object], /, *args: Any) -> ScheduledCall: ...
 
 
 class Process(Protocol):
--- a/zinclever/sim/model.py
+++ b/zinclever/sim/model.py
@@ -140,7 +140,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class FaultEvent:
     """Something that goes wrong, or is done, from an instant on."""
 
     kind: str
@@ -171,7 +171,7 @@
     rules: Rules = field(default_factory=Rules)
     sidecar: Sidecars = field(default_factory=Sidecars)
     zones: Zones = field(default_factory=Zones)
-    troubles: tuple[Trouble, ...] = ()
+    troubles: tuple[FaultEvent, ...] = ()
     only: tuple[int, ...] = ()
     """Which first tries are made, by their numbers in the order in which they are drawn; none named: all."""
 
--- a/zinclever/sim/troubles.py
+++ b/zinclever/sim/troubles.py
@@ -1,4 +1,4 @@
-"""What goes wrong on a day, carried out: each kind of :class:`~zinclever.sim.model.Trouble` has its method here."""
+"""What goes wrong on a day, carried out: each kind of :class:`~zinclever.sim.model.FaultEvent` has its method here."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 from ..simnet.scheduler import NS
 from ..standins.faults import Fault
-from .model import Trouble
+from .model import FaultEvent
 from .pages import PageServer, calm
 
 if TYPE_CHECKING:
     from .applications import Application
-    from .scene import Scene
+    from .scene import BaseWorld
     from .sidecars import Sidecar
 
 DRAINS_FOR = 4.0  # s from a server's draining to its end
@@ -67,7 +67,7 @@
 class Troubles:
     """Those of one day. Who is befallen is drawn from the day's seed."""
 
-    def __init__(self, world: Scene) -> None:
+    def __init__(self, world: BaseWorld) -> None:
         self.world = world
 
     def plan(self, start: int) -> None:
@@ -79,26 +79,26 @@
     def after(self, seconds: float, act: Callable[..., object], *args: object) -> None:
         self.world.scheduler.after(round(seconds * NS), act, *args)
 
-    def some(self, trouble: Trouble, rng: Random) -> list[PageServer]:
+    def some(self, trouble: FaultEvent, rng: Random) -> list[PageServer]:
         """The servers that it befalls."""
         ready = [s for s in self.world.ready_servers() if trouble.zone in ("", s.machine.zone)]
         return rng.sample(ready, round(trouble.share * len(ready)))
 
     # --- servers ---
 
-    def silent(self, trouble: Trouble, rng: Random) -> None:
+    def silent(self, trouble: FaultEvent, rng: Random) -> None:
         """A share of the servers takes requests and answers none."""
         for server in self.some(trouble, rng):
             server.silent = True
             self.after(trouble.for_s, setattr, server, "silent", False)
 
-    def slow(self, trouble: Trouble, rng: Random) -> None:
+    def slow(self, trouble: FaultEvent, rng: Random) -> None:
         """A share of the servers does its work ``factor`` times as slowly, but lives."""
         for server in self.some(trouble, rng):
             server.core.speed /= trouble.factor
             self.after(trouble.for_s, setattr, server.core, "speed", server.core.speed * trouble.factor)
 
-    def faults(self, trouble: Trouble, rng: Random) -> None:
+    def faults(self, trouble: FaultEvent, rng: Random) -> None:
         """A share of all requests to servers goes wrong, in one of the ways that stand-ins know."""
         wrong = [fault for fault in Fault if fault is not Fault.NONE]
 
@@ -109,12 +109,12 @@
             server.plan = plan
             self.after(trouble.for_s, setattr, server, "plan", calm)
 
-    def vanish(self, trouble: Trouble, rng: Random) -> None:
+    def vanish(self, trouble: FaultEvent, rng: Random) -> None:
         """Machines say nothing; they come back with a server that has just started."""
         for server in self.some(trouble, rng):
             self.lose(server, trouble.for_s)
 
-    def zone_lost(self, trouble: Trouble, rng: Random) -> None:
+    def zone_lost(self, trouble: FaultEvent, rng: Random) -> None:
         """All servers of a zone vanish and come back cold."""
         for server in self.world.ready_servers():
             if server.machine.zone == trouble.zone:
@@ -123,7 +123,7 @@
     def lose(self, server: PageServer, span: float) -> None:
         listing = self.world.listing
         server.machine.vanish()
-        self.world.cuts.append(Cut("", server.name, self.world.ms(), 1000.0 * span))
+        self.world.cuts.append(Cut("", server.name, self.world.now_ms(), 1000.0 * span))
         silent = listing.told.silent_notice_s
         if span > silent:
             listing.learn(server, "gone", silent)
@@ -142,7 +142,7 @@
         listing = self.world.listing
         return listing.rng.uniform(*listing.told.add_s)
 
-    def shrink(self, trouble: Trouble, rng: Random) -> None:
+    def shrink(self, trouble: FaultEvent, rng: Random) -> None:
         """The fleet shrinks to a share of its size within a time; the traffic by ``factor`` with it."""
         ready = self.world.ready_servers()
         going = rng.sample(ready, len(ready) - round(trouble.share * len(ready)))
@@ -169,7 +169,7 @@
         listing = self.world.listing
         listing.learn(server, "gone", listing.rng.uniform(*listing.told.notice_s))
 
-    def grow(self, trouble: Trouble, rng: Random) -> None:
+    def grow(self, trouble: FaultEvent, rng: Random) -> None:
         """So many new servers start within a time."""
         for _ in range(trouble.count):
             self.after(rng.random() * trouble.for_s, self.begin, rng.randrange(len(self.world.day.zones.names)))
@@ -183,7 +183,7 @@
         server = world.new_server(world.day.zones.names[zone], world.draw_kind(), cells, True)
         world.listing.learn(server, "ready", self.adds())
 
-    def waves(self, trouble: Trouble, rng: Random) -> None:
+    def waves(self, trouble: FaultEvent, rng: Random) -> None:
         """A share of the fleet is replaced by new servers, in waves of ``count``, within a time."""
         going = self.some(trouble, rng)
         waves = max(1, -(-len(going) // max(1, trouble.count)))
@@ -194,18 +194,18 @@
 
     # --- reports, keys, load ---
 
-    def late_reports(self, trouble: Trouble, rng: Random) -> None:
+    def late_reports(self, trouble: FaultEvent, rng: Random) -> None:
         """Load reports come ``factor`` ms later."""
         self.world.report_delay_ms = trouble.factor
         self.after(trouble.for_s, setattr, self.world, "report_delay_ms", 0.0)
 
-    def hot_keys(self, trouble: Trouble, rng: Random) -> None:
+    def hot_keys(self, trouble: FaultEvent, rng: Random) -> None:
         """A few keys draw a share of all traffic."""
         keys = self.world.keys
         keys.hot, keys.hot_share = rng.sample(keys.names, trouble.count), trouble.share
         self.after(trouble.for_s, setattr, keys, "hot_share", 0.0)
 
-    def hot_sidecars(self, trouble: Trouble, rng: Random) -> None:
+    def hot_sidecars(self, trouble: FaultEvent, rng: Random) -> None:
         """A few applications carry a share of all traffic, or each so many times the mean."""
         world = self.world
         hot = rng.sample(world.applications, trouble.count)
@@ -228,7 +228,7 @@
         for application in self.world.applications:
             application.go()
 
-    def spike(self, trouble: Trouble, rng: Random) -> None:
+    def spike(self, trouble: FaultEvent, rng: Random) -> None:
         """``factor`` times the traffic."""
         self.world.factor = trouble.factor
         self.all_go()
@@ -240,11 +240,11 @@
 
     # --- sidecars ---
 
-    def chosen(self, trouble: Trouble, rng: Random) -> list[Sidecar]:
+    def chosen(self, trouble: FaultEvent, rng: Random) -> list[Sidecar]:
         sidecars = self.world.sidecars
         return rng.sample(sidecars, round((trouble.share or 1.0) * len(sidecars)))
 
-    def restart(self, trouble: Trouble, rng: Random) -> None:
+    def restart(self, trouble: FaultEvent, rng: Random) -> None:
         """Planned, one after another within a time: SIGTERM, and a new process after it."""
         chosen = self.chosen(trouble, rng)
         for number, sidecar in enumerate(chosen):
@@ -257,20 +257,20 @@
         self.after(RESTARTS_AFTER, sidecar.restart, sidecar.loop)
         self.after(RESTARTS_AFTER + BACK_AFTER, application.go)
 
-    def kill(self, trouble: Trouble, rng: Random) -> None:
+    def kill(self, trouble: FaultEvent, rng: Random) -> None:
         """Killed without warning within a time, and started again."""
         for sidecar in self.chosen(trouble, rng):
             at = rng.random() * trouble.for_s
             self.after(at, sidecar.kill)
             self.after(at + KILLED_FOR, sidecar.start)
 
-    def pause(self, trouble: Trouble, rng: Random) -> None:
+    def pause(self, trouble: FaultEvent, rng: Random) -> None:
         """Processes stand still, and go on as if no time had passed."""
         for sidecar in self.chosen(trouble, rng):
             sidecar.pause()
             self.after(trouble.for_s, sidecar.resume)
 
-    def restart_loop(self, trouble: Trouble, rng: Random) -> None:
+    def restart_loop(self, trouble: FaultEvent, rng: Random) -> None:
         """``count`` sidecars die every ``factor`` s, and are started again at once."""
         for sidecar in rng.sample(list(self.world.sidecars), trouble.count):
             at = 0.0
@@ -279,7 +279,7 @@
                 self.after(at + RESTARTED_AFTER, sidecar.start)
                 at += trouble.factor
 
-    def power(self, trouble: Trouble, rng: Random) -> None:
+    def power(self, trouble: FaultEvent, rng: Random) -> None:
         """Every machine is off for a while: all servers come back cold, all sidecars anew, discovery with them."""
         self.discovery_down(trouble, rng)
         for server in self.world.ready_servers():
@@ -288,14 +288,14 @@
             sidecar.kill()
             self.after(trouble.for_s, sidecar.start)
 
-    def reload(self, trouble: Trouble, rng: Random) -> None:
+    def reload(self, trouble: FaultEvent, rng: Random) -> None:
         """SIGHUP, within a time; the file says the same."""
         for sidecar in self.chosen(trouble, rng):
             self.after(rng.random() * trouble.for_s, sidecar.reload)
 
     # --- the network, discovery ---
 
-    def partition(self, trouble: Trouble, rng: Random) -> None:
+    def partition(self, trouble: FaultEvent, rng: Random) -> None:
         """Nothing gets from any zone to any other."""
         names = self.world.day.zones.names
         for one in names:
@@ -304,11 +304,11 @@
                     self.cut(one, other, trouble.for_s)
 
     def cut(self, source: str, target: str, span: float) -> None:
-        self.world.cuts.append(Cut(source, target, self.world.ms(), 1000.0 * span))
+        self.world.cuts.append(Cut(source, target, self.world.now_ms(), 1000.0 * span))
         self.world.network.cut(source, target)
         self.after(span, self.world.network.heal, source, target)
 
-    def one_way(self, trouble: Trouble, rng: Random) -> None:
+    def one_way(self, trouble: FaultEvent, rng: Random) -> None:
         """Nothing gets out of a zone, while all gets in; of the first one where none is named."""
         names = self.world.day.zones.names
         source = trouble.zone or names[0]
@@ -316,7 +316,7 @@
             if other != source:
                 self.cut(source, other, trouble.for_s)
 
-    def flapping(self, trouble: Trouble, rng: Random) -> None:
+    def flapping(self, trouble: FaultEvent, rng: Random) -> None:
         """Discovery goes down and comes back, each for ``factor`` s."""
         at = 0.0
         while at + trouble.factor <= trouble.for_s:
@@ -324,11 +324,11 @@
             self.after(at + trouble.factor, self.world.listing.come_back)
             at += 2.0 * trouble.factor
 
-    def discovery_down(self, trouble: Trouble, rng: Random) -> None:
+    def discovery_down(self, trouble: FaultEvent, rng: Random) -> None:
         self.world.listing.go_down()
         self.after(trouble.for_s, self.world.listing.come_back)
 
-    def discovery_crowded(self, trouble: Trouble, rng: Random) -> None:
+    def discovery_crowded(self, trouble: FaultEvent, rng: Random) -> None:
         """Others call it: it has ``factor`` of its capacity left."""
         listing = self.world.listing
         before = listing.told
