--- a/zinclever/simnet/host.py
+++ b/zinclever/simnet/host.py
@@ -1,4 +1,4 @@
-"""What a process reads of its simulated machine: clocks, random numbers, kernel queues, descriptors, files."""
+"""What a process reads of its simulated machine: clocks, random numbers, socket queues, descriptors and files."""
 
 from __future__ import annotations
 
@@ -9,18 +9,19 @@
 from ..core.protocol import Address
 from .loop import Loop
 from .scheduler import NS
-from .tcp import Listener, Socket, wrong
+from .tcp import Listener, Socket, os_error
 
 EPOCH = 1_700_000_000 * NS
-"""ns of Unix time at which every simulated world begins."""
+"""Unix time in ns at which every simulation begins."""
 
 
 class Disk:
-    """What several processes of one machine share: files, and who of them is alive."""
+    """What the processes of one machine share: its files, and which processes are registered as running."""
 
     def __init__(self, files: Mapping[str, bytes] | None = None) -> None:
         self.files: dict[str, bytes] = dict(files or {})
-        self.alive: dict[Address, list[SimulatedPresence]] = {}
+        self.presences: dict[Address, list[SimulatedPresence]] = {}
+        """Registered processes by the address that they serve."""
 
 
 class SimulatedHost:
@@ -33,43 +34,52 @@
         self.environ: Mapping[str, str] = environ or {}
         self.disk = disk or Disk()
         self.clock_offset_ns = 0
-        """ns by which the machine's clock is wrong."""
-        self.handed_over: dict[int, Listener] = {}
-        """Descriptors that the process found open."""
+        """By how many ns the machine's clock is ahead of the simulation's Unix time."""
+        self.inherited_listeners: dict[int, Listener] = {}
+        """Listeners by the descriptor that the process inherited."""
 
     def time_ns(self) -> int:
-        return EPOCH + self.loop.local() + self.clock_offset_ns
+        """Return the machine's Unix time."""
+        return EPOCH + self.loop.local_now() + self.clock_offset_ns
 
     def monotonic_ns(self) -> int:
-        return self.loop.local()
+        """Return the simulated time as the process reads it."""
+        return self.loop.local_now()
 
     def random(self) -> Random:
+        """Return a generator with a seed of its own."""
         return Random(self.rng.getrandbits(64))
 
     def socket(self) -> Socket:
+        """Return a new socket, not connected. OSError if too many descriptors are open."""
         return self.loop.descriptors.socket()
 
     def unread(self, sock: Socket) -> bool:
+        """Return whether a connection has unread bytes, or an unread end or error."""
         return sock.readable()
 
     def ms_since_received(self, sock: Socket) -> float:
-        return (self.loop.local() - sock.heard_at) * 1000.0 / NS
+        """Return the ms since the latest bytes of a connection were received."""
+        return (self.loop.local_now() - sock.received_at) * 1000.0 / NS
 
     def read_file(self, path: str) -> bytes:
+        """Return the content of a file. Unreadable if there is none."""
         if path not in self.disk.files:
             raise Unreadable(f"{path}: No such file or directory")
         return self.disk.files[path]
 
     def inherited(self, descriptor: int) -> Listener:
-        found = self.handed_over.get(descriptor)
+        """Return the listener behind an inherited descriptor. OSError if there is none."""
+        found = self.inherited_listeners.get(descriptor)
         if found is None:
-            raise wrong(9)
+            raise os_error(9)
         return found
 
     def unblock_reload_signal(self) -> None:
-        """Nothing comes before: a simulated process has its handlers in the instant in which it starts."""
+        """Do nothing: a simulated process sets its handlers before any signal can arrive."""
 
     def presence(self, address: Address) -> SimulatedPresence:
+        """Return the presence of this process among those that serve an address."""
         return SimulatedPresence(self, address)
 
 
@@ -78,14 +88,17 @@
 
     def __init__(self, host: SimulatedHost, address: Address) -> None:
         self.host = host
-        self.here = host.disk.alive.setdefault(address, [])
+        self.registered = host.disk.presences.setdefault(address, [])
 
     def enter(self) -> None:
-        self.here.append(self)
+        """Register this process."""
+        self.registered.append(self)
 
     def others(self) -> int:
-        return sum(other is not self and not other.host.loop.dead for other in self.here)
+        """Return the number of other registered processes that are running."""
+        return sum(other is not self and not other.host.loop.dead for other in self.registered)
 
     def leave(self) -> None:
-        if self in self.here:
-            self.here.remove(self)
+        """Deregister this process."""
+        if self in self.registered:
+            self.registered.remove(self)
--- a/zinclever/simnet/loop.py
+++ b/zinclever/simnet/loop.py
@@ -1,8 +1,8 @@
-"""An asyncio event loop on simulated time: one for each process, all on one scheduler.
+"""An asyncio event loop in simulated time: one for each process, all on one scheduler.
 
-It keeps the contracts that the documentation of asyncio states: callbacks run one at a time, those of
-:meth:`~Loop.call_soon` in their order, timers no sooner than they are due. A callback takes no time unless a cost is
-stated; while it does, the process is busy, and what comes meanwhile waits.
+The loop keeps the guarantees in asyncio's documentation: callbacks run one at a time, those of :meth:`~Loop.call_soon`
+in the order of scheduling, and timers not before they are due. A callback takes no time unless a :class:`Cost` is set;
+then the process is busy for that time, and events wait until it is over.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 import heapq
 import logging
 import math
-import socket as names
+import socket as socket_module
 from asyncio import events
 from collections import deque
 from collections.abc import Callable, Coroutine, Generator
@@ -24,88 +24,89 @@
 from .process import Descriptors
 from .scheduler import NS, Event, Scheduler
 from .server import Server
-from .tcp import Listener, Socket, wrong
+from .tcp import Listener, Socket, os_error
 from .transport import Transport
 
 log = logging.getLogger(__name__)
 
 T = TypeVar("T")
 Ts = TypeVarTuple("Ts")
-READ = 256 * 1024  # bytes read at a time, as asyncio's own loop does
+READ_SIZE = 256 * 1024  # bytes, the most that one read returns, as in asyncio
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """What a process' callbacks take of its core, in s."""
+    """Processor time in s that a process's callbacks take."""
 
     callback: float = 0.0
     byte: float = 0.0
-    """For each byte that is read."""
+    """For each byte that a callback reads."""
     share: float = 1.0
-    """Of a core."""
+    """Share of a core that the process has."""
 
-    def of(self, size: int) -> int:
-        """ns for a callback that has read so many bytes."""
+    def nanoseconds(self, size: int) -> int:
+        """Return the duration in ns of a callback that reads ``size`` bytes."""
         return round((self.callback + size * self.byte) / self.share * NS)
 
 
-class Stalled(RuntimeError):
-    """Whoever waits waits for ever: nothing is left that could happen."""
+class NoMoreEvents(RuntimeError):
+    """A future will never be done: the scheduler has no events left."""
 
 
-def not_simulated(*given: Any, **more: Any) -> Any:
-    """What no process of a simulated machine has."""
+def not_simulated(*args: Any, **kwargs: Any) -> Any:
+    """Stands for the methods of an event loop that are not simulated."""
     raise NotImplementedError("not simulated")
 
 
 class Timer(asyncio.TimerHandle):
-    """Knows whether its loop still has it in its list, as asyncio's own do."""
+    """A timer that knows, like asyncio's own, whether it is still in the loop's heap."""
 
     _scheduled: bool
 
 
 class Loop(asyncio.AbstractEventLoop):
-    """The loop of one process. It runs as the scheduler lets events happen; :meth:`run_until_complete` drives that."""
+    """The loop of one process. It runs within the scheduler's events, which :meth:`run_until_complete` drives."""
 
     def __init__(self, machine: Machine, cost: Cost | None = None, descriptors: int = 1 << 20) -> None:
         self.machine, self.network = machine, machine.network
         self.scheduler: Scheduler = machine.network.scheduler
         self.cost = cost or Cost()
-        self.callback_cost = self.cost.of(0)
+        self.callback_cost = self.cost.nanoseconds(0)
         self.descriptors = Descriptors(machine, self, descriptors)
         self.ready: deque[asyncio.Handle] = deque()
         self.timers: list[tuple[int, int, Timer]] = []
-        self.cancelled = 0
-        """Timers that are called off and still in the list."""
+        self.cancelled_timers = 0
+        """Number of cancelled timers that are still in the heap."""
         self.serial = 0
-        self.turn: Event | None = None
-        self.alarm: Event | None = None
-        """When the first timer is due."""
+        self.run_event: Event | None = None
+        self.timer_event: Event | None = None
+        """The event that fires the first timer."""
         self.busy_until = 0
         self.used = 0
-        """ns of its core."""
+        """Processor time used, in ns."""
         self.callbacks = 0
         self.readers: dict[int, asyncio.Handle] = {}
         self.writers: dict[int, asyncio.Handle] = {}
-        self.signals: dict[int, asyncio.Handle] = {}
-        self.on_exception: Callable[[asyncio.AbstractEventLoop, dict[str, Any]], object] | None = None
+        self.signal_handlers: dict[int, asyncio.Handle] = {}
+        self.exception_handler: Callable[[asyncio.AbstractEventLoop, dict[str, Any]], object] | None = None
         self.task_factory: Any = None
         self.closed = self.dead = False
         self.frozen = False
 
     # --- time ---
 
-    def local(self) -> int:
-        """ns: this process' now, later than the scheduler's while it is busy."""
+    def local_now(self) -> int:
+        """Return the process's own time in ns, which is ahead of the scheduler's while the process is busy."""
         return max(self.scheduler.now, self.busy_until)
 
     def time(self) -> float:
-        return self.local() / NS
+        """Return the process's own time in s."""
+        return self.local_now() / NS
 
-    def spend(self, seconds: float) -> None:
-        """The callback that runs takes so much of a core more."""
+    def consume_cpu(self, seconds: float) -> None:
+        """Let the running callback take ``seconds`` more of processor time."""
         span = round(seconds / self.cost.share * NS)
-        self.busy_until = self.local() + span
+        self.busy_until = self.local_now() + span
         self.used += span
 
     # --- callbacks ---
@@ -113,8 +114,9 @@
     def call_soon(
         self, callback: Callable[[*Ts], object], *args: *Ts, context: contextvars.Context | None = None
     ) -> asyncio.Handle:
+        """Queue a callback."""
         handle = asyncio.Handle(callback, args, self, context)
-        self.put(handle)
+        self.enqueue(handle)
         return handle
 
     call_soon_threadsafe = call_soon
@@ -122,67 +124,71 @@
     def call_later(
         self, delay: float, callback: Callable[[*Ts], object], *args: *Ts, context: contextvars.Context | None = None
     ) -> asyncio.TimerHandle:
-        # Rounded up: a callback that asks for the rest of a span must find it over when it is called.
+        """Schedule a callback after ``delay`` s."""
+        # Rounded up, so that a callback that computes the remaining delay finds none left.
         return self.call_in(max(0, math.ceil(delay * NS)), callback, args, context)
 
     def call_at(
         self, when: float, callback: Callable[[*Ts], object], *args: *Ts, context: contextvars.Context | None = None
     ) -> asyncio.TimerHandle:
-        return self.call_in(max(0, math.ceil(when * NS) - self.local()), callback, args, context)
+        """Schedule a callback at an instant of :meth:`time`."""
+        return self.call_in(max(0, math.ceil(when * NS) - self.local_now()), callback, args, context)
 
     def call_in(
         self, span: int, callback: Callable[..., object], args: tuple[Any, ...], context: contextvars.Context | None
     ) -> asyncio.TimerHandle:
-        due = self.local() + span
+        """Schedule a callback after ``span`` ns."""
+        due = self.local_now() + span
         handle = Timer(due / NS, callback, args, self, context)
         self.serial += 1
         heapq.heappush(self.timers, (due, self.serial, handle))
         handle._scheduled = True
-        self.set_alarm()
+        self.schedule_timer_event()
         return handle
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
         if not (isinstance(handle, Timer) and handle._scheduled):
             return
-        self.cancelled += 1
-        if self.cancelled > 64 and 2 * self.cancelled > len(self.timers):
+        self.cancelled_timers += 1
+        if self.cancelled_timers > 64 and 2 * self.cancelled_timers > len(self.timers):
             self.timers = [timer for timer in self.timers if not timer[2].cancelled()]
             heapq.heapify(self.timers)
-            self.cancelled = 0
+            self.cancelled_timers = 0
 
-    def set_alarm(self) -> None:
+    def schedule_timer_event(self) -> None:
+        """Schedule the event that fires the first timer, unless one is scheduled that is early enough."""
         if self.timers and not self.dead:
             due = self.timers[0][0]
-            if self.alarm is None or self.alarm.act is None or due < self.alarm.when:
-                if self.alarm is not None:
-                    self.alarm.call_off()
-                self.alarm = self.scheduler.at(due, self.ring)
+            if self.timer_event is None or self.timer_event.callback is None or due < self.timer_event.when:
+                if self.timer_event is not None:
+                    self.timer_event.call_off()
+                self.timer_event = self.scheduler.at(due, self.fire_timers)
 
-    def ring(self) -> None:
-        """The first timer is due."""
+    def fire_timers(self) -> None:
+        """Queue the callbacks of all timers that are due."""
         now = self.scheduler.now
         while self.timers and self.timers[0][0] <= now:
             handle = heapq.heappop(self.timers)[2]
             handle._scheduled = False
             if handle.cancelled():
-                self.cancelled -= 1
+                self.cancelled_timers -= 1
             else:
-                self.put(handle)
-        self.set_alarm()
+                self.enqueue(handle)
+        self.schedule_timer_event()
 
-    def put(self, handle: asyncio.Handle) -> None:
-        """Run it in its turn."""
+    def enqueue(self, handle: asyncio.Handle) -> None:
+        """Queue a callback."""
         if self.closed:
             raise RuntimeError("Event loop is closed")
         if self.dead:
             return
         self.ready.append(handle)
-        if self.turn is None and not self.frozen:
-            self.turn = self.scheduler.at(self.local(), self.go)
+        if self.run_event is None and not self.frozen:
+            self.run_event = self.scheduler.at(self.local_now(), self.run_ready)
 
-    def go(self) -> None:
-        """Run what is ready, until something else happens before this process is through with it."""
-        self.turn = None
+    def run_ready(self) -> None:
+        """Run queued callbacks, until the queue is empty or another event of the simulation is due first."""
+        self.run_event = None
         ready, scheduler = self.ready, self.scheduler
         if self.dead or self.frozen:
             return
@@ -197,50 +203,51 @@
                 if self.dead:
                     return
                 if self.callback_cost:
-                    self.busy_until = self.local() + self.callback_cost
+                    self.busy_until = self.local_now() + self.callback_cost
                     self.used += self.callback_cost
-                # One callback each, so that whatever else is due at this instant may come between.
-                if ready and (following := scheduler.next_at()) is not None and following <= self.local():
+                # Yield after each callback to other events that are due at this instant.
+                if ready and (following := scheduler.next_at()) is not None and following <= self.local_now():
                     break
         finally:
             events._set_running_loop(None)
         if ready:
-            self.turn = scheduler.at(self.local(), self.go)
+            self.run_event = scheduler.at(self.local_now(), self.run_ready)
 
-    def charge(self, size: int) -> None:
-        """The callback that runs has read so many bytes."""
+    def charge_read(self, size: int) -> None:
+        """Add the cost of ``size`` bytes that the running callback has read."""
         if self.cost.byte:
-            self.spend(size * self.cost.byte)
+            self.consume_cpu(size * self.cost.byte)
 
     def freeze(self) -> None:
-        """The process is stopped: nothing of it runs until :meth:`thaw`."""
+        """Stop the process, as by SIGSTOP: no callback runs until :meth:`thaw`."""
         self.frozen = True
 
     def thaw(self) -> None:
+        """Continue a stopped process."""
         self.frozen = False
-        if self.ready and self.turn is None:
-            self.turn = self.scheduler.at(self.local(), self.go)
+        if self.ready and self.run_event is None:
+            self.run_event = self.scheduler.at(self.local_now(), self.run_ready)
 
     def die(self) -> None:
-        """The process is no more: nothing of it runs again, and the kernel resets its connections."""
+        """End the process: no callback runs again, and the kernel resets its connections."""
         if self.dead:
             return
         self.dead = True
-        for event in (self.turn, self.alarm):
+        for event in (self.run_event, self.timer_event):
             if event is not None:
                 event.call_off()
-        for what in list(self.descriptors.open.values()):
-            if isinstance(what, Listener):
-                self.stop_listening(what)
+        for resource in list(self.descriptors.open.values()):
+            if isinstance(resource, Listener):
+                self.stop_listening(resource)
         self.descriptors.die()
         self.ready.clear()
         self.timers.clear()
         self.readers.clear()
         self.writers.clear()
-        self.signals.clear()
+        self.signal_handlers.clear()
 
     def stop_listening(self, listener: Listener) -> None:
-        """This process accepts no more; the last one that did closes the socket."""
+        """Stop accepting from a listener, and close it if no other process accepts from it."""
         listener.wakers = [wake for wake in listener.wakers if getattr(wake, "loop", None) is not self]
         if not listener.wakers:
             listener.close()
@@ -248,6 +255,7 @@
     # --- tasks and futures ---
 
     def create_future(self) -> asyncio.Future[Any]:
+        """Return a new future of this loop."""
         return asyncio.Future(loop=self)
 
     def create_task(
@@ -257,145 +265,179 @@
         name: str | None = None,
         context: contextvars.Context | None = None,
     ) -> asyncio.Task[T]:
+        """Return a new task of this loop."""
         return asyncio.Task(coro, loop=self, name=name, context=context)
 
     def set_task_factory(self, factory: Any) -> None:
+        """Not simulated."""
         raise NotImplementedError
 
     def get_task_factory(self) -> None:
+        """Return None, the default factory."""
         return None
 
     def set_exception_handler(
         self, handler: Callable[[asyncio.AbstractEventLoop, dict[str, Any]], object] | None
     ) -> None:
-        self.on_exception = handler
+        """Set the handler of uncaught exceptions; None: the default one."""
+        self.exception_handler = handler
 
     def get_exception_handler(self) -> Callable[[asyncio.AbstractEventLoop, dict[str, Any]], object] | None:
-        return self.on_exception
+        """Return the handler of uncaught exceptions, or None if it is the default one."""
+        return self.exception_handler
 
     def default_exception_handler(self, context: dict[str, Any]) -> None:
-        wrong = context.get("exception")
-        log.error("%s", context.get("message"), exc_info=wrong if wrong is not None else False)
+        """Log an uncaught exception."""
+        error = context.get("exception")
+        log.error("%s", context.get("message"), exc_info=error if error is not None else False)
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
+        """Pass an uncaught exception to the handler."""
         if self.dead:
-            return  # of a process that was killed, every task is left in the middle
-        if self.on_exception is not None:
-            self.on_exception(self, context)
+            return  # the tasks of a killed process are destroyed while pending; that is no error
+        if self.exception_handler is not None:
+            self.exception_handler(self, context)
         else:
             self.default_exception_handler(context)
 
     def get_debug(self) -> bool:
+        """Return False."""
         return False
 
     def set_debug(self, enabled: bool) -> None:
-        """There is nothing to watch: no callback takes time of its own."""
+        """Do nothing: debug mode is not simulated."""
 
-    # --- life ---
+    # --- running and closing ---
 
     def run_until_complete(self, future: Any) -> Any:
-        """Let the world go on until the future is done. Stalled where nothing is left that could happen."""
+        """Run the simulation until the future is done, and return its result.
+
+        Raises:
+            NoMoreEvents: no event is left that could complete the future.
+        """
         task = asyncio.ensure_future(future, loop=self)
         scheduler = self.scheduler
         while not task.done():
             when = scheduler.next_at()
             if when is None:
                 task.cancel()
-                raise Stalled("nothing is left that could happen, and the future is not done")
+                raise NoMoreEvents("no events are left, and the future is not done")
             scheduler.run_one(when)
         return task.result()
 
     def run_forever(self) -> None:
-        raise NotImplementedError("the scheduler runs the world")
+        """Not simulated."""
+        raise NotImplementedError("the scheduler drives the loop")
 
     def stop(self) -> None:
-        raise NotImplementedError("the scheduler runs the world")
+        """Not simulated."""
+        raise NotImplementedError("the scheduler drives the loop")
 
     def is_running(self) -> bool:
+        """Return whether a callback of this loop is running."""
         return events._get_running_loop() is self
 
     def is_closed(self) -> bool:
+        """Return whether the loop is closed or its process has ended."""
         return self.closed or self.dead
 
     def close(self) -> None:
+        """End the process and refuse further callbacks."""
         self.die()
         self.closed = True
 
     async def shutdown_asyncgens(self) -> None:
-        """None is kept track of."""
+        """Do nothing: asynchronous generators are not tracked."""
 
     async def shutdown_default_executor(self, timeout: float | None = None) -> None:
-        """There is none."""
+        """Do nothing: there is no executor."""
 
     # --- signals ---
 
     def add_signal_handler(self, sig: int, callback: Callable[[*Ts], object], *args: *Ts) -> None:
-        self.signals[sig] = asyncio.Handle(callback, args, self, None)
+        """Call ``callback`` when the process gets a signal."""
+        self.signal_handlers[sig] = asyncio.Handle(callback, args, self, None)
 
     def remove_signal_handler(self, sig: int) -> bool:
-        return self.signals.pop(sig, None) is not None
+        """Undo :meth:`add_signal_handler`; return whether there was a handler."""
+        return self.signal_handlers.pop(sig, None) is not None
 
     def signal(self, sig: int) -> bool:
-        """The process gets a signal; False where it has no handler for it."""
-        handle = self.signals.get(sig)
+        """Deliver a signal to the process; return False if it has no handler for it."""
+        handle = self.signal_handlers.get(sig)
         if handle is None:
             return False
-        self.put(handle)
+        self.enqueue(handle)
         return True
 
     # --- sockets ---
 
-    def socket_of(self, fd: Any) -> Socket:
+    def get_socket(self, fd: Any) -> Socket:
+        """Return the socket of a descriptor, or of an object with ``fileno``. OSError (EBADF) if there is none."""
         number = fd if isinstance(fd, int) else fd.fileno()
-        what = self.descriptors.open.get(number)
-        if not isinstance(what, Socket):
-            raise wrong(errno.EBADF)
-        return what
+        resource = self.descriptors.open.get(number)
+        if not isinstance(resource, Socket):
+            raise os_error(errno.EBADF)
+        return resource
 
     def add_reader(self, fd: Any, callback: Callable[[*Ts], Any], *args: *Ts) -> None:
-        """``callback`` runs once a turn for as long as a read would return at once."""
-        socket = self.socket_of(fd)
+        """Call ``callback`` in each iteration of the loop while the socket is readable."""
+        socket = self.get_socket(fd)
         self.remove_reader(fd)
         self.readers[socket.fileno()] = asyncio.Handle(callback, args, self, None)
-        socket.on_readable = lambda: self.wake(socket, self.readers, Socket.readable)
+        socket.on_readable = lambda: self.schedule_if_ready(socket, self.readers, Socket.readable)
         socket.on_readable()
 
     def add_writer(self, fd: Any, callback: Callable[[*Ts], Any], *args: *Ts) -> None:
-        socket = self.socket_of(fd)
+        """Call ``callback`` in each iteration of the loop while the socket is writable."""
+        socket = self.get_socket(fd)
         self.remove_writer(fd)
         self.writers[socket.fileno()] = asyncio.Handle(callback, args, self, None)
-        socket.on_writable = lambda: self.wake(socket, self.writers, Socket.writable)
+        socket.on_writable = lambda: self.schedule_if_ready(socket, self.writers, Socket.writable)
         socket.on_writable()
 
-    def wake(self, socket: Socket, handles: dict[int, asyncio.Handle], able: Callable[[Socket], bool]) -> None:
-        if not socket.closed and socket.fileno() in handles and able(socket):
-            self.call_soon(self.level, socket, handles, able, handles[socket.fileno()])
+    def schedule_if_ready(
+        self, socket: Socket, handles: dict[int, asyncio.Handle], is_ready: Callable[[Socket], bool]
+    ) -> None:
+        """Schedule the callback of a socket if the socket is ready for it."""
+        if not socket.closed and socket.fileno() in handles and is_ready(socket):
+            self.call_soon(self.run_while_ready, socket, handles, is_ready, handles[socket.fileno()])
 
-    def level(
-        self, socket: Socket, handles: dict[int, asyncio.Handle], able: Callable[[Socket], bool], handle: asyncio.Handle
+    def run_while_ready(
+        self,
+        socket: Socket,
+        handles: dict[int, asyncio.Handle],
+        is_ready: Callable[[Socket], bool],
+        handle: asyncio.Handle,
     ) -> None:
-        """What a selector tells is a state, not an event: told again until it has changed."""
-        if socket.closed or handles.get(socket.fileno()) is not handle or not able(socket):
+        """Run the callback of a socket in each iteration while the socket is ready: selectors are level-triggered."""
+        if socket.closed or handles.get(socket.fileno()) is not handle or not is_ready(socket):
             return
         handle._run()
-        if not socket.closed and handles.get(socket.fileno()) is handle and able(socket):
-            self.call_soon(self.level, socket, handles, able, handle)
+        if not socket.closed and handles.get(socket.fileno()) is handle and is_ready(socket):
+            self.call_soon(self.run_while_ready, socket, handles, is_ready, handle)
 
     def remove_reader(self, fd: Any) -> bool:
+        """Undo :meth:`add_reader`; return whether there was a reader."""
         return self.readers.pop(fd if isinstance(fd, int) else fd.fileno(), None) is not None
 
     def remove_writer(self, fd: Any) -> bool:
+        """Undo :meth:`add_writer`; return whether there was a writer."""
         return self.writers.pop(fd if isinstance(fd, int) else fd.fileno(), None) is not None
 
     async def sock_connect(self, sock: Any, address: Any) -> None:
-        """OSError where the machine refuses; a machine that says nothing is waited for without end."""
+        """Connect a socket, without a timeout.
+
+        Raises:
+            OSError: the connection is refused.
+        """
         assert isinstance(sock, Socket)
         future = self.create_future()
 
-        def told() -> None:
-            self.call_soon(settle, future)
+        def on_connected() -> None:
+            self.call_soon(complete, future)
 
-        sock.on_connected = told
+        sock.on_connected = on_connected
         sock.connect((address[0], int(address[1])))
         try:
             await future
@@ -411,10 +453,10 @@
         port: int | None = None,
         *,
         sock: Any = None,
-        **more: Any,
+        **options: Any,
     ) -> tuple[Transport, asyncio.BaseProtocol]:
-        """As asyncio's, without names to resolve and without TLS."""
-        refuse_more(more)
+        """Connect like asyncio's loop, without name resolution and TLS."""
+        reject_unsupported(options)
         if sock is None:
             sock = self.descriptors.socket()
             try:
@@ -437,9 +479,12 @@
         sock: Any = None,
         backlog: int = 100,
         start_serving: bool = True,
-        **more: Any,
+        **options: Any,
     ) -> Server:
-        refuse_more({name: value for name, value in more.items() if name not in ("reuse_address", "reuse_port")})
+        """Listen like asyncio's loop, without name resolution and TLS."""
+        reject_unsupported(
+            {name: value for name, value in options.items() if name not in ("reuse_address", "reuse_port")}
+        )
         if sock is None:
             sock = self.listen(host, port or 0, backlog)
         server = Server(self, sock, protocol_factory)
@@ -448,9 +493,13 @@
         return server
 
     def listen(self, host: str | None, port: int, backlog: int) -> Listener:
-        """OSError where the address can't be had."""
+        """Return a listener.
+
+        Raises:
+            OSError: EADDRNOTAVAIL, the address is another machine's; EADDRINUSE, the port is taken.
+        """
         if host not in (self.machine.address, "0.0.0.0", "", None):
-            raise wrong(errno.EADDRNOTAVAIL)
+            raise os_error(errno.EADDRNOTAVAIL)
         return Listener(self.machine, port, backlog)
 
     connect_read_pipe: Any = not_simulated
@@ -475,22 +524,25 @@
     subprocess_exec: Any = not_simulated
     subprocess_shell: Any = not_simulated
 
-    async def getaddrinfo(self, host: Any, port: Any, **more: Any) -> list[Any]:
-        return [(names.AF_INET, names.SOCK_STREAM, names.IPPROTO_TCP, "", (host, port))]
+    async def getaddrinfo(self, host: Any, port: Any, **options: Any) -> list[Any]:
+        """Return the given host and port, without name resolution."""
+        return [(socket_module.AF_INET, socket_module.SOCK_STREAM, socket_module.IPPROTO_TCP, "", (host, port))]
 
 
-def settle(future: asyncio.Future[Any]) -> None:
+def complete(future: asyncio.Future[Any]) -> None:
+    """Set the result None, unless the future is done."""
     if not future.done():
         future.set_result(None)
 
 
-def refuse_more(more: dict[str, Any]) -> None:
-    """Names what a simulated loop can't do, rather than leave it out."""
-    asked = [name for name, value in more.items() if value not in (None, False, 0)]
-    if asked:
-        raise NotImplementedError(f"not simulated: {', '.join(asked)}")
+def reject_unsupported(options: dict[str, Any]) -> None:
+    """Raise NotImplementedError that names the options that are set, rather than ignore them."""
+    unsupported = [name for name, value in options.items() if value not in (None, False, 0)]
+    if unsupported:
+        raise NotImplementedError(f"not simulated: {', '.join(unsupported)}")
 
 
 def address_of(text: str) -> Address:
+    """Parse ``host:port``."""
     host, _, port = text.rpartition(":")
     return host, int(port)
--- a/zinclever/simnet/network.py
+++ b/zinclever/simnet/network.py
@@ -1,4 +1,4 @@
-"""Machines and the ways between them: latency, jitter, bandwidth, cuts in one direction, machines that vanish."""
+"""Simulated machines and the paths between them: latency, jitter, bandwidth, partitions and machines that vanish."""
 
 from __future__ import annotations
 
@@ -14,64 +14,64 @@
     from .tcp import Listener, Socket
 
 Address = tuple[str, int]
-FIRST_PORT = 32768  # of those that connections are given, as Linux has it
-LAST_PORT = 60999
+FIRST_EPHEMERAL_PORT = 32768  # Linux' default range of ports for outgoing connections
+LAST_EPHEMERAL_PORT = 60999
 
 
 @dataclass(frozen=True, slots=True)
 class Path:
-    """One way between two zones."""
+    """The properties of the network between two zones, in one direction."""
 
     latency: float = 0.0001
-    """s, one way"""
+    """One-way latency in s."""
     jitter: float = 0.0
-    """Each segment's latency lies within this share of it."""
+    """Each segment's latency varies by up to this fraction of it, in both directions."""
     bandwidth: float = 0.0
-    """Bytes a second of one connection; 0: no bound."""
+    """Bytes a second of one connection; 0: unlimited."""
 
 
-LOCAL = Path(latency=30e-6)
+LOOPBACK = Path(latency=30e-6)
 """From a machine to itself."""
 
 
 class Machine:
-    """A host with one address. Owns its listeners and sockets until it vanishes for good or reboots."""
+    """A host with one address. Owns its listeners and sockets until it reboots."""
 
     def __init__(self, network: Network, name: str, address: str, zone: str = "") -> None:
         self.network, self.name, self.address, self.zone = network, name, address, zone
         self.up = True
-        """It hears and says something."""
+        """Whether it sends and receives."""
         self.listeners: dict[int, Listener] = {}
         self.sockets: dict[Socket, None] = {}
-        """Those connected or connecting, in the order in which they were made."""
-        self.port = FIRST_PORT
+        """Connected and connecting sockets, in the order of their creation."""
+        self.next_port = FIRST_EPHEMERAL_PORT
 
     def free_port(self) -> int:
-        """A port for a connection of its own."""
-        port = self.port
-        self.port = FIRST_PORT if port == LAST_PORT else port + 1
+        """Return the next ephemeral port."""
+        port = self.next_port
+        self.next_port = FIRST_EPHEMERAL_PORT if port == LAST_EPHEMERAL_PORT else port + 1
         return port
 
     def vanish(self) -> None:
-        """From now on it says nothing and hears nothing; its connections stay open at the other ends."""
+        """Send and receive nothing from now on; the peers' connections stay open."""
         self.up = False
 
     def come_back(self, rebooted: bool = True) -> None:
-        """Heard again. ``rebooted``: it knows none of its connections, and resets what is sent on them."""
+        """Send and receive again. A rebooted machine has lost its connections, and resets what is sent on them."""
         self.up = True
         if rebooted:
             for socket in list(self.sockets):
-                socket.forget()
+                socket.drop_state()
             self.listeners.clear()
 
 
 class Network:
-    """All machines, by address. The instants at which segments arrive are drawn from its seed."""
+    """All machines by address. The latencies of segments are drawn from its seed."""
 
     def __init__(
         self, scheduler: Scheduler, seed: int = 0, path: Path | None = None, trace: Trace | None = None
     ) -> None:
-        """``path``: between machines of zones of which nothing else is said."""
+        """``path`` connects zones for which :meth:`between` sets none."""
         self.scheduler, self.rng = scheduler, Random(seed)
         self.trace = trace if trace is not None else Trace()
         self.path = path or Path()
@@ -79,47 +79,53 @@
         self.cuts: set[tuple[str, str]] = set()
         self.machines: dict[str, Machine] = {}
         self.connections = 0
-        """How many were ever begun: names them in the trace."""
+        """Number of connections ever begun; the trace identifies each by its number."""
 
     def machine(self, name: str, address: str, zone: str = "") -> Machine:
-        """A new machine. ValueError where the address is another's."""
+        """Add a machine.
+
+        Raises:
+            ValueError: another machine has this address.
+        """
         if address in self.machines:
-            raise ValueError(f"{address} is {self.machines[address].name}'s already")
-        made = self.machines[address] = Machine(self, name, address, zone)
-        return made
+            raise ValueError(f"{address} is {self.machines[address].name}'s address")
+        added = self.machines[address] = Machine(self, name, address, zone)
+        return added
 
-    def between(self, one: str, other: str, path: Path) -> None:
-        """The path between two zones, both ways."""
-        self.paths[one, other] = self.paths[other, one] = path
+    def between(self, zone: str, other: str, path: Path) -> None:
+        """Set the path between two zones, in both directions."""
+        self.paths[zone, other] = self.paths[other, zone] = path
 
-    # --- cuts ---
+    # --- partitions ---
 
     def cut(self, source: str, target: str) -> None:
-        """Nothing gets from one zone or machine, by its name, to another any more."""
+        """Drop all segments from one zone or machine to another, given by name."""
         self.cuts.add((source, target))
 
     def heal(self, source: str, target: str) -> None:
+        """End what :meth:`cut` began."""
         self.cuts.discard((source, target))
 
     def open(self, source: Machine, target: Machine) -> bool:
-        """Whether a segment that is on its way now arrives."""
+        """Return whether a segment from one machine to the other arrives at present."""
         if not (source.up and target.up):
             return False
         if not self.cuts:
             return True
         return self.cuts.isdisjoint(
-            (one, other) for one in (source.name, source.zone) for other in (target.name, target.zone)
+            (sender, receiver) for sender in (source.name, source.zone) for receiver in (target.name, target.zone)
         )
 
-    # --- time on the way ---
+    # --- latency ---
 
     def way(self, source: Machine, target: Machine) -> Path:
+        """Return the path from one machine to another."""
         if source is target:
-            return LOCAL
+            return LOOPBACK
         return self.paths.get((source.zone, target.zone), self.path)
 
     def delay(self, path: Path) -> int:
-        """ns that a segment is on its way, but for its length."""
+        """Draw the latency in ns of a segment, without the time that its length takes at the path's bandwidth."""
         span = path.latency
         if path.jitter:
             span *= 1.0 + path.jitter * (2.0 * self.rng.random() - 1.0)
@@ -127,7 +133,7 @@
 
 
 def addresses(first: str, count: int) -> Iterable[str]:
-    """So many addresses from one on, such as ``10.0.0.1``; those that end with .0 or .255 are left out."""
+    """Yield ``count`` addresses from ``first`` on, such as ``10.0.0.1``, except those that end with .0 or .255."""
     a, b, c, d = (int(part) for part in first.split("."))
     number = (a << 24) | (b << 16) | (c << 8) | d
     while count:
--- a/zinclever/simnet/runner.py
+++ b/zinclever/simnet/runner.py
@@ -1,4 +1,4 @@
-"""A coroutine in a small simulated world: one machine, 127.0.0.1, and one process."""
+"""Runs a coroutine in a small simulation: one machine, 127.0.0.1, with one process."""
 
 from __future__ import annotations
 
@@ -16,23 +16,27 @@
 HOME = "127.0.0.1"
 
 
-class TooLong(Exception):
-    """A coroutine has not ended within its simulated time: most likely it waits for what never comes."""
+class TimeLimitExceeded(Exception):
+    """A coroutine has not finished within its limit of simulated time."""
 
 
-TURN = 1e-6
-"""s that a callback takes: who asks time and again without waiting would else ask for ever at one instant."""
+CALLBACK_COST = 1e-6
+"""s that a callback takes, so that time passes even for code that polls the clock without waiting."""
 
 
 def world(seed: int = 0, permute: int | None = None, trace: Trace | None = None) -> Loop:
-    """The loop of a process on a machine of its own, in a network of its own."""
+    """Return the loop of a process on a machine of its own, in a network of its own."""
     network = Network(Scheduler(permute), seed, trace=trace)
-    return Loop(network.machine("home", HOME), Cost(TURN))
+    return Loop(network.machine("home", HOME), Cost(CALLBACK_COST))
 
 
 def run(main: Callable[[], Awaitable[T]], seconds: float = 3600.0, loop: Loop | None = None) -> T:
-    """Run a coroutine in simulated time. TooLong where it takes more than so many simulated seconds;
-    :exc:`~zinclever.simnet.loop.Stalled` where it waits and nothing is left that could happen."""
+    """Run a coroutine in simulated time and return its result.
+
+    Raises:
+        TimeLimitExceeded: it takes more than ``seconds`` of simulated time.
+        zinclever.simnet.loop.NoMoreEvents: it waits, and no event is left that could wake it.
+    """
     loop = loop or world()
 
     async def bounded() -> T:
@@ -41,31 +45,31 @@
 
     try:
         return loop.run_until_complete(bounded())  # type: ignore[no-any-return]
-    except TimeoutError as late:
+    except TimeoutError as error:
         if loop.time() >= seconds:
-            raise TooLong(f"not over after {seconds:g} simulated seconds") from late
+            raise TimeLimitExceeded(f"not finished after {seconds:g} simulated seconds") from error
         raise
     finally:
         end(loop)
 
 
 def end(loop: Loop) -> None:
-    """Cancel what is left, as asyncio's own runner does, and close the loop."""
-    left = asyncio.all_tasks(loop)
-    for task in left:
+    """Cancel the remaining tasks, as asyncio's own runner does, and close the loop."""
+    remaining = asyncio.all_tasks(loop)
+    for task in remaining:
         task.cancel()
-    if left:
+    if remaining:
         loop.scheduler.run(loop.scheduler.now + NS)
     loop.close()
 
 
 def host() -> SimulatedHost:
-    """Of the process that runs."""
+    """Return a host for the running process."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, Loop)
     return SimulatedHost(loop, 1)
 
 
 def simulated() -> bool:
-    """Whether the loop that runs is a simulated one."""
+    """Return whether the running loop is a simulated one."""
     return isinstance(asyncio.get_running_loop(), Loop)
--- a/zinclever/simnet/scheduler.py
+++ b/zinclever/simnet/scheduler.py
@@ -1,6 +1,6 @@
-"""The one clock of a simulated world, and what happens when. Deterministic: one seed, one order.
+"""The virtual clock and the event queue of a simulation. Deterministic: one seed yields one order of events.
 
-Instants are whole nanoseconds, so that sums don't depend on the order in which they were made.
+Instants are integers in ns, so that sums don't depend on the order of the additions.
 """
 
 from __future__ import annotations
@@ -11,91 +11,92 @@
 from typing import Any
 
 NS = 1_000_000_000
-"""A second."""
-TIES = 1 << 40  # more events than any world has: the second part of the key of one
+"""ns per second."""
+MAX_EVENTS = 1 << 40  # exceeds every serial number, so that a random number multiplied by it sorts first
 
 
 class Event:
-    """What is due at an instant, until it has happened or has been called off."""
+    """A callback that is due at an instant, until it has run or has been cancelled."""
 
-    __slots__ = ("act", "args", "when")
+    __slots__ = ("args", "callback", "when")
 
-    def __init__(self, when: int, act: Callable[..., object], args: tuple[Any, ...]) -> None:
+    def __init__(self, when: int, callback: Callable[..., object], args: tuple[Any, ...]) -> None:
         self.when = when
-        self.act: Callable[..., object] | None = act
+        self.callback: Callable[..., object] | None = callback
         self.args = args
 
     def call_off(self) -> None:
-        """Nothing happens then; harmless once it has."""
-        self.act, self.args = None, ()
+        """Cancel the event; has no effect once it has run."""
+        self.callback, self.args = None, ()
 
 
-#: Which of so many events of one instant comes next.
+#: Given the number of events that are due at one instant, returns the index of the one to run next.
 TieBreaker = Callable[[int], int]
 
 
 class Scheduler:
-    """Runs events in the order of their instants; those of one instant in the order in which they were made, in one
-    drawn from a seed, or as ``choose`` says.
+    """Runs events in the order of their instants.
 
-    Whoever needs two events in order makes them at different instants: the order within one is nobody's to rely on.
+    Events of one instant run in the order of their scheduling, in an order drawn from a seed, or as ``choose`` decides.
+    Code that needs two events in order must schedule them at different instants.
     """
 
-    __slots__ = ("choose", "due", "now", "permuted", "ran", "serial")
+    __slots__ = ("choose", "now", "queue", "ran", "serial", "tie_rng")
 
     def __init__(self, permute: int | None = None, choose: TieBreaker | None = None) -> None:
-        """``permute``: a seed for the order within one instant."""
+        """``permute`` seeds the order of events of one instant."""
         self.now = 0
-        """ns"""
+        """The virtual time in ns."""
         self.serial = 0
         self.ran = 0
-        """How many events have happened."""
-        self.due: list[tuple[int, int, Event]] = []
-        self.permuted = Random(permute) if permute is not None else None
+        """Number of events that have run, cancelled ones included."""
+        self.queue: list[tuple[int, int, Event]] = []
+        self.tie_rng = Random(permute) if permute is not None else None
         self.choose = choose
 
-    def at(self, when: int, act: Callable[..., object], *args: Any) -> Event:
-        """Let something happen at an instant, now at the earliest."""
-        event = Event(max(when, self.now), act, args)
+    def at(self, when: int, callback: Callable[..., object], *args: Any) -> Event:
+        """Schedule a callback at an instant, or now if that is past."""
+        event = Event(max(when, self.now), callback, args)
         self.serial += 1
         order = self.serial
-        if self.permuted is not None:
-            order += self.permuted.getrandbits(20) * TIES
-        heapq.heappush(self.due, (event.when, order, event))
+        if self.tie_rng is not None:
+            order += self.tie_rng.getrandbits(20) * MAX_EVENTS
+        heapq.heappush(self.queue, (event.when, order, event))
         return event
 
-    def after(self, span: int, act: Callable[..., object], *args: Any) -> Event:
-        return self.at(self.now + span, act, *args)
+    def after(self, span: int, callback: Callable[..., object], *args: Any) -> Event:
+        """Schedule a callback ``span`` ns from now."""
+        return self.at(self.now + span, callback, *args)
 
     def next_at(self) -> int | None:
-        """When something happens next; None: never."""
-        due = self.due
-        while due and due[0][2].act is None:
-            heapq.heappop(due)
-        return due[0][0] if due else None
+        """Return the instant of the next event, or None if there is none."""
+        queue = self.queue
+        while queue and queue[0][2].callback is None:
+            heapq.heappop(queue)
+        return queue[0][0] if queue else None
 
     def run(self, until: int) -> None:
-        """Let happen all that is due up to an instant, and let time pass to it."""
+        """Run all events that are due up to an instant, and advance the clock to it."""
         while (when := self.next_at()) is not None and when <= until:
             self.run_one(when)
         self.now = max(self.now, until)
 
     def run_one(self, when: int) -> None:
-        """Let happen the next event, which is due at that instant."""
+        """Run the next event, which is due at ``when``."""
         self.now = when
-        event = heapq.heappop(self.due)[2] if self.choose is None else self.chosen(when, self.choose)
-        act, args = event.act, event.args
+        event = heapq.heappop(self.queue)[2] if self.choose is None else self.pop_chosen(when, self.choose)
+        callback, args = event.callback, event.args
         event.call_off()
         self.ran += 1
-        if act is not None:
-            act(*args)
+        if callback is not None:
+            callback(*args)
 
-    def chosen(self, when: int, choose: TieBreaker) -> Event:
-        """One of the events of this instant; the others stay due."""
+    def pop_chosen(self, when: int, choose: TieBreaker) -> Event:
+        """Remove and return the chosen one of the events that are due at ``when``."""
         tied = []
         while self.next_at() == when:
-            tied.append(heapq.heappop(self.due))
-        picked = tied.pop(choose(len(tied)) if len(tied) > 1 else 0)
+            tied.append(heapq.heappop(self.queue))
+        chosen = tied.pop(choose(len(tied)) if len(tied) > 1 else 0)
         for other in tied:
-            heapq.heappush(self.due, other)
-        return picked[2]
+            heapq.heappush(self.queue, other)
+        return chosen[2]
--- a/zinclever/simnet/server.py
+++ b/zinclever/simnet/server.py
@@ -1,4 +1,4 @@
-"""What accepts connections on a simulated listener, by the contract of :class:`asyncio.Server`."""
+"""Accepts connections on a simulated listener, with the interface of :class:`asyncio.Server`."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Waker:
-    """Tells one server of new connections."""
+    """Notifies one server of new connections."""
 
     __slots__ = ("loop", "server")
 
@@ -25,66 +25,73 @@
         self.server, self.loop = server, server.loop
 
     def __call__(self) -> None:
+        """Schedule an accept."""
         self.server.wake()
 
 
 class Server(asyncio.AbstractServer):
-    """Owns its descriptor of the listener until it is closed; others may accept from the same."""
+    """Owns its descriptor of the listener until it is closed; other servers may accept from the same listener."""
 
-    def __init__(self, loop: Loop, listener: Listener, factory: Callable[[], asyncio.BaseProtocol]) -> None:
-        self.loop, self.listener, self.factory = loop, listener, factory
-        self.descriptor = loop.descriptors.take(listener)
+    def __init__(self, loop: Loop, listener: Listener, protocol_factory: Callable[[], asyncio.BaseProtocol]) -> None:
+        self.loop, self.listener, self.protocol_factory = loop, listener, protocol_factory
+        self.descriptor = loop.descriptors.allocate(listener)
         self.waker: Waker | None = None
-        self.woken = False
+        self.accept_scheduled = False
 
     @property
     def sockets(self) -> tuple[Listener, ...]:
+        """The listener while serving, else nothing."""
         return (self.listener,) if self.waker is not None else ()
 
     def get_loop(self) -> Any:
+        """Return the loop of the process."""
         return self.loop
 
     def is_serving(self) -> bool:
+        """Return whether the server accepts connections."""
         return self.waker is not None
 
     async def start_serving(self) -> None:
+        """Begin to accept connections."""
         if self.waker is None:
             self.waker = Waker(self)
             self.listener.wakers.append(self.waker)
             self.wake()
 
     async def serve_forever(self) -> None:
+        """Accept connections until cancelled."""
         await self.start_serving()
         await self.loop.create_future()
 
     def wake(self) -> None:
-        if not self.woken and self.listener.queue:
-            self.woken = True
+        """Schedule an accept if a connection is queued."""
+        if not self.accept_scheduled and self.listener.queue:
+            self.accept_scheduled = True
             self.loop.call_soon(self.accept)
 
     def accept(self) -> None:
-        """One connection; without a descriptor for it, it is closed, as libuv does."""
-        self.woken = False
+        """Accept one connection; close it if there is no descriptor for it, as libuv does."""
+        self.accept_scheduled = False
         if self.waker is None or not self.listener.queue:
             return
         socket = self.listener.queue.popleft()
         try:
-            self.loop.descriptors.take(socket)
-        except OSError as full:
-            log.error("accepted and closed: %s", full)
+            self.loop.descriptors.allocate(socket)
+        except OSError as error:
+            log.error("connection accepted and closed at once: %s", error)
             socket.close()
         else:
-            Transport(self.loop, socket, self.factory())
+            Transport(self.loop, socket, self.protocol_factory())
         self.wake()
 
     def close(self) -> None:
-        """Accept no more. The last server on the listener closes it; connections go on."""
+        """Stop accepting. The last server closes the listener; accepted connections stay open."""
         if self.waker is not None:
             self.listener.wakers.remove(self.waker)
             self.waker = None
-            self.loop.descriptors.put_back(self.descriptor)
+            self.loop.descriptors.release(self.descriptor)
             if not self.listener.wakers:
                 self.listener.close()
 
     async def wait_closed(self) -> None:
-        """Nothing of it goes on after :meth:`close`."""
+        """Return at once: :meth:`close` completes synchronously."""
--- a/zinclever/simnet/trace.py
+++ b/zinclever/simnet/trace.py
@@ -1,4 +1,4 @@
-"""What went over the network, as a hash that tells two runs apart, and as lines for who wants to read it."""
+"""A trace of the simulated network: a hash to compare two runs, and optionally a line for each event."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 
 class Trace:
-    """Every segment that arrived, every end of a connection and whatever the world adds, in order."""
+    """Records, in order, segments that arrive, resets, connection attempts and what the simulation adds."""
 
     __slots__ = ("count", "hash", "write")
 
     def __init__(self, write: Callable[[str], object] | None = None) -> None:
-        """``write`` gets each line, without its end."""
+        """``write`` gets each line, without a line break."""
         self.hash = hashlib.blake2b(digest_size=16)
         self.count = 0
         self.write = write
 
-    def add(self, at: int, what: str) -> None:
-        """``at``: ns"""
-        line = f"{at} {what}"
+    def add(self, at: int, description: str) -> None:
+        """Record an event at an instant in ns."""
+        line = f"{at} {description}"
         self.count += 1
         self.hash.update(line.encode() + b"\n")
         if self.write is not None:
             self.write(line)
 
     def digest(self) -> str:
-        """Equal for equal traces, on any machine."""
+        """Return a hash that is equal for equal traces, on any machine."""
         return self.hash.hexdigest()
