--- a/zinclever/mesh/model/explore.py
+++ b/zinclever/mesh/model/explore.py
@@ -22,7 +22,7 @@
 from .histories import Call, Told, is_linearizable
 from .members import decode_config, encode_config
 
-ELECTION_STEP = 0.9  # s of one time step; a member without contact to the leader acts on its election timeout
+ELECTION_STEP = 0.9  # s of one time step; a member without contact to the leader then starts an election
 CHANGES = ((0, 1), (0, 2), (1, 3), (3, 5), (1, 1))
 """Changes that operators request, as (base, generation): two for the same base, one for each possible next base, and
 one whose generation is not above its base. Each may be requested repeatedly."""
@@ -55,14 +55,14 @@
         """Whether each history of calls that was reached is linearizable."""
         self.states = 0
         first = LogEntry(term=1, index=1, voters=voters, founding_size=3)
-        replicas = [replica_type(s, [(x.ip, 1) for x in voters], False, 1, 10.0, Vote(1, "d0"), first) for s in voters]
+        replicas = [replica_type(v, [(x.ip, 1) for x in voters], False, 1, 10.0, Vote(1, "d0"), first) for v in voters]
         state = State(replicas, [(Vote(1, "d0"), first)] * 3, ["d0", "d1", "d2"], [[], [], []])
         state.budget = budget or Budget()
-        for o in replicas:
-            o.commit(10.0, first)
-            o.actions.clear()
-            o.last_contact = {s.disk: 10.0 for s in voters if s.disk != o.own_voter.disk}
-            o.leader, o.leader_last_contact = "d0", 10.0
+        for replica in replicas:
+            replica.commit(10.0, first)
+            replica.actions.clear()
+            replica.last_contact = {v.disk: 10.0 for v in voters if v.disk != replica.own_voter.disk}
+            replica.leader, replica.leader_last_contact = "d0", 10.0
         replicas[0].term = replicas[0].established_term = 1
         replicas[0].change_role(ReplicaRole.LEADER, 10.0)
         self.start = state
@@ -107,8 +107,10 @@
             pass
 
     def advance(self, state: State) -> bool:
-        """Complete the next persist or, if there is none, deliver the next message. Return whether there was one."""
-        persisting = next((n for n, acts in enumerate(state.pending_persists) if acts and n not in state.paused), None)
+        """Complete the next persist or, if there is none, deliver the next message; return whether there was either."""
+        persisting = next(
+            (n for n, actions in enumerate(state.pending_persists) if actions and n not in state.paused), None
+        )
         n = next((n for n, (target, _) in enumerate(state.in_flight) if target not in state.paused), None)
         if persisting is not None:
             self.complete_persist(state, persisting)
@@ -177,7 +179,7 @@
 
     def member_successors(self, state: State, n: int) -> Iterator[State]:
         """A member resumes, completes a persist, ticks, crashes, loses its disk or pauses."""
-        b = state.budget
+        budget = state.budget
         if n in state.paused:
             successor = state.copy()
             successor.paused.discard(n)
@@ -192,19 +194,19 @@
             successor = state.copy()
             self.tick(successor, n)
             yield successor
-        if b.crashes:
+        if budget.crashes:
             successor = state.copy()
             successor.budget.crashes -= 1
             self.restart(successor, n)
             yield successor
-        if b.wipes:
+        if budget.wipes:
             successor = state.copy()
             successor.budget.wipes -= 1
             successor.disk_names[n] = f"e{n}"
             successor.durable[n] = (Vote(0, ""), None)
             self.restart(successor, n)
             yield successor
-        if b.pauses:
+        if budget.pauses:
             successor = state.copy()
             successor.budget.pauses -= 1
             successor.paused.add(n)
@@ -235,9 +237,9 @@
 
     def complete_persist(self, state: State, n: int) -> None:
         """The oldest pending persist of a member becomes durable."""
-        act = state.pending_persists[n].pop(0)
-        state.durable[n] = (act.vote, act.entry if act.entry is not None else state.durable[n][1])
-        state.replicas[n].on_persisted(state.now, act.token, True)
+        action = state.pending_persists[n].pop(0)
+        state.durable[n] = (action.vote, action.entry if action.entry is not None else state.durable[n][1])
+        state.replicas[n].on_persisted(state.now, action.token, True)
         self.run_actions(state)
 
     def tick(self, state: State, n: int) -> None:
@@ -249,14 +251,14 @@
     def advance_time(self, state: State) -> None:
         """Let time pass in which the running members stay in contact with each other, and tick them."""
         state.now += ELECTION_STEP
-        running = [o for n, o in enumerate(state.replicas) if n not in state.paused | state.stopped]
+        running = [replica for n, replica in enumerate(state.replicas) if n not in state.paused | state.stopped]
         state.resumed.clear()
-        for o in running:
+        for replica in running:
             for other in running:
-                if other is not o:
-                    o.last_contact[other.own_voter.disk] = state.now
-            o.ticked_at = o.voter_changes.ticked_at = state.now  # it ticked meanwhile: there was no stall
-            o.tick(state.now)
+                if other is not replica:
+                    replica.last_contact[other.own_voter.disk] = state.now
+            replica.ticked_at = replica.voter_changes.ticked_at = state.now  # it ticked meanwhile: there was no stall
+            replica.tick(state.now)
         self.run_actions(state)
 
     def restart(self, state: State, n: int) -> None:
@@ -303,30 +305,30 @@
         has_actions = True
         while has_actions:
             has_actions = False
-            for n, o in enumerate(state.replicas):
-                acts, o.actions = o.actions, []
-                for act in acts:
+            for n, replica in enumerate(state.replicas):
+                actions, replica.actions = replica.actions, []
+                for action in actions:
                     has_actions = True
-                    if isinstance(act, Persist):
-                        state.pending_persists[n].append(act)
-                    elif isinstance(act, Commit):
-                        self.on_committed(state, act.entry)
-                    elif isinstance(act, Reply):
-                        self.record_reply(state, act)
-                    elif isinstance(act, Send):
-                        self.send(state, n, act)
-
-    def send(self, state: State, n: int, act: Send) -> None:
+                    if isinstance(action, Persist):
+                        state.pending_persists[n].append(action)
+                    elif isinstance(action, Commit):
+                        self.on_committed(state, action.entry)
+                    elif isinstance(action, Reply):
+                        self.record_reply(state, action)
+                    elif isinstance(action, Send):
+                        self.send(state, n, action)
+
+    def send(self, state: State, n: int, action: Send) -> None:
         """Put a message in flight, once if it is there already.
 
         Messages to the sender itself and heartbeats to running members are delivered at once; messages to members that
         are not running are dropped.
         """
-        data = act.message.SerializeToString(deterministic=True)
-        target = next((k for k, s in enumerate(self.voters) if s.ip == act.to.ip), None)
+        data = action.message.SerializeToString(deterministic=True)
+        target = next((k for k, v in enumerate(self.voters) if v.ip == action.to.ip), None)
         if target is None or target in state.stopped:
             return
-        if target == n or (act.message.kind == MessageKind.HEARTBEAT and target not in state.paused):
+        if target == n or (action.message.kind == MessageKind.HEARTBEAT and target not in state.paused):
             state.replicas[target].receive(state.now, ConsensusMessage.FromString(data))
         elif (target, data) not in state.in_flight:
             state.in_flight.append((target, data))
@@ -363,9 +365,9 @@
 
     def check_terms(self, state: State) -> None:
         """A member's term never goes back, and is never below the one on its disk."""
-        for n, o in enumerate(state.replicas):
-            if o.vote.term < state.highest_terms[n]:
+        for n, replica in enumerate(state.replicas):
+            if replica.vote.term < state.highest_terms[n]:
                 raise Broken("a member's term goes back")
-            state.highest_terms[n] = o.vote.term
-            if o.vote.term < state.durable[n][0].term:
+            state.highest_terms[n] = replica.vote.term
+            if replica.vote.term < state.durable[n][0].term:
                 raise Broken("a member's term is below the one on its disk")
--- a/zinclever/mesh/model/explore_voters.py
+++ b/zinclever/mesh/model/explore_voters.py
@@ -155,7 +155,7 @@
     def successors(self, state: State) -> Iterator[State]:
         """Yield the states after each event that may happen next."""
         yield from super().successors(state)
-        has_leader = any(o.role is ReplicaRole.LEADER for _, o in self.running_members(state))
+        has_leader = any(replica.role is ReplicaRole.LEADER for _, replica in self.running_members(state))
         if state.budget.waits and has_leader:
             successor = state.copy()
             successor.budget.waits -= 1
@@ -223,10 +223,10 @@
 
     def running_members(self, state: State) -> list[tuple[int, Replica]]:
         """Return the members that are neither paused nor stopped."""
-        return [(n, o) for n, o in enumerate(state.replicas) if n not in state.paused | state.stopped]
+        return [(n, replica) for n, replica in enumerate(state.replicas) if n not in state.paused | state.stopped]
 
     def leave(self, state: State, n: int) -> None:
-        """SIGTERM: the member asks for leave, with its heartbeats from now on."""
+        """Let a member ask the leader for leave, as on SIGTERM, with its heartbeats from now on."""
         replica = state.replicas[n]
         replica.leave(state.now)
         replica.heartbeat_sent_at = -1e9
@@ -287,18 +287,18 @@
         state.now += LONG_WAIT
         state.resumed.clear()
         running = self.running_members(state)
-        leaders = {o.own_voter.disk for _, o in running if o.role is ReplicaRole.LEADER}
-        for _, o in running:
+        leaders = {replica.own_voter.disk for _, replica in running if replica.role is ReplicaRole.LEADER}
+        for _, replica in running:
             for _, other in running:
-                if other is not o:
-                    o.last_contact[other.own_voter.disk] = state.now
-                    if other.own_voter.disk in o.voter_changes.leaving_since:
-                        o.voter_changes.leaving_since[other.own_voter.disk] = state.now
-            if o.leader in leaders:
-                o.leader_last_contact = state.now
-            o.ticked_at = o.voter_changes.ticked_at = state.now  # it ticked meanwhile: there was no stall
-        for _, o in running:
-            o.tick(state.now)
+                if other is not replica:
+                    replica.last_contact[other.own_voter.disk] = state.now
+                    if other.own_voter.disk in replica.voter_changes.leaving_since:
+                        replica.voter_changes.leaving_since[other.own_voter.disk] = state.now
+            if replica.leader in leaders:
+                replica.leader_last_contact = state.now
+            replica.ticked_at = replica.voter_changes.ticked_at = state.now  # it ticked meanwhile: there was no stall
+        for _, replica in running:
+            replica.tick(state.now)
         self.run_actions(state)
 
     def complete_persist(self, state: State, n: int) -> None:
@@ -400,7 +400,7 @@
         trial.paused.clear()
         for _ in range(RECOVERY_STEPS):
             self.stop_and_restart(trial)
-            if any(o.is_established() and o.proposed is None for _, o in self.running_members(trial)):
+            if any(replica.is_established() and replica.proposed is None for _, replica in self.running_members(trial)):
                 self.recovered += 1
                 return
             trial.now += RECOVERY_STEP
--- a/zinclever/mesh/model/explored_state.py
+++ b/zinclever/mesh/model/explored_state.py
@@ -105,32 +105,38 @@
     def key(self) -> bytes:
         """Return a digest; states with equal digests behave the same from here on."""
         digest = hashlib.blake2b(digest_size=16)
-        for o, d, s in zip(self.replicas, self.durable, self.pending_persists, strict=True):
-            calls = o.calls
+        for replica, durable, persists in zip(self.replicas, self.durable, self.pending_persists, strict=True):
+            calls = replica.calls
             fields = (
-                o.role.name,
-                o.vote,
-                o.term,
-                o.established_term,
-                o.leader,
-                sorted(o.votes),
-                sorted(o.acknowledged_by),
+                replica.role.name,
+                replica.vote,
+                replica.term,
+                replica.established_term,
+                replica.leader,
+                sorted(replica.votes),
+                sorted(replica.acknowledged_by),
                 [(c.call_id, self.age(c.received_at)) for c in calls.queued_changes],
                 calls.proposed_change and (calls.proposed_change.call_id, self.age(calls.proposed_change.received_at)),
                 [(u.call.call_id, u.round, self.age(u.call.received_at)) for u in calls.unconfirmed],
                 sorted(calls.confirmations.confirmed.items()),
                 calls.confirmations.round,
-                d[0],
+                durable[0],
                 [
                     self.age(at)
-                    for at in (o.leader_last_contact, o.role_since, o.votes_requested_at, o.proposed_at, o.ticked_at)
+                    for at in (
+                        replica.leader_last_contact,
+                        replica.role_since,
+                        replica.votes_requested_at,
+                        replica.proposed_at,
+                        replica.ticked_at,
+                    )
                 ],
-                sorted((disk, self.age(at)) for disk, at in o.last_contact.items()),
-                [(a.vote, a.token - o.last_token) for a in s],
-                self.voter_change_state(o),
+                sorted((disk, self.age(at)) for disk, at in replica.last_contact.items()),
+                [(a.vote, a.token - replica.last_token) for a in persists],
+                self.voter_change_state(replica),
             )
             digest.update(repr(fields).encode())
-            for entry in (o.accepted, o.committed, o.proposed, d[1]):
+            for entry in (replica.accepted, replica.committed, replica.proposed, durable[1]):
                 digest.update(b"-" if entry is None else entry.SerializeToString(deterministic=True))
         rest = (sorted(self.in_flight), self.budget, self.history, sorted(self.paused), sorted(self.resumed))
         digest.update(repr(rest).encode())
--- a/zinclever/mesh/model/field.py
+++ b/zinclever/mesh/model/field.py
@@ -122,9 +122,9 @@
     def count_holders(self, record: Record) -> int:
         """Return how many nodes hold exactly this version of a record."""
         return sum(
-            (r := s.records.get(record.kind, record.id)) is not None
-            and (r.incarnation, r.seq, r.rank) == (record.incarnation, record.seq, record.rank)
-            for s in self.gossips.values()
+            (held := gossip.records.get(record.kind, record.id)) is not None
+            and (held.incarnation, held.seq, held.rank) == (record.incarnation, record.seq, record.rank)
+            for gossip in self.gossips.values()
         )
 
     def time_to_reach_all(self, record: Record, limit: float = 10.0) -> float:
--- a/zinclever/mesh/model/members.py
+++ b/zinclever/mesh/model/members.py
@@ -38,7 +38,7 @@
     pending_persists: list[Persist] = field(default_factory=list)
     """Requested and not durable yet, in order."""
     terms: int = 0
-    """Lower bound of the replica's term."""
+    """The replica's term must not be below this."""
     paused: bool = False
     inbox: list[Arrival] = field(default_factory=list)
     """Messages and calls that came while the process was paused; read one by one after it resumes."""
@@ -77,7 +77,7 @@
         self.founders = addresses[:founders]
         self.machines: dict[str, Machine] = {}
         self.in_flight: list[tuple[float, str, str, ConsensusMessage]] = []
-        """Messages with the instant of their arrival, the sender's and the target's address."""
+        """Messages with the instant of their arrival, the sender and the target."""
         self.cut: set[tuple[str, str]] = set()
         """Directions, as (sender, target), in which all messages are lost."""
         self.full: set[str] = set()
@@ -125,7 +125,7 @@
             accepted = LogEntry()
             accepted.CopyFrom(m.disk.accepted)
         m.replica = self.replica_type(voter, self.founders, m.bootstrap, self.losses, self.now, m.disk.vote, accepted)
-        m.replica.known_addresses = [(o, 1) for o in self.machines]
+        m.replica.known_addresses = [(address, 1) for address in self.machines]
         m.pending_persists = []
         m.paused, m.inbox = False, []
 
@@ -162,8 +162,8 @@
         m = self.machines[ip]
         self.ending.pop(ip, None)
         if keep_some_writes and m.pending_persists:
-            for act in m.pending_persists[: self.rng.randrange(len(m.pending_persists) + 1)]:
-                self.write(m, act)
+            for action in m.pending_persists[: self.rng.randrange(len(m.pending_persists) + 1)]:
+                self.write(m, action)
         m.replica = None
         m.pending_persists = []
         m.paused, m.inbox = False, []
@@ -183,7 +183,7 @@
     def terminate(self, ip: str, gone: bool = False, grace: float = 4.8) -> None:
         """Send SIGTERM: the member leaves, and ends once it may or after ``grace`` s.
 
-        ``gone``: its machine is removed then.
+        ``gone``: its machine is removed as well.
         """
         m = self.machines[ip]
         assert m.replica is not None
@@ -192,7 +192,7 @@
         self.carry_out(m)
 
     def end(self, ip: str) -> None:
-        """End a terminated process, and remove its machine if :meth:`terminate` was told to."""
+        """End a terminating process, and remove its machine if :meth:`terminate` was called with ``gone``."""
         gone = self.ending[ip][1]
         self.kill(ip, keep_some_writes=False)
         if gone:
@@ -202,12 +202,12 @@
         """Cut a machine off from all others, in both directions."""
         self.cut |= {(a, b) for a in self.machines for b in self.machines if ip in (a, b) and a != b}
 
-    def write(self, m: Machine, act: Persist) -> None:
+    def write(self, m: Machine, action: Persist) -> None:
         """Write a persist to the disk."""
-        m.disk.vote = act.vote
-        if act.entry is not None:
+        m.disk.vote = action.vote
+        if action.entry is not None:
             m.disk.accepted = LogEntry()
-            m.disk.accepted.CopyFrom(act.entry)
+            m.disk.accepted.CopyFrom(action.entry)
 
     # --- time ---
 
@@ -237,11 +237,11 @@
             return
         self.read_inbox(m)
         while m.pending_persists and self.rng.random() < self.synced:
-            act = m.pending_persists.pop(0)
+            action = m.pending_persists.pop(0)
             if ip not in self.full:
-                self.write(m, act)
-            m.replica.on_persisted(self.now, act.token, ip not in self.full)
-        m.replica.known_addresses = [(o, 1) for o in self.machines]
+                self.write(m, action)
+            m.replica.on_persisted(self.now, action.token, ip not in self.full)
+        m.replica.known_addresses = [(address, 1) for address in self.machines]
         m.replica.tick(self.now)
         self.carry_out(m)
         if ip in self.ending and (m.replica.can_shut_down(self.now) or self.now > self.ending[ip][0]):
@@ -251,31 +251,31 @@
         """Carry out the actions of a replica."""
         assert m.replica is not None
         while m.replica.actions:
-            acts, m.replica.actions = m.replica.actions, []
-            for act in acts:
-                if isinstance(act, Send):
-                    self.send(m, act)
-                elif isinstance(act, Persist):
-                    m.pending_persists.append(act)
-                elif isinstance(act, Commit):
-                    self.check_agreement(act.entry)
-                elif isinstance(act, Reply):
-                    self.record_reply(act)
+            actions, m.replica.actions = m.replica.actions, []
+            for action in actions:
+                if isinstance(action, Send):
+                    self.send(m, action)
+                elif isinstance(action, Persist):
+                    m.pending_persists.append(action)
+                elif isinstance(action, Commit):
+                    self.check_agreement(action.entry)
+                elif isinstance(action, Reply):
+                    self.record_reply(action)
         assert m.replica.vote.term >= m.terms, "a term went back"
         if m.disk.vote is not None:
             m.terms = max(m.terms, 0)
 
-    def send(self, m: Machine, act: Send) -> None:
+    def send(self, m: Machine, action: Send) -> None:
         """Put a message in flight; it may be lost, duplicated and delayed."""
         message = ConsensusMessage()
-        message.CopyFrom(act.message)
-        if act.to.disk == m.disk.name:
+        message.CopyFrom(action.message)
+        if action.to.disk == m.disk.name:
             self.in_flight.append((self.now, m.ip, m.ip, message))
             return
         for _ in range(2 if self.rng.random() < self.duplicates else 1):
             if self.rng.random() >= self.loss:
                 at = self.now + self.delay * (1 + 3 * self.rng.random() * self.rng.random())
-                self.in_flight.append((at, m.ip, act.to.ip, message))
+                self.in_flight.append((at, m.ip, action.to.ip, message))
 
     # --- calls ---
 
@@ -322,24 +322,24 @@
             self.run(0.01)
         return call is not None and call.told is Told.DONE
 
-    def record_reply(self, act: Reply) -> None:
+    def record_reply(self, action: Reply) -> None:
         """Enter the reply to a call in the history, unless the reply is lost."""
-        call = self.asked.pop(act.call_id, None)
+        call = self.asked.pop(action.call_id, None)
         if call is None:
             return
         if self.reply_loss and self.rng.random() < self.reply_loss:
             return
         call.ended = self.now
         if call.kind == "get":
-            if act.status in (200, 404):
+            if action.status in (200, 404):
                 call.told = Told.DONE
-                call.generation, call.variant = decode_config(act.text) if act.status == 200 else (0, 0)
-        elif act.status == 200:
+                call.generation, call.variant = decode_config(action.text) if action.status == 200 else (0, 0)
+        elif action.status == 200:
             call.told = Told.DONE
             self.acked[call.generation] = encode_config(call.generation, call.variant)
             self.acknowledged_by_base.setdefault(call.base, set()).add(call.generation)
-        elif act.status in (400, 412):
-            call.told = Told.STALE if act.status == 412 else Told.GENERATION_TOO_LOW
+        elif action.status in (400, 412):
+            call.told = Told.STALE if action.status == 412 else Told.GENERATION_TOO_LOW
             self.refused.append((call.base, call.generation))
 
     # --- invariants ---
--- a/zinclever/mesh/model/slow_links.py
+++ b/zinclever/mesh/model/slow_links.py
@@ -95,15 +95,15 @@
         """Return whether a member exchanges configurations by digest and blocks."""
         return self.exchange and ip not in self.old
 
-    def send(self, m: Machine, act: Send) -> None:
+    def send(self, m: Machine, action: Send) -> None:
         """Put a message on its link, by way of the text exchange where the member uses it."""
-        if act.to.disk == m.disk.name:
-            self.in_flight.append((self.now, m.ip, m.ip, act.message))
+        if action.to.disk == m.disk.name:
+            self.in_flight.append((self.now, m.ip, m.ip, action.message))
         elif self.uses_text_exchange(m.ip):
-            for prepared in self.texts[m.ip].outgoing(self.now, act):
+            for prepared in self.texts[m.ip].outgoing(self.now, action):
                 self.put_on_link(m.ip, prepared)
         else:
-            self.put_on_link(m.ip, act)
+            self.put_on_link(m.ip, action)
 
     def put_on_link(self, sender: str, send: Send) -> None:
         """Transmit a message after those that are already on its link, unless it is lost."""
@@ -168,15 +168,15 @@
         known = self.committed.setdefault(entry.index, text)
         assert known == text, f"two different entries are committed under index {entry.index}"
 
-    def record_reply(self, act: Reply) -> None:
+    def record_reply(self, action: Reply) -> None:
         """Record an acknowledged change, or a read that returned too old a generation."""
-        expected = self.expected_generations.pop(act.call_id)
-        if act.status != 200:
+        expected = self.expected_generations.pop(action.call_id)
+        if action.status != 200:
             return
-        if not act.text:
+        if not action.text:
             self.confirmed = max(self.confirmed, expected)
-        elif int(act.text[len(b'{"Generation":') :].split(b",")[0]) < expected:
-            self.stale_reads.append((act.call_id, expected))
+        elif int(action.text[len(b'{"Generation":') :].split(b",")[0]) < expected:
+            self.stale_reads.append((action.call_id, expected))
 
     # --- for tests ---
 
--- a/zinclever/simnet/transport.py
+++ b/zinclever/simnet/transport.py
@@ -43,7 +43,7 @@
         self.buffered_size = 0
         self.high_water, self.low_water = HIGH_WATER, HIGH_WATER // 4
         self.paused = self.closing = self.eof = False
-        """``paused``: the protocol was told to stop writing. ``eof``: :meth:`write_eof` was called."""
+        """``paused``: the protocol was asked to stop writing. ``eof``: :meth:`write_eof` was called."""
         self.reading = True
         self.read_scheduled = False
         """Whether :meth:`read` is queued on the loop."""
@@ -221,7 +221,7 @@
         self.loop.call_soon(self.finish_close, error)
 
     def finish_close(self, error: OSError | None) -> None:
-        """Tell the protocol that the connection is closed, and close the socket."""
+        """Call the protocol's ``connection_lost``, and close the socket."""
         try:
             self.protocol.connection_lost(error)
         finally:
