--- a/zinclever/configtool/__init__.py
+++ b/zinclever/configtool/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration tool: write, check, explain, compare, migrate, show. A running sidecar loads none of it."""
+"""The config tool: writes, checks, explains, compares, migrates and shows files. A running sidecar never imports it."""
--- a/zinclever/configtool/changes.py
+++ b/zinclever/configtool/changes.py
@@ -1,4 +1,4 @@
-"""What changes in behaviour between two operator files that pass their check. Pure."""
+"""Behaviour changes between two operator files that pass their check. Pure functions."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from ..configuration.findings import Path, dotted
 
 Clean = dict[str, Any]
-#: How freely a class is sent again.
+#: How freely requests of a class may be resent.
 FREEDOM = {"at_most_once": 0, "deduplicated": 1, "idempotent": 2}
 WIDTH = {None: 0, "cell": 0, "zone": 1, "all": 2}
 WORDS = {
@@ -19,14 +19,16 @@
 
 
 class Change(NamedTuple):
+    """One change in behaviour."""
+
     risk: bool
-    """Something may now be resent that wasn't, or is guarded less."""
+    """Whether requests may now be resent that were not before, or have weaker protection."""
     key: str
     text: str
 
 
 def compare(before: Clean, after: Clean) -> list[Change]:
-    """Every change, risks first."""
+    """Return all changes between two cleaned operator files, risks first."""
     found = list(_services(before["services"], after["services"]))
     found += _plain(("limits",), before["limits"], after["limits"], ())
     return sorted(found, key=lambda c: (not c.risk, c.key))
@@ -82,7 +84,7 @@
 
 
 def names(service: Clean) -> dict[str, str]:
-    """Each name that a method goes by, and its class."""
+    """Return the class of each method by all of its names, aliases included."""
     return {n: m["class"] for name, m in service["methods"].items() for n in (name, *m["aliases"])}
 
 
@@ -109,7 +111,7 @@
 
 def _moved(at: str, old: Clean, new: Clean, was: str, now: str) -> Iterator[Change]:
     if was == now:
-        return  # what changed of the class itself is told there
+        return  # changes of the class itself are reported under its own keys
     freer = FREEDOM[new["repeat"]] > FREEDOM[old["repeat"]]
     yield Change(freer, at, f"class {was} -> {now}: it {WORDS[new['repeat']]}")
 
--- a/zinclever/configtool/cli.py
+++ b/zinclever/configtool/cli.py
@@ -1,4 +1,4 @@
-"""``zinclever config ...``: the command line."""
+"""The command line of ``zinclever config``."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def load(path: str, kind: str) -> tuple[bytes, Report]:
-    """A file's bytes and their check; ends with 2 where there is no text to judge."""
+    """Read and check a file. Exits with code 2 if it is unreadable."""
     try:
         data = read_file(path)
     except Unreadable as wrong:
@@ -35,7 +35,7 @@
 
 
 def page(text: str) -> None:
-    """To a pager on a terminal that the text overruns, else as it is."""
+    """Print a text, through a pager if it is longer than 40 lines and the output is a terminal."""
     if sys.stdout.isatty() and text.count("\n") > 40:
         click.echo_via_pager(text)
     else:
@@ -43,7 +43,7 @@
 
 
 def coloured(text: str) -> str:
-    """Findings on a terminal; click takes colours out elsewhere."""
+    """Colour the severities in a text report."""
     return text.replace(" error ZC", click.style(" error ", fg="red") + "ZC").replace(
         " warning ZC", click.style(" warning ", fg="yellow") + "ZC"
     )
--- a/zinclever/configtool/migration.py
+++ b/zinclever/configtool/migration.py
@@ -1,6 +1,7 @@
-"""Older versions' files brought up by edits of their text: comments, order and spacing stay.
+"""Migrates files of older versions. Edits the text in place, so comments, order and spacing are kept.
 
-Version 0 was that of the drafts: the platform's words for times, and methods that named their class alone.
+Version 0, of the drafts, used the platform's names for durations, and mapped a method directly to the name of its
+class.
 """
 
 from __future__ import annotations
@@ -25,17 +26,23 @@
 
 
 class Refused(Exception):
-    """The file can't be brought up: why, and what to do."""
+    """The file cannot be migrated. The message gives the reason and what to do."""
 
 
 class Edit(NamedTuple):
+    """A replacement of the bytes from ``begin`` to ``end`` by a text."""
+
     begin: int
     end: int
     text: str
 
 
 def migrate(text: str) -> str:
-    """The file in the present version; as it is where it is that already. Refused for a newer one."""
+    """Return the file in the current version; a file that is in the current version is returned unchanged.
+
+    Raises:
+        MigrationError: The file is not valid TOML, has an invalid version, or is newer than this tool.
+    """
     try:
         values = tomllib.loads(text)
     except tomllib.TOMLDecodeError as wrong:
@@ -49,6 +56,7 @@
 
 
 def from_0(text: str, told: bool) -> str:
+    """Migrate a file from version 0. ``told``: whether the file contains a version."""
     data = text.encode()
     root = tree_sitter.Parser(tree_sitter.Language(tree_sitter_toml.language())).parse(data).root_node
     edits: list[Edit] = []
@@ -67,7 +75,7 @@
 
 
 def pair(node: Node, before: tuple[str, ...]) -> list[Edit]:
-    """The edits of one key and its value, those of inline tables among them."""
+    """Return the edits for a key and its value, including those inside inline tables."""
     key, value = [n for n in node.named_children if n.type != "comment"]
     path = (*before, *names(key))
     edits: list[Edit] = []
@@ -87,7 +95,7 @@
 
 
 def rename(path: tuple[str, ...]) -> str | None:
-    """The present name of a key of ``services.NAME`` or ``services.NAME.classes.NAME``."""
+    """Return the current name of a key in a service or in one of its classes, or None if it is unchanged."""
     if path[:1] != ("services",):
         return None
     if len(path) == 3:
@@ -96,6 +104,7 @@
 
 
 def names(node: Node) -> tuple[str, ...]:
+    """Return the parts of a TOML key, unquoted."""
     if node.type == "dotted_key":
         return tuple(name for inner in node.named_children for name in names(inner))
     text = (node.text or b"").decode()
@@ -103,7 +112,7 @@
 
 
 def difference(before: str, after: str, file: str) -> str:
-    """A unified diff."""
+    """Return a unified diff."""
     lines = difflib.unified_diff(
         before.splitlines(keepends=True), after.splitlines(keepends=True), file, f"{file} (version {VERSION})"
     )
--- a/zinclever/configtool/origins.py
+++ b/zinclever/configtool/origins.py
@@ -1,4 +1,4 @@
-"""Effective settings, each with where its value comes from."""
+"""The effective settings of a file, each with the origin of its value."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def show(file: str, data: bytes, report: Report, env: Mapping[str, str]) -> str:
-    """A line a setting: key, value, origin."""
+    """Return one line for each setting, with its key, value and origin."""
     positions = Positions(data, report.format)
     rows = []
     for path, value in leaves(report.clean, ()):
@@ -29,6 +29,7 @@
 
 
 def leaves(value: Any, path: Path) -> Iterator[tuple[Path, Any]]:
+    """Yield each value that contains no others, with its path."""
     if isinstance(value, dict) and value:
         for name, inner in value.items():
             yield from leaves(inner, (*path, name))
@@ -40,6 +41,7 @@
 
 
 def worded(value: Any) -> str:
+    """Format a value for display."""
     if isinstance(value, bool):
         return str(value).lower()
     if isinstance(value, tuple):
--- a/zinclever/configtool/reference.py
+++ b/zinclever/configtool/reference.py
@@ -1,4 +1,4 @@
-"""What is made from the model: explanations, the JSON Schema, and the reference of the operators' page."""
+"""Texts generated from the model: explanations, the JSON Schema, and the reference on the operators' page."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Entry(NamedTuple):
-    """A key of one file, with its whole path; ``*`` stands for any name, ``[]`` for any element."""
+    """A key with its full path in one of the files. ``*`` stands for any name, ``[]`` for any array element."""
 
     file: str
     path: str
@@ -22,6 +22,7 @@
 
 
 def entries() -> Iterator[Entry]:
+    """Yield every key of both files."""
     for file, keys in FILES.items():
         yield from _walk(file, keys, "")
 
@@ -34,6 +35,7 @@
 
 
 def default_of(key: Key) -> str:
+    """Describe a key's default."""
     if key.required:
         return "required"
     if key.default is None or key.default in ((), {}, ""):
@@ -50,7 +52,7 @@
 
 
 def explain(asked: str) -> str | None:
-    """What a finding's code or a key means; None where there is neither."""
+    """Return the explanation of a finding code or key, or None if there is no such code or key."""
     if (code := CODES.get(asked.upper())) is not None:
         return f"{asked.upper()}: {code.title} ({code.severity})\n\n{code.explanation}\n"
     found = [e for e in entries() if e.path == asked or e.path.endswith("." + asked)]
@@ -66,6 +68,7 @@
 
 
 def nearest(asked: str) -> list[str]:
+    """Return up to three codes and keys that resemble a text."""
     names = [*CODES, *{e.key.name for e in entries()}]
     return difflib.get_close_matches(asked, names, 3, 0.5)
 
@@ -74,7 +77,7 @@
 
 
 def schema(file: str) -> dict[str, Any]:
-    """A schema that editors take. It knows what each key may be, not what keys say to one another."""
+    """Return a JSON Schema for editors. It covers each key by itself, not relations between keys."""
     told = _table(FILES[file], file == "platform")
     return {"$schema": "https://json-schema.org/draft/2020-12/schema", "title": f"zinclever {file} file"} | told
 
@@ -125,7 +128,7 @@
 
 
 def reference() -> str:
-    """Tables of every key and every code, in Markdown."""
+    """Return Markdown tables of all keys and finding codes."""
     lines: list[str] = []
     for file in FILES:
         lines += [f"### Keys of the {file} file", ""]
--- a/zinclever/configtool/report.py
+++ b/zinclever/configtool/report.py
@@ -1,4 +1,4 @@
-"""Findings as text, JSON, annotations of a code host, and SARIF 2.1.0 (OASIS)."""
+"""Findings in the formats text, JSON, GitHub annotations and SARIF 2.1.0 (OASIS)."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Placed(NamedTuple):
-    """A finding with its file, and the places of what it contradicts."""
+    """A finding with its file and position, and the positions and keys that it conflicts with."""
 
     file: str
     line: int
@@ -24,7 +24,7 @@
 
 
 def place(file: str, data: bytes, report: Report) -> list[Placed]:
-    """All findings of a file, in its order."""
+    """Return all findings of a file with their positions, in the order of the file."""
     positions = Positions(data, report.format) if report.values is not None else None
     placed = []
     for finding in report.findings:
@@ -35,6 +35,7 @@
 
 
 def as_text(placed: Sequence[Placed]) -> str:
+    """Format findings as text, for people."""
     lines = []
     for p in placed:
         f = p.finding
@@ -47,6 +48,7 @@
 
 
 def as_json(placed: Sequence[Placed]) -> str:
+    """Format findings as a JSON array."""
     told = [
         {
             "file": p.file,
@@ -65,7 +67,7 @@
 
 
 def as_github(placed: Sequence[Placed]) -> str:
-    """Workflow commands, one a finding."""
+    """Format findings as GitHub workflow commands, one for each finding."""
 
     def escaped(text: str) -> str:
         return text.replace("%", "%25").replace("\r", "%0D").replace("\n", "%0A")
@@ -81,6 +83,7 @@
 
 
 def as_sarif(placed: Sequence[Placed]) -> str:
+    """Format findings as a SARIF log."""
     used = sorted({p.finding.code for p in placed})
     rules = [
         {
@@ -113,6 +116,7 @@
 
 
 def location(file: str, line: int, column: int) -> dict[str, Any]:
+    """Return a SARIF location."""
     return {
         "physicalLocation": {
             "artifactLocation": {"uri": file},
--- a/zinclever/configtool/writing.py
+++ b/zinclever/configtool/writing.py
@@ -1,4 +1,4 @@
-"""``config write``: a whole, commented file from a short description of the application."""
+"""``config write``: generates a complete, commented file from a short description of an application."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from ..core.shared import MOST_CONNECTIONS
 from .report import as_text, place
 
-TEXT_KB = 64  # of one text: what the platform's own bodies may hold
-MOST_CLIENTS = 512  # connections: an application opens far fewer, and each may hold a text
+TEXT_KB = 64  # largest message of a client, the same as for bodies of the platform's service
+MOST_CLIENTS = 512  # client connections; each may hold a message of maximum size
 LEAST_CLIENTS = 8
 CONNECT_MS = 250.0
 LISTEN = "127.0.0.1:7001"
@@ -30,13 +30,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
+    """An endpoint with its optional zone."""
+
     address: str
     zone: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class App:
-    """What an operator knows of an application."""
+    """Description of an application, as given by an operator."""
 
     name: str
     listen: str = LISTEN
@@ -44,25 +46,25 @@
     endpoints: tuple[Endpoint, ...] = ()
     reads: tuple[str, ...] = ()
     unlocks: tuple[tuple[str, str], ...] = ()
-    """Methods and the JSON Pointers to their keys."""
+    """Methods, each with the JSON Pointer to its deduplication key."""
     tips: tuple[str, ...] = ()
     framing: str = "lines"
     aim_ms: float = 1000.0
     deadline_ms: float = 4000.0
     window_ms: float = 12000.0
     rate: float = 50.0
-    """Calls a second that this sidecar expects."""
+    """Expected calls per second through this sidecar."""
     memory_mb: int = 64
     sockets: int = 1024
     instances: int = 1
 
 
 class Impossible(Exception):
-    """No file can be written for what was told."""
+    """No valid file can be generated from the description."""
 
 
 def clients(app: App) -> tuple[int, str]:
-    """How many clients fit, and why."""
+    """Return how many clients the memory and descriptor limits allow, and the reason for a comment in the file."""
     by_memory = (app.memory_mb - IDLE_MB) * 1024 // TEXT_KB
     by_sockets = app.sockets - DESCRIPTOR_RESERVE - MOST_CONNECTIONS * len(app.endpoints)
     most = min(MOST_CLIENTS, by_memory, by_sockets)
@@ -82,7 +84,11 @@
 
 
 def render(app: App) -> str:
-    """The file. The same for the same description, byte for byte. Impossible where none can pass its check."""
+    """Return the file. The output is deterministic.
+
+    Raises:
+        InvalidAppError: The description is incomplete, or the resulting file fails its check.
+    """
     if not app.endpoints:
         raise Impossible("no endpoint is told")
     if not (app.reads or app.unlocks or app.tips):
@@ -95,6 +101,7 @@
 
 
 def lines(app: App) -> Iterator[str]:
+    """Yield the lines of the file."""
     most, why = clients(app)
     busy = app.rate * app.aim_ms / 1000.0
     attempts = 3 if len(app.endpoints) > 2 else 2
@@ -132,6 +139,8 @@
 
 
 def classes(app: App) -> Iterator[str]:
+    """Yield the lines of the classes in use."""
+
     def times() -> Iterator[str]:
         yield f"aim_ms = {app.aim_ms:g}  # an answer within it is in time; copies of a read follow after 0.36 of it"
         yield f"deadline_ms = {app.deadline_ms:g}  # the client hears by then; it should wait a little longer"
@@ -153,6 +162,7 @@
 
 
 def methods(app: App) -> Iterator[str]:
+    """Yield the lines of the methods table."""
     yield ""
     yield f"[services.{quote(app.name)}.methods]"
     for name in app.reads:
@@ -164,7 +174,7 @@
 
 
 def quote(text: str) -> str:
-    """A TOML basic string."""
+    """Return a TOML basic string."""
     escaped = "".join(
         f"\\u{ord(c):04x}" if ord(c) < 32 or ord(c) == 127 else "\\" + c if c in '"\\' else c for c in text
     )
@@ -172,11 +182,12 @@
 
 
 def quoted_comment(text: str) -> str:
+    """Replace unprintable characters, for use in a comment."""
     return "".join(c if c.isprintable() else "?" for c in text)
 
 
 def replace(path: Path, text: str) -> None:
-    """Put a file in the place of another at once: who reads meanwhile has the old one or the new one, whole."""
+    """Replace a file atomically: a concurrent reader sees the old or the new content, never a mixture."""
     descriptor, name = tempfile.mkstemp(dir=path.resolve().parent, prefix=f".{path.name}.")
     try:
         with os.fdopen(descriptor, "w", encoding="utf-8", newline="") as file:
@@ -208,11 +219,12 @@
 
 @dataclass
 class Draft:
-    """What has been told so far: a description file first, flags over it, answers for the rest."""
+    """Collects the fields of an :class:`App`: a description file, overridden by flags, and prompts for the rest."""
 
     told: dict[str, Any] = field(default_factory=dict)
 
     def read(self, path: str) -> None:
+        """Read a description file."""
         try:
             values = tomllib.loads(read_file(path).decode())
         except (Unreadable, UnicodeDecodeError, tomllib.TOMLDecodeError) as wrong:
@@ -221,6 +233,7 @@
             self.take(path, name, value)
 
     def take(self, path: str, name: str, value: Any) -> None:
+        """Validate and store one field of a description file."""
         if name in FIELDS:
             kind = FIELDS[name]
             if isinstance(value, bool) or not isinstance(value, (int, float) if kind is float else kind):
@@ -235,7 +248,7 @@
             raise click.ClickException(f"{path}: {name} is not known; known: {known}")
 
     def texts(self, name: str, values: tuple[str, ...]) -> None:
-        """Endpoints are ADDRESS or ADDRESS@ZONE, unlocks METHOD=POINTER."""
+        """Parse and store a list. Endpoints are ADDRESS or ADDRESS@ZONE, unlocks METHOD=POINTER."""
         if name == "endpoints":
             made = [v.partition("@") for v in values]
             self.told[name] = tuple(Endpoint(address, zone) for address, _, zone in made)
@@ -248,7 +261,7 @@
             self.told[name] = values
 
     def ask(self) -> None:
-        """Question and answer, on a terminal."""
+        """Prompt on the terminal for the main fields that are not set yet."""
         if "listen" not in self.told:
             self.told["listen"] = click.prompt("Where the application connects", LISTEN)
         for name, question in (
--- a/zinclever/configuration/__init__.py
+++ b/zinclever/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration: one model of both files, its checks, and the typed settings made from what passes them.
+"""Configuration files: the model of both formats, the checks, and the typed settings built from files that pass.
 
-The program and the tool ask the same :func:`~zinclever.configuration.check.check`, so that they never disagree.
+The sidecar and the config tool call the same :func:`~zinclever.configuration.check.check`, so their verdicts agree.
 """
--- a/zinclever/configuration/check.py
+++ b/zinclever/configuration/check.py
@@ -1,4 +1,4 @@
-"""Both files, checked whole: the one judge that the tool, the start and SIGHUP ask. No I/O."""
+"""Checks of complete configuration files. The config tool, startup and SIGHUP reloads use the same ones. No I/O."""
 
 from __future__ import annotations
 
@@ -16,36 +16,43 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What came of a check."""
+    """The result of checking one file."""
 
     format: Format
     values: dict[str, Any] | None
-    """As the file holds them; None where it is no TOML or JSON."""
+    """The parsed values, without defaults. None if the file is not valid TOML or JSON."""
     clean: dict[str, Any]
-    """With defaults filled in; None where a value is wrong."""
+    """The values with defaults filled in, and None in place of each invalid one. Empty if nothing was checked."""
     findings: list[Finding]
 
     @property
     def errors(self) -> list[Finding]:
+        """The findings of severity ``error``, without the warnings."""
         return errors(self.findings)
 
 
 def guess_format(data: bytes) -> Format:
-    """Which of the two files this is meant to be: the platform's is a JSON object."""
+    """Return the format that a file appears to have: the platform file is a JSON object."""
     return "platform" if data.lstrip(b"\xef\xbb\xbf \t\r\n").startswith(b"{") else "operator"
 
 
 def check(data: bytes, format: Format, elsewhere: dict[Address, str] | None = None) -> Report:
+    """Check a file of the given format. ``elsewhere`` applies to the operator file, see :func:`check_operator`."""
     return check_platform(data) if format == "platform" else check_operator(data, elsewhere)
 
 
 def check_operator(data: bytes, elsewhere: dict[Address, str] | None = None) -> Report:
-    """The operator file. ``elsewhere``: what other files listen on, and the names to tell it by."""
+    """Check the operator file.
+
+    Args:
+        data: Content of the file.
+        elsewhere: Addresses that services of other files listen on, with the names that findings use for them.
+    """
     values, found = parse_toml(data)
     if values is None:
         return Report("operator", None, {}, found)
     if version := judge_version(values):
-        # Keys of another version would only add findings that mean nothing.
+        # Keys differ between versions, so checking them against this version would only produce misleading findings.
         return Report("operator", values, {}, [version])
     clean, found = shape(values, model.OPERATOR)
     for name, service in (clean.get("services") or {}).items():
@@ -64,9 +71,10 @@
 
 
 def judge_version(values: dict[str, Any]) -> Finding | None:
+    """Return a finding if the file is written for a newer or older version than this sidecar reads, else None."""
     version = values.get("version")
     if type(version) is not int:
-        return None  # missing, or of the wrong kind: told by its shape
+        return None  # missing or of the wrong type: shape() reports it
     if version > model.VERSION:
         return Finding(
             "ZC120",
@@ -85,7 +93,7 @@
 
 
 def check_platform(data: bytes) -> Report:
-    """The platform's configuration."""
+    """Check the platform's configuration file."""
     values, found = parse_json(data)
     if values is None:
         return Report("platform", None, {}, found)
--- a/zinclever/configuration/findings.py
+++ b/zinclever/configuration/findings.py
@@ -1,4 +1,4 @@
-"""What can be wrong with a configuration: stable codes, and one finding of one of them. No I/O."""
+"""Finding codes of the configuration checks, and single findings. No I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Code(NamedTuple):
-    """A kind of finding. Codes are never given a second meaning."""
+    """A kind of finding. Codes are stable: a code is never reused for another meaning."""
 
     title: str
     severity: Severity
@@ -18,7 +18,7 @@
 
 
 CODES: dict[str, Code] = {
-    # --- the text ---
+    # --- encoding and syntax ---
     "ZC101": Code("not UTF-8", "error", "The file holds bytes that are no UTF-8. Save it as UTF-8."),
     "ZC102": Code(
         "no TOML or JSON",
@@ -32,7 +32,7 @@
         "error",
         "The file begins with U+FEFF, which editors add unseen. Save it as UTF-8 without one.",
     ),
-    # --- keys and values by themselves ---
+    # --- single keys and values ---
     "ZC110": Code(
         "an unknown key",
         "error",
@@ -77,7 +77,7 @@
         "error",
         "Its keys had other names. `config migrate` brings it up, keeping comments and order.",
     ),
-    # --- what may run twice ---
+    # --- settings that decide whether a request may run twice ---
     "ZC201": Code(
         "an aim beyond its deadline",
         "error",
@@ -134,7 +134,7 @@
         "error",
         "An error code either proves that nothing ran or is a fault that may have run.",
     ),
-    # --- what does nothing, or can't work ---
+    # --- settings that have no effect or can't work ---
     "ZC220": Code(
         "attempts that are never made",
         "warning",
@@ -204,30 +204,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One thing that is wrong."""
+    """One problem found in a configuration file."""
 
     code: str
     path: Path
-    """Of the key at fault; empty: the file."""
+    """Path of the offending key; empty if the finding concerns the whole file."""
     reason: str
     instead: str = ""
-    """What to write instead."""
+    """Suggested correction; may be empty."""
     related: tuple[Path, ...] = field(default=())
-    """The keys that it contradicts."""
+    """Paths of the keys that the offending key conflicts with."""
     at: tuple[int, int] | None = None
-    """Line and column, from 1, where the text itself tells them."""
+    """Line and column, both from 1, if the parser reported them. Otherwise they follow from ``path``."""
 
     @property
     def severity(self) -> Severity:
+        """Severity of the finding's code."""
         return CODES[self.code].severity
 
     @property
     def key(self) -> str:
+        """Path of the offending key as text, see :func:`dotted`."""
         return dotted(self.path)
 
 
 def dotted(path: Path) -> str:
-    """A path as it is worded to people: ``a.b[0]."c.d"``."""
+    """Format a path for messages, for example ``a.b[0]."c.d"``."""
     told = ""
     for part in path:
         if isinstance(part, int):
@@ -239,4 +241,5 @@
 
 
 def errors(findings: list[Finding]) -> list[Finding]:
+    """Return the findings of severity ``error``."""
     return [f for f in findings if f.severity == "error"]
--- a/zinclever/configuration/load.py
+++ b/zinclever/configuration/load.py
@@ -1,4 +1,4 @@
-"""The files that the environment names, read and checked for the program."""
+"""Reads and checks the configuration files that environment variables point to."""
 
 from __future__ import annotations
 
@@ -16,24 +16,25 @@
 
 PLATFORM, OPERATOR = "LB_CONFIG", "ZINCLEVER_OPERATOR"
 
-#: Gives the bytes of the file with that path, or raises Unreadable.
+#: Returns the content of the file at a path, or raises UnreadableFileError.
 Files = Callable[[str], bytes]
 
 
 class ConfigError(Exception):
-    """The program can't start, or go on, with what it was told: one line."""
+    """The configuration is missing or invalid. The message is a single line."""
 
 
 def read(env: Mapping[str, str], files: Files = read_file) -> tuple[Config | None, Operator | None]:
-    """Both files. The platform's may be left out where there is an operator file.
+    """Read and check both files. The platform file is optional if there is an operator file.
 
-    ConfigError names the file, the key, its line and the reason.
+    Raises:
+        ConfigError: A file is missing or invalid. The message names the file, the key, its line and the reason.
     """
     operator_path = env.get(OPERATOR)
     config = read_platform(env, files) if env.get(PLATFORM) or not operator_path else None
     if not operator_path:
         return config, None
-    # Loaded where it is needed: the platform's sidecar lives in little memory.
+    # Imported only when needed, to save memory in sidecars that have just a platform file.
     from . import operator
 
     data = read_bytes(OPERATOR, operator_path, files)
@@ -46,12 +47,13 @@
 
 
 def read_platform(env: Mapping[str, str], files: Files) -> Config:
+    """Read the platform file. Addresses from the environment take precedence over those in the file."""
     path = env.get(PLATFORM)
     if not path:
         raise ConfigError(f"{PLATFORM} is not set: it names the configuration file")
     data = read_bytes(PLATFORM, path, files)
     report = check_platform(data)
-    # An address that the environment gives need not stand in the file.
+    # An address that is set in the environment may be absent or invalid in the file.
     named: dict[Path, str | None] = {("listen",): env.get("LB_LISTEN"), ("discovery",): env.get("LB_DISCOVERY")}
     kept = [f for f in report.findings if not (f.code in ("ZC111", "ZC116") and named.get(f.path))]
     report = Report(report.format, report.values, report.clean, kept)
@@ -64,6 +66,7 @@
 
 
 def read_bytes(variable: str, path: str, files: Files) -> bytes:
+    """Return a file's content, or raise ConfigError with the name of the variable that points to it."""
     try:
         return files(path)
     except Unreadable as wrong:
@@ -71,11 +74,14 @@
 
 
 def refuse_errors(variable: str, path: str, data: bytes, report: Report) -> None:
-    """One line for the first error, in the order of the file, and how many more there are."""
+    """Raise ConfigError if the report contains errors.
+
+    The message describes the first error in the order of the file and counts the others.
+    """
     found = report.errors
     if not found:
         return
-    # Loaded only on the way out: placing a finding takes a parser that a running sidecar never needs.
+    # Imported only on failure: locating a finding takes a parser that a running sidecar never needs.
     from .positions import Positions
 
     positions = Positions(data, report.format) if report.values is not None else None
@@ -86,7 +92,7 @@
 
 
 def told(finding: Finding) -> str:
-    """A finding without its place, on one line."""
+    """Format a finding without its position, on one line."""
     key = f"{finding.key}: " if finding.path else ""
     instead = f"; {finding.instead}" if finding.instead else ""
     return f"{finding.code}: {key}{finding.reason}{instead}".replace("\n", " ")
--- a/zinclever/configuration/model.py
+++ b/zinclever/configuration/model.py
@@ -1,7 +1,7 @@
-"""The model of both files: every key, its kind, unit, default, bounds, and since when it is read.
+"""The model of both files: every key with its type, unit, default, bounds, and the version that introduced it.
 
-The checks, the typed settings, ``config explain``, the JSON Schema and the reference in the operators' page are
-all made from this one table.
+The checks, the typed settings, ``config explain``, the JSON Schema and the reference on the operators' page all derive
+from these tables.
 """
 
 from __future__ import annotations
@@ -26,33 +26,33 @@
     "any",
 ]
 VERSION = 1
-MOST_SPAN = 3_600_000.0  # ms: no request is waited for, and no key remembered, for more than an hour
+MOST_SPAN = 3_600_000.0  # ms: an hour, the upper bound of timeouts, deadlines and deduplication windows
 MOST_ENDPOINTS = 10_000
 MOST_METHODS = 10_000
 
 
 @dataclass(frozen=True, slots=True)
 class Key:
-    """One key of one section."""
+    """One key of a table in a configuration file."""
 
     name: str
-    """``*``: any name, each a table of the section ``inner``."""
+    """``*`` stands for any name, each a table with the keys in ``inner``."""
     kind: Kind
     doc: str
     unit: str = ""
     default: Any = None
-    """What holds where it is left out; None: nothing does."""
+    """Value if the key is left out; None if there is no default."""
     required: bool = False
     least: float | None = None
     most: float | None = None
     choices: tuple[str, ...] = ()
     since: int = 1
     inner: tuple[Key, ...] = ()
-    """Keys of a table, or of each table of an array."""
+    """Keys of the table, or of each table in the array."""
     open: bool = False
-    """Keys of the table that are not known here are no error."""
+    """Whether unknown keys in the table are no error."""
     above: bool = False
-    """``least`` itself is too little."""
+    """Whether ``least`` is an exclusive bound."""
 
 
 REPEAT = ("idempotent", "deduplicated", "at_most_once")
@@ -67,6 +67,7 @@
     least: float = 1.0,
     most: float = MOST_SPAN,
 ) -> Key:
+    """Return a key of the operator file that holds a duration in milliseconds."""
     return Key(name, "number", doc, "ms", default, required, least, most)
 
 
@@ -276,20 +277,23 @@
 )
 
 
-# --- the platform's configuration, in its own words ---
+# --- the platform's configuration, with the platform's key names ---
 
 
 def platform_span(
     name: str, doc: str, default: float | None = None, required: bool = False, least: float = 0.0, above: bool = False
 ) -> Key:
+    """Return a key of the platform file that holds a duration in milliseconds. ``above``: 0 itself is invalid."""
     return Key(name, "number", doc, "ms", default, required, least, 1e9, above=above)
 
 
 def share(name: str, doc: str, default: float = 0.0) -> Key:
+    """Return a key of the platform file that holds a fraction between 0 and 1."""
     return Key(name, "number", doc, "", default, least=0.0, most=1.0)
 
 
 def price(name: str, doc: str) -> Key:
+    """Return a key of the platform file that holds a price in points."""
     return Key(name, "number", doc, "points", 0.0, least=0.0, most=1e9)
 
 
@@ -376,7 +380,7 @@
     Key("family-info", "any", "Facts of this kind of service."),
     Key("weights", "any", "How sizes are told."),
 )
-#: Keys of the platform that say nothing to this sidecar.
+#: Keys of the platform file that this sidecar ignores without a finding.
 UNREAD = frozenset(
     {
         "clients",
--- a/zinclever/configuration/operator.py
+++ b/zinclever/configuration/operator.py
@@ -1,4 +1,4 @@
-"""The operator file as typed settings, for a file that its check has passed."""
+"""Typed settings built from an operator file that passed its check."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from ..jsonrpc.rules import Method, Rules
 
 Clean = dict[str, Any]
-#: Of the four rules, where no platform tells them.
+#: Rules for services of the operator file, which has no keys for them.
 RULES = interface.Rules(drain_grace=1000.0, ask_within=10000.0, cold_share=0.2, cold_for=10000.0)
-STREAMS = 64  # calls that a connection carries before another one is opened
+STREAMS = 64  # concurrent calls on a connection before another one is opened
 
 
 @dataclass(frozen=True, slots=True)
 class JsonRpcService:
-    """One service, whole and checked."""
+    """Validated settings of one JSON-RPC service."""
 
     name: str
     listen: Address
     settings: interface.Settings
     zones: tuple[str, ...]
     endpoints: tuple[Entry, ...]
-    """Empty where ``discovery`` is asked."""
+    """Empty if ``discovery`` is set."""
     discovery: Address | None
     rules: Rules
     error_codes: ErrorCodeMapping
@@ -35,22 +35,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Operator:
-    """What the operator file tells."""
+    """Settings from the operator file."""
 
     services: Mapping[str, JsonRpcService]
     sockets: int
     shares: interface.Shares
-    """For the platform's service, too."""
+    """Limits shared by all instances. They apply to the platform's service as well."""
 
 
 def build(clean: Clean) -> Operator:
-    """From cleaned values without an error."""
+    """Build the settings from the values of a :class:`~zinclever.configuration.check.Report` without errors."""
     shares = interface.Shares(**clean["shares"])
     services = {name: service(name, told, shares) for name, told in clean["services"].items()}
     return Operator(services, clean["limits"]["sockets"], shares)
 
 
 def service(name: str, told: Clean, shares: interface.Shares) -> JsonRpcService:
+    """Build the settings of one service."""
     classes = tuple(request_class(n, c) for n, c in told["classes"].items())
     numbers = {c.name: n for n, c in enumerate(classes)}
     zones, entries = endpoints(told)
@@ -76,6 +77,7 @@
 
 
 def request_class(name: str, told: Clean) -> interface.RequestClass:
+    """Build a request class."""
     return interface.RequestClass(
         aim=told["aim_ms"],
         deadline=told["deadline_ms"],
@@ -88,7 +90,7 @@
 
 
 def methods(told: Clean, numbers: Mapping[str, int]) -> dict[str, Method]:
-    """By each name that a method goes by."""
+    """Return the methods of a service by name; a method is listed under its own name and each of its aliases."""
     found: dict[str, Method] = {}
     for name, one in told["methods"].items():
         method = Method(numbers[one["class"]], parse_json_pointer(one["key"]) if one["key"] is not None else ())
@@ -98,7 +100,7 @@
 
 
 def endpoints(told: Clean) -> tuple[tuple[str, ...], tuple[Entry, ...]]:
-    """The names of the zones, and the endpoints that are listed."""
+    """Return the names of a service's zones, and its listed endpoints with their addresses."""
     rows = told["endpoints"] or ()
     zones = tuple(dict.fromkeys([told["zone"], *told["zones"], *(row["zone"] for row in rows)]))
     entries = []
@@ -114,6 +116,7 @@
 def settings(
     told: Clean, classes: tuple[interface.RequestClass, ...], zones: tuple[str, ...], shares: interface.Shares
 ) -> interface.Settings:
+    """Build the load balancer's settings for a service."""
     limits = interface.Limits(
         max_attempts=told["max_attempts"],
         cancel=True,
--- a/zinclever/configuration/platform.py
+++ b/zinclever/configuration/platform.py
@@ -1,4 +1,4 @@
-"""The platform's configuration as typed settings: the file that ``LB_CONFIG`` names, and the environment."""
+"""Typed settings from the platform's configuration file, which ``LB_CONFIG`` points to, and the environment."""
 
 from __future__ import annotations
 
@@ -16,25 +16,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What the program is told at its start."""
+    """Settings of the process from the platform's configuration and the environment."""
 
     listen: Address
     admin: Address | None
-    """Where operators call, if anywhere."""
+    """Address of the admin server; None if it is disabled."""
     inherited: int | None
-    """The descriptor of a socket that listens already, kept by the platform."""
+    """Descriptor of a listening socket that the platform keeps open across restarts, if any."""
     discovery: Address
     seed: int
     sockets: int
     memory: float | None
-    """Bytes that the process may use; None: not told."""
+    """Memory limit of the process in bytes; None if not set."""
     known: dict[str, Any]
+    """The last known endpoint list, as the file contains it."""
     settings: Settings
     zones: list[str]
 
 
 def descriptor(text: str | None) -> int | None:
-    """The number of a descriptor that was handed over. ValueError where it is none."""
+    """Parse the number of an inherited descriptor. Return None if the text is empty or None.
+
+    Raises:
+        ValueError: The text is not a decimal number.
+    """
     if not text:
         return None
     if not text.isdecimal():
@@ -43,9 +48,15 @@
 
 
 def build(values: dict[str, Any], clean: dict[str, Any], env: Mapping[str, str]) -> Config:
-    """From values whose check found no error; addresses in the environment come first.
+    """Build the settings. Addresses in the environment take precedence over those in the file.
+
+    Args:
+        values: The parsed file; its check found no error.
+        clean: The same values with defaults filled in.
+        env: Environment variables.
 
-    ValueError for what is wrong in the environment, or in what only the settings themselves can tell.
+    Raises:
+        ValueError: The environment is invalid, or the settings are in a way that the checks don't cover.
     """
     admin = env.get("LB_ADMIN_ADDR") or clean["admin_addr"]
     return Config(
--- a/zinclever/configuration/positions.py
+++ b/zinclever/configuration/positions.py
@@ -1,4 +1,4 @@
-"""Where each key and value of a file stands. Loaded only where there is a finding to place."""
+"""Positions of keys and values in a configuration file. Imported only when a finding has to be located."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 
 class Positions:
-    """The places of one text that its reader has found valid."""
+    """Positions of the keys and array elements of a file that parses without errors."""
 
     def __init__(self, data: bytes, format: Format) -> None:
         language = tree_sitter_toml if format == "operator" else tree_sitter_json
         if format == "platform":
-            # Python's reader takes these for numbers, the grammar doesn't.
+            # Python's JSON parser accepts NaN and Infinity, the grammar doesn't. Zeros keep every offset.
             data = _CONSTANT.sub(lambda m: b"0" * len(m[0]), data)
         self.data = data
         self.places: dict[Path, Place] = {(): (1, 1)}
         self.last: dict[Path, Place] = {}
-        """Of keys that come twice: the last of them."""
+        """The last position of each key that occurs more than once."""
         root = tree_sitter.Parser(tree_sitter.Language(language.language())).parse(data).root_node
         if format == "operator":
             self.toml(root)
@@ -39,7 +39,10 @@
                 self.json(node, ())
 
     def place(self, finding: Finding) -> Place:
-        """Line and column of a finding, from 1: of its key, or of the nearest thing that holds it."""
+        """Return the line and column of a finding, both from 1.
+
+        This is the position of its key, or of the nearest enclosing key if that one is absent.
+        """
         if finding.at is not None:
             return finding.at
         if finding.code == "ZC103" and finding.path in self.last:
@@ -47,10 +50,15 @@
         return self.of(finding.path)
 
     def of(self, path: Path) -> Place:
+        """Return the position of a path, or of its nearest enclosing path that the file contains."""
         return next(self.places[path[:n]] for n in range(len(path), -1, -1) if path[:n] in self.places)
 
     def note(self, path: Path, node: Node) -> None:
-        """Columns count characters, as editors do."""
+        """Record the position of a path.
+
+        Columns count characters, as editors do. Past the first 64 KiB they count bytes, since finding the start of the
+        line costs time proportional to the offset.
+        """
         row, column = node.start_point
         line = self.data.split(b"\n", row + 1)[row] if node.start_byte < 1 << 16 else None
         told = len(line[:column].decode("utf-8", "replace")) if line is not None else column
@@ -61,6 +69,7 @@
     # --- TOML ---
 
     def toml(self, root: Node) -> None:
+        """Record all positions of a TOML document."""
         counts: dict[Path, int] = {}
         for node in root.named_children:
             if node.type == "pair":
@@ -81,7 +90,7 @@
                         self.pair(inner, path)
 
     def resolve(self, names: Path, counts: dict[Path, int]) -> Path:
-        """A header's path, through the latest element of each array of tables on its way."""
+        """Return a table header's path, with the index of the latest element for each array of tables in it."""
         path: Path = ()
         for n, name in enumerate(names):
             path = (*path, name)
@@ -90,6 +99,7 @@
         return path
 
     def names(self, node: Node) -> Iterator[str]:
+        """Yield the parts of a TOML key, unquoted."""
         if node.type == "dotted_key":
             for inner in node.named_children:
                 yield from self.names(inner)
@@ -100,6 +110,7 @@
             yield (node.text or b"").decode()
 
     def pair(self, node: Node, path: Path) -> None:
+        """Record the positions of a TOML key and of its value."""
         key, *values = [n for n in node.named_children if n.type != "comment"]
         names = tuple(self.names(key))
         for n in range(1, len(names) + 1):
@@ -108,6 +119,7 @@
             self.value(value, (*path, *names))
 
     def value(self, node: Node, path: Path) -> None:
+        """Record the positions inside an inline table or an array."""
         if node.type == "inline_table":
             for inner in node.named_children:
                 if inner.type == "pair":
@@ -120,6 +132,7 @@
     # --- JSON ---
 
     def json(self, node: Node, path: Path) -> None:
+        """Record the positions inside a JSON value."""
         if node.type == "object":
             for pair in node.named_children:
                 if pair.type == "pair":
--- a/zinclever/configuration/reading.py
+++ b/zinclever/configuration/reading.py
@@ -1,4 +1,4 @@
-"""Files and texts: read within bounds, parsed strictly. The only I/O of this package."""
+"""Reads configuration files of bounded size and parses them strictly. The only I/O of this package."""
 
 from __future__ import annotations
 
@@ -11,22 +11,25 @@
 
 from .findings import Finding
 
-MOST_FILE = 4 << 20  # bytes: a remembered list of some twenty thousand endpoints
+MOST_FILE = 4 << 20  # bytes: enough for a known list of some twenty thousand endpoints
 BOM = b"\xef\xbb\xbf"
 _PLACE = re.compile(r"\(at line (\d+), column (\d+)\)")
 _END = "(at end of document)"
-TRIES = 3  # readings of a file that changes meanwhile
+TRIES = 3  # attempts to read a file that changes during the read
 
 
 class Unreadable(Exception):
-    """There is no text to judge: no file, no right to it, or no ordinary file."""
+    """The file is missing, inaccessible, too large, not a regular file, or changes while it is read."""
 
 
 def read_file(path: str) -> bytes:
-    """The bytes of an ordinary file, as they stood at one moment.
+    """Return the content of a regular file as a consistent snapshot.
 
-    Unreadable for a folder, a pipe, a loop of links, a file over the bound, or one that goes on changing while it
-    is read. Whoever writes a file in service should replace it whole, by a rename.
+    Programs that update a file in use should replace it by a rename.
+
+    Raises:
+        UnreadableFileError: The path is missing, a directory, a pipe or a loop of symbolic links, or the file is too
+            large or keeps changing while it is read.
     """
     for _ in range(TRIES):
         try:
@@ -39,7 +42,7 @@
 
 
 def read_once(path: str) -> bytes | None:
-    """None if the file changed meanwhile. A pipe isn't waited for."""
+    """Return the content of a file, or None if it changed during the read. Never blocks on a pipe."""
     descriptor = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
     with contextlib.closing(os.fdopen(descriptor, "rb")) as file:
         before = os.fstat(descriptor)
@@ -55,7 +58,7 @@
 
 
 def decode(data: bytes) -> tuple[str | None, list[Finding]]:
-    """The text of a file."""
+    """Decode a file as UTF-8 without a byte-order mark. Return None and a finding on failure."""
     if data.startswith(BOM):
         return None, [Finding("ZC104", (), "the file begins with a byte-order mark", "save it without one", at=(1, 1))]
     try:
@@ -67,7 +70,8 @@
 
 
 def parse_toml(data: bytes) -> tuple[dict[str, Any] | None, list[Finding]]:
-    import tomllib  # here, since the platform's sidecar has no use for it
+    """Parse a TOML file. Return None and a finding on failure."""
+    import tomllib  # imported here to save memory in sidecars without an operator file
 
     text, found = decode(data)
     if text is None:
@@ -86,12 +90,13 @@
 
 
 class _Repeated(dict[str, Any]):
-    """An object, and the names that came twice in it."""
+    """A JSON object that remembers which of its keys occur more than once."""
 
     twice: tuple[str, ...] = ()
 
 
 def _pairs(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    """Build an object from its pairs, for ``json.loads``."""
     made = _Repeated(pairs)
     if len(made) < len(pairs):
         names = [name for name, _ in pairs]
@@ -100,6 +105,7 @@
 
 
 def parse_json(data: bytes) -> tuple[dict[str, Any] | None, list[Finding]]:
+    """Parse a JSON object and report its duplicate keys. Return None and a finding on failure."""
     text, found = decode(data)
     if text is None:
         return None, found
@@ -115,6 +121,7 @@
 
 
 def _twice(value: Any, path: tuple[str | int, ...]) -> list[Finding]:
+    """Return a finding for each duplicate key in a value."""
     found: list[Finding] = []
     if isinstance(value, _Repeated):
         found += [Finding("ZC103", (*path, name), f"{name} comes twice", "keep one") for name in value.twice]
--- a/zinclever/configuration/relations.py
+++ b/zinclever/configuration/relations.py
@@ -1,7 +1,7 @@
-"""What settings say to one another: each valid by itself, and together what can't be meant. Pure functions.
+"""Checks of settings against each other: each may be valid by itself, but not in combination. Pure functions.
 
-They take cleaned values (:func:`~zinclever.configuration.shape.shape`): what is None was wrong by itself and is
-told already.
+They take cleaned values from :func:`~zinclever.configuration.shape.shape`. None marks a value that is absent or has a
+finding already.
 """
 
 from __future__ import annotations
@@ -15,15 +15,20 @@
 from .findings import Finding, Path
 
 Clean = dict[str, Any]
-MARGIN = 500.0  # ms by which a window has to outlive a repeat's last send: queues, and clocks of two machines
+MARGIN = 500.0  # ms that a window must exceed deadline plus connect timeout: queueing, and clock differences
 OWN_FAILURE, INTERNAL = -32051, -32603
-IDLE_MB = 30  # what a sidecar with a JSON-RPC service holds when idle, rounded up
+IDLE_MB = 30  # memory of an idle sidecar with a JSON-RPC service, rounded up
 RESERVED_METHODS = "rpc."
 ANY_HOST = ("0.0.0.0", "")
 
 
 def operator(clean: Clean, elsewhere: dict[Address, str] | None = None) -> Iterator[Finding]:
-    """The operator file. ``elsewhere``: what other files listen on, and the name to tell it by."""
+    """Check the operator file.
+
+    Args:
+        clean: The cleaned values of the file.
+        elsewhere: Addresses that services of other files listen on, with the names that findings use for them.
+    """
     services = {n: s for n, s in (clean.get("services") or {}).items() if s is not None}
     for name, service in services.items():
         path: Path = ("services", name)
@@ -39,10 +44,12 @@
 
 
 def known_classes(service: Clean) -> dict[str, Clean]:
+    """Return a service's classes by name, without those that are invalid."""
     return {n: c for n, c in (service["classes"] or {}).items() if c is not None}
 
 
 def classes(service: Clean, path: Path) -> Iterator[Finding]:
+    """Check deadlines, and the settings for deduplication, of the classes of a service."""
     if service["classes"] == {}:
         yield Finding("ZC111", (*path, "classes"), "no class is defined", "define at least one")
     for name, klass in known_classes(service).items():
@@ -91,6 +98,7 @@
 
 
 def methods(service: Clean, path: Path) -> Iterator[Finding]:
+    """Check the methods of a service, their aliases, and the default class."""
     defined = known_classes(service)
     default = service["default_class"]
     if default is not None:
@@ -135,6 +143,7 @@
 
 
 def cases(names: dict[str, tuple[Path, str | None]]) -> Iterator[Finding]:
+    """Report method names that differ in case only but belong to different classes."""
     folded: dict[str, str] = {}
     for name in names:
         other = folded.setdefault(name.casefold(), name)
@@ -149,6 +158,7 @@
 
 
 def class_of(name: str, defined: dict[str, Clean], at: Path, path: Path) -> Iterator[Finding]:
+    """Report a class that is not defined."""
     if name not in defined:
         yield Finding(
             "ZC115",
@@ -160,6 +170,7 @@
 
 
 def key_of(method: Clean, klass: Clean | None, name: str, at: Path, path: Path) -> Iterator[Finding]:
+    """Check that a method has a key if, and only if, its class is deduplicated."""
     if klass is None or klass["repeat"] is None:
         return
     keyed = klass["repeat"] == "deduplicated"
@@ -183,6 +194,7 @@
 
 
 def endpoints(service: Clean, path: Path) -> Iterator[Finding]:
+    """Check the endpoints of a service, its zone, and the deduplication groups of its endpoints."""
     listed, discovery = service["endpoints"], service["discovery"]
     if listed is not None and discovery is not None:
         yield Finding(
@@ -219,6 +231,7 @@
 
 
 def error_codes(service: Clean, path: Path) -> Iterator[Finding]:
+    """Check the error codes by which endpoints say that a call did not run."""
     for n, code in enumerate(service["never_ran_errors"] or ()):
         at: Path = (*path, "never_ran_errors", n)
         if code in (INTERNAL, OWN_FAILURE):
@@ -235,6 +248,7 @@
 
 
 def attempts(service: Clean, path: Path) -> Iterator[Finding]:
+    """Check that retries and copies can take place within the limits and deadlines."""
     safe = [n for n, c in known_classes(service).items() if c["repeat"] == "idempotent"]
     if safe and service["max_attempts"] == 1:
         yield Finding(
@@ -266,7 +280,7 @@
 
 
 def instances(service: Clean, path: Path, shares: Clean) -> Iterator[Finding]:
-    """What a service says of its many instances."""
+    """Check a service's instance number, and the shared connection limit against the number of instances."""
     count, number = service["instances"], service["number"]
     if count is None or number is None:
         return
@@ -292,6 +306,7 @@
 
 
 def floor(shares: Clean) -> Iterator[Finding]:
+    """Report a floor for retries and copies where no ratio limits them."""
     if shares.get("floor_per_s") and not shares.get("retry_ratio") and not shares.get("copy_ratio"):
         yield Finding(
             "ZC235",
@@ -302,16 +317,17 @@
 
 
 def meets(one: Address, other: Address) -> bool:
-    """Whether listening at one takes up the other, or reaches it."""
+    """Return whether two listen addresses collide: same port, and the same host or a wildcard host."""
     return one[1] == other[1] and (one[0] == other[0] or one[0] in ANY_HOST or other[0] in ANY_HOST)
 
 
 def local(address: Address) -> bool:
+    """Return whether an address is on the loopback interface."""
     return address[0].startswith("127.") or address[0] == "localhost"
 
 
 def addresses(services: dict[str, Clean], elsewhere: dict[Address, str]) -> Iterator[Finding]:
-    """Who listens where, and whether somebody's endpoint is the sidecar itself."""
+    """Check listen addresses for collisions and exposure, and endpoints that are the sidecar itself."""
     taken: list[tuple[Address, Path, str]] = [(a, (), told) for a, told in elsewhere.items()]
     for name, service in services.items():
         at: Path = ("services", name, "listen")
@@ -352,7 +368,7 @@
 
 
 def sizes(clean: Clean, services: dict[str, Clean]) -> Iterator[Finding]:
-    """Descriptors and memory, over all services."""
+    """Check the descriptor and memory limits against what all services together may use."""
     limits = clean.get("limits") or {}
     clients = sum(s["max_clients"] or 0 for s in services.values())
     targets = sum(len(s["endpoints"] or ()) for s in services.values())
@@ -381,7 +397,7 @@
 
 
 def platform(clean: Clean) -> Iterator[Finding]:
-    """The platform's configuration."""
+    """Check the platform's configuration."""
     settings = clean.get("settings") or {}
     base: Path = ("settings", "classes")
     if settings.get("classes") == []:
--- a/zinclever/configuration/shape.py
+++ b/zinclever/configuration/shape.py
@@ -1,4 +1,4 @@
-"""Values held against the model: what each key may be by itself. No I/O, no order of keys assumed."""
+"""Checks of single values against the model, independent of other keys. No I/O."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from .findings import Finding, Path
 from .model import MOST_ENDPOINTS, UNREAD, Key, Kind
 
-LARGEST = 2**63 - 1  # TOML and JSON readers elsewhere hold no larger integer
-ALIKE = 0.75  # how alike a typo has to be to the key that it is taken for
+LARGEST = 2**63 - 1  # largest integer that other TOML and JSON parsers support
+ALIKE = 0.75  # minimum similarity ratio (difflib) between a typo and the key it is taken for
 
 Clean = dict[str, Any]
 
@@ -19,7 +19,17 @@
 def shape(
     values: dict[str, Any], keys: Sequence[Key], path: Path = (), open: bool = False
 ) -> tuple[Clean, list[Finding]]:
-    """The values with defaults filled in, and every finding. What is wrong or missing is None."""
+    """Check a table against its keys.
+
+    Args:
+        values: The parsed table.
+        keys: The keys that the table may have.
+        path: Path of the table in the file.
+        open: Whether unknown keys are no error; they are then reported as warnings or ignored.
+
+    Returns:
+        The values with defaults filled in, and all findings. An invalid or missing value is None.
+    """
     found: list[Finding] = []
     clean: Clean = {}
     star = keys[0] if keys and keys[0].name == "*" else None
@@ -39,13 +49,13 @@
             meant.add(near)
     for name, key in known.items():
         at = (*path, name)
-        # The platform words an absent value as null.
+        # The platform writes null for an absent value.
         absent = name not in values or (open and values[name] is None and not key.required)
         if not absent:
             clean[name], more = one(values[name], key, at)
             found += more
         else:
-            if key.required and name not in meant:  # else its typo is told, which is enough
+            if key.required and name not in meant:  # otherwise the finding for the misspelled key is enough
                 found.append(Finding("ZC111", at, f"{name} is missing; it takes {worded(key)}"))
             clean[name] = shape({}, key.inner, at)[0] if key.default == {} and key.inner else key.default
     return clean, found
@@ -54,11 +64,12 @@
 def unknown(
     name: str, values: dict[str, Any], keys: Sequence[Key], path: Path, open: bool
 ) -> tuple[list[Finding], str]:
-    """An unknown key: a typo of the nearest known one that is not there itself, a look-alike, or just unknown.
+    """Report an unknown key: a typo of a known key that is absent, a key with look-alike letters, or simply unknown.
 
-    With it the known key that must have been meant, if there is one.
+    Returns:
+        The findings, and the known key that was probably meant, or "".
     """
-    # Loaded for a file that has something wrong: a running sidecar has no use for them.
+    # Imported only for a file with an unknown key, to save memory in a running sidecar.
     import difflib
     import unicodedata
 
@@ -80,20 +91,21 @@
 
 
 def odd_letters(name: str) -> str:
+    """Return the Unicode names of the non-ASCII characters in a key."""
     import unicodedata
 
     return ", ".join(unicodedata.name(c, f"U+{ord(c):04X}") for c in name if not c.isascii())
 
 
 def unsuitable(text: str) -> str:
-    """Why a text can't be a name; empty where it can."""
+    """Return why a text is not a valid name, or "" if it is."""
     if not text.strip():
         return "is empty"
     return "holds control characters" if any(ord(c) < 32 or ord(c) == 127 for c in text) else ""
 
 
 def one(value: Any, key: Key, path: Path) -> tuple[Any, list[Finding]]:
-    """One value, cleaned."""
+    """Check a value of any kind. Return its cleaned form, or None if it is invalid, and the findings."""
     if key.kind == "any":
         return value, []
     if key.kind == "table":
@@ -111,7 +123,7 @@
 
 
 def rows(value: Any, key: Key, path: Path) -> tuple[Any, list[Finding]]:
-    """An array of tables; of endpoints each may be an address alone."""
+    """Check an array of tables. In an array of endpoints, an element may also be a plain address."""
     if not isinstance(value, list):
         return None, [wrong_kind(value, key, path)]
     if key.kind == "endpoints" and not 0 < len(value) <= MOST_ENDPOINTS:
@@ -120,7 +132,7 @@
     for n, row in enumerate(value):
         if key.kind == "endpoints" and isinstance(row, str):
             inner, more = shape({"address": row}, key.inner, (*path, n))
-            # The address stands there itself.
+            # A plain address has no key of its own: findings point to the array element.
             more = [Finding(f.code, (*path, n), f.reason, f.instead) for f in more]
         elif isinstance(row, dict):
             inner, more = shape(row, key.inner, (*path, n), key.open)
@@ -133,6 +145,7 @@
 
 
 def items(value: Any, key: Key, path: Path) -> tuple[Any, list[Finding]]:
+    """Check an array of texts or numbers. Return it as a tuple, or None if an element is invalid."""
     if not isinstance(value, list):
         return None, [wrong_kind(value, key, path)]
     kinds: dict[str, Kind] = {"texts": "text", "wholes": "whole", "numbers": "number"}
@@ -145,7 +158,7 @@
 
 
 def single(value: Any, key: Key, path: Path) -> Iterator[Finding]:
-    """What is wrong with a value that holds no others."""
+    """Check a value that is neither an array nor a table."""
     numeric = isinstance(value, int | float) and not isinstance(value, bool)
     if key.kind in ("number", "whole"):
         if not numeric or (key.kind == "whole" and isinstance(value, float) and math.isfinite(value)):
@@ -164,6 +177,7 @@
 
 
 def bounds(value: float, key: Key, path: Path) -> Iterator[Finding]:
+    """Check a number against its bounds. Negative zero is out of bounds."""
     low = key.least is not None and (value < key.least or (key.above and value <= key.least))
     minus_zero = isinstance(value, float) and value == 0.0 and math.copysign(1.0, value) < 0.0
     if low or minus_zero or (key.most is not None and value > key.most):
@@ -171,6 +185,7 @@
 
 
 def text(value: str, key: Key, path: Path) -> Iterator[Finding]:
+    """Check a text: a choice, an address, a JSON Pointer or plain text."""
     if key.kind == "choice":
         if value not in key.choices:
             import difflib
@@ -197,10 +212,12 @@
 
 
 def wrong_kind(value: Any, key: Key, path: Path) -> Finding:
+    """Return the finding for a value of the wrong type."""
     return Finding("ZC112", path, f"takes {worded(key)}, not {kind_of(value)}")
 
 
 def kind_of(value: Any) -> str:
+    """Describe the type of a value for messages."""
     if isinstance(value, bool):
         return str(value).lower()
     if isinstance(value, str):
@@ -213,12 +230,13 @@
 
 
 def short(value: Any) -> str:
+    """Format a value for messages, with at most 40 characters."""
     told = repr(value) if isinstance(value, str) else f"{value}"
     return told if len(told) <= 40 else told[:37] + "..."
 
 
 def worded(key: Key) -> str:
-    """What a key takes, in words."""
+    """Describe the values that a key accepts."""
     if key.kind == "choice":
         return "one of " + ", ".join(key.choices)
     words = {
