--- a/tests/test_configtool.py
+++ b/tests/test_configtool.py
@@ -23,7 +23,7 @@
 from zinclever.configtool import changes, migration, reference, writing
 from zinclever.configtool.cli import config
 from zinclever.configtool.report import place
-from zinclever.configtool.writing import App, Endpoint, Impossible, render
+from zinclever.configtool.writing import App, Endpoint, InvalidAppError, render
 from zinclever.configuration import load, reading
 from zinclever.configuration.check import check_operator
 from zinclever.configuration.findings import CODES
@@ -96,8 +96,8 @@
     answers = iter(["127.0.0.1:7009", "127.0.0.1:9001 127.0.0.1:9002", "page.get", "", "tip.send", 10.0, 64, 512, 3])
     monkeypatch.setattr(click, "prompt", lambda *a, **k: next(answers))
     draft = writing.Draft()
-    draft.ask()
-    text = render(App("asked", **draft.told))
+    draft.prompt()
+    text = render(App("asked", **draft.options))
     assert "instances = 3" in text and "127.0.0.1:7009" in text
 
 
@@ -130,14 +130,14 @@
 def test_whatever_write_makes_passes_and_starts(app: App) -> None:
     try:
         text = render(app)
-    except Impossible:
+    except InvalidAppError:
         return
     assert text == render(app)
     report = check_operator(text.encode())
     assert not report.errors
     from zinclever.configuration.operator import build
 
-    assert build(report.clean).services[app.name].rules.max_clients >= writing.LEAST_CLIENTS
+    assert build(report.clean).services[app.name].rules.max_clients >= writing.MIN_CLIENTS
 
 
 # --- check ---
@@ -221,7 +221,7 @@
     """A reader that never stops reads the old file or the new one, and never anything else."""
     path = tmp_path / "served.toml"
     versions = [PLAIN, PLAIN + "# longer\n" * 2000]
-    writing.replace(path, versions[0])
+    writing.replace_file(path, versions[0])
     over, seen = threading.Event(), set()
 
     def read() -> None:
@@ -231,7 +231,7 @@
     reader = threading.Thread(target=read)
     reader.start()
     for n in range(200):
-        writing.replace(path, versions[n % 2])
+        writing.replace_file(path, versions[n % 2])
     over.set()
     reader.join()
     assert seen <= set(versions) and [p.name for p in tmp_path.iterdir()] == ["served.toml"]
@@ -246,7 +246,7 @@
 
     monkeypatch.setattr(os, "fsync", full)
     with pytest.raises(OSError, match="No space"):
-        writing.replace(path, "version = 1\n")
+        writing.replace_file(path, "version = 1\n")
     assert path.read_text() == PLAIN and len(list(tmp_path.iterdir())) == 1
 
 
--- a/zinclever/configtool/cli.py
+++ b/zinclever/configtool/cli.py
@@ -27,8 +27,8 @@
     """Read and check a file. Exits with code 2 if it is unreadable."""
     try:
         data = read_file(path)
-    except Unreadable as wrong:
-        click.echo(f"zinclever: {wrong}", err=True)
+    except Unreadable as error:
+        click.echo(f"zinclever: {error}", err=True)
         sys.exit(NOT_READABLE)
     format: Format = guess_format(data) if kind == "auto" else "platform" if kind == "platform" else "operator"
     return data, check(data, format)
@@ -61,30 +61,30 @@
     for path in files:
         try:
             data = read_file(path)
-        except Unreadable as wrong:
-            click.echo(f"zinclever: {wrong}", err=True)
+        except Unreadable as error:
+            click.echo(f"zinclever: {error}", err=True)
             unreadable = True
             continue
-        chosen: Format = guess_format(data) if kind == "auto" else "platform" if kind == "platform" else "operator"
-        placed += reports.place(path, data, check(data, chosen))
+        file_format: Format = guess_format(data) if kind == "auto" else "platform" if kind == "platform" else "operator"
+        placed += reports.place(path, data, check(data, file_format))
     text = reports.FORMATS[format](placed)
     page(coloured(text) if format == "text" and sys.stdout.isatty() else text)
     if unreadable:
         sys.exit(NOT_READABLE)
-    counted = [p for p in placed if strict or p.finding.severity == "error"]
-    sys.exit(FINDINGS if counted else CLEAN)
+    relevant = [p for p in placed if strict or p.finding.severity == "error"]
+    sys.exit(FINDINGS if relevant else CLEAN)
 
 
 @config.command("explain")
 @click.argument("what")
 def explain_command(what: str) -> None:
     """Tell what a finding's CODE or a KEY means: its unit, default, bounds and since when."""
-    told = reference.explain(what)
-    if told is None:
+    text = reference.explain(what)
+    if text is None:
         near = ", ".join(reference.nearest(what))
         click.echo(f"zinclever: no code and no key {what!r}" + (f"; near: {near}" if near else ""), err=True)
         sys.exit(NOT_READABLE)
-    page(told)
+    page(text)
 
 
 @config.command("schema")
@@ -106,19 +106,19 @@
 @click.option("--fail-on-risk", is_flag=True, help="Exit code 1 where something may now be resent, or guards less.")
 def diff_command(before: str, after: str, fail_on_risk: bool) -> None:
     """Tell what changes in behaviour from BEFORE to AFTER."""
-    told = []
+    cleaned = []
     for path in (before, after):
         _, report = load(path, "operator")
         if report.errors:
             click.echo(f"zinclever: {path} has {len(report.errors)} errors: check it first", err=True)
             sys.exit(NOT_READABLE)
-        told.append(report.clean)
-    found = changes.compare(*told)
-    for change in found:
+        cleaned.append(report.clean)
+    found_changes = changes.compare(*cleaned)
+    for change in found_changes:
         click.echo(("RISK " if change.risk else "     ") + f"{change.key}: {change.text}")
-    if not found:
+    if not found_changes:
         click.echo("no change in behaviour")
-    sys.exit(FINDINGS if fail_on_risk and any(c.risk for c in found) else CLEAN)
+    sys.exit(FINDINGS if fail_on_risk and any(c.risk for c in found_changes) else CLEAN)
 
 
 @config.command("migrate")
@@ -129,15 +129,15 @@
     data, _ = load(file, "operator")
     try:
         new = migration.migrate(data.decode())
-    except (migration.Refused, UnicodeDecodeError) as wrong:
-        click.echo(f"zinclever: {file}: {wrong}", err=True)
+    except (migration.MigrationError, UnicodeDecodeError) as error:
+        click.echo(f"zinclever: {file}: {error}", err=True)
         sys.exit(NOT_READABLE)
     if new.encode() == data:
         click.echo("nothing to change")
         return
     page(migration.difference(data.decode(), new, file))
     if write:
-        writing.replace(Path(file), new)
+        writing.replace_file(Path(file), new)
 
 
 @config.command("show")
--- a/zinclever/configtool/origins.py
+++ b/zinclever/configtool/origins.py
@@ -20,10 +20,10 @@
         variable = VARIABLES.get(path, "") if report.format == "platform" else ""
         if variable and env.get(variable):
             rows.append((dotted(path), repr(env[variable]), f"environment {variable}"))
-        elif path in positions.places:
-            rows.append((dotted(path), worded(value), f"{file}:{positions.places[path][0]}"))
+        elif path in positions.first_positions:
+            rows.append((dotted(path), format_value(value), f"{file}:{positions.first_positions[path][0]}"))
         elif value is not None:
-            rows.append((dotted(path), worded(value), "default"))
+            rows.append((dotted(path), format_value(value), "default"))
     width = max((len(key) for key, _, _ in rows), default=0)
     return "".join(f"{key:{width}} = {value}  # {origin}\n" for key, value, origin in rows)
 
@@ -40,10 +40,10 @@
         yield path, value
 
 
-def worded(value: Any) -> str:
+def format_value(value: Any) -> str:
     """Format a value for display."""
     if isinstance(value, bool):
         return str(value).lower()
     if isinstance(value, tuple):
-        return "[" + ", ".join(map(worded, value)) + "]"
+        return "[" + ", ".join(map(format_value, value)) + "]"
     return f"{value:g}" if isinstance(value, float) else repr(value)
--- a/zinclever/configtool/reference.py
+++ b/zinclever/configtool/reference.py
@@ -7,10 +7,10 @@
 from typing import Any, NamedTuple
 
 from ..configuration.findings import CODES
-from ..configuration.model import OPERATOR, PLATFORM, Key
-from ..configuration.shape import worded
+from ..configuration.model import OPERATOR_KEYS, PLATFORM_KEYS, Key
+from ..configuration.shape import describe_accepted
 
-FILES: dict[str, tuple[Key, ...]] = {"operator": OPERATOR, "platform": PLATFORM}
+FILES: dict[str, tuple[Key, ...]] = {"operator": OPERATOR_KEYS, "platform": PLATFORM_KEYS}
 
 
 class Entry(NamedTuple):
@@ -24,14 +24,14 @@
 def entries() -> Iterator[Entry]:
     """Yield every key of both files."""
     for file, keys in FILES.items():
-        yield from _walk(file, keys, "")
+        yield from _walk_keys(file, keys, "")
 
 
-def _walk(file: str, keys: tuple[Key, ...], before: str) -> Iterator[Entry]:
+def _walk_keys(file: str, keys: tuple[Key, ...], before: str) -> Iterator[Entry]:
     for key in keys:
         path = f"{before}{key.name}"
         yield Entry(file, path, key)
-        yield from _walk(file, key.inner, path + ("[]." if key.kind in ("tables", "endpoints") else "."))
+        yield from _walk_keys(file, key.inner, path + ("[]." if key.kind in ("tables", "endpoints") else "."))
 
 
 def default_of(key: Key) -> str:
@@ -51,26 +51,26 @@
     )
 
 
-def explain(asked: str) -> str | None:
+def explain(query: str) -> str | None:
     """Return the explanation of a finding code or key, or None if there is no such code or key."""
-    if (code := CODES.get(asked.upper())) is not None:
-        return f"{asked.upper()}: {code.title} ({code.severity})\n\n{code.explanation}\n"
-    found = [e for e in entries() if e.path == asked or e.path.endswith("." + asked)]
-    return "\n".join(_explained(e) for e in found) if found else None
+    if (code := CODES.get(query.upper())) is not None:
+        return f"{query.upper()}: {code.title} ({code.severity})\n\n{code.explanation}\n"
+    matches = [e for e in entries() if e.path == query or e.path.endswith("." + query)]
+    return "\n".join(_format_entry(e) for e in matches) if matches else None
 
 
-def _explained(entry: Entry) -> str:
+def _format_entry(entry: Entry) -> str:
     key = entry.key
     return (
-        f"{entry.path} ({entry.file} file)\n\n{key.doc}\n\n  takes    {worded(key)}\n"
+        f"{entry.path} ({entry.file} file)\n\n{key.doc}\n\n  takes    {describe_accepted(key)}\n"
         f"  default  {default_of(key)}\n  since    version {key.since}\n"
     )
 
 
-def nearest(asked: str) -> list[str]:
+def nearest(query: str) -> list[str]:
     """Return up to three codes and keys that resemble a text."""
     names = [*CODES, *{e.key.name for e in entries()}]
-    return difflib.get_close_matches(asked, names, 3, 0.5)
+    return difflib.get_close_matches(query, names, 3, 0.5)
 
 
 # --- JSON Schema (draft 2020-12) ---
@@ -78,21 +78,21 @@
 
 def schema(file: str) -> dict[str, Any]:
     """Return a JSON Schema for editors. It covers each key by itself, not relations between keys."""
-    told = _table(FILES[file], file == "platform")
-    return {"$schema": "https://json-schema.org/draft/2020-12/schema", "title": f"zinclever {file} file"} | told
+    table = _table_schema(FILES[file], file == "platform")
+    return {"$schema": "https://json-schema.org/draft/2020-12/schema", "title": f"zinclever {file} file"} | table
 
 
-def _table(keys: tuple[Key, ...], open: bool) -> dict[str, Any]:
+def _table_schema(keys: tuple[Key, ...], allow_unknown: bool) -> dict[str, Any]:
     if keys and keys[0].name == "*":
-        return {"type": "object", "additionalProperties": _value(keys[0])}
-    told: dict[str, Any] = {"type": "object", "properties": {k.name: _value(k) for k in keys}}
+        return {"type": "object", "additionalProperties": _value_schema(keys[0])}
+    result: dict[str, Any] = {"type": "object", "properties": {k.name: _value_schema(k) for k in keys}}
     if required := [k.name for k in keys if k.required]:
-        told["required"] = required
-    return told if open else told | {"additionalProperties": False}
+        result["required"] = required
+    return result if allow_unknown else result | {"additionalProperties": False}
 
 
-def _value(key: Key) -> dict[str, Any]:
-    simple: dict[str, dict[str, Any]] = {
+def _value_schema(key: Key) -> dict[str, Any]:
+    schema_by_kind: dict[str, dict[str, Any]] = {
         "text": {"type": "string"},
         "flag": {"type": "boolean"},
         "number": {"type": "number"},
@@ -104,24 +104,28 @@
         "wholes": {"type": "array", "items": {"type": "integer"}},
         "any": {},
     }
-    told: dict[str, Any]
+    result: dict[str, Any]
     if key.kind == "table":
-        told = _table(key.inner, key.open) if key.inner else {"type": "object"}
+        result = _table_schema(key.inner, key.allow_unknown) if key.inner else {"type": "object"}
     elif key.kind == "tables":
-        told = {"type": "array", "items": _table(key.inner, key.open)}
+        result = {"type": "array", "items": _table_schema(key.inner, key.allow_unknown)}
     elif key.kind == "endpoints":
         address: dict[str, Any] = {"type": "string", "pattern": "^[^ ]+:[0-9]{1,5}$"}
-        told = {"type": "array", "minItems": 1, "items": {"anyOf": [address, _table(key.inner, key.open)]}}
+        result = {
+            "type": "array",
+            "minItems": 1,
+            "items": {"anyOf": [address, _table_schema(key.inner, key.allow_unknown)]},
+        }
     else:
-        told = dict(simple[key.kind])
+        result = dict(schema_by_kind[key.kind])
     if key.kind in ("number", "whole"):
         if key.least is not None:
-            told["exclusiveMinimum" if key.above else "minimum"] = key.least
+            result["exclusiveMinimum" if key.exclusive_least else "minimum"] = key.least
         if key.most is not None:
-            told["maximum"] = key.most
+            result["maximum"] = key.most
     if key.default is not None and not isinstance(key.default, dict):
-        told["default"] = list(key.default) if isinstance(key.default, tuple) else key.default
-    return told | {"description": key.doc + (f" ({key.unit})" if key.unit else "")}
+        result["default"] = list(key.default) if isinstance(key.default, tuple) else key.default
+    return result | {"description": key.doc + (f" ({key.unit})" if key.unit else "")}
 
 
 # --- the operators' page ---
@@ -134,7 +138,9 @@
         lines += [f"### Keys of the {file} file", ""]
         lines += ["| key | takes | default | meaning |", "| --- | --- | --- | --- |"]
         lines += [
-            f"| `{e.path}` | {worded(e.key)} | {default_of(e.key)} | {e.key.doc} |" for e in entries() if e.file == file
+            f"| `{e.path}` | {describe_accepted(e.key)} | {default_of(e.key)} | {e.key.doc} |"
+            for e in entries()
+            if e.file == file
         ]
         lines.append("")
     lines += ["### Findings", "", "| code | severity | what | why |", "| --- | --- | --- | --- |"]
--- a/zinclever/configtool/report.py
+++ b/zinclever/configtool/report.py
@@ -29,7 +29,7 @@
     placed = []
     for finding in report.findings:
         line, column = positions.place(finding) if positions else finding.at or (1, 1)
-        related = tuple((*positions.of(path), dotted(path)) for path in finding.related) if positions else ()
+        related = tuple((*positions.position_of(path), dotted(path)) for path in finding.related) if positions else ()
         placed.append(Placed(file, line, column, finding, related))
     return sorted(placed, key=lambda p: (p.line, p.column, p.finding.code))
 
@@ -49,7 +49,7 @@
 
 def as_json(placed: Sequence[Placed]) -> str:
     """Format findings as a JSON array."""
-    told = [
+    items = [
         {
             "file": p.file,
             "line": p.line,
@@ -63,7 +63,7 @@
         }
         for p in placed
     ]
-    return orjson.dumps(told, option=orjson.OPT_INDENT_2).decode() + "\n"
+    return orjson.dumps(items, option=orjson.OPT_INDENT_2).decode() + "\n"
 
 
 def as_github(placed: Sequence[Placed]) -> str:
@@ -84,19 +84,19 @@
 
 def as_sarif(placed: Sequence[Placed]) -> str:
     """Format findings as a SARIF log."""
-    used = sorted({p.finding.code for p in placed})
+    codes = sorted({p.finding.code for p in placed})
     rules = [
         {
             "id": code,
             "shortDescription": {"text": CODES[code].title},
             "fullDescription": {"text": CODES[code].explanation},
         }
-        for code in used
+        for code in codes
     ]
     results = [
         {
             "ruleId": p.finding.code,
-            "ruleIndex": used.index(p.finding.code),
+            "ruleIndex": codes.index(p.finding.code),
             "level": p.finding.severity,
             "message": {"text": f"{p.finding.key}: {p.finding.reason}. {p.finding.instead}".strip()},
             "locations": [location(p.file, p.line, p.column)],
@@ -107,12 +107,12 @@
         for p in placed
     ]
     driver = {"name": "zinclever", "version": __version__, "rules": rules}
-    told = {
+    log = {
         "version": "2.1.0",
         "$schema": "https://json.schemastore.org/sarif-2.1.0.json",
         "runs": [{"tool": {"driver": driver}, "results": results}],
     }
-    return orjson.dumps(told, option=orjson.OPT_INDENT_2).decode() + "\n"
+    return orjson.dumps(log, option=orjson.OPT_INDENT_2).decode() + "\n"
 
 
 def location(file: str, line: int, column: int) -> dict[str, Any]:
--- a/zinclever/configuration/check.py
+++ b/zinclever/configuration/check.py
@@ -36,29 +36,33 @@
     return "platform" if data.lstrip(b"\xef\xbb\xbf \t\r\n").startswith(b"{") else "operator"
 
 
-def check(data: bytes, format: Format, elsewhere: dict[Address, str] | None = None) -> Report:
-    """Check a file of the given format. ``elsewhere`` applies to the operator file, see :func:`check_operator`."""
-    return check_platform(data) if format == "platform" else check_operator(data, elsewhere)
+def check(data: bytes, format: Format, other_listeners: dict[Address, str] | None = None) -> Report:
+    """Check a file of the given format. ``other_listeners`` applies to the operator file, see :func:`check_operator`."""
+    return check_platform(data) if format == "platform" else check_operator(data, other_listeners)
 
 
-def check_operator(data: bytes, elsewhere: dict[Address, str] | None = None) -> Report:
+def check_operator(data: bytes, other_listeners: dict[Address, str] | None = None) -> Report:
     """Check the operator file.
 
     Args:
         data: Content of the file.
-        elsewhere: Addresses that services of other files listen on, with the names that findings use for them.
+        other_listeners: Addresses that services of other files listen on, with the names that findings use for them.
     """
-    values, found = parse_toml(data)
+    values, findings = parse_toml(data)
     if values is None:
-        return Report("operator", None, {}, found)
-    if version := judge_version(values):
+        return Report("operator", None, {}, findings)
+    if version := check_version(values):
         # Keys differ between versions, so checking them against this version would only produce misleading findings.
         return Report("operator", values, {}, [version])
-    clean, found = shape(values, model.OPERATOR)
+    clean, findings = shape(values, model.OPERATOR_KEYS)
     for name, service in (clean.get("services") or {}).items():
-        told = values["services"][name]
-        if isinstance(told, dict) and service is not None and not told.keys() & {"endpoints", "discovery"}:
-            found.append(
+        raw_service = values["services"][name]
+        if (
+            isinstance(raw_service, dict)
+            and service is not None
+            and not raw_service.keys() & {"endpoints", "discovery"}
+        ):
+            findings.append(
                 Finding(
                     "ZC228",
                     ("services", name),
@@ -66,11 +70,11 @@
                     'write endpoints = ["127.0.0.1:9001"]',
                 )
             )
-    found += relations.operator(clean, elsewhere)
-    return Report("operator", values, clean, found)
+    findings += relations.check_operator_file(clean, other_listeners)
+    return Report("operator", values, clean, findings)
 
 
-def judge_version(values: dict[str, Any]) -> Finding | None:
+def check_version(values: dict[str, Any]) -> Finding | None:
     """Return a finding if the file is written for a newer or older version than this sidecar reads, else None."""
     version = values.get("version")
     if type(version) is not int:
@@ -94,10 +98,10 @@
 
 def check_platform(data: bytes) -> Report:
     """Check the platform's configuration file."""
-    values, found = parse_json(data)
+    values, findings = parse_json(data)
     if values is None:
-        return Report("platform", None, {}, found)
-    clean, more = shape(values, model.PLATFORM, open=True)
-    found += more
-    found += relations.platform(clean)
-    return Report("platform", values, clean, found)
+        return Report("platform", None, {}, findings)
+    clean, shape_findings = shape(values, model.PLATFORM_KEYS, allow_unknown=True)
+    findings += shape_findings
+    findings += relations.check_platform_file(clean)
+    return Report("platform", values, clean, findings)
--- a/zinclever/configuration/findings.py
+++ b/zinclever/configuration/findings.py
@@ -230,14 +230,14 @@
 
 def dotted(path: Path) -> str:
     """Format a path for messages, for example ``a.b[0]."c.d"``."""
-    told = ""
+    text = ""
     for part in path:
         if isinstance(part, int):
-            told += f"[{part}]"
+            text += f"[{part}]"
         else:
-            plain = part.replace("-", "").replace("_", "").isalnum() and part.isascii()
-            told += ("." if told else "") + (part if plain else f'"{part}"')
-    return told
+            is_bare_key = part.replace("-", "").replace("_", "").isalnum() and part.isascii()
+            text += ("." if text else "") + (part if is_bare_key else f'"{part}"')
+    return text
 
 
 def errors(findings: list[Finding]) -> list[Finding]:
--- a/zinclever/configuration/load.py
+++ b/zinclever/configuration/load.py
@@ -14,84 +14,87 @@
 if TYPE_CHECKING:
     from .operator import Operator
 
-PLATFORM, OPERATOR = "LB_CONFIG", "ZINCLEVER_OPERATOR"
+PLATFORM_VARIABLE, OPERATOR_VARIABLE = "LB_CONFIG", "ZINCLEVER_OPERATOR"
 
 #: Returns the content of the file at a path, or raises UnreadableFileError.
-Files = Callable[[str], bytes]
+FileReader = Callable[[str], bytes]
 
 
 class ConfigError(Exception):
     """The configuration is missing or invalid. The message is a single line."""
 
 
-def read(env: Mapping[str, str], files: Files = read_file) -> tuple[Config | None, Operator | None]:
+def read(env: Mapping[str, str], file_reader: FileReader = read_file) -> tuple[Config | None, Operator | None]:
     """Read and check both files. The platform file is optional if there is an operator file.
 
     Raises:
         ConfigError: A file is missing or invalid. The message names the file, the key, its line and the reason.
     """
-    operator_path = env.get(OPERATOR)
-    config = read_platform(env, files) if env.get(PLATFORM) or not operator_path else None
+    operator_path = env.get(OPERATOR_VARIABLE)
+    config = read_platform(env, file_reader) if env.get(PLATFORM_VARIABLE) or not operator_path else None
     if not operator_path:
         return config, None
     # Imported only when needed, to save memory in sidecars that have just a platform file.
     from . import operator
 
-    data = read_bytes(OPERATOR, operator_path, files)
-    report = check_operator(data, {config.listen: f"{PLATFORM}: listen"} if config is not None else None)
-    refuse_errors(OPERATOR, operator_path, data, report)
-    told = operator.build(report.clean)
+    data = read_bytes(OPERATOR_VARIABLE, operator_path, file_reader)
+    report = check_operator(data, {config.listen: f"{PLATFORM_VARIABLE}: listen"} if config is not None else None)
+    raise_on_errors(OPERATOR_VARIABLE, operator_path, data, report)
+    operator_config = operator.build(report.clean)
     if config is not None:
-        config = replace(config, settings=replace(config.settings, shares=told.shares))
-    return config, told
+        config = replace(config, settings=replace(config.settings, shares=operator_config.shares))
+    return config, operator_config
 
 
-def read_platform(env: Mapping[str, str], files: Files) -> Config:
+def read_platform(env: Mapping[str, str], file_reader: FileReader) -> Config:
     """Read the platform file. Addresses from the environment take precedence over those in the file."""
-    path = env.get(PLATFORM)
+    path = env.get(PLATFORM_VARIABLE)
     if not path:
-        raise ConfigError(f"{PLATFORM} is not set: it names the configuration file")
-    data = read_bytes(PLATFORM, path, files)
+        raise ConfigError(f"{PLATFORM_VARIABLE} is not set: it names the configuration file")
+    data = read_bytes(PLATFORM_VARIABLE, path, file_reader)
     report = check_platform(data)
     # An address that is set in the environment may be absent or invalid in the file.
-    named: dict[Path, str | None] = {("listen",): env.get("LB_LISTEN"), ("discovery",): env.get("LB_DISCOVERY")}
-    kept = [f for f in report.findings if not (f.code in ("ZC111", "ZC116") and named.get(f.path))]
-    report = Report(report.format, report.values, report.clean, kept)
-    refuse_errors(PLATFORM, path, data, report)
+    from_environment: dict[Path, str | None] = {
+        ("listen",): env.get("LB_LISTEN"),
+        ("discovery",): env.get("LB_DISCOVERY"),
+    }
+    remaining = [f for f in report.findings if not (f.code in ("ZC111", "ZC116") and from_environment.get(f.path))]
+    report = Report(report.format, report.values, report.clean, remaining)
+    raise_on_errors(PLATFORM_VARIABLE, path, data, report)
     assert report.values is not None
     try:
         return build(report.values, report.clean, env)
-    except (LookupError, TypeError, ValueError, AttributeError) as wrong:
-        raise ConfigError(f"{PLATFORM}: {path}: {wrong}") from wrong
+    except (LookupError, TypeError, ValueError, AttributeError) as error:
+        raise ConfigError(f"{PLATFORM_VARIABLE}: {path}: {error}") from error
 
 
-def read_bytes(variable: str, path: str, files: Files) -> bytes:
+def read_bytes(variable: str, path: str, file_reader: FileReader) -> bytes:
     """Return a file's content, or raise ConfigError with the name of the variable that points to it."""
     try:
-        return files(path)
-    except Unreadable as wrong:
-        raise ConfigError(f"{variable}: {wrong}") from wrong
+        return file_reader(path)
+    except Unreadable as error:
+        raise ConfigError(f"{variable}: {error}") from error
 
 
-def refuse_errors(variable: str, path: str, data: bytes, report: Report) -> None:
+def raise_on_errors(variable: str, path: str, data: bytes, report: Report) -> None:
     """Raise ConfigError if the report contains errors.
 
     The message describes the first error in the order of the file and counts the others.
     """
-    found = report.errors
-    if not found:
+    errors = report.errors
+    if not errors:
         return
     # Imported only on failure: locating a finding takes a parser that a running sidecar never needs.
     from .positions import Positions
 
     positions = Positions(data, report.format) if report.values is not None else None
-    placed = sorted((positions.place(f) if positions else f.at or (1, 1), n) for n, f in enumerate(found))
+    placed = sorted((positions.place(f) if positions else f.at or (1, 1), n) for n, f in enumerate(errors))
     (line, _), first = placed[0]
-    more = f" (and {len(found) - 1} more: zinclever config check {path})" if len(found) > 1 else ""
-    raise ConfigError(f"{variable}: {path}: line {line}: {told(found[first])}{more}")
+    more = f" (and {len(errors) - 1} more: zinclever config check {path})" if len(errors) > 1 else ""
+    raise ConfigError(f"{variable}: {path}: line {line}: {format_finding(errors[first])}{more}")
 
 
-def told(finding: Finding) -> str:
+def format_finding(finding: Finding) -> str:
     """Format a finding without its position, on one line."""
     key = f"{finding.key}: " if finding.path else ""
     instead = f"; {finding.instead}" if finding.instead else ""
--- a/zinclever/configuration/model.py
+++ b/zinclever/configuration/model.py
@@ -26,9 +26,9 @@
     "any",
 ]
 VERSION = 1
-MOST_SPAN = 3_600_000.0  # ms: an hour, the upper bound of timeouts, deadlines and deduplication windows
-MOST_ENDPOINTS = 10_000
-MOST_METHODS = 10_000
+MAX_DURATION = 3_600_000.0  # ms: an hour, the upper bound of timeouts, deadlines and deduplication windows
+MAX_ENDPOINTS = 10_000
+MAX_METHODS = 10_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,29 +49,29 @@
     since: int = 1
     inner: tuple[Key, ...] = ()
     """Keys of the table, or of each table in the array."""
-    open: bool = False
+    allow_unknown: bool = False
     """Whether unknown keys in the table are no error."""
-    above: bool = False
+    exclusive_least: bool = False
     """Whether ``least`` is an exclusive bound."""
 
 
-REPEAT = ("idempotent", "deduplicated", "at_most_once")
-GROUP = ("all", "zone", "cell")
+REPEAT_CHOICES = ("idempotent", "deduplicated", "at_most_once")
+GROUP_CHOICES = ("all", "zone", "cell")
 
 
-def span(
+def duration_key(
     name: str,
     doc: str,
     default: float | None = None,
     required: bool = False,
     least: float = 1.0,
-    most: float = MOST_SPAN,
+    most: float = MAX_DURATION,
 ) -> Key:
     """Return a key of the operator file that holds a duration in milliseconds."""
     return Key(name, "number", doc, "ms", default, required, least, most)
 
 
-ENDPOINT = (
+ENDPOINT_KEYS = (
     Key("address", "address", "Where it listens.", required=True),
     Key("zone", "text", "Where it stands. Endpoints without one share one.", default=""),
     Key("weight", "number", "Its size beside the others.", default=1.0, least=0.001, most=1000.0),
@@ -84,33 +84,38 @@
         most=2**31,
     ),
 )
-CLASS = (
+CLASS_KEYS = (
     Key(
         "repeat",
         "choice",
         "What a repeat does: idempotent: nothing; deduplicated: nothing inside the group and "
         "window; at_most_once: it takes effect again, so that it is never sent twice.",
         required=True,
-        choices=REPEAT,
+        choices=REPEAT_CHOICES,
     ),
-    span("aim_ms", "An answer within it is in time.", required=True),
-    span("deadline_ms", "The client hears by then, whatever happens.", required=True),
+    duration_key("aim_ms", "An answer within it is in time.", required=True),
+    duration_key("deadline_ms", "The client hears by then, whatever happens.", required=True),
     Key("value", "number", "What an answer in time is worth beside other classes.", default=1.0, least=0.0, most=1e6),
-    span(
+    duration_key(
         "window_ms", "Deduplicated classes: how long endpoints remember a key, from the first send that may have run."
     ),
-    Key("group", "choice", "Deduplicated classes: the endpoints that discard each other's repeats.", choices=GROUP),
+    Key(
+        "group",
+        "choice",
+        "Deduplicated classes: the endpoints that discard each other's repeats.",
+        choices=GROUP_CHOICES,
+    ),
 )
-METHOD = (
+METHOD_KEYS = (
     Key("class", "text", "The class of its calls.", required=True),
     Key("key", "pointer", "Deduplicated classes: a JSON Pointer into params to what tells repeats apart."),
     Key("aliases", "texts", "Other names that endpoints take for the same method.", default=()),
 )
-SERVICE = (
+SERVICE_KEYS = (
     Key("protocol", "choice", "What clients and endpoints speak.", required=True, choices=("jsonrpc",)),
     Key("listen", "address", "Where its clients connect.", required=True),
     Key("expose", "flag", "It may listen elsewhere than on 127.0.0.0/8.", default=False),
-    Key("endpoints", "endpoints", "Addresses, or tables of address, zone, weight and cell.", inner=ENDPOINT),
+    Key("endpoints", "endpoints", "Addresses, or tables of address, zone, weight and cell.", inner=ENDPOINT_KEYS),
     Key("discovery", "address", "In place of endpoints: a service of the platform's discovery protocol."),
     Key("zones", "texts", "With discovery: the names of its zones.", default=()),
     Key("zone", "text", "The sidecar's own zone.", default=""),
@@ -138,10 +143,14 @@
         "ms",
         1000.0,
         least=0.0,
-        most=MOST_SPAN,
+        most=MAX_DURATION,
+    ),
+    duration_key(
+        "connect_timeout_ms", "How long to wait for a connection; under the grace for drains.", 250.0, most=1000.0
+    ),
+    duration_key(
+        "connection_idle_ms", "When endpoints close an idle connection; it is closed before.", 15000.0, least=100.0
     ),
-    span("connect_timeout_ms", "How long to wait for a connection; under the grace for drains.", 250.0, most=1000.0),
-    span("connection_idle_ms", "When endpoints close an idle connection; it is closed before.", 15000.0, least=100.0),
     Key("max_clients", "whole", "Connections of clients at once.", default=128, least=1, most=65536),
     Key(
         "max_text_kb",
@@ -159,17 +168,17 @@
         "table",
         "What may be done with requests, by name.",
         required=True,
-        inner=(Key("*", "table", "A class.", inner=CLASS),),
+        inner=(Key("*", "table", "A class.", inner=CLASS_KEYS),),
     ),
     Key(
         "methods",
         "table",
         "The class of each method.",
         default={},
-        inner=(Key("*", "table", "A method.", inner=METHOD),),
+        inner=(Key("*", "table", "A method.", inner=METHOD_KEYS),),
     ),
 )
-LIMITS = (
+LIMIT_KEYS = (
     Key(
         "sockets",
         "whole",
@@ -187,14 +196,14 @@
         most=2**20,
     ),
 )
-SHARES = (
+SHARE_KEYS = (
     Key(
         "subset",
         "whole",
         "Endpoints of its own zone that each instance knows at least, where it needn't know all; 0: it knows all.",
         default=0,
         least=0,
-        most=MOST_ENDPOINTS,
+        most=MAX_ENDPOINTS,
     ),
     Key(
         "connections",
@@ -256,23 +265,23 @@
         most=1e6,
     ),
 )
-OPERATOR = (
+OPERATOR_KEYS = (
     Key("version", "whole", "Of the file's form.", required=True),
-    Key("limits", "table", "What the process may use.", default={}, inner=LIMITS),
+    Key("limits", "table", "What the process may use.", default={}, inner=LIMIT_KEYS),
     Key(
         "shares",
         "table",
         "What all instances together may use, of which each takes its part. It holds for the "
         "platform's service and for those of this file.",
         default={},
-        inner=SHARES,
+        inner=SHARE_KEYS,
     ),
     Key(
         "services",
         "table",
         "Services beside the platform's, by name.",
         default={},
-        inner=(Key("*", "table", "A service.", inner=SERVICE),),
+        inner=(Key("*", "table", "A service.", inner=SERVICE_KEYS),),
     ),
 )
 
@@ -280,32 +289,37 @@
 # --- the platform's configuration, with the platform's key names ---
 
 
-def platform_span(
-    name: str, doc: str, default: float | None = None, required: bool = False, least: float = 0.0, above: bool = False
+def platform_duration_key(
+    name: str,
+    doc: str,
+    default: float | None = None,
+    required: bool = False,
+    least: float = 0.0,
+    exclusive_least: bool = False,
 ) -> Key:
-    """Return a key of the platform file that holds a duration in milliseconds. ``above``: 0 itself is invalid."""
-    return Key(name, "number", doc, "ms", default, required, least, 1e9, above=above)
+    """Return a key of the platform file that holds a duration in milliseconds. ``exclusive_least``: 0 itself is invalid."""
+    return Key(name, "number", doc, "ms", default, required, least, 1e9, exclusive_least=exclusive_least)
 
 
-def share(name: str, doc: str, default: float = 0.0) -> Key:
+def fraction_key(name: str, doc: str, default: float = 0.0) -> Key:
     """Return a key of the platform file that holds a fraction between 0 and 1."""
     return Key(name, "number", doc, "", default, least=0.0, most=1.0)
 
 
-def price(name: str, doc: str) -> Key:
+def price_key(name: str, doc: str) -> Key:
     """Return a key of the platform file that holds a price in points."""
     return Key(name, "number", doc, "points", 0.0, least=0.0, most=1e9)
 
 
-PLATFORM_CLASS = (
+PLATFORM_CLASS_KEYS = (
     Key("name", "text", "The first part of a request's path.", required=True),
-    platform_span("aim", "An answer within it earns the full worth.", required=True, above=True),
-    platform_span("deadline", "How long a client waits in all.", required=True, above=True),
-    Key("repeat", "choice", "What a repeat does.", default="at_most_once", choices=REPEAT),
-    Key("group", "choice", "The endpoints that discard each other's repeats.", default="all", choices=GROUP),
-    platform_span("window", "How long they do, from the first send that may have run.", 0.0),
+    platform_duration_key("aim", "An answer within it earns the full worth.", required=True, exclusive_least=True),
+    platform_duration_key("deadline", "How long a client waits in all.", required=True, exclusive_least=True),
+    Key("repeat", "choice", "What a repeat does.", default="at_most_once", choices=REPEAT_CHOICES),
+    Key("group", "choice", "The endpoints that discard each other's repeats.", default="all", choices=GROUP_CHOICES),
+    platform_duration_key("window", "How long they do, from the first send that may have run.", 0.0),
     Key("value", "number", "What an answer in time is worth.", default=1.0, least=0.0, most=1e9),
-    share("late-worth", "Part of the worth between aim and deadline."),
+    fraction_key("late-worth", "Part of the worth between aim and deadline."),
     Key(
         "aim-stretch",
         "number",
@@ -316,22 +330,22 @@
     ),
     Key("streamed", "flag", "The answer comes as a stream.", default=False),
 )
-PLATFORM_LIMITS = (
+PLATFORM_LIMIT_KEYS = (
     Key("attempts-cap", "whole", "Attempts for each request.", default=1, least=1, most=1000),
     Key("cancel", "flag", "Attempts may be cancelled.", default=False),
     Key("second-copies", "flag", "A request may have two attempts out.", default=False),
     Key("probes", "flag", "Probes are allowed.", default=False),
     Key("peers", "flag", "Messages between sidecars are allowed.", default=False),
     Key("retry-after", "flag", "Refusals may carry advice.", default=False),
-    platform_span("max-retry-after", "The longest advice that clients heed.", 0.0),
-    platform_span("dial-timeout", "How long to wait for a connection.", 1000.0, above=True),
-    platform_span("conn-idle", "When endpoints close an idle connection.", 60000.0, above=True),
+    platform_duration_key("max-retry-after", "The longest advice that clients heed.", 0.0),
+    platform_duration_key("dial-timeout", "How long to wait for a connection.", 1000.0, exclusive_least=True),
+    platform_duration_key("conn-idle", "When endpoints close an idle connection.", 60000.0, exclusive_least=True),
     Key("multiplex", "whole", "Requests that a connection carries at once.", default=1, least=1, most=1_000_000),
 )
-PLATFORM_RULES = (
-    platform_span("answer-slack", "A final answer still counts so long after the deadline.", 0.0),
-    platform_span("ask-within", "The list has to be asked for this often.", 10000.0, above=True),
-    platform_span("stop-sending-within", "The grace for drains.", 0.0),
+PLATFORM_RULE_KEYS = (
+    platform_duration_key("answer-slack", "A final answer still counts so long after the deadline.", 0.0),
+    platform_duration_key("ask-within", "The list has to be asked for this often.", 10000.0, exclusive_least=True),
+    platform_duration_key("stop-sending-within", "The grace for drains.", 0.0),
     Key(
         "cold-share",
         "number",
@@ -339,14 +353,22 @@
         default=1.0,
         least=0.0,
         most=1.0,
-        above=True,
+        exclusive_least=True,
+    ),
+    platform_duration_key("cold", "And has all of it after this.", 0.0),
+    Key(
+        "overload-factor",
+        "number",
+        "This multiple of its capacity ...",
+        default=3.0,
+        least=0.0,
+        most=1e6,
+        exclusive_least=True,
     ),
-    platform_span("cold", "And has all of it after this.", 0.0),
-    Key("overload-factor", "number", "This multiple of its capacity ...", default=3.0, least=0.0, most=1e6, above=True),
-    platform_span("fall", "... for so long pushes a cold endpoint over.", 2000.0, above=True),
+    platform_duration_key("fall", "... for so long pushes a cold endpoint over.", 2000.0, exclusive_least=True),
 )
-PLATFORM_PRICES = tuple(
-    price(name, doc)
+PLATFORM_PRICE_KEYS = tuple(
+    price_key(name, doc)
     for name, doc in (
         ("waste", "Work that served no answer."),
         ("late-fail", "Worth that ended unserved after its aim."),
@@ -357,31 +379,31 @@
         ("handshake", "Handshakes."),
     )
 )
-REALM = (
+TENANT_KEYS = (
     Key("name", "text", "The tenant's name.", required=True),
     Key("quota-per-s", "number", "What it may use of the service.", "1/s", required=True, least=0.0, most=1e12),
-    share("portion", "Its part of the whole."),
+    fraction_key("portion", "Its part of the whole."),
 )
-SETTINGS = (
-    Key("classes", "tables", "Classes of request.", required=True, inner=PLATFORM_CLASS, open=True),
-    Key("limits", "table", "What the deployment permits.", default={}, inner=PLATFORM_LIMITS, open=True),
-    Key("prices", "table", "Points taken off.", default={}, inner=PLATFORM_PRICES, open=True),
-    Key("rules", "table", "Figures of the four rules.", default={}, inner=PLATFORM_RULES, open=True),
-    Key("realms", "tables", "Tenants.", default=(), inner=REALM, open=True),
+PLATFORM_SETTING_KEYS = (
+    Key("classes", "tables", "Classes of request.", required=True, inner=PLATFORM_CLASS_KEYS, allow_unknown=True),
+    Key("limits", "table", "What the deployment permits.", default={}, inner=PLATFORM_LIMIT_KEYS, allow_unknown=True),
+    Key("prices", "table", "Points taken off.", default={}, inner=PLATFORM_PRICE_KEYS, allow_unknown=True),
+    Key("rules", "table", "Figures of the four rules.", default={}, inner=PLATFORM_RULE_KEYS, allow_unknown=True),
+    Key("realms", "tables", "Tenants.", default=(), inner=TENANT_KEYS, allow_unknown=True),
     Key("group-size", "whole", "Sidecars of this tier.", default=1, least=1, most=10_000_000),
     Key("me", "whole", "This one's number among them.", default=0, least=0, most=10_000_000),
     Key("zone", "whole", "The number of its zone.", default=0, least=0, most=1_000_000),
     Key("zones", "texts", "The names of zones.", default=()),
     Key("registry-mode", "choice", "How the list is kept up with.", default="pushed", choices=("pushed", "on_request")),
     Key("value-by", "choice", "What a class's value is counted for.", default="request", choices=("request", "work")),
-    share("over-share-worth", "Worth of a request beyond its tenant's share.", 1.0),
-    platform_span("granularity", "Least time between two batches of events.", 1.0),
+    fraction_key("over-share-worth", "Worth of a request beyond its tenant's share.", 1.0),
+    platform_duration_key("granularity", "Least time between two batches of events.", 1.0),
     Key("report", "any", "Load reports."),
     Key("family-info", "any", "Facts of this kind of service."),
     Key("weights", "any", "How sizes are told."),
 )
 #: Keys of the platform file that this sidecar ignores without a finding.
-UNREAD = frozenset(
+IGNORED_PLATFORM_KEYS = frozenset(
     {
         "clients",
         "family",
@@ -407,7 +429,7 @@
         "chain",
     }
 )
-PLATFORM = (
+PLATFORM_KEYS = (
     Key("listen", "address", "Where the application connects; LB_LISTEN comes first.", required=True),
     Key("discovery", "address", "Discovery; LB_DISCOVERY comes first at the start.", required=True),
     Key("admin_addr", "address", "Where operators call; LB_ADMIN_ADDR comes first."),
@@ -417,12 +439,14 @@
         "table",
         "What the process may use.",
         default={},
-        open=True,
+        allow_unknown=True,
         inner=(
             Key("sockets", "whole", "Descriptors it may hold.", default=1024, least=41, most=2**20),
             Key("memory_mb", "number", "Memory it may use.", "MB", least=1.0, most=2.0**20),
         ),
     ),
     Key("known", "any", "The list of endpoints as last held."),
-    Key("settings", "table", "The platform's settings.", required=True, inner=SETTINGS, open=True),
+    Key(
+        "settings", "table", "The platform's settings.", required=True, inner=PLATFORM_SETTING_KEYS, allow_unknown=True
+    ),
 )
--- a/zinclever/configuration/operator.py
+++ b/zinclever/configuration/operator.py
@@ -14,8 +14,8 @@
 
 Clean = dict[str, Any]
 #: Rules for services of the operator file, which has no keys for them.
-RULES = interface.Rules(drain_grace=1000.0, ask_within=10000.0, cold_share=0.2, cold_for=10000.0)
-STREAMS = 64  # concurrent calls on a connection before another one is opened
+DEFAULT_RULES = interface.Rules(drain_grace=1000.0, ask_within=10000.0, cold_share=0.2, cold_for=10000.0)
+STREAMS_PER_CONNECTION = 64  # concurrent calls on a connection before another one is opened
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,94 +46,97 @@
 def build(clean: Clean) -> Operator:
     """Build the settings from the values of a :class:`~zinclever.configuration.check.Report` without errors."""
     shares = interface.Shares(**clean["shares"])
-    services = {name: service(name, told, shares) for name, told in clean["services"].items()}
+    services = {name: build_service(name, values, shares) for name, values in clean["services"].items()}
     return Operator(services, clean["limits"]["sockets"], shares)
 
 
-def service(name: str, told: Clean, shares: interface.Shares) -> JsonRpcService:
+def build_service(name: str, values: Clean, shares: interface.Shares) -> JsonRpcService:
     """Build the settings of one service."""
-    classes = tuple(request_class(n, c) for n, c in told["classes"].items())
+    classes = tuple(build_request_class(n, c) for n, c in values["classes"].items())
     numbers = {c.name: n for n, c in enumerate(classes)}
-    zones, entries = endpoints(told)
-    default = told["default_class"]
+    zones, entries = build_endpoints(values)
+    default = values["default_class"]
     rules = Rules(
-        told["framing"],
-        methods(told, numbers),
+        values["framing"],
+        build_methods(values, numbers),
         None if default is None else numbers[default],
-        told["max_text_kb"] << 10,
-        told["max_clients"],
+        values["max_text_kb"] << 10,
+        values["max_clients"],
     )
-    discovery = read_address(told["discovery"]) if told["discovery"] is not None else None
+    discovery = read_address(values["discovery"]) if values["discovery"] is not None else None
     return JsonRpcService(
         name,
-        read_address(told["listen"]),
-        settings(told, classes, zones, shares),
+        read_address(values["listen"]),
+        build_settings(values, classes, zones, shares),
         zones,
         entries,
         discovery,
         rules,
-        ErrorCodeMapping(frozenset(told["never_ran_errors"]), frozenset(told["failure_errors"])),
+        ErrorCodeMapping(frozenset(values["never_ran_errors"]), frozenset(values["failure_errors"])),
     )
 
 
-def request_class(name: str, told: Clean) -> interface.RequestClass:
+def build_request_class(name: str, values: Clean) -> interface.RequestClass:
     """Build a request class."""
     return interface.RequestClass(
-        aim=told["aim_ms"],
-        deadline=told["deadline_ms"],
-        value=told["value"],
-        repeat=told["repeat"],
-        window=told["window_ms"] or 0.0,
-        group=told["group"] or "all",
+        aim=values["aim_ms"],
+        deadline=values["deadline_ms"],
+        value=values["value"],
+        repeat=values["repeat"],
+        window=values["window_ms"] or 0.0,
+        group=values["group"] or "all",
         name=name,
     )
 
 
-def methods(told: Clean, numbers: Mapping[str, int]) -> dict[str, Method]:
+def build_methods(values: Clean, numbers: Mapping[str, int]) -> dict[str, Method]:
     """Return the methods of a service by name; a method is listed under its own name and each of its aliases."""
-    found: dict[str, Method] = {}
-    for name, one in told["methods"].items():
-        method = Method(numbers[one["class"]], parse_json_pointer(one["key"]) if one["key"] is not None else ())
-        for known in (name, *one["aliases"]):
-            found[known] = method
-    return found
+    methods_by_name: dict[str, Method] = {}
+    for name, method_values in values["methods"].items():
+        method = Method(
+            numbers[method_values["class"]],
+            parse_json_pointer(method_values["key"]) if method_values["key"] is not None else (),
+        )
+        for any_name in (name, *method_values["aliases"]):
+            methods_by_name[any_name] = method
+    return methods_by_name
 
 
-def endpoints(told: Clean) -> tuple[tuple[str, ...], tuple[Entry, ...]]:
+def build_endpoints(values: Clean) -> tuple[tuple[str, ...], tuple[Entry, ...]]:
     """Return the names of a service's zones, and its listed endpoints with their addresses."""
-    rows = told["endpoints"] or ()
-    zones = tuple(dict.fromkeys([told["zone"], *told["zones"], *(row["zone"] for row in rows)]))
+    rows = values["endpoints"] or ()
+    zones = tuple(dict.fromkeys([values["zone"], *values["zones"], *(row["zone"] for row in rows)]))
     entries = []
     for row in rows:
-        to = read_address(row["address"])
+        address = read_address(row["address"])
         listed = interface.ListedEndpoint(
-            f"{to[0]}:{to[1]}", size=row["weight"], zone=zones.index(row["zone"]), cell=row["cell"]
+            f"{address[0]}:{address[1]}", size=row["weight"], zone=zones.index(row["zone"]), cell=row["cell"]
         )
-        entries.append((listed, to))
+        entries.append((listed, address))
     return zones, tuple(entries)
 
 
-def settings(
-    told: Clean, classes: tuple[interface.RequestClass, ...], zones: tuple[str, ...], shares: interface.Shares
+def build_settings(
+    values: Clean, classes: tuple[interface.RequestClass, ...], zones: tuple[str, ...], shares: interface.Shares
 ) -> interface.Settings:
     """Build the load balancer's settings for a service."""
     limits = interface.Limits(
-        max_attempts=told["max_attempts"],
+        max_attempts=values["max_attempts"],
         cancel=True,
-        second_copies=told["copies"],
-        retry_after=told["max_retry_after_ms"] > 0.0,
-        max_retry_after=told["max_retry_after_ms"],
-        connect_timeout=told["connect_timeout_ms"],
-        connection_idle=told["connection_idle_ms"],
-        streams_per_connection=STREAMS,
+        second_copies=values["copies"],
+        retry_after=values["max_retry_after_ms"] > 0.0,
+        max_retry_after=values["max_retry_after_ms"],
+        connect_timeout=values["connect_timeout_ms"],
+        connection_idle=values["connection_idle_ms"],
+        streams_per_connection=STREAMS_PER_CONNECTION,
     )
     return interface.Settings(
         classes=classes,
         limits=limits,
-        rules=RULES,
-        group_size=told["instances"],
-        me=told["number"],
-        zone=zones.index(told["zone"]),
-        discovery="on_request" if told["discovery"] is not None else "pushed",
+        rules=DEFAULT_RULES,
+        group_size=values["instances"],
+        me=values["number"],
+        zone=zones.index(values["zone"]),
+        discovery="on_request" if values["discovery"] is not None else "pushed",
         shares=shares,
     )
--- a/zinclever/configuration/platform.py
+++ b/zinclever/configuration/platform.py
@@ -10,8 +10,8 @@
 from ..interface import Settings
 from ..settings import read_settings
 
-INHERITED = "LB_INHERITED_FD"
-MEGABYTE = 1 << 20
+INHERITED_VARIABLE = "LB_INHERITED_FD"
+BYTES_PER_MB = 1 << 20
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
     zones: list[str]
 
 
-def descriptor(text: str | None) -> int | None:
+def parse_descriptor(text: str | None) -> int | None:
     """Parse the number of an inherited descriptor. Return None if the text is empty or None.
 
     Raises:
@@ -43,7 +43,7 @@
     if not text:
         return None
     if not text.isdecimal():
-        raise ValueError(f"{INHERITED}: not the number of a descriptor: {text!r}")
+        raise ValueError(f"{INHERITED_VARIABLE}: not the number of a descriptor: {text!r}")
     return int(text)
 
 
@@ -62,11 +62,11 @@
     return Config(
         listen=read_address(env.get("LB_LISTEN") or clean["listen"]),
         admin=read_address(admin) if admin else None,
-        inherited=descriptor(env.get(INHERITED)),
+        inherited=parse_descriptor(env.get(INHERITED_VARIABLE)),
         discovery=read_address(env.get("LB_DISCOVERY") or clean["discovery"]),
         seed=int(clean["seed"], 16),
         sockets=clean["limits"]["sockets"],
-        memory=clean["limits"]["memory_mb"] * MEGABYTE if clean["limits"]["memory_mb"] else None,
+        memory=clean["limits"]["memory_mb"] * BYTES_PER_MB if clean["limits"]["memory_mb"] else None,
         known=values.get("known") or {},
         settings=read_settings(values["settings"]),
         zones=list(clean["settings"]["zones"]),
--- a/zinclever/configuration/reading.py
+++ b/zinclever/configuration/reading.py
@@ -11,11 +11,11 @@
 
 from .findings import Finding
 
-MOST_FILE = 4 << 20  # bytes: enough for a known list of some twenty thousand endpoints
+MAX_FILE_SIZE = 4 << 20  # bytes: enough for a known list of some twenty thousand endpoints
 BOM = b"\xef\xbb\xbf"
-_PLACE = re.compile(r"\(at line (\d+), column (\d+)\)")
-_END = "(at end of document)"
-TRIES = 3  # attempts to read a file that changes during the read
+_POSITION = re.compile(r"\(at line (\d+), column (\d+)\)")
+_AT_END = "(at end of document)"
+MAX_READ_ATTEMPTS = 3  # attempts to read a file that changes during the read
 
 
 class Unreadable(Exception):
@@ -31,17 +31,17 @@
         UnreadableFileError: The path is missing, a directory, a pipe or a loop of symbolic links, or the file is too
             large or keeps changing while it is read.
     """
-    for _ in range(TRIES):
+    for _ in range(MAX_READ_ATTEMPTS):
         try:
-            data = read_once(path)
-        except OSError as wrong:
-            raise Unreadable(f"{path}: {wrong.strerror or wrong}") from wrong
+            data = read_snapshot(path)
+        except OSError as error:
+            raise Unreadable(f"{path}: {error.strerror or error}") from error
         if data is not None:
             return data
     raise Unreadable(f"{path}: it changes while it is read; replace it by a rename")
 
 
-def read_once(path: str) -> bytes | None:
+def read_snapshot(path: str) -> bytes | None:
     """Return the content of a file, or None if it changed during the read. Never blocks on a pipe."""
     descriptor = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
     with contextlib.closing(os.fdopen(descriptor, "rb")) as file:
@@ -49,12 +49,12 @@
         if not stat.S_ISREG(before.st_mode):
             kind = "a folder" if stat.S_ISDIR(before.st_mode) else "no ordinary file"
             raise Unreadable(f"{path}: it is {kind}")
-        if before.st_size > MOST_FILE:
-            raise Unreadable(f"{path}: {before.st_size} bytes; a configuration has {MOST_FILE} at most")
-        data = file.read(MOST_FILE + 1)
+        if before.st_size > MAX_FILE_SIZE:
+            raise Unreadable(f"{path}: {before.st_size} bytes; a configuration has {MAX_FILE_SIZE} at most")
+        data = file.read(MAX_FILE_SIZE + 1)
         after = os.fstat(descriptor)
-    same = (before.st_size, before.st_mtime_ns) == (after.st_size, after.st_mtime_ns)
-    return data if same and len(data) == after.st_size else None
+    unchanged = (before.st_size, before.st_mtime_ns) == (after.st_size, after.st_mtime_ns)
+    return data if unchanged and len(data) == after.st_size else None
 
 
 def decode(data: bytes) -> tuple[str | None, list[Finding]]:
@@ -63,70 +63,70 @@
         return None, [Finding("ZC104", (), "the file begins with a byte-order mark", "save it without one", at=(1, 1))]
     try:
         return data.decode(), []
-    except UnicodeDecodeError as wrong:
-        line = data[: wrong.start].count(b"\n") + 1
-        column = wrong.start - (data.rfind(b"\n", 0, wrong.start) + 1) + 1
-        return None, [Finding("ZC101", (), f"the byte 0x{data[wrong.start]:02x} is no UTF-8", at=(line, column))]
+    except UnicodeDecodeError as error:
+        line = data[: error.start].count(b"\n") + 1
+        column = error.start - (data.rfind(b"\n", 0, error.start) + 1) + 1
+        return None, [Finding("ZC101", (), f"the byte 0x{data[error.start]:02x} is no UTF-8", at=(line, column))]
 
 
 def parse_toml(data: bytes) -> tuple[dict[str, Any] | None, list[Finding]]:
     """Parse a TOML file. Return None and a finding on failure."""
     import tomllib  # imported here to save memory in sidecars without an operator file
 
-    text, found = decode(data)
+    text, findings = decode(data)
     if text is None:
-        return None, found
+        return None, findings
     try:
         return tomllib.loads(text), []
     except RecursionError:
         return None, [Finding("ZC102", (), "it is nested too deep", at=(1, 1))]
-    except (tomllib.TOMLDecodeError, ValueError) as wrong:
-        said = str(wrong)
-        at = (text.count("\n") + 1, 1) if _END in said else (1, 1)
-        if place := _PLACE.search(said):
-            at = int(place[1]), int(place[2])
-        reason = _PLACE.sub("", said).replace(_END, "at the end of the file").strip()
-        return None, [Finding("ZC102", (), reason, at=at)]
+    except (tomllib.TOMLDecodeError, ValueError) as error:
+        message = str(error)
+        position = (text.count("\n") + 1, 1) if _AT_END in message else (1, 1)
+        if match := _POSITION.search(message):
+            position = int(match[1]), int(match[2])
+        reason = _POSITION.sub("", message).replace(_AT_END, "at the end of the file").strip()
+        return None, [Finding("ZC102", (), reason, at=position)]
 
 
-class _Repeated(dict[str, Any]):
+class _ObjectWithDuplicates(dict[str, Any]):
     """A JSON object that remembers which of its keys occur more than once."""
 
-    twice: tuple[str, ...] = ()
+    duplicates: tuple[str, ...] = ()
 
 
-def _pairs(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _build_object(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     """Build an object from its pairs, for ``json.loads``."""
-    made = _Repeated(pairs)
-    if len(made) < len(pairs):
+    result = _ObjectWithDuplicates(pairs)
+    if len(result) < len(pairs):
         names = [name for name, _ in pairs]
-        made.twice = tuple(dict.fromkeys(n for n in names if names.count(n) > 1))
-    return made
+        result.duplicates = tuple(dict.fromkeys(n for n in names if names.count(n) > 1))
+    return result
 
 
 def parse_json(data: bytes) -> tuple[dict[str, Any] | None, list[Finding]]:
     """Parse a JSON object and report its duplicate keys. Return None and a finding on failure."""
-    text, found = decode(data)
+    text, findings = decode(data)
     if text is None:
-        return None, found
+        return None, findings
     try:
-        value = json.loads(text, object_pairs_hook=_pairs)
-    except json.JSONDecodeError as wrong:
-        return None, [Finding("ZC102", (), wrong.msg, at=(wrong.lineno, wrong.colno))]
-    except (ValueError, RecursionError) as wrong:
-        return None, [Finding("ZC102", (), str(wrong) or "it is nested too deep", at=(1, 1))]
+        value = json.loads(text, object_pairs_hook=_build_object)
+    except json.JSONDecodeError as error:
+        return None, [Finding("ZC102", (), error.msg, at=(error.lineno, error.colno))]
+    except (ValueError, RecursionError) as error:
+        return None, [Finding("ZC102", (), str(error) or "it is nested too deep", at=(1, 1))]
     if not isinstance(value, dict):
         return None, [Finding("ZC102", (), "the file holds no object", "write { ... }", at=(1, 1))]
-    return value, list(_twice(value, ()))
+    return value, list(_duplicate_findings(value, ()))
 
 
-def _twice(value: Any, path: tuple[str | int, ...]) -> list[Finding]:
+def _duplicate_findings(value: Any, path: tuple[str | int, ...]) -> list[Finding]:
     """Return a finding for each duplicate key in a value."""
-    found: list[Finding] = []
-    if isinstance(value, _Repeated):
-        found += [Finding("ZC103", (*path, name), f"{name} comes twice", "keep one") for name in value.twice]
+    findings: list[Finding] = []
+    if isinstance(value, _ObjectWithDuplicates):
+        findings += [Finding("ZC103", (*path, name), f"{name} comes twice", "keep one") for name in value.duplicates]
     if isinstance(value, dict | list):
-        parts = value.items() if isinstance(value, dict) else enumerate(value)
-        for name, inner in parts:
-            found += _twice(inner, (*path, name))
-    return found
+        children = value.items() if isinstance(value, dict) else enumerate(value)
+        for name, inner in children:
+            findings += _duplicate_findings(inner, (*path, name))
+    return findings
--- a/zinclever/configuration/relations.py
+++ b/zinclever/configuration/relations.py
@@ -15,53 +15,53 @@
 from .findings import Finding, Path
 
 Clean = dict[str, Any]
-MARGIN = 500.0  # ms that a window must exceed deadline plus connect timeout: queueing, and clock differences
+WINDOW_MARGIN = 500.0  # ms that a window must exceed deadline plus connect timeout: queueing, and clock differences
 OWN_FAILURE, INTERNAL = -32051, -32603
 IDLE_MB = 30  # memory of an idle sidecar with a JSON-RPC service, rounded up
 RESERVED_METHODS = "rpc."
 ANY_HOST = ("0.0.0.0", "")
 
 
-def operator(clean: Clean, elsewhere: dict[Address, str] | None = None) -> Iterator[Finding]:
+def check_operator_file(clean: Clean, other_listeners: dict[Address, str] | None = None) -> Iterator[Finding]:
     """Check the operator file.
 
     Args:
         clean: The cleaned values of the file.
-        elsewhere: Addresses that services of other files listen on, with the names that findings use for them.
+        other_listeners: Addresses that services of other files listen on, with the names that findings use for them.
     """
     services = {n: s for n, s in (clean.get("services") or {}).items() if s is not None}
     for name, service in services.items():
         path: Path = ("services", name)
-        yield from classes(service, path)
-        yield from methods(service, path)
-        yield from endpoints(service, path)
-        yield from error_codes(service, path)
-        yield from attempts(service, path)
-        yield from instances(service, path, clean.get("shares") or {})
-    yield from floor(clean.get("shares") or {})
-    yield from addresses(services, elsewhere or {})
-    yield from sizes(clean, services)
-
-
-def known_classes(service: Clean) -> dict[str, Clean]:
+        yield from check_classes(service, path)
+        yield from check_methods(service, path)
+        yield from check_endpoints(service, path)
+        yield from check_error_codes(service, path)
+        yield from check_attempts(service, path)
+        yield from check_instances(service, path, clean.get("shares") or {})
+    yield from check_floor(clean.get("shares") or {})
+    yield from check_addresses(services, other_listeners or {})
+    yield from check_limits(clean, services)
+
+
+def valid_classes(service: Clean) -> dict[str, Clean]:
     """Return a service's classes by name, without those that are invalid."""
     return {n: c for n, c in (service["classes"] or {}).items() if c is not None}
 
 
-def classes(service: Clean, path: Path) -> Iterator[Finding]:
+def check_classes(service: Clean, path: Path) -> Iterator[Finding]:
     """Check deadlines, and the settings for deduplication, of the classes of a service."""
     if service["classes"] == {}:
         yield Finding("ZC111", (*path, "classes"), "no class is defined", "define at least one")
-    for name, klass in known_classes(service).items():
-        at: Path = (*path, "classes", name)
+    for name, klass in valid_classes(service).items():
+        class_path: Path = (*path, "classes", name)
         aim, deadline, window = klass["aim_ms"], klass["deadline_ms"], klass["window_ms"]
         if aim and deadline and aim > deadline:
             yield Finding(
                 "ZC201",
-                (*at, "aim_ms"),
+                (*class_path, "aim_ms"),
                 f"aim_ms {aim:g} lies beyond deadline_ms {deadline:g}",
                 f"write {deadline:g} or less",
-                ((*at, "deadline_ms"),),
+                ((*class_path, "deadline_ms"),),
             )
         if klass["repeat"] is None:
             continue
@@ -70,79 +70,82 @@
                 if klass[key] is not None:
                     yield Finding(
                         "ZC202",
-                        (*at, key),
+                        (*class_path, key),
                         f"{key} is for deduplicated classes; this one is {klass['repeat']}",
                         f"leave {key} out",
-                        ((*at, "repeat"),),
+                        ((*class_path, "repeat"),),
                     )
             continue
         if window is None:
             yield Finding(
                 "ZC203",
-                (*at, "window_ms"),
+                (*class_path, "window_ms"),
                 "a deduplicated class needs window_ms",
                 "write how long endpoints remember a key",
-                ((*at, "repeat"),),
+                ((*class_path, "repeat"),),
             )
-        connect = service["connect_timeout_ms"]
-        if window and deadline and connect and window < deadline + connect + MARGIN:
-            least = deadline + connect + MARGIN
+        connect_timeout = service["connect_timeout_ms"]
+        if window and deadline and connect_timeout and window < deadline + connect_timeout + WINDOW_MARGIN:
+            min_window = deadline + connect_timeout + WINDOW_MARGIN
             yield Finding(
                 "ZC204",
-                (*at, "window_ms"),
-                f"a repeat may still be sent {deadline:g} ms after the first; with {connect:g} ms to "
-                f"connect and {MARGIN:g} ms of margin the window would have to be {least:g}",
-                f"write a deadline_ms of {max(0.0, window - connect - MARGIN):g} or less",
-                ((*at, "deadline_ms"), (*path, "connect_timeout_ms")),
+                (*class_path, "window_ms"),
+                f"a repeat may still be sent {deadline:g} ms after the first; with {connect_timeout:g} ms to "
+                f"connect and {WINDOW_MARGIN:g} ms of margin the window would have to be {min_window:g}",
+                f"write a deadline_ms of {max(0.0, window - connect_timeout - WINDOW_MARGIN):g} or less",
+                ((*class_path, "deadline_ms"), (*path, "connect_timeout_ms")),
             )
 
 
-def methods(service: Clean, path: Path) -> Iterator[Finding]:
+def check_methods(service: Clean, path: Path) -> Iterator[Finding]:
     """Check the methods of a service, their aliases, and the default class."""
-    defined = known_classes(service)
-    default = service["default_class"]
-    if default is not None:
-        yield from class_of(default, defined, (*path, "default_class"), path)
-        repeat = (defined.get(default) or {}).get("repeat")
+    defined_classes = valid_classes(service)
+    default_class = service["default_class"]
+    if default_class is not None:
+        yield from check_class_defined(default_class, defined_classes, (*path, "default_class"), path)
+        repeat = (defined_classes.get(default_class) or {}).get("repeat")
         if repeat not in (None, "at_most_once"):
             yield Finding(
                 "ZC205",
                 (*path, "default_class"),
-                f"{default} is {repeat}",
+                f"{default_class} is {repeat}",
                 'name a class of repeat = "at_most_once"',
-                ((*path, "classes", default, "repeat"),),
+                ((*path, "classes", default_class, "repeat"),),
             )
-    listed = {n: m for n, m in (service["methods"] or {}).items() if m is not None}
-    if service["methods"] == {} and default is None:
+    valid_methods = {n: m for n, m in (service["methods"] or {}).items() if m is not None}
+    if service["methods"] == {} and default_class is None:
         yield Finding("ZC229", (*path, "methods"), "no method is listed, and there is no default_class")
     names: dict[str, tuple[Path, str | None]] = {}
-    for name, method in listed.items():
-        at: Path = (*path, "methods", name)
+    for name, method in valid_methods.items():
+        key_path: Path = (*path, "methods", name)
         klass = method["class"]
         if klass is not None:
-            yield from class_of(klass, defined, (*at, "class"), path)
-            yield from key_of(method, defined.get(klass), klass, at, path)
-        if name.startswith(RESERVED_METHODS) and (defined.get(klass or "") or {}).get("repeat") != "at_most_once":
-            yield Finding("ZC232", at, f"{name} is reserved by the specification", "", ((*at, "class"),))
-        names[name] = at, klass
-    for name, method in listed.items():
+            yield from check_class_defined(klass, defined_classes, (*key_path, "class"), path)
+            yield from check_method_key(method, defined_classes.get(klass), klass, key_path, path)
+        if (
+            name.startswith(RESERVED_METHODS)
+            and (defined_classes.get(klass or "") or {}).get("repeat") != "at_most_once"
+        ):
+            yield Finding("ZC232", key_path, f"{name} is reserved by the specification", "", ((*key_path, "class"),))
+        names[name] = key_path, klass
+    for name, method in valid_methods.items():
         for n, alias in enumerate(method["aliases"] or ()):
-            at = (*path, "methods", name, "aliases", n)
+            key_path = (*path, "methods", name, "aliases", n)
             if alias in names:
-                first, klass = names[alias]
+                first_path, klass = names[alias]
                 yield Finding(
                     "ZC206",
-                    at,
+                    key_path,
                     f"{alias!r} is of class {method['class']} here and of {klass} there",
                     "list the name once",
-                    (first,),
+                    (first_path,),
                 )
             else:
-                names[alias] = at, method["class"]
-    yield from cases(names)
+                names[alias] = key_path, method["class"]
+    yield from check_name_case(names)
 
 
-def cases(names: dict[str, tuple[Path, str | None]]) -> Iterator[Finding]:
+def check_name_case(names: dict[str, tuple[Path, str | None]]) -> Iterator[Finding]:
     """Report method names that differ in case only but belong to different classes."""
     folded: dict[str, str] = {}
     for name in names:
@@ -157,43 +160,43 @@
             )
 
 
-def class_of(name: str, defined: dict[str, Clean], at: Path, path: Path) -> Iterator[Finding]:
+def check_class_defined(name: str, defined_classes: dict[str, Clean], key_path: Path, path: Path) -> Iterator[Finding]:
     """Report a class that is not defined."""
-    if name not in defined:
+    if name not in defined_classes:
         yield Finding(
             "ZC115",
-            at,
+            key_path,
             f"no class {name!r} is defined",
-            f"one of {', '.join(defined)}" if defined else "",
+            f"one of {', '.join(defined_classes)}" if defined_classes else "",
             ((*path, "classes"),),
         )
 
 
-def key_of(method: Clean, klass: Clean | None, name: str, at: Path, path: Path) -> Iterator[Finding]:
+def check_method_key(method: Clean, klass: Clean | None, name: str, method_path: Path, path: Path) -> Iterator[Finding]:
     """Check that a method has a key if, and only if, its class is deduplicated."""
     if klass is None or klass["repeat"] is None:
         return
-    keyed = klass["repeat"] == "deduplicated"
-    told: tuple[Path, ...] = ((*path, "classes", name, "repeat"),)
-    if keyed and method["key"] is None:
+    is_deduplicated = klass["repeat"] == "deduplicated"
+    related: tuple[Path, ...] = ((*path, "classes", name, "repeat"),)
+    if is_deduplicated and method["key"] is None:
         yield Finding(
             "ZC111",
-            (*at, "key"),
+            (*method_path, "key"),
             "key is missing; repeats of a deduplicated call are told by it",
             'write key = "/..."',
-            told,
+            related,
         )
-    if not keyed and method["key"] is not None:
+    if not is_deduplicated and method["key"] is not None:
         yield Finding(
             "ZC202",
-            (*at, "key"),
+            (*method_path, "key"),
             f"key is for methods of a deduplicated class; {name} is {klass['repeat']}",
             "leave key out",
-            told,
+            related,
         )
 
 
-def endpoints(service: Clean, path: Path) -> Iterator[Finding]:
+def check_endpoints(service: Clean, path: Path) -> Iterator[Finding]:
     """Check the endpoints of a service, its zone, and the deduplication groups of its endpoints."""
     listed, discovery = service["endpoints"], service["discovery"]
     if listed is not None and discovery is not None:
@@ -212,74 +215,74 @@
                 "leave it out",
                 ((*path, "endpoints", first),),
             )
-    for name, klass in known_classes(service).items():
+    for name, klass in valid_classes(service).items():
         group = klass["group"]
         if klass["repeat"] != "deduplicated" or group not in ("zone", "cell"):
             continue
-        untold = [n for n, row in rows if not row.get(group)]
-        if len(untold) > 1:
+        without_group = [n for n, row in rows if not row.get(group)]
+        if len(without_group) > 1:
             yield Finding(
                 "ZC208",
                 (*path, "classes", name, "group"),
-                f"{len(untold)} endpoints tell no {group}, and would be taken for one",
+                f"{len(without_group)} endpoints tell no {group}, and would be taken for one",
                 f"give each endpoint its {group}",
-                ((*path, "endpoints", untold[1]),),
+                ((*path, "endpoints", without_group[1]),),
             )
     zones = {row.get("zone") for _, row in rows} | set(service["zones"] or ())
     if service["zone"] and service["zone"] not in zones and (rows or service["zones"]):
         yield Finding("ZC230", (*path, "zone"), f"no endpoint is in {service['zone']!r}")
 
 
-def error_codes(service: Clean, path: Path) -> Iterator[Finding]:
+def check_error_codes(service: Clean, path: Path) -> Iterator[Finding]:
     """Check the error codes by which endpoints say that a call did not run."""
     for n, code in enumerate(service["never_ran_errors"] or ()):
-        at: Path = (*path, "never_ran_errors", n)
+        code_path: Path = (*path, "never_ran_errors", n)
         if code in (INTERNAL, OWN_FAILURE):
-            yield Finding("ZC209", at, f"{code} says that the call may have run", "leave it out")
+            yield Finding("ZC209", code_path, f"{code} says that the call may have run", "leave it out")
         elif code in (service["failure_errors"] or ()):
-            where = service["failure_errors"].index(code)
+            index = service["failure_errors"].index(code)
             yield Finding(
                 "ZC210",
-                at,
+                code_path,
                 f"{code} is among failure_errors too",
                 "leave it out of one of them",
-                ((*path, "failure_errors", where),),
+                ((*path, "failure_errors", index),),
             )
 
 
-def attempts(service: Clean, path: Path) -> Iterator[Finding]:
+def check_attempts(service: Clean, path: Path) -> Iterator[Finding]:
     """Check that retries and copies can take place within the limits and deadlines."""
-    safe = [n for n, c in known_classes(service).items() if c["repeat"] == "idempotent"]
-    if safe and service["max_attempts"] == 1:
+    idempotent = [n for n, c in valid_classes(service).items() if c["repeat"] == "idempotent"]
+    if idempotent and service["max_attempts"] == 1:
         yield Finding(
             "ZC220",
             (*path, "max_attempts"),
-            f"{safe[0]} may be repeated, but has one attempt",
+            f"{idempotent[0]} may be repeated, but has one attempt",
             "write 2 or more",
-            ((*path, "classes", safe[0], "repeat"),),
+            ((*path, "classes", idempotent[0], "repeat"),),
         )
-    elif safe and service["copies"] is False:
+    elif idempotent and service["copies"] is False:
         yield Finding(
             "ZC220",
             (*path, "copies"),
-            f"{safe[0]} may be repeated, but its delay never fires",
+            f"{idempotent[0]} may be repeated, but its delay never fires",
             "leave copies out",
-            ((*path, "classes", safe[0], "repeat"),),
+            ((*path, "classes", idempotent[0], "repeat"),),
         )
-    connect = service["connect_timeout_ms"]
-    for name, klass in known_classes(service).items():
+    connect_timeout = service["connect_timeout_ms"]
+    for name, klass in valid_classes(service).items():
         deadline = klass["deadline_ms"]
-        if connect and deadline and connect >= deadline:
+        if connect_timeout and deadline and connect_timeout >= deadline:
             yield Finding(
                 "ZC221",
                 (*path, "connect_timeout_ms"),
-                f"{connect:g} is not under the deadline_ms of {name}, {deadline:g}",
+                f"{connect_timeout:g} is not under the deadline_ms of {name}, {deadline:g}",
                 f"write less than {deadline:g}",
                 ((*path, "classes", name, "deadline_ms"),),
             )
 
 
-def instances(service: Clean, path: Path, shares: Clean) -> Iterator[Finding]:
+def check_instances(service: Clean, path: Path, shares: Clean) -> Iterator[Finding]:
     """Check a service's instance number, and the shared connection limit against the number of instances."""
     count, number = service["instances"], service["number"]
     if count is None or number is None:
@@ -292,20 +295,26 @@
             f"write a number under {count}, or raise instances",
             ((*path, "instances"),),
         )
-    cap, least, listed = shares.get("connections"), shares.get("subset"), len(service["endpoints"] or ())
-    if cap and listed:
-        known = count * min(1.0, max(least or listed, MIN_INSTANCES_PER_SERVER * listed / count) / listed)
-        if known > cap:
+    limit, subset, endpoint_count = (
+        shares.get("connections"),
+        shares.get("subset"),
+        len(service["endpoints"] or ()),
+    )
+    if limit and endpoint_count:
+        per_endpoint = count * min(
+            1.0, max(subset or endpoint_count, MIN_INSTANCES_PER_SERVER * endpoint_count / count) / endpoint_count
+        )
+        if per_endpoint > limit:
             yield Finding(
                 "ZC234",
                 ("shares", "connections"),
-                f"each endpoint of {path[-1]} is known to {known:.0f} instances, and may have {cap:g}",
+                f"each endpoint of {path[-1]} is known to {per_endpoint:.0f} instances, and may have {limit:g}",
                 "write a smaller subset, or more connections",
                 ((*path, "instances"),),
             )
 
 
-def floor(shares: Clean) -> Iterator[Finding]:
+def check_floor(shares: Clean) -> Iterator[Finding]:
     """Report a floor for retries and copies where no ratio limits them."""
     if shares.get("floor_per_s") and not shares.get("retry_ratio") and not shares.get("copy_ratio"):
         yield Finding(
@@ -316,120 +325,130 @@
         )
 
 
-def meets(one: Address, other: Address) -> bool:
+def addresses_collide(first: Address, second: Address) -> bool:
     """Return whether two listen addresses collide: same port, and the same host or a wildcard host."""
-    return one[1] == other[1] and (one[0] == other[0] or one[0] in ANY_HOST or other[0] in ANY_HOST)
+    return first[1] == second[1] and (first[0] == second[0] or first[0] in ANY_HOST or second[0] in ANY_HOST)
 
 
-def local(address: Address) -> bool:
+def is_loopback(address: Address) -> bool:
     """Return whether an address is on the loopback interface."""
     return address[0].startswith("127.") or address[0] == "localhost"
 
 
-def addresses(services: dict[str, Clean], elsewhere: dict[Address, str]) -> Iterator[Finding]:
+def check_addresses(services: dict[str, Clean], other_listeners: dict[Address, str]) -> Iterator[Finding]:
     """Check listen addresses for collisions and exposure, and endpoints that are the sidecar itself."""
-    taken: list[tuple[Address, Path, str]] = [(a, (), told) for a, told in elsewhere.items()]
+    listeners: list[tuple[Address, Path, str]] = [(a, (), owner) for a, owner in other_listeners.items()]
     for name, service in services.items():
-        at: Path = ("services", name, "listen")
+        key_path: Path = ("services", name, "listen")
         if service["listen"] is None:
             continue
         address = read_address(service["listen"])
-        for other, where, told in taken:
-            if meets(address, other):
-                yield Finding("ZC224", at, f"{told} listens there", "take another port", (where,) if where else ())
-        taken.append((address, at, f"services.{name}"))
-        if not local(address) and not service["expose"]:
+        for listener, listener_path, owner in listeners:
+            if addresses_collide(address, listener):
+                yield Finding(
+                    "ZC224",
+                    key_path,
+                    f"{owner} listens there",
+                    "take another port",
+                    (listener_path,) if listener_path else (),
+                )
+        listeners.append((address, key_path, f"services.{name}"))
+        if not is_loopback(address) and not service["expose"]:
             yield Finding(
                 "ZC225",
-                at,
+                key_path,
                 f"{service['listen']} can be reached from elsewhere",
                 "listen on 127.0.0.1, or write expose = true",
             )
     for name, service in services.items():
-        told_at: list[tuple[Path, str]] = [
+        targets: list[tuple[Path, str]] = [
             (("services", name, "endpoints", n), row["address"])
             for n, row in enumerate(service["endpoints"] or ())
             if row.get("address")
         ]
         if service["discovery"]:
-            told_at.append((("services", name, "discovery"), service["discovery"]))
-        for at, text in told_at:
-            address = read_address(text)
-            for other, where, told in taken:
-                here = other[0] in ANY_HOST and local(address)
-                if address[1] == other[1] and (address[0] == other[0] or here):
+            targets.append((("services", name, "discovery"), service["discovery"]))
+        for key_path, target in targets:
+            address = read_address(target)
+            for listener, listener_path, owner in listeners:
+                wildcard_covers = listener[0] in ANY_HOST and is_loopback(address)
+                if address[1] == listener[1] and (address[0] == listener[0] or wildcard_covers):
                     yield Finding(
                         "ZC226",
-                        at,
-                        f"{text} is where {told} listens",
+                        key_path,
+                        f"{target} is where {owner} listens",
                         "name the endpoint's own address",
-                        (where,) if where else (),
+                        (listener_path,) if listener_path else (),
                     )
 
 
-def sizes(clean: Clean, services: dict[str, Clean]) -> Iterator[Finding]:
+def check_limits(clean: Clean, services: dict[str, Clean]) -> Iterator[Finding]:
     """Check the descriptor and memory limits against what all services together may use."""
     limits = clean.get("limits") or {}
-    clients = sum(s["max_clients"] or 0 for s in services.values())
-    targets = sum(len(s["endpoints"] or ()) for s in services.values())
+    client_count = sum(s["max_clients"] or 0 for s in services.values())
+    endpoint_count = sum(len(s["endpoints"] or ()) for s in services.values())
     sockets = limits.get("sockets")
-    if sockets and services and sockets - DESCRIPTOR_RESERVE - clients < targets:
-        first = next(iter(services))
+    if sockets and services and sockets - DESCRIPTOR_RESERVE - client_count < endpoint_count:
+        service_name = next(iter(services))
         yield Finding(
             "ZC222",
             ("limits", "sockets"),
-            f"{sockets} less {DESCRIPTOR_RESERVE} in reserve and {clients} clients leave "
-            f"{max(0, sockets - DESCRIPTOR_RESERVE - clients)} for {targets} endpoints",
-            f"write {targets + clients + DESCRIPTOR_RESERVE} or more, or fewer max_clients",
-            (("services", first, "max_clients"),),
+            f"{sockets} less {DESCRIPTOR_RESERVE} in reserve and {client_count} clients leave "
+            f"{max(0, sockets - DESCRIPTOR_RESERVE - client_count)} for {endpoint_count} endpoints",
+            f"write {endpoint_count + client_count + DESCRIPTOR_RESERVE} or more, or fewer max_clients",
+            (("services", service_name, "max_clients"),),
         )
     memory = limits.get("memory_mb")
-    held = sum((s["max_clients"] or 0) * (s["max_text_kb"] or 0) for s in services.values()) / 1024.0
-    if memory and services and IDLE_MB + held > memory:
-        first = max(services, key=lambda n: (services[n]["max_clients"] or 0) * (services[n]["max_text_kb"] or 0))
+    client_mb = sum((s["max_clients"] or 0) * (s["max_text_kb"] or 0) for s in services.values()) / 1024.0
+    if memory and services and IDLE_MB + client_mb > memory:
+        service_name = max(
+            services, key=lambda n: (services[n]["max_clients"] or 0) * (services[n]["max_text_kb"] or 0)
+        )
         yield Finding(
             "ZC223",
             ("limits", "memory_mb"),
-            f"clients times texts may hold {held:.0f} MB beside {IDLE_MB}, and there are {memory}",
+            f"clients times texts may hold {client_mb:.0f} MB beside {IDLE_MB}, and there are {memory}",
             "lower max_clients or max_text_kb",
-            (("services", first, "max_clients"), ("services", first, "max_text_kb")),
+            (("services", service_name, "max_clients"), ("services", service_name, "max_text_kb")),
         )
 
 
-def platform(clean: Clean) -> Iterator[Finding]:
+def check_platform_file(clean: Clean) -> Iterator[Finding]:
     """Check the platform's configuration."""
     settings = clean.get("settings") or {}
-    base: Path = ("settings", "classes")
+    classes_path: Path = ("settings", "classes")
     if settings.get("classes") == []:
-        yield Finding("ZC111", base, "no class is defined", "define at least one")
+        yield Finding("ZC111", classes_path, "no class is defined", "define at least one")
     names: dict[str, int] = {}
     for n, klass in enumerate(settings.get("classes") or ()):
         if not klass:
             continue
-        at: Path = (*base, n)
+        class_path: Path = (*classes_path, n)
         first = names.setdefault(klass["name"], n) if klass["name"] else n
         if first != n:
-            yield Finding("ZC231", (*at, "name"), f"{klass['name']!r} comes twice", "", ((*base, first, "name"),))
+            yield Finding(
+                "ZC231", (*class_path, "name"), f"{klass['name']!r} comes twice", "", ((*classes_path, first, "name"),)
+            )
         aim, deadline = klass["aim"], klass["deadline"]
         if aim and deadline and aim > deadline:
             yield Finding(
                 "ZC201",
-                (*at, "aim"),
+                (*class_path, "aim"),
                 f"aim {aim:g} lies beyond deadline {deadline:g}",
                 f"write {deadline:g} or less",
-                ((*at, "deadline"),),
+                ((*class_path, "deadline"),),
             )
         if klass["repeat"] == "deduplicated" and not klass["window"] and klass["window"] is not None:
             yield Finding(
                 "ZC203",
-                (*at, "window"),
+                (*class_path, "window"),
                 "a deduplicated class needs a window above 0",
                 "write how long endpoints remember a key",
-                ((*at, "repeat"),),
+                ((*class_path, "repeat"),),
             )
     tenants: dict[str, int] = {}
-    for n, realm in enumerate(settings.get("realms") or ()):
-        name = realm.get("name")
+    for n, tenant in enumerate(settings.get("realms") or ()):
+        name = tenant.get("name")
         if name and tenants.setdefault(name, n) != n:
             yield Finding(
                 "ZC231",
@@ -447,8 +466,8 @@
             "count from 0",
             (("settings", "zones"),),
         )
-    here, asked = clean.get("listen"), clean.get("discovery")
-    if here and asked and read_address(here) == read_address(asked):
+    listen, discovery = clean.get("listen"), clean.get("discovery")
+    if listen and discovery and read_address(listen) == read_address(discovery):
         yield Finding("ZC226", ("discovery",), "it is where the sidecar listens", "", (("listen",),))
     if clean.get("seed") is not None:
         try:
--- a/zinclever/configuration/shape.py
+++ b/zinclever/configuration/shape.py
@@ -8,16 +8,16 @@
 
 from ..core.protocol import read_address
 from .findings import Finding, Path
-from .model import MOST_ENDPOINTS, UNREAD, Key, Kind
+from .model import IGNORED_PLATFORM_KEYS, MAX_ENDPOINTS, Key, Kind
 
-LARGEST = 2**63 - 1  # largest integer that other TOML and JSON parsers support
-ALIKE = 0.75  # minimum similarity ratio (difflib) between a typo and the key it is taken for
+MAX_INTEGER = 2**63 - 1  # largest integer that other TOML and JSON parsers support
+MIN_SIMILARITY = 0.75  # minimum similarity ratio (difflib) between a typo and the key it is taken for
 
 Clean = dict[str, Any]
 
 
 def shape(
-    values: dict[str, Any], keys: Sequence[Key], path: Path = (), open: bool = False
+    values: dict[str, Any], keys: Sequence[Key], path: Path = (), allow_unknown: bool = False
 ) -> tuple[Clean, list[Finding]]:
     """Check a table against its keys.
 
@@ -25,44 +25,44 @@
         values: The parsed table.
         keys: The keys that the table may have.
         path: Path of the table in the file.
-        open: Whether unknown keys are no error; they are then reported as warnings or ignored.
+        allow_unknown: Whether unknown keys are no error; they are then reported as warnings or ignored.
 
     Returns:
         The values with defaults filled in, and all findings. An invalid or missing value is None.
     """
-    found: list[Finding] = []
+    findings: list[Finding] = []
     clean: Clean = {}
-    star = keys[0] if keys and keys[0].name == "*" else None
-    if star is not None:
+    wildcard = keys[0] if keys and keys[0].name == "*" else None
+    if wildcard is not None:
         for name, value in values.items():
-            if problem := unsuitable(name):
-                found.append(Finding("ZC117", (*path, name), f"the name {problem}"))
-            clean[name], more = one(value, star, (*path, name))
-            found += more
-        return clean, found
+            if problem := invalid_reason(name):
+                findings.append(Finding("ZC117", (*path, name), f"the name {problem}"))
+            clean[name], value_findings = check_value(value, wildcard, (*path, name))
+            findings += value_findings
+        return clean, findings
     known = {key.name: key for key in keys}
-    meant: set[str] = set()
+    misspelled: set[str] = set()
     for name in values:
         if name not in known:
-            told, near = unknown(name, values, keys, path, open)
-            found += told
-            meant.add(near)
+            unknown_findings, meant_key = check_unknown_key(name, values, keys, path, allow_unknown)
+            findings += unknown_findings
+            misspelled.add(meant_key)
     for name, key in known.items():
-        at = (*path, name)
+        key_path = (*path, name)
         # The platform writes null for an absent value.
-        absent = name not in values or (open and values[name] is None and not key.required)
+        absent = name not in values or (allow_unknown and values[name] is None and not key.required)
         if not absent:
-            clean[name], more = one(values[name], key, at)
-            found += more
+            clean[name], value_findings = check_value(values[name], key, key_path)
+            findings += value_findings
         else:
-            if key.required and name not in meant:  # otherwise the finding for the misspelled key is enough
-                found.append(Finding("ZC111", at, f"{name} is missing; it takes {worded(key)}"))
-            clean[name] = shape({}, key.inner, at)[0] if key.default == {} and key.inner else key.default
-    return clean, found
+            if key.required and name not in misspelled:  # otherwise the finding for the misspelled key is enough
+                findings.append(Finding("ZC111", key_path, f"{name} is missing; it takes {describe_accepted(key)}"))
+            clean[name] = shape({}, key.inner, key_path)[0] if key.default == {} and key.inner else key.default
+    return clean, findings
 
 
-def unknown(
-    name: str, values: dict[str, Any], keys: Sequence[Key], path: Path, open: bool
+def check_unknown_key(
+    name: str, values: dict[str, Any], keys: Sequence[Key], path: Path, allow_unknown: bool
 ) -> tuple[list[Finding], str]:
     """Report an unknown key: a typo of a known key that is absent, a key with look-alike letters, or simply unknown.
 
@@ -73,173 +73,178 @@
     import difflib
     import unicodedata
 
-    free = [key.name for key in keys if key.name not in values]
-    folded = unicodedata.normalize("NFKD", name).encode("ascii", "ignore").decode()
-    near = difflib.get_close_matches(name.lower().replace("-", "_"), [k.replace("-", "_") for k in free], 1, ALIKE)
-    meant = next((k for k in free if near and k.replace("-", "_") == near[0]), "")
+    absent_keys = [key.name for key in keys if key.name not in values]
+    ascii_name = unicodedata.normalize("NFKD", name).encode("ascii", "ignore").decode()
+    matches = difflib.get_close_matches(
+        name.lower().replace("-", "_"), [k.replace("-", "_") for k in absent_keys], 1, MIN_SIMILARITY
+    )
+    meant = next((k for k in absent_keys if matches and k.replace("-", "_") == matches[0]), "")
     if not name.isascii():
-        close = meant or next(iter(difflib.get_close_matches(folded, free, 1, 0.6)), "")
-        instead = f"write {close}, in plain letters" if close else ""
-        return [Finding("ZC118", (*path, name), f"{name!r} holds {odd_letters(name)}", instead)], close
-    if open and name in UNREAD:
+        closest = meant or next(iter(difflib.get_close_matches(ascii_name, absent_keys, 1, 0.6)), "")
+        instead = f"write {closest}, in plain letters" if closest else ""
+        return [Finding("ZC118", (*path, name), f"{name!r} holds {describe_non_ascii(name)}", instead)], closest
+    if allow_unknown and name in IGNORED_PLATFORM_KEYS:
         return [], ""
-    if open and not meant:
+    if allow_unknown and not meant:
         return [Finding("ZC119", (*path, name), f"{name} is not read")], ""
     nearest = meant or next(iter(difflib.get_close_matches(name, [k.name for k in keys], 1, 0.5)), "")
     instead = f"did you mean {nearest}?" if nearest else f"known here: {', '.join(k.name for k in keys)}"
     return [Finding("ZC110", (*path, name), f"{name} is not known here", instead)], meant
 
 
-def odd_letters(name: str) -> str:
+def describe_non_ascii(name: str) -> str:
     """Return the Unicode names of the non-ASCII characters in a key."""
     import unicodedata
 
     return ", ".join(unicodedata.name(c, f"U+{ord(c):04X}") for c in name if not c.isascii())
 
 
-def unsuitable(text: str) -> str:
+def invalid_reason(text: str) -> str:
     """Return why a text is not a valid name, or "" if it is."""
     if not text.strip():
         return "is empty"
     return "holds control characters" if any(ord(c) < 32 or ord(c) == 127 for c in text) else ""
 
 
-def one(value: Any, key: Key, path: Path) -> tuple[Any, list[Finding]]:
+def check_value(value: Any, key: Key, path: Path) -> tuple[Any, list[Finding]]:
     """Check a value of any kind. Return its cleaned form, or None if it is invalid, and the findings."""
     if key.kind == "any":
         return value, []
     if key.kind == "table":
         if not isinstance(value, dict):
             return None, [wrong_kind(value, key, path)]
-        return shape(value, key.inner, path, key.open) if key.inner else (value, [])
+        return shape(value, key.inner, path, key.allow_unknown) if key.inner else (value, [])
     if key.kind in ("tables", "endpoints"):
-        return rows(value, key, path)
+        return check_tables(value, key, path)
     if key.kind in ("texts", "wholes", "numbers"):
-        return items(value, key, path)
-    found = list(single(value, key, path))
-    if found:
-        return None, found
+        return check_items(value, key, path)
+    findings = list(check_scalar(value, key, path))
+    if findings:
+        return None, findings
     return (float(value) if key.kind == "number" else value), []
 
 
-def rows(value: Any, key: Key, path: Path) -> tuple[Any, list[Finding]]:
+def check_tables(value: Any, key: Key, path: Path) -> tuple[Any, list[Finding]]:
     """Check an array of tables. In an array of endpoints, an element may also be a plain address."""
     if not isinstance(value, list):
         return None, [wrong_kind(value, key, path)]
-    if key.kind == "endpoints" and not 0 < len(value) <= MOST_ENDPOINTS:
-        return None, [Finding("ZC114", path, f"{len(value)} endpoints; it takes 1 to {MOST_ENDPOINTS}")]
-    cleaned, found = [], list[Finding]()
+    if key.kind == "endpoints" and not 0 < len(value) <= MAX_ENDPOINTS:
+        return None, [Finding("ZC114", path, f"{len(value)} endpoints; it takes 1 to {MAX_ENDPOINTS}")]
+    clean_rows, findings = [], list[Finding]()
     for n, row in enumerate(value):
         if key.kind == "endpoints" and isinstance(row, str):
-            inner, more = shape({"address": row}, key.inner, (*path, n))
+            row_values, row_findings = shape({"address": row}, key.inner, (*path, n))
             # A plain address has no key of its own: findings point to the array element.
-            more = [Finding(f.code, (*path, n), f.reason, f.instead) for f in more]
+            row_findings = [Finding(f.code, (*path, n), f.reason, f.instead) for f in row_findings]
         elif isinstance(row, dict):
-            inner, more = shape(row, key.inner, (*path, n), key.open)
+            row_values, row_findings = shape(row, key.inner, (*path, n), key.allow_unknown)
         else:
-            what = "an address or a table" if key.kind == "endpoints" else "a table"
-            inner, more = {}, [Finding("ZC112", (*path, n), f"takes {what}, not {kind_of(row)}")]
-        cleaned.append(inner)
-        found += more
-    return cleaned, found
+            expected = "an address or a table" if key.kind == "endpoints" else "a table"
+            row_values, row_findings = (
+                {},
+                [Finding("ZC112", (*path, n), f"takes {expected}, not {describe_value(row)}")],
+            )
+        clean_rows.append(row_values)
+        findings += row_findings
+    return clean_rows, findings
 
 
-def items(value: Any, key: Key, path: Path) -> tuple[Any, list[Finding]]:
+def check_items(value: Any, key: Key, path: Path) -> tuple[Any, list[Finding]]:
     """Check an array of texts or numbers. Return it as a tuple, or None if an element is invalid."""
     if not isinstance(value, list):
         return None, [wrong_kind(value, key, path)]
-    kinds: dict[str, Kind] = {"texts": "text", "wholes": "whole", "numbers": "number"}
-    least, most = (key.least, key.most) if key.kind == "numbers" else (-LARGEST, LARGEST)
-    inner = Key(key.name, kinds[key.kind], key.doc, least=least, most=most)
-    found: list[Finding] = []
+    item_kinds: dict[str, Kind] = {"texts": "text", "wholes": "whole", "numbers": "number"}
+    least, most = (key.least, key.most) if key.kind == "numbers" else (-MAX_INTEGER, MAX_INTEGER)
+    item_key = Key(key.name, item_kinds[key.kind], key.doc, least=least, most=most)
+    findings: list[Finding] = []
     for n, item in enumerate(value):
-        found += single(item, inner, (*path, n))
-    return (None if found else tuple(value)), found
+        findings += check_scalar(item, item_key, (*path, n))
+    return (None if findings else tuple(value)), findings
 
 
-def single(value: Any, key: Key, path: Path) -> Iterator[Finding]:
+def check_scalar(value: Any, key: Key, path: Path) -> Iterator[Finding]:
     """Check a value that is neither an array nor a table."""
     numeric = isinstance(value, int | float) and not isinstance(value, bool)
     if key.kind in ("number", "whole"):
         if not numeric or (key.kind == "whole" and isinstance(value, float) and math.isfinite(value)):
             yield wrong_kind(value, key, path)
-        elif abs(value) > LARGEST if isinstance(value, int) else not math.isfinite(value):
-            yield Finding("ZC113", path, f"{short(value)} is no number that sets a limit", worded(key))
+        elif abs(value) > MAX_INTEGER if isinstance(value, int) else not math.isfinite(value):
+            yield Finding("ZC113", path, f"{shorten(value)} is no number that sets a limit", describe_accepted(key))
         else:
-            yield from bounds(value, key, path)
+            yield from check_bounds(value, key, path)
     elif key.kind == "flag":
         if not isinstance(value, bool):
             yield wrong_kind(value, key, path)
     elif not isinstance(value, str):
         yield wrong_kind(value, key, path)
     else:
-        yield from text(value, key, path)
+        yield from check_text(value, key, path)
 
 
-def bounds(value: float, key: Key, path: Path) -> Iterator[Finding]:
+def check_bounds(value: float, key: Key, path: Path) -> Iterator[Finding]:
     """Check a number against its bounds. Negative zero is out of bounds."""
-    low = key.least is not None and (value < key.least or (key.above and value <= key.least))
+    too_low = key.least is not None and (value < key.least or (key.exclusive_least and value <= key.least))
     minus_zero = isinstance(value, float) and value == 0.0 and math.copysign(1.0, value) < 0.0
-    if low or minus_zero or (key.most is not None and value > key.most):
-        yield Finding("ZC114", path, f"{short(value)} is out of bounds", worded(key))
+    if too_low or minus_zero or (key.most is not None and value > key.most):
+        yield Finding("ZC114", path, f"{shorten(value)} is out of bounds", describe_accepted(key))
 
 
-def text(value: str, key: Key, path: Path) -> Iterator[Finding]:
+def check_text(value: str, key: Key, path: Path) -> Iterator[Finding]:
     """Check a text: a choice, an address, a JSON Pointer or plain text."""
     if key.kind == "choice":
         if value not in key.choices:
             import difflib
 
-            near = difflib.get_close_matches(value.lower(), key.choices, 1, 0.5)
-            instead = f"did you mean {near[0]!r}?" if near else worded(key)
-            yield Finding("ZC115", path, f"{short(value)} is none of {', '.join(key.choices)}", instead)
+            matches = difflib.get_close_matches(value.lower(), key.choices, 1, 0.5)
+            instead = f"did you mean {matches[0]!r}?" if matches else describe_accepted(key)
+            yield Finding("ZC115", path, f"{shorten(value)} is none of {', '.join(key.choices)}", instead)
     elif key.kind == "address":
         try:
             host, port = read_address(value)
         except ValueError:
             host, port = "", 0
-        if not host or unsuitable(host) or " " in host or not 0 < port < 65536:
-            yield Finding("ZC116", path, f"{short(value)} is no address", "write host:port, as in 127.0.0.1:7001")
+        if not host or invalid_reason(host) or " " in host or not 0 < port < 65536:
+            yield Finding("ZC116", path, f"{shorten(value)} is no address", "write host:port, as in 127.0.0.1:7001")
     elif key.kind == "pointer":
         from ..jsonrpc.codec import parse_json_pointer
 
         try:
             parse_json_pointer(value)
         except ValueError:
-            yield Finding("ZC117", path, f"{short(value)} is no JSON Pointer", "write a path such as /key")
-    elif key.default != "" and (problem := unsuitable(value)):
+            yield Finding("ZC117", path, f"{shorten(value)} is no JSON Pointer", "write a path such as /key")
+    elif key.default != "" and (problem := invalid_reason(value)):
         yield Finding("ZC117", path, f"the text {problem}")
 
 
 def wrong_kind(value: Any, key: Key, path: Path) -> Finding:
     """Return the finding for a value of the wrong type."""
-    return Finding("ZC112", path, f"takes {worded(key)}, not {kind_of(value)}")
+    return Finding("ZC112", path, f"takes {describe_accepted(key)}, not {describe_value(value)}")
 
 
-def kind_of(value: Any) -> str:
+def describe_value(value: Any) -> str:
     """Describe the type of a value for messages."""
     if isinstance(value, bool):
         return str(value).lower()
     if isinstance(value, str):
-        return f"the text {short(value)}"
+        return f"the text {shorten(value)}"
     if isinstance(value, dict | list):
         return "a table" if isinstance(value, dict) else "an array"
     if value is None:
         return "null"
-    return f"{short(value)}" if isinstance(value, int | float) else f"a date or time, {short(value)}"
+    return f"{shorten(value)}" if isinstance(value, int | float) else f"a date or time, {shorten(value)}"
 
 
-def short(value: Any) -> str:
+def shorten(value: Any) -> str:
     """Format a value for messages, with at most 40 characters."""
-    told = repr(value) if isinstance(value, str) else f"{value}"
-    return told if len(told) <= 40 else told[:37] + "..."
+    text = repr(value) if isinstance(value, str) else f"{value}"
+    return text if len(text) <= 40 else text[:37] + "..."
 
 
-def worded(key: Key) -> str:
+def describe_accepted(key: Key) -> str:
     """Describe the values that a key accepts."""
     if key.kind == "choice":
         return "one of " + ", ".join(key.choices)
-    words = {
+    kind_descriptions = {
         "text": "a text",
         "number": "a number",
         "whole": "a whole number",
@@ -254,8 +259,8 @@
         "endpoints": "an array of endpoints",
         "any": "anything",
     }
-    told = words[key.kind]
+    description = kind_descriptions[key.kind]
     if key.least is not None and key.most is not None and key.kind in ("number", "whole"):
-        begin = "above" if key.above else "from"
-        told += f" {begin} {key.least:g} to {key.most:g}"
-    return told + (f" {key.unit}" if key.unit else "")
+        from_word = "above" if key.exclusive_least else "from"
+        description += f" {from_word} {key.least:g} to {key.most:g}"
+    return description + (f" {key.unit}" if key.unit else "")
