--- a/zinclever/configuration/check.py
+++ b/zinclever/configuration/check.py
@@ -37,7 +37,7 @@
 
 
 def check(data: bytes, format: Format, other_listeners: dict[Address, str] | None = None) -> Report:
-    """Check a file of the given format. ``other_listeners`` applies to the operator file, see :func:`check_operator`."""
+    """Check a file of the given format. ``other_listeners`` is passed on to :func:`check_operator`."""
     return check_platform(data) if format == "platform" else check_operator(data, other_listeners)
 
 
--- a/zinclever/configuration/model.py
+++ b/zinclever/configuration/model.py
@@ -297,7 +297,7 @@
     least: float = 0.0,
     exclusive_least: bool = False,
 ) -> Key:
-    """Return a key of the platform file that holds a duration in milliseconds. ``exclusive_least``: 0 itself is invalid."""
+    """Return a key of the platform file that holds a duration in ms. ``exclusive_least``: ``least`` itself is invalid."""
     return Key(name, "number", doc, "ms", default, required, least, 1e9, exclusive_least=exclusive_least)
 
 
--- a/zinclever/configuration/operator.py
+++ b/zinclever/configuration/operator.py
@@ -53,13 +53,13 @@
 def build_service(name: str, values: Clean, shares: interface.Shares) -> JsonRpcService:
     """Build the settings of one service."""
     classes = tuple(build_request_class(n, c) for n, c in values["classes"].items())
-    numbers = {c.name: n for n, c in enumerate(classes)}
+    class_numbers = {c.name: n for n, c in enumerate(classes)}
     zones, entries = build_endpoints(values)
-    default = values["default_class"]
+    default_class = values["default_class"]
     rules = Rules(
         values["framing"],
-        build_methods(values, numbers),
-        None if default is None else numbers[default],
+        build_methods(values, class_numbers),
+        None if default_class is None else class_numbers[default_class],
         values["max_text_kb"] << 10,
         values["max_clients"],
     )
@@ -89,12 +89,12 @@
     )
 
 
-def build_methods(values: Clean, numbers: Mapping[str, int]) -> dict[str, Method]:
+def build_methods(values: Clean, class_numbers: Mapping[str, int]) -> dict[str, Method]:
     """Return the methods of a service by name; a method is listed under its own name and each of its aliases."""
     methods_by_name: dict[str, Method] = {}
     for name, method_values in values["methods"].items():
         method = Method(
-            numbers[method_values["class"]],
+            class_numbers[method_values["class"]],
             parse_json_pointer(method_values["key"]) if method_values["key"] is not None else (),
         )
         for any_name in (name, *method_values["aliases"]):
