--- a/zinclever/configtool/writing.py
+++ b/zinclever/configtool/writing.py
@@ -15,7 +15,7 @@
 
 from ..configuration.check import check_operator
 from ..configuration.model import VERSION
-from ..configuration.reading import Unreadable, read_file
+from ..configuration.reading import UnreadableFileError, read_file
 from ..configuration.relations import IDLE_MB, WINDOW_MARGIN
 from ..core.descriptors import DESCRIPTOR_RESERVE
 from ..core.shared import MOST_CONNECTIONS
@@ -227,7 +227,7 @@
         """Read a description file."""
         try:
             values = tomllib.loads(read_file(path).decode())
-        except (Unreadable, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
+        except (UnreadableFileError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
             raise click.ClickException(f"{path}: {error}") from error
         for name, value in values.items():
             self.set_option(path, name, value)
--- a/zinclever/configuration/load.py
+++ b/zinclever/configuration/load.py
@@ -9,10 +9,10 @@
 from .check import Report, check_operator, check_platform
 from .findings import Finding, Path
 from .platform import Config, build
-from .reading import Unreadable, read_file
+from .reading import UnreadableFileError, read_file
 
 if TYPE_CHECKING:
-    from .operator import Operator
+    from .operator import OperatorConfig
 
 PLATFORM_VARIABLE, OPERATOR_VARIABLE = "LB_CONFIG", "ZINCLEVER_OPERATOR"
 
@@ -24,7 +24,7 @@
     """The configuration is missing or invalid. The message is a single line."""
 
 
-def read(env: Mapping[str, str], file_reader: FileReader = read_file) -> tuple[Config | None, Operator | None]:
+def read(env: Mapping[str, str], file_reader: FileReader = read_file) -> tuple[Config | None, OperatorConfig | None]:
     """Read and check both files. The platform file is optional if there is an operator file.
 
     Raises:
@@ -72,7 +72,7 @@
     """Return a file's content, or raise ConfigError with the name of the variable that points to it."""
     try:
         return file_reader(path)
-    except Unreadable as error:
+    except UnreadableFileError as error:
         raise ConfigError(f"{variable}: {error}") from error
 
 
--- a/zinclever/configuration/operator.py
+++ b/zinclever/configuration/operator.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Operator:
+class OperatorConfig:
     """Settings from the operator file."""
 
     services: Mapping[str, JsonRpcService]
@@ -43,11 +43,11 @@
     """Limits shared by all instances. They apply to the platform's service as well."""
 
 
-def build(clean: Clean) -> Operator:
+def build(clean: Clean) -> OperatorConfig:
     """Build the settings from the values of a :class:`~zinclever.configuration.check.Report` without errors."""
     shares = interface.Shares(**clean["shares"])
     services = {name: build_service(name, values, shares) for name, values in clean["services"].items()}
-    return Operator(services, clean["limits"]["sockets"], shares)
+    return OperatorConfig(services, clean["limits"]["sockets"], shares)
 
 
 def build_service(name: str, values: Clean, shares: interface.Shares) -> JsonRpcService:
--- a/zinclever/configuration/reading.py
+++ b/zinclever/configuration/reading.py
@@ -18,7 +18,7 @@
 MAX_READ_ATTEMPTS = 3  # attempts to read a file that changes during the read
 
 
-class Unreadable(Exception):
+class UnreadableFileError(Exception):
     """The file is missing, inaccessible, too large, not a regular file, or changes while it is read."""
 
 
@@ -35,10 +35,10 @@
         try:
             data = read_snapshot(path)
         except OSError as error:
-            raise Unreadable(f"{path}: {error.strerror or error}") from error
+            raise UnreadableFileError(f"{path}: {error.strerror or error}") from error
         if data is not None:
             return data
-    raise Unreadable(f"{path}: it changes while it is read; replace it by a rename")
+    raise UnreadableFileError(f"{path}: it changes while it is read; replace it by a rename")
 
 
 def read_snapshot(path: str) -> bytes | None:
@@ -48,9 +48,9 @@
         before = os.fstat(descriptor)
         if not stat.S_ISREG(before.st_mode):
             kind = "a folder" if stat.S_ISDIR(before.st_mode) else "no ordinary file"
-            raise Unreadable(f"{path}: it is {kind}")
+            raise UnreadableFileError(f"{path}: it is {kind}")
         if before.st_size > MAX_FILE_SIZE:
-            raise Unreadable(f"{path}: {before.st_size} bytes; a configuration has {MAX_FILE_SIZE} at most")
+            raise UnreadableFileError(f"{path}: {before.st_size} bytes; a configuration has {MAX_FILE_SIZE} at most")
         data = file.read(MAX_FILE_SIZE + 1)
         after = os.fstat(descriptor)
     unchanged = (before.st_size, before.st_mtime_ns) == (after.st_size, after.st_mtime_ns)
