--- a/tests/test_configtool.py
+++ b/tests/test_configtool.py
@@ -1,4 +1,4 @@
-"""The configuration tool as a new user would run it, and as a release pipeline does."""
+"""The config tool's commands, run through its command line, and atomic replacement of files."""
 
 from __future__ import annotations
 
@@ -47,38 +47,38 @@
 ]
 
 
-def tool(*args: str | Path, **more: Any) -> Result:
-    return CliRunner().invoke(config, [str(a) for a in args], **more)
+def run_tool(*args: str | Path, **invoke_options: Any) -> Result:
+    return CliRunner().invoke(config, [str(a) for a in args], **invoke_options)
 
 
 # --- write ---
 
 
-def test_write_makes_the_same_file_each_time_and_it_passes(tmp_path: Path) -> None:
+def test_write_is_deterministic_and_its_output_passes_the_check(tmp_path: Path) -> None:
     path = tmp_path / "made.toml"
-    first, second = tool("write", "creator-tools", *FLAGS), tool("write", "creator-tools", *FLAGS, "-o", path)
+    first, second = run_tool("write", "creator-tools", *FLAGS), run_tool("write", "creator-tools", *FLAGS, "-o", path)
     assert first.exit_code == second.exit_code == 0
     assert path.read_text() == first.output
-    assert tool("check", "--strict", path).exit_code == 0
+    assert run_tool("check", "--strict", path).exit_code == 0
     assert "48 MB less 30 idle" in first.output
     load.read({"ZINCLEVER_OPERATOR": str(path)})
 
 
-def test_write_reads_a_description_and_flags_come_first(tmp_path: Path) -> None:
+def test_write_reads_a_description_that_flags_override(tmp_path: Path) -> None:
     path = tmp_path / "app.toml"
     path.write_text('endpoints = ["127.0.0.1:9001"]\ntips = ["pay"]\nrate = 5\nmemory_mb = 64\n')
-    told = tool("write", "bridge", "--describe", path, "--rate", "7")
-    assert told.exit_code == 0 and "7 calls a second" in told.output
+    result = run_tool("write", "bridge", "--describe", path, "--rate", "7")
+    assert result.exit_code == 0 and "7 calls a second" in result.output
     path.write_text("endpoints = 1\n")
-    assert "an array of texts" in tool("write", "bridge", "--describe", path).output
+    assert "an array of texts" in run_tool("write", "bridge", "--describe", path).output
     path.write_text("endpoint = []\n")
-    assert "endpoint is not known" in tool("write", "bridge", "--describe", path).output
+    assert "endpoint is not known" in run_tool("write", "bridge", "--describe", path).output
     path.write_text('memory_mb = "64"\n')
-    assert "memory_mb takes a int" in tool("write", "bridge", "--describe", path).output
+    assert "memory_mb takes a int" in run_tool("write", "bridge", "--describe", path).output
 
 
-def test_write_refuses_what_cannot_work() -> None:
-    for args, said in (
+def test_write_rejects_invalid_descriptions() -> None:
+    for args, expected in (
         ([], "no endpoint"),
         (["--endpoint", "127.0.0.1:1"], "no method"),
         ([*FLAGS, "--memory-mb", "30"], "leave room for 0 clients"),
@@ -88,11 +88,11 @@
         ([*FLAGS, "--endpoint", "127.0.0.1:7001"], "ZC226"),
         ([*FLAGS, "--unlock", "a"], "METHOD=POINTER"),
     ):
-        told = tool("write", "app", *args)
-        assert told.exit_code == 1 and said in told.output, told.output
+        result = run_tool("write", "app", *args)
+        assert result.exit_code == 1 and expected in result.output, result.output
 
 
-def test_questions_and_answers(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_write_prompts_for_missing_fields(monkeypatch: pytest.MonkeyPatch) -> None:
     answers = iter(["127.0.0.1:7009", "127.0.0.1:9001 127.0.0.1:9002", "page.get", "", "tip.send", 10.0, 64, 512, 3])
     monkeypatch.setattr(click, "prompt", lambda *a, **k: next(answers))
     draft = writing.Draft()
@@ -127,7 +127,7 @@
 
 @given(APPS)
 @settings(derandomize=True, max_examples=200, deadline=None)
-def test_whatever_write_makes_passes_and_starts(app: App) -> None:
+def test_every_rendered_file_passes_the_check_and_builds_settings(app: App) -> None:
     try:
         text = render(app)
     except InvalidAppError:
@@ -156,7 +156,7 @@
 
 @given(st.sampled_from(sorted(MUTATIONS)), st.data())
 @settings(derandomize=True, max_examples=150, deadline=None)
-def test_a_value_out_of_bounds_is_told_on_its_line(key: str, data: st.DataObject) -> None:
+def test_an_invalid_value_is_reported_on_its_line(key: str, data: st.DataObject) -> None:
     lines = PLAIN.splitlines()
     number = data.draw(st.sampled_from([n for n, line in enumerate(lines) if line.startswith(f"{key} =")]))
     lines[number] = f"{key} = {data.draw(st.sampled_from(MUTATIONS[key]))}"
@@ -165,86 +165,92 @@
     assert [p.line for p in placed if p.finding.severity == "error"][:1] == [number + 1], placed
 
 
-def test_exit_codes_and_formats() -> None:
+def test_check_exit_codes_and_output_formats() -> None:
     good, broken = CORPUS / "good" / "plain.toml", CORPUS / "broken" / "repaet.toml"
-    assert tool("check", good).exit_code == 0 and tool("check", good).output == ""
-    text = tool("check", broken)
+    assert run_tool("check", good).exit_code == 0 and run_tool("check", good).output == ""
+    text = run_tool("check", broken)
     assert text.exit_code == 1 and "repaet.toml:9:1: error ZC110" in text.output
     assert "did you mean repeat?" in text.output
-    (one,) = json.loads(tool("check", broken, "--format", "json").output)
-    assert (one["code"], one["line"], one["column"]) == ("ZC110", 9, 1)
-    github = tool("check", broken, "--format", "github").output
+    (finding,) = json.loads(run_tool("check", broken, "--format", "json").output)
+    assert (finding["code"], finding["line"], finding["column"]) == ("ZC110", 9, 1)
+    github = run_tool("check", broken, "--format", "github").output
     assert github.startswith("::error file=") and ",line=9,col=1,title=ZC110::" in github
-    sarif = json.loads(tool("check", broken, "--format", "sarif").output)
+    sarif = json.loads(run_tool("check", broken, "--format", "sarif").output)
     (result,) = sarif["runs"][0]["results"]
     assert sarif["version"] == "2.1.0" and result["ruleId"] == "ZC110"
     assert result["locations"][0]["physicalLocation"]["region"]["startLine"] == 9
-    warned = CORPUS / "broken" / "one-attempt.toml"
-    assert tool("check", warned).exit_code == 0 and tool("check", warned, "--strict").exit_code == 1
+    file_with_warning = CORPUS / "broken" / "one-attempt.toml"
+    assert (
+        run_tool("check", file_with_warning).exit_code == 0
+        and run_tool("check", file_with_warning, "--strict").exit_code == 1
+    )
 
 
-def test_files_that_cannot_be_read(tmp_path: Path) -> None:
-    """A folder, a pipe that nobody writes to, a loop of links, 10 MB: each is told, and none is waited for."""
+def test_unreadable_files_are_reported_without_blocking(tmp_path: Path) -> None:
+    """A directory, a pipe without a writer, a loop of symbolic links, a missing file, and one of 10 MB."""
     os.mkfifo(tmp_path / "pipe")
     (tmp_path / "loop").symlink_to(tmp_path / "loop")
     (tmp_path / "big").write_bytes(b"#" * (10 << 20))
-    for name, said in (
+    for name, expected in (
         (".", "folder"),
         ("pipe", "no ordinary file"),
         ("loop", "symbolic links"),
         ("big", "bytes"),
         ("none", "No such file"),
     ):
-        told = tool("check", tmp_path / name)
-        assert told.exit_code == 2 and said in told.output.replace("Is a directory", "folder"), (name, told.output)
+        result = run_tool("check", tmp_path / name)
+        assert result.exit_code == 2 and expected in result.output.replace("Is a directory", "folder"), (
+            name,
+            result.output,
+        )
         with pytest.raises(load.ConfigError):
             load.read({"ZINCLEVER_OPERATOR": str(tmp_path / name)})
 
 
-def test_a_file_that_changes_while_it_is_read(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_file_that_keeps_changing_is_unreadable(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path = tmp_path / "changing.toml"
     path.write_text(PLAIN)
-    real = os.fstat
-    times = iter(range(100))
+    real_fstat = os.fstat
+    counter = iter(range(100))
 
-    def fstat(descriptor: int) -> os.stat_result:
-        if next(times) % 2:
-            path.write_text(PLAIN + "#" * next(times))
-        return real(descriptor)
+    def changing_fstat(descriptor: int) -> os.stat_result:
+        if next(counter) % 2:
+            path.write_text(PLAIN + "#" * next(counter))
+        return real_fstat(descriptor)
 
-    monkeypatch.setattr(os, "fstat", fstat)
+    monkeypatch.setattr(os, "fstat", changing_fstat)
     with pytest.raises(reading.UnreadableFileError, match="changes while it is read"):
         reading.read_file(str(path))
 
 
-def test_the_file_in_service_is_replaced_whole(tmp_path: Path) -> None:
-    """A reader that never stops reads the old file or the new one, and never anything else."""
+def test_replace_file_is_atomic(tmp_path: Path) -> None:
+    """A concurrent reader sees the old or the new content, and nothing else; no temporary file is left."""
     path = tmp_path / "served.toml"
     versions = [PLAIN, PLAIN + "# longer\n" * 2000]
     writing.replace_file(path, versions[0])
-    over, seen = threading.Event(), set()
+    finished, contents_read = threading.Event(), set()
 
-    def read() -> None:
-        while not over.is_set():
-            seen.add(path.read_text())
+    def read_repeatedly() -> None:
+        while not finished.is_set():
+            contents_read.add(path.read_text())
 
-    reader = threading.Thread(target=read)
+    reader = threading.Thread(target=read_repeatedly)
     reader.start()
     for n in range(200):
         writing.replace_file(path, versions[n % 2])
-    over.set()
+    finished.set()
     reader.join()
-    assert seen <= set(versions) and [p.name for p in tmp_path.iterdir()] == ["served.toml"]
+    assert contents_read <= set(versions) and [p.name for p in tmp_path.iterdir()] == ["served.toml"]
 
 
-def test_a_failed_write_leaves_the_old_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failed_replacement_keeps_the_old_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path = tmp_path / "served.toml"
     path.write_text(PLAIN)
 
-    def full(descriptor: int) -> None:
+    def fail_with_full_disk(descriptor: int) -> None:
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(os, "fsync", full)
+    monkeypatch.setattr(os, "fsync", fail_with_full_disk)
     with pytest.raises(OSError, match="No space"):
         writing.replace_file(path, "version = 1\n")
     assert path.read_text() == PLAIN and len(list(tmp_path.iterdir())) == 1
@@ -253,47 +259,47 @@
 # --- explain, schema, show ---
 
 
-def test_every_code_and_key_is_explained() -> None:
+def test_explain_covers_every_code_and_key() -> None:
     for code in CODES:
-        assert code in tool("explain", code).output
+        assert code in run_tool("explain", code).output
     for entry in reference.entries():
         assert entry.key.doc in (reference.explain(entry.path) or "")
-    told = tool("explain", "window_ms").output
-    assert "from 1 to 3.6e+06 ms" in told and "since    version 1" in told
-    missing = tool("explain", "windw_ms")
+    output = run_tool("explain", "window_ms").output
+    assert "from 1 to 3.6e+06 ms" in output and "since    version 1" in output
+    missing = run_tool("explain", "windw_ms")
     assert missing.exit_code == 2 and "window_ms" in missing.output
 
 
-def test_the_schema_takes_good_files_and_not_most_broken_ones() -> None:
-    schema = json.loads(tool("schema").output)
+def test_the_schema_accepts_good_files_and_rejects_most_broken_ones() -> None:
+    schema = json.loads(run_tool("schema").output)
     jsonschema.Draft202012Validator.check_schema(schema)
-    jsonschema.Draft202012Validator.check_schema(json.loads(tool("schema", "--kind", "platform").output))
+    jsonschema.Draft202012Validator.check_schema(json.loads(run_tool("schema", "--kind", "platform").output))
     validator = jsonschema.Draft202012Validator(schema)
     for name in GOOD:
         if name.endswith(".toml"):
             validator.validate(tomllib.loads((CORPUS / "good" / name).read_bytes().decode()))
-    refused = 0
+    rejected = 0
     for name in BROKEN:
         try:
             values = tomllib.loads((CORPUS / "broken" / name).read_bytes().decode())
         except (ValueError, RecursionError):
             continue
-        refused += not validator.is_valid(values)
-    assert refused > 60
+        rejected += not validator.is_valid(values)
+    assert rejected > 60
 
 
-def test_the_operators_page_holds_the_reference() -> None:
+def test_the_operators_page_contains_the_reference() -> None:
     page = (ROOT / "docs/operators/configuration.md").read_text()
     assert reference.reference() in page, "run: python -m zinclever config reference"
 
 
-def test_show_tells_where_each_value_comes_from(monkeypatch: pytest.MonkeyPatch) -> None:
-    told = tool("show", CORPUS / "good" / "plain.toml").output
-    assert "classes.read.aim_ms" in told and "plain.toml:10" in told and "# default" in told
+def test_show_prints_the_origin_of_each_value(monkeypatch: pytest.MonkeyPatch) -> None:
+    output = run_tool("show", CORPUS / "good" / "plain.toml").output
+    assert "classes.read.aim_ms" in output and "plain.toml:10" in output and "# default" in output
     monkeypatch.setenv("LB_LISTEN", "127.0.0.1:9")
-    told = tool("show", CORPUS / "good" / "platform-plain.json").output
-    assert "'127.0.0.1:9'" in told and "# environment LB_LISTEN" in told
-    assert tool("show", CORPUS / "broken" / "repaet.toml").exit_code == 1
+    output = run_tool("show", CORPUS / "good" / "platform-plain.json").output
+    assert "'127.0.0.1:9'" in output and "# environment LB_LISTEN" in output
+    assert run_tool("show", CORPUS / "broken" / "repaet.toml").exit_code == 1
 
 
 # --- diff ---
@@ -316,59 +322,63 @@
         ('"127.0.0.1:9002"', '"127.0.0.1:9003"', "endpoints", False),
     ],
 )
-def test_diff_says_what_changes_in_behaviour(tmp_path: Path, old: str, new: str, key: str, risk: bool) -> None:
+def test_diff_reports_behaviour_changes_and_risks(tmp_path: Path, old: str, new: str, key: str, risk: bool) -> None:
     assert old in PLAIN
     before, after = tmp_path / "before.toml", tmp_path / "after.toml"
     before.write_text(PLAIN)
     after.write_text(PLAIN.replace(old, new, 1))
-    told = tool("diff", before, after, "--fail-on-risk")
-    found = [line for line in told.output.splitlines() if key in line]
-    assert found and found[0].startswith("RISK") == risk, told.output
-    assert told.exit_code == int(risk)
-    assert tool("diff", before, before).output == "no change in behaviour\n"
+    result = run_tool("diff", before, after, "--fail-on-risk")
+    matching_lines = [line for line in result.output.splitlines() if key in line]
+    assert matching_lines and matching_lines[0].startswith("RISK") == risk, result.output
+    assert result.exit_code == int(risk)
+    assert run_tool("diff", before, before).output == "no change in behaviour\n"
 
 
-def test_a_name_that_falls_to_the_default_class_or_out_of_it() -> None:
-    one = check_operator(
+def test_compare_reports_a_changed_default_class() -> None:
+    with_default = check_operator(
         PLAIN.replace(
             "[services.tools.classes.read]", 'default_class = "tip"\n[services.tools.classes.read]', 1
         ).encode()
     ).clean
-    two = check_operator(PLAIN.encode()).clean
-    told = changes.compare(one, two)
-    assert [c.key for c in told] == ["services.tools.default_class"] and not told[0].risk
+    without_default = check_operator(PLAIN.encode()).clean
+    changes_found = changes.compare(with_default, without_default)
+    assert [c.key for c in changes_found] == ["services.tools.default_class"] and not changes_found[0].risk
 
 
 # --- migrate ---
 
 
 @pytest.mark.parametrize("path", sorted((CORPUS / "older").iterdir()), ids=lambda p: p.name)
-def test_older_files_are_brought_up(tmp_path: Path, path: Path) -> None:
+def test_migrate_updates_older_files_and_keeps_comments(tmp_path: Path, path: Path) -> None:
     copy = tmp_path / path.name
     copy.write_text(path.read_text())
-    shown = tool("migrate", copy)
+    shown = run_tool("migrate", copy)
     assert shown.exit_code == 0 and "+" in shown.output and copy.read_text() == path.read_text()
-    assert tool("migrate", copy, "--write").exit_code == 0
+    assert run_tool("migrate", copy, "--write").exit_code == 0
     text = copy.read_text()
     assert not check_operator(text.encode()).findings, check_operator(text.encode()).findings
     comments = [line.partition("#")[2] for line in path.read_text().splitlines() if "#" in line]
     assert [line.partition("#")[2] for line in text.splitlines() if "#" in line] == comments
-    assert tool("migrate", copy).output == "nothing to change\n"
+    assert run_tool("migrate", copy).output == "nothing to change\n"
     assert migration.migrate(text) == text
 
 
-def test_files_that_cannot_be_brought_up(tmp_path: Path) -> None:
+def test_migrate_rejects_files_it_cannot_convert(tmp_path: Path) -> None:
     path = tmp_path / "x.toml"
-    for text, said in (("version = 2", "newer sidecar"), ("version = ", "no TOML"), ('version = "0"', "whole number")):
+    for text, expected in (
+        ("version = 2", "newer sidecar"),
+        ("version = ", "no TOML"),
+        ('version = "0"', "whole number"),
+    ):
         path.write_text(text)
-        told = tool("migrate", path)
-        assert told.exit_code == 2 and said in told.output
+        result = run_tool("migrate", path)
+        assert result.exit_code == 2 and expected in result.output
 
 
-def test_the_program_and_its_console_name() -> None:
-    """``python -m zinclever config`` is the tool; other words are refused."""
+def test_the_program_runs_the_config_tool_and_rejects_other_commands() -> None:
+    """``python -m zinclever config`` runs the tool without colours; unknown commands are rejected."""
     command = [sys.executable, "-m", "zinclever"]
-    told = subprocess.run([*command, "config", "explain", "ZC204"], cwd=ROOT, capture_output=True, text=True)
-    assert told.returncode == 0 and "window" in told.stdout and "\x1b" not in told.stdout
-    told = subprocess.run([*command, "confg"], cwd=ROOT, capture_output=True, text=True)
-    assert told.returncode == 2 and told.stderr.startswith("zinclever: no arguments but config")
+    completed = subprocess.run([*command, "config", "explain", "ZC204"], cwd=ROOT, capture_output=True, text=True)
+    assert completed.returncode == 0 and "window" in completed.stdout and "\x1b" not in completed.stdout
+    completed = subprocess.run([*command, "confg"], cwd=ROOT, capture_output=True, text=True)
+    assert completed.returncode == 2 and completed.stderr.startswith("zinclever: no arguments but config")
--- a/tests/test_corpus.py
+++ b/tests/test_corpus.py
@@ -1,4 +1,4 @@
-"""The corpus: each broken file is refused with its code, line and reason, and each good one starts."""
+"""The corpus of configuration files: broken ones are rejected with code, line and reason, good ones load."""
 
 from __future__ import annotations
 
@@ -19,65 +19,65 @@
 GOOD = sorted(p.name for p in (CORPUS / "good").iterdir())
 
 
-def judge(path: Path) -> tuple[Report, list[Placed]]:
+def check_file(path: Path) -> tuple[Report, list[Placed]]:
     data = path.read_bytes()
     report = check(data, "platform" if path.suffix == ".json" else "operator")
     return report, place(path.name, data, report)
 
 
-def start(path: Path, tmp_path: Path) -> None:
-    """What the program does with a file at its start and on SIGHUP."""
+def load_file(path: Path, tmp_path: Path) -> None:
+    """Load a file as the program does at startup and on SIGHUP."""
     if path.suffix == ".json":
         load.read({"LB_CONFIG": str(path)})
     else:
         load.read({"ZINCLEVER_OPERATOR": str(path)})
 
 
-def test_the_corpus_is_whole() -> None:
-    """Every file has what is expected of it, and every code has a file."""
+def test_every_broken_file_has_an_expectation_and_every_code_a_file() -> None:
+    """Guards against broken files without an expected finding, and finding codes without an example."""
     assert sorted(EXPECTED) == BROKEN and len(BROKEN) >= 150 and len(GOOD) >= 30
     assert {e["code"] for e in EXPECTED.values()} == set(CODES)
 
 
 @pytest.mark.parametrize("name", BROKEN)
-def test_broken_files_are_told_by_code_line_and_reason(name: str, tmp_path: Path) -> None:
+def test_broken_files_are_rejected_with_code_line_and_reason(name: str, tmp_path: Path) -> None:
     expected = EXPECTED[name]
-    report, placed = judge(CORPUS / "broken" / name)
-    found = [
+    report, placed = check_file(CORPUS / "broken" / name)
+    matching = [
         p
         for p in placed
         if p.finding.code == expected["code"]
         and p.line == expected["line"]
         and expected["reason"] in f"{p.finding.key}: {p.finding.reason}"
     ]
-    assert found, [(p.finding.code, p.line, p.finding.key, p.finding.reason) for p in placed]
-    # The tool and the program can't disagree.
+    assert matching, [(p.finding.code, p.line, p.finding.key, p.finding.reason) for p in placed]
+    # The program must accept and reject the same files as the tool.
     if report.errors:
         with pytest.raises(load.ConfigError) as caught:
-            start(CORPUS / "broken" / name, tmp_path)
+            load_file(CORPUS / "broken" / name, tmp_path)
         assert "\n" not in str(caught.value) and "line " in str(caught.value)
         assert any(p.finding.code in str(caught.value) for p in placed)
     else:
         assert CODES[expected["code"]].severity == "warning"
-        start(CORPUS / "broken" / name, tmp_path)
+        load_file(CORPUS / "broken" / name, tmp_path)
 
 
 @pytest.mark.parametrize("name", GOOD)
-def test_good_files_have_no_findings_and_start(name: str, tmp_path: Path) -> None:
-    _, placed = judge(CORPUS / "good" / name)
+def test_good_files_have_no_findings_and_load(name: str, tmp_path: Path) -> None:
+    _, placed = check_file(CORPUS / "good" / name)
     assert not placed
-    start(CORPUS / "good" / name, tmp_path)
+    load_file(CORPUS / "good" / name, tmp_path)
 
 
-def test_contradictions_show_both_lines() -> None:
+def test_conflicting_settings_are_reported_with_both_lines() -> None:
     for name in BROKEN:
-        _, placed = judge(CORPUS / "broken" / name)
+        _, placed = check_file(CORPUS / "broken" / name)
         for p in placed:
             if p.finding.code in ("ZC201", "ZC204", "ZC205", "ZC206", "ZC210", "ZC220", "ZC221", "ZC227", "ZC222"):
                 assert p.related and all(line > 1 for line, _, _ in p.related), (name, p)
 
 
-def test_all_findings_come_in_one_run() -> None:
+def test_one_check_reports_all_findings() -> None:
     text = (CORPUS / "good" / "plain.toml").read_text()
     broken = (
         text.replace('repeat = "idempotent"', 'repaet = "idempotent"')
@@ -89,10 +89,12 @@
     assert codes == {"ZC110", "ZC204", "ZC112", "ZC225"}
 
 
-def test_what_the_platform_sends_is_never_refused_for_being_new() -> None:
-    """Guards against a sidecar that doesn't start since the platform tells it something more."""
+def test_unknown_platform_keys_are_only_warnings() -> None:
+    """Guards against a sidecar that fails to start because a newer platform sends additional keys."""
     data = (CORPUS / "good" / "platform-full.json").read_bytes()
-    more = data.replace(b'"listen"', b'"region-quota": 7, "listen"').replace(b'"moves"', b'"swaps": 1.0, "moves"')
-    assert more != data
-    report = check_platform(more)
+    with_new_keys = data.replace(b'"listen"', b'"region-quota": 7, "listen"').replace(
+        b'"moves"', b'"swaps": 1.0, "moves"'
+    )
+    assert with_new_keys != data
+    report = check_platform(with_new_keys)
     assert [f.code for f in report.findings] == ["ZC119", "ZC119"] and not report.errors
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""The operator file: what it may say, and that an error names the key and its line."""
+"""The operator file as typed settings, and the example on the operators' page."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from zinclever.configuration.check import check_operator
 from zinclever.configuration.operator import OperatorConfig, build
 
-LINE = 'endpoints = ["127.0.0.1:9001", { address = "127.0.0.1:9002", zone = "kef", weight = 0.5 }]'
-GOOD = operator(LINE, group="zone", more='default_class = "tip"\nzone = "kef"')
+ENDPOINTS_LINE = 'endpoints = ["127.0.0.1:9001", { address = "127.0.0.1:9002", zone = "kef", weight = 0.5 }]'
+GOOD = operator(ENDPOINTS_LINE, group="zone", more='default_class = "tip"\nzone = "kef"')
 
 
-def read(text: str) -> OperatorConfig:
+def build_settings(text: str) -> OperatorConfig:
     report = check_operator(text.encode())
     assert not report.errors, report.errors
     return build(report.clean)
 
 
-def test_a_whole_file() -> None:
-    service = read(GOOD).services["creator-tools"]
+def test_a_complete_file_becomes_typed_settings() -> None:
+    service = build_settings(GOOD).services["creator-tools"]
     assert service.listen == ("127.0.0.1", 7001)
     classes = service.settings.classes
     assert [(c.name, c.repeat, c.window, c.group) for c in classes] == [
@@ -40,8 +40,8 @@
     return GOOD.replace(old, new, 1)
 
 
-def test_the_operators_page_shows_a_file_that_is_read() -> None:
+def test_the_example_on_the_operators_page_is_valid() -> None:
     page = (Path(__file__).parent.parent / "docs/operators/jsonrpc.md").read_text()
     block = page[page.index("    version = 1") : page.index("A file that can't be used")]
-    service = read(textwrap.dedent(block)).services["creator-tools"]
+    service = build_settings(textwrap.dedent(block)).services["creator-tools"]
     assert service.endpoints[1][0].size == 0.5 and len(service.rules.methods) == 3
--- a/zinclever/configtool/cli.py
+++ b/zinclever/configtool/cli.py
@@ -14,8 +14,8 @@
 from . import changes, migration, origins, reference, writing
 from . import report as reports
 
-CLEAN, FINDINGS, NOT_READABLE = 0, 1, 2
-KINDS = click.Choice(["auto", "operator", "platform"])
+EXIT_CLEAN, EXIT_FINDINGS, EXIT_UNREADABLE = 0, 1, 2
+FILE_KINDS = click.Choice(["auto", "operator", "platform"])
 
 
 @click.group(name="config", context_settings={"help_option_names": ["-h", "--help"]})
@@ -23,18 +23,18 @@
     """Write, check, explain, compare and migrate a sidecar's configuration."""
 
 
-def load(path: str, kind: str) -> tuple[bytes, Report]:
+def load_file(path: str, kind: str) -> tuple[bytes, Report]:
     """Read and check a file. Exits with code 2 if it is unreadable."""
     try:
         data = read_file(path)
     except UnreadableFileError as error:
         click.echo(f"zinclever: {error}", err=True)
-        sys.exit(NOT_READABLE)
+        sys.exit(EXIT_UNREADABLE)
     format: Format = guess_format(data) if kind == "auto" else "platform" if kind == "platform" else "operator"
     return data, check(data, format)
 
 
-def page(text: str) -> None:
+def print_text(text: str) -> None:
     """Print a text, through a pager if it is longer than 40 lines and the output is a terminal."""
     if sys.stdout.isatty() and text.count("\n") > 40:
         click.echo_via_pager(text)
@@ -42,7 +42,7 @@
         click.echo(text, nl=False)
 
 
-def coloured(text: str) -> str:
+def colour_severities(text: str) -> str:
     """Colour the severities in a text report."""
     return text.replace(" error ZC", click.style(" error ", fg="red") + "ZC").replace(
         " warning ZC", click.style(" warning ", fg="yellow") + "ZC"
@@ -52,7 +52,7 @@
 @config.command("check")
 @click.argument("files", nargs=-1, required=True)
 @click.option("--format", "format", type=click.Choice(list(reports.FORMATS)), default="text")
-@click.option("--kind", type=KINDS, default="auto", help="Which file it is; auto: JSON is the platform's.")
+@click.option("--kind", type=FILE_KINDS, default="auto", help="Which file it is; auto: JSON is the platform's.")
 @click.option("--strict", is_flag=True, help="Warnings count as findings for the exit code.")
 def check_command(files: tuple[str, ...], format: str, kind: str, strict: bool) -> None:
     """Tell everything that is wrong with FILES. Exit code 0: clean, 1: findings, 2: not readable."""
@@ -68,11 +68,11 @@
         file_format: Format = guess_format(data) if kind == "auto" else "platform" if kind == "platform" else "operator"
         placed += reports.place(path, data, check(data, file_format))
     text = reports.FORMATS[format](placed)
-    page(coloured(text) if format == "text" and sys.stdout.isatty() else text)
+    print_text(colour_severities(text) if format == "text" and sys.stdout.isatty() else text)
     if unreadable:
-        sys.exit(NOT_READABLE)
+        sys.exit(EXIT_UNREADABLE)
     relevant = [p for p in placed if strict or p.finding.severity == "error"]
-    sys.exit(FINDINGS if relevant else CLEAN)
+    sys.exit(EXIT_FINDINGS if relevant else EXIT_CLEAN)
 
 
 @config.command("explain")
@@ -83,8 +83,8 @@
     if text is None:
         near = ", ".join(reference.nearest(what))
         click.echo(f"zinclever: no code and no key {what!r}" + (f"; near: {near}" if near else ""), err=True)
-        sys.exit(NOT_READABLE)
-    page(text)
+        sys.exit(EXIT_UNREADABLE)
+    print_text(text)
 
 
 @config.command("schema")
@@ -108,17 +108,17 @@
     """Tell what changes in behaviour from BEFORE to AFTER."""
     cleaned = []
     for path in (before, after):
-        _, report = load(path, "operator")
+        _, report = load_file(path, "operator")
         if report.errors:
             click.echo(f"zinclever: {path} has {len(report.errors)} errors: check it first", err=True)
-            sys.exit(NOT_READABLE)
+            sys.exit(EXIT_UNREADABLE)
         cleaned.append(report.clean)
     found_changes = changes.compare(*cleaned)
     for change in found_changes:
         click.echo(("RISK " if change.risk else "     ") + f"{change.key}: {change.text}")
     if not found_changes:
         click.echo("no change in behaviour")
-    sys.exit(FINDINGS if fail_on_risk and any(c.risk for c in found_changes) else CLEAN)
+    sys.exit(EXIT_FINDINGS if fail_on_risk and any(c.risk for c in found_changes) else EXIT_CLEAN)
 
 
 @config.command("migrate")
@@ -126,33 +126,33 @@
 @click.option("--write", is_flag=True, help="Replace the file, at once and whole; else only show the difference.")
 def migrate_command(file: str, write: bool) -> None:
     """Bring an older version's FILE up, keeping comments and order."""
-    data, _ = load(file, "operator")
+    data, _ = load_file(file, "operator")
     try:
         new = migration.migrate(data.decode())
     except (migration.MigrationError, UnicodeDecodeError) as error:
         click.echo(f"zinclever: {file}: {error}", err=True)
-        sys.exit(NOT_READABLE)
+        sys.exit(EXIT_UNREADABLE)
     if new.encode() == data:
         click.echo("nothing to change")
         return
-    page(migration.difference(data.decode(), new, file))
+    print_text(migration.difference(data.decode(), new, file))
     if write:
         writing.replace_file(Path(file), new)
 
 
 @config.command("show")
 @click.argument("file", required=False)
-@click.option("--kind", type=KINDS, default="auto")
+@click.option("--kind", type=FILE_KINDS, default="auto")
 def show_command(file: str | None, kind: str) -> None:
     """Print the effective settings with where each value comes from."""
     path = file or os.environ.get("ZINCLEVER_OPERATOR") or os.environ.get("LB_CONFIG")
     if path is None:
         raise click.UsageError("name a FILE, or set ZINCLEVER_OPERATOR or LB_CONFIG")
-    data, report = load(path, kind)
+    data, report = load_file(path, kind)
     if report.errors:
         click.echo(reports.as_text(reports.place(path, data, report)), nl=False, err=True)
-        sys.exit(FINDINGS)
-    page(origins.show(path, data, report, os.environ))
+        sys.exit(EXIT_FINDINGS)
+    print_text(origins.show(path, data, report, os.environ))
 
 
 config.add_command(writing.write_command)
--- a/zinclever/configtool/writing.py
+++ b/zinclever/configtool/writing.py
@@ -45,9 +45,11 @@
     zone: str = ""
     endpoints: tuple[Endpoint, ...] = ()
     reads: tuple[str, ...] = ()
+    """Methods that are safe to repeat."""
     unlocks: tuple[tuple[str, str], ...] = ()
     """Methods, each with the JSON Pointer to its deduplication key."""
     tips: tuple[str, ...] = ()
+    """Methods that must never run twice."""
     framing: str = "lines"
     aim_ms: float = 1000.0
     deadline_ms: float = 4000.0
@@ -56,7 +58,9 @@
     """Expected calls per second through this sidecar."""
     memory_mb: int = 64
     sockets: int = 1024
+    """Descriptors that the process may use."""
     instances: int = 1
+    """Sidecars that share the endpoints."""
 
 
 class InvalidAppError(Exception):
@@ -201,7 +205,7 @@
         raise
 
 
-# --- descriptions ---
+# --- description files, flags and prompts ---
 
 FIELD_TYPES = {
     "listen": str,
--- a/zinclever/configuration/model.py
+++ b/zinclever/configuration/model.py
@@ -39,6 +39,7 @@
     """``*`` stands for any name, each a table with the keys in ``inner``."""
     kind: Kind
     doc: str
+    """Description for operators: part of written files, the schema and the reference."""
     unit: str = ""
     default: Any = None
     """Value if the key is left out; None if there is no default."""
@@ -47,6 +48,7 @@
     most: float | None = None
     choices: tuple[str, ...] = ()
     since: int = 1
+    """File version that introduced the key."""
     inner: tuple[Key, ...] = ()
     """Keys of the table, or of each table in the array."""
     allow_unknown: bool = False
@@ -297,7 +299,7 @@
     least: float = 0.0,
     exclusive_least: bool = False,
 ) -> Key:
-    """Return a key of the platform file that holds a duration in ms. ``exclusive_least``: ``least`` itself is invalid."""
+    """Return a key of the platform file that holds a duration in ms. ``exclusive_least`` excludes ``least`` itself."""
     return Key(name, "number", doc, "ms", default, required, least, 1e9, exclusive_least=exclusive_least)
 
 
--- a/zinclever/configuration/reading.py
+++ b/zinclever/configuration/reading.py
@@ -15,7 +15,7 @@
 BOM = b"\xef\xbb\xbf"
 _POSITION = re.compile(r"\(at line (\d+), column (\d+)\)")
 _AT_END = "(at end of document)"
-MAX_READ_ATTEMPTS = 3  # attempts to read a file that changes during the read
+MAX_READ_ATTEMPTS = 3  # for a file that changes during the read
 
 
 class UnreadableFileError(Exception):
--- a/zinclever/configuration/relations.py
+++ b/zinclever/configuration/relations.py
@@ -16,7 +16,7 @@
 
 Clean = dict[str, Any]
 WINDOW_MARGIN = 500.0  # ms that a window must exceed deadline plus connect timeout: queueing, and clock differences
-OWN_FAILURE, INTERNAL = -32051, -32603
+SIDECAR_FAILURE, INTERNAL_ERROR = -32051, -32603  # JSON-RPC error codes after which a call may have run
 IDLE_MB = 30  # memory of an idle sidecar with a JSON-RPC service, rounded up
 RESERVED_METHODS = "rpc."
 ANY_HOST = ("0.0.0.0", "")
@@ -237,7 +237,7 @@
     """Check the error codes by which endpoints say that a call did not run."""
     for n, code in enumerate(service["never_ran_errors"] or ()):
         code_path: Path = (*path, "never_ran_errors", n)
-        if code in (INTERNAL, OWN_FAILURE):
+        if code in (INTERNAL_ERROR, SIDECAR_FAILURE):
             yield Finding("ZC209", code_path, f"{code} says that the call may have run", "leave it out")
         elif code in (service["failure_errors"] or ()):
             index = service["failure_errors"].index(code)
