--- a/zinclever/configtool/cli.py
+++ b/zinclever/configtool/cli.py
@@ -30,8 +30,8 @@
     except UnreadableFileError as error:
         click.echo(f"zinclever: {error}", err=True)
         sys.exit(EXIT_UNREADABLE)
-    format: Format = guess_format(data) if kind == "auto" else "platform" if kind == "platform" else "operator"
-    return data, check(data, format)
+    file_format: Format = guess_format(data) if kind == "auto" else "platform" if kind == "platform" else "operator"
+    return data, check(data, file_format)
 
 
 def print_text(text: str) -> None:
@@ -81,8 +81,10 @@
     """Tell what a finding's CODE or a KEY means: its unit, default, bounds and since when."""
     text = reference.explain(what)
     if text is None:
-        near = ", ".join(reference.nearest(what))
-        click.echo(f"zinclever: no code and no key {what!r}" + (f"; near: {near}" if near else ""), err=True)
+        suggestions = ", ".join(reference.nearest(what))
+        click.echo(
+            f"zinclever: no code and no key {what!r}" + (f"; near: {suggestions}" if suggestions else ""), err=True
+        )
         sys.exit(EXIT_UNREADABLE)
     print_text(text)
 
--- a/zinclever/configuration/platform.py
+++ b/zinclever/configuration/platform.py
@@ -56,7 +56,7 @@
         env: Environment variables.
 
     Raises:
-        ValueError: The environment is invalid, or the settings are in a way that the checks don't cover.
+        ValueError: The environment is invalid, or the settings are invalid in a way that the checks don't cover.
     """
     admin = env.get("LB_ADMIN_ADDR") or clean["admin_addr"]
     return Config(
--- a/zinclever/configuration/positions.py
+++ b/zinclever/configuration/positions.py
@@ -15,7 +15,7 @@
 from .findings import Finding, Path
 
 Position = tuple[int, int]
-_CONSTANT = re.compile(rb"(?<=[\s:,\[])-?(?:NaN|Infinity)(?=[\s,\]}])")
+_NON_FINITE_NUMBER = re.compile(rb"(?<=[\s:,\[])-?(?:NaN|Infinity)(?=[\s,\]}])")
 Node = tree_sitter.Node
 
 
@@ -26,7 +26,7 @@
         language = tree_sitter_toml if format == "operator" else tree_sitter_json
         if format == "platform":
             # Python's JSON parser accepts NaN and Infinity, the grammar doesn't. Zeros keep every offset.
-            data = _CONSTANT.sub(lambda m: b"0" * len(m[0]), data)
+            data = _NON_FINITE_NUMBER.sub(lambda m: b"0" * len(m[0]), data)
         self.data = data
         self.first_positions: dict[Path, Position] = {(): (1, 1)}
         self.last_positions: dict[Path, Position] = {}
--- a/zinclever/configuration/shape.py
+++ b/zinclever/configuration/shape.py
@@ -25,10 +25,11 @@
         values: The parsed table.
         keys: The keys that the table may have.
         path: Path of the table in the file.
-        allow_unknown: Whether unknown keys are no error; they are then reported as warnings or ignored.
+        allow_unknown: Whether unknown keys are ignored or reported as warnings; likely typos remain errors.
 
     Returns:
-        The values with defaults filled in, and all findings. An invalid or missing value is None.
+        The values with defaults filled in, and all findings. An invalid value, or an absent one without a default, is
+        None.
     """
     findings: list[Finding] = []
     clean: Clean = {}
