--- a/zinclever/configtool/changes.py
+++ b/zinclever/configtool/changes.py
@@ -7,10 +7,13 @@
 
 from ..configuration.findings import Path, dotted
 
+#: A table with defaults filled in, whose check found no error.
 Clean = dict[str, Any]
 #: How freely requests of a class may be resent.
 REPEAT_FREEDOM = {"at_most_once": 0, "deduplicated": 1, "idempotent": 2}
+#: How many endpoints a deduplication group covers, as an order.
 GROUP_WIDTH = {None: 0, "cell": 0, "zone": 1, "all": 2}
+#: Completes the sentence "a call that ...".
 REPEAT_DESCRIPTIONS = {
     "at_most_once": "is never sent twice",
     "deduplicated": "may be resent inside its group and window",
--- a/zinclever/configuration/operator.py
+++ b/zinclever/configuration/operator.py
@@ -12,6 +12,7 @@
 from ..jsonrpc.connection import ErrorCodeMapping
 from ..jsonrpc.rules import Method, Rules
 
+#: A table with defaults filled in, whose check found no error.
 Clean = dict[str, Any]
 #: Rules for services of the operator file, which has no keys for them.
 DEFAULT_RULES = interface.Rules(drain_grace=1000.0, ask_within=10000.0, cold_share=0.2, cold_for=10000.0)
--- a/zinclever/configuration/relations.py
+++ b/zinclever/configuration/relations.py
@@ -18,8 +18,8 @@
 WINDOW_MARGIN = 500.0  # ms that a window must exceed deadline plus connect timeout: queueing, and clock differences
 SIDECAR_FAILURE, INTERNAL_ERROR = -32051, -32603  # JSON-RPC error codes after which a call may have run
 IDLE_MB = 30  # memory of an idle sidecar with a JSON-RPC service, rounded up
-RESERVED_METHODS = "rpc."
-ANY_HOST = ("0.0.0.0", "")
+RESERVED_METHOD_PREFIX = "rpc."
+WILDCARD_HOSTS = ("0.0.0.0", "")
 
 
 def check_operator_file(clean: Clean, other_listeners: dict[Address, str] | None = None) -> Iterator[Finding]:
@@ -123,7 +123,7 @@
             yield from check_class_defined(klass, defined_classes, (*key_path, "class"), path)
             yield from check_method_key(method, defined_classes.get(klass), klass, key_path, path)
         if (
-            name.startswith(RESERVED_METHODS)
+            name.startswith(RESERVED_METHOD_PREFIX)
             and (defined_classes.get(klass or "") or {}).get("repeat") != "at_most_once"
         ):
             yield Finding("ZC232", key_path, f"{name} is reserved by the specification", "", ((*key_path, "class"),))
@@ -327,7 +327,9 @@
 
 def addresses_collide(first: Address, second: Address) -> bool:
     """Return whether two listen addresses collide: same port, and the same host or a wildcard host."""
-    return first[1] == second[1] and (first[0] == second[0] or first[0] in ANY_HOST or second[0] in ANY_HOST)
+    return first[1] == second[1] and (
+        first[0] == second[0] or first[0] in WILDCARD_HOSTS or second[0] in WILDCARD_HOSTS
+    )
 
 
 def is_loopback(address: Address) -> bool:
@@ -371,7 +373,7 @@
         for key_path, target in targets:
             address = read_address(target)
             for listener, listener_path, owner in listeners:
-                wildcard_covers = listener[0] in ANY_HOST and is_loopback(address)
+                wildcard_covers = listener[0] in WILDCARD_HOSTS and is_loopback(address)
                 if address[1] == listener[1] and (address[0] == listener[0] or wildcard_covers):
                     yield Finding(
                         "ZC226",
--- a/zinclever/configuration/shape.py
+++ b/zinclever/configuration/shape.py
@@ -13,6 +13,7 @@
 MAX_INTEGER = 2**63 - 1  # largest integer that other TOML and JSON parsers support
 MIN_SIMILARITY = 0.75  # minimum similarity ratio (difflib) between a typo and the key it is taken for
 
+#: A table with defaults filled in, and None in place of each invalid value.
 Clean = dict[str, Any]
 
 
