--- a/zinclever/configtool/origins.py
+++ b/zinclever/configtool/origins.py
@@ -1,4 +1,4 @@
-"""Effective settings, each with where its value comes from."""
+"""The effective settings of a file, each with the origin of its value."""
 
 from __future__ import annotations
 
@@ -13,22 +13,23 @@
 
 
 def show(file: str, data: bytes, report: Report, env: Mapping[str, str]) -> str:
-    """A line a setting: key, value, origin."""
+    """Return one line for each setting, with its key, value and origin."""
     positions = Positions(data, report.format)
     rows = []
     for path, value in leaves(report.clean, ()):
         variable = VARIABLES.get(path, "") if report.format == "platform" else ""
         if variable and env.get(variable):
             rows.append((dotted(path), repr(env[variable]), f"environment {variable}"))
-        elif path in positions.places:
-            rows.append((dotted(path), worded(value), f"{file}:{positions.places[path][0]}"))
+        elif path in positions.first_positions:
+            rows.append((dotted(path), format_value(value), f"{file}:{positions.first_positions[path][0]}"))
         elif value is not None:
-            rows.append((dotted(path), worded(value), "default"))
+            rows.append((dotted(path), format_value(value), "default"))
     width = max((len(key) for key, _, _ in rows), default=0)
     return "".join(f"{key:{width}} = {value}  # {origin}\n" for key, value, origin in rows)
 
 
 def leaves(value: Any, path: Path) -> Iterator[tuple[Path, Any]]:
+    """Yield each value that contains no others, with its path."""
     if isinstance(value, dict) and value:
         for name, inner in value.items():
             yield from leaves(inner, (*path, name))
@@ -39,9 +40,10 @@
         yield path, value
 
 
-def worded(value: Any) -> str:
+def format_value(value: Any) -> str:
+    """Format a value for display."""
     if isinstance(value, bool):
         return str(value).lower()
     if isinstance(value, tuple):
-        return "[" + ", ".join(map(worded, value)) + "]"
+        return "[" + ", ".join(map(format_value, value)) + "]"
     return f"{value:g}" if isinstance(value, float) else repr(value)
