--- a/benchmarks/request.py
+++ b/benchmarks/request.py
@@ -30,7 +30,7 @@
 from zinclever.core.descriptors import Descriptors
 from zinclever.core.dispatcher import Dispatcher
 from zinclever.discovery.fixed import StaticEndpoints
-from zinclever.http1.front import Frontend
+from zinclever.http1.frontend import Frontend
 from zinclever.http1.wire import HttpWire
 from zinclever.system import System
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -18,7 +18,7 @@
 from zinclever.core.dispatcher import Dispatcher
 from zinclever.core.host import Host
 from zinclever.discovery.catalog import Discovery
-from zinclever.http1.front import Frontend
+from zinclever.http1.frontend import Frontend
 from zinclever.http1.wire import HttpWire
 from zinclever.simnet import runner
 from zinclever.system import System
--- a/tests/mesh/test_program.py
+++ b/tests/mesh/test_program.py
@@ -40,7 +40,7 @@
     def test_interpreted_modules_are_used(self) -> None:
         """Compiled modules of the standalone sidecar are not used, whatever the environment says."""
         code = (
-            "import sys, meshd, zinclever.http1.desk as d, zinclever.policy.admission as a;"
+            "import sys, meshd, zinclever.http1.request_handler as d, zinclever.policy.admission as a;"
             "print(d.__file__[-3:], a.__file__[-3:])"
         )
         env = {**os.environ, "ZINCLEVER_NATIVE": os.fspath(ROOT / "zinclever" / "_native")}
--- a/tests/test_jsonrpc.py
+++ b/tests/test_jsonrpc.py
@@ -12,7 +12,7 @@
 from rpc import READ, TIP, UNLOCK, Setup, operator, service
 
 from zinclever import interface
-from zinclever.jsonrpc import codec, front
+from zinclever.jsonrpc import codec, frontend
 from zinclever.standins import Fault, Log, Step, always, audit, in_turn
 from zinclever.standins.clients import ClientRequestClass, JsonRpcClient
 from zinclever.standins.discovery import Discovery
@@ -296,7 +296,7 @@
 
 def test_incomplete_text_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     """The calls before it must still be answered."""
-    monkeypatch.setattr(front, "READ_TIMEOUT", 0.05)
+    monkeypatch.setattr(frontend, "READ_TIMEOUT", 0.05)
 
     async def test() -> None:
         async with service(always(delay=0.3)) as s:
@@ -324,7 +324,7 @@
 
 def test_client_that_does_not_read_its_responses_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a client that fills the memory with unread responses."""
-    monkeypatch.setattr(front, "WRITE_TIMEOUT", 0.2)
+    monkeypatch.setattr(frontend, "WRITE_TIMEOUT", 0.2)
 
     async def test() -> None:
         async with service(always()) as s:
@@ -345,7 +345,7 @@
 
 def test_pending_calls_per_connection_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a client that fills the dispatcher. Further calls must be processed later."""
-    monkeypatch.setattr(front, "MAX_PENDING_CALLS", 10)
+    monkeypatch.setattr(frontend, "MAX_PENDING_CALLS", 10)
 
     async def test() -> None:
         release = asyncio.Event()
@@ -372,7 +372,7 @@
 
 
 def test_calls_fail_when_the_responses_of_their_batch_are_too_large(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(front, "MAX_BATCH_RESPONSE_BYTES", 400)
+    monkeypatch.setattr(frontend, "MAX_BATCH_RESPONSE_BYTES", 400)
 
     async def test() -> None:
         async with service(always()) as s:
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -8,7 +8,13 @@
 from helpers import RULES, BalancerHarness, fleet, settings
 
 from zinclever import interface
-from zinclever.fleet.returns import MAX_WARM_RATIO, MIN_JUDGED_ANSWERS, MIN_OUTAGE, OUTAGE_FAILURES, ZoneReachability
+from zinclever.fleet.zone_reachability import (
+    MAX_WARM_RATIO,
+    MIN_JUDGED_ANSWERS,
+    MIN_OUTAGE,
+    OUTAGE_FAILURES,
+    ZoneReachability,
+)
 from zinclever.policy.endpoints import Endpoint
 
 ZONES = [interface.ListedEndpoint(f"e{n}", zone=n % 2, started_at=1.0) for n in range(12)]
--- a/zinclever/assembly.py
+++ b/zinclever/assembly.py
@@ -17,7 +17,7 @@
 from .discovery.catalog import Discovery
 from .discovery.fixed import StaticEndpoints
 from .http1.bodies import body_memory_limit
-from .http1.front import Frontend
+from .http1.frontend import Frontend
 from .http1.wire import HttpWire
 from .policy import Balancer
 
@@ -101,7 +101,7 @@
     """A JSON-RPC service, built from the operator file."""
 
     def __init__(self, spec: JsonRpcService, seed: int, descriptors: Descriptors, host: Host) -> None:
-        from .jsonrpc.front import Frontend as JsonRpcFrontend
+        from .jsonrpc.frontend import Frontend as JsonRpcFrontend
         from .jsonrpc.wire import JsonRpcWire
 
         self.spec, self.seed, self.host = spec, seed, host
--- a/zinclever/fleet/window.py
+++ b/zinclever/fleet/window.py
@@ -4,7 +4,7 @@
 
 import math
 
-from .smooth import NEVER, DecayingMean
+from .decaying_mean import NEVER, DecayingMean
 
 MIN_RATE_SPAN = 100.0  # ms: shortest record from which a rate is computed
 RATE_SPAN = 1000.0  # ms over which the rate of service is averaged
--- a/zinclever/http1/front.py
+++ b/zinclever/http1/frontend.py
@@ -11,8 +11,8 @@
 from ..core.protocol import FinalAnswer, IncomingRequest
 from .bodies import Body
 from .connection import Headers
-from .desk import RequestHandler
 from .heads import CompleteRequest, HttpResponse, Rejected, find_cookie, parse_positive_number, render_request_head
+from .request_handler import RequestHandler
 from .wire import Payload
 
 HEALTH_PATH = "/_health"
--- a/zinclever/http1/server.py
+++ b/zinclever/http1/server.py
@@ -26,7 +26,7 @@
 from .heads import CompleteRequest, HttpResponse, Rejected, render_response, render_response_head
 
 if TYPE_CHECKING:
-    from .desk import RequestHandler
+    from .request_handler import RequestHandler
 
 log = logging.getLogger(__name__)
 
--- a/zinclever/mesh/control_api/listener.py
+++ b/zinclever/mesh/control_api/listener.py
@@ -15,8 +15,8 @@
 from ...core.protocol import FinalAnswer, IncomingRequest
 from ...http1.bodies import Body
 from ...http1.connection import Headers
-from ...http1.desk import RequestHandler
 from ...http1.heads import HttpResponse, Rejected
+from ...http1.request_handler import RequestHandler
 from ..errors import MeshError
 from .router import Router
 
--- a/zinclever/mesh/dataplane/egress.py
+++ b/zinclever/mesh/dataplane/egress.py
@@ -12,8 +12,8 @@
 from ...http1.bodies import Body
 from ...http1.clients import READ_FOR
 from ...http1.connection import NON_FORWARDED_HEADERS, Headers, end_to_end
-from ...http1.desk import RequestHandler
 from ...http1.heads import NUMBER, HttpResponse
+from ...http1.request_handler import RequestHandler
 from ..configuration.active import ActiveConfiguration
 from ..configuration.document import Configuration, Route
 from .attempt_count import AttemptCount
--- a/zinclever/mesh/roles/sidecar.py
+++ b/zinclever/mesh/roles/sidecar.py
@@ -10,8 +10,8 @@
 
 from ... import interface
 from ...core.protocol import Entry
-from ...http1.desk import RequestHandler
 from ...http1.heads import HttpResponse
+from ...http1.request_handler import RequestHandler
 from ..configuration.document import Configuration
 from ..control_api.listener import Call, ControlApi, Handler, json_answer
 from ..control_api.router import Router
--- a/zinclever/native.py
+++ b/zinclever/native.py
@@ -21,9 +21,9 @@
 MODULES = (
     "zinclever.interface",
     "zinclever.fleet.limits",
-    "zinclever.fleet.smooth",
-    "zinclever.fleet.timed",
-    "zinclever.fleet.returns",
+    "zinclever.fleet.decaying_mean",
+    "zinclever.fleet.expiring_set",
+    "zinclever.fleet.zone_reachability",
     "zinclever.fleet.window",
     "zinclever.fleet.ring",
     "zinclever.policy.endpoints",
@@ -48,8 +48,8 @@
     "zinclever.http1.heads",
     "zinclever.http1.clients",
     "zinclever.http1.server",
-    "zinclever.http1.desk",
-    "zinclever.http1.front",
+    "zinclever.http1.request_handler",
+    "zinclever.http1.frontend",
 )
 VARIABLE = "ZINCLEVER_NATIVE"
 """Environment variable: another directory for the libraries, or ``text`` to import the Python sources."""
--- a/zinclever/policy/admission.py
+++ b/zinclever/policy/admission.py
@@ -7,7 +7,7 @@
 from collections import deque
 
 from .. import interface
-from ..fleet.smooth import DECAY_TIME, DecayingMean
+from ..fleet.decaying_mean import DECAY_TIME, DecayingMean
 from .endpoint_list import EndpointList
 from .partition import ZonePartition
 from .requests import ClassState, Request, TenantState
--- a/zinclever/policy/balancer.py
+++ b/zinclever/policy/balancer.py
@@ -11,10 +11,10 @@
 import random
 
 from .. import interface
+from ..fleet.decaying_mean import NEVER
 from ..fleet.limits import Budget
-from ..fleet.returns import ZoneReachability
-from ..fleet.smooth import NEVER
 from ..fleet.window import RATE_SPAN
+from ..fleet.zone_reachability import ZoneReachability
 from .admission import Admission
 from .endpoint_list import EndpointList
 from .learning import OutcomeLearner
--- a/zinclever/policy/endpoint_list.py
+++ b/zinclever/policy/endpoint_list.py
@@ -6,9 +6,9 @@
 import random
 
 from .. import interface
+from ..fleet.decaying_mean import NEVER
 from ..fleet.limits import DiscoveryCallPacer
 from ..fleet.ranked import rank_of, remove_ranked
-from ..fleet.smooth import NEVER
 from .endpoints import Endpoint
 from .partition import ZonePartition
 from .requests import Request
--- a/zinclever/policy/endpoints.py
+++ b/zinclever/policy/endpoints.py
@@ -6,8 +6,8 @@
 import zlib
 
 from .. import interface
+from ..fleet.decaying_mean import DECAY_TIME, NEVER, DecayingMean
 from ..fleet.ring import mix
-from ..fleet.smooth import DECAY_TIME, NEVER, DecayingMean
 
 
 class Endpoint:
--- a/zinclever/policy/learning.py
+++ b/zinclever/policy/learning.py
@@ -5,8 +5,8 @@
 import random
 
 from .. import interface
-from ..fleet.returns import ZoneReachability
-from ..fleet.smooth import NEVER
+from ..fleet.decaying_mean import NEVER
+from ..fleet.zone_reachability import ZoneReachability
 from .admission import Admission
 from .endpoint_list import EndpointList
 from .endpoints import Endpoint
--- a/zinclever/policy/partition.py
+++ b/zinclever/policy/partition.py
@@ -6,9 +6,9 @@
 import itertools
 import random
 
+from ..fleet.expiring_set import ExpiringSet
 from ..fleet.ranked import rank_of, remove_ranked
 from ..fleet.ring import Ring
-from ..fleet.timed import ExpiringSet
 from ..fleet.window import InflightWindow
 from .endpoints import Endpoint
 
--- a/zinclever/policy/requests.py
+++ b/zinclever/policy/requests.py
@@ -5,7 +5,7 @@
 from collections import deque
 
 from .. import interface
-from ..fleet.smooth import DECAY_TIME, NEVER, DecayingMean
+from ..fleet.decaying_mean import DECAY_TIME, NEVER, DecayingMean
 from .endpoints import Endpoint
 from .partition import ZonePartition
 
--- a/zinclever/policy/selection.py
+++ b/zinclever/policy/selection.py
@@ -9,7 +9,7 @@
 from collections import deque
 
 from .. import interface
-from ..fleet.returns import ZoneReachability
+from ..fleet.zone_reachability import ZoneReachability
 from .endpoint_list import EndpointList
 from .endpoints import Endpoint
 from .partition import ZonePartition
--- a/zinclever/policy/slow_start.py
+++ b/zinclever/policy/slow_start.py
@@ -5,8 +5,8 @@
 import itertools
 
 from .. import interface
-from ..fleet.returns import is_presumed_cold
-from ..fleet.smooth import DECAY_TIME, NEVER, DecayingMean
+from ..fleet.decaying_mean import DECAY_TIME, NEVER, DecayingMean
+from ..fleet.zone_reachability import is_presumed_cold
 from .endpoint_list import EndpointList
 from .endpoints import Endpoint
 
--- a/zinclever/policy/stalled_attempts.py
+++ b/zinclever/policy/stalled_attempts.py
@@ -5,7 +5,7 @@
 import heapq
 
 from .. import interface
-from ..fleet.smooth import DECAY_TIME, NEVER, DecayingMean
+from ..fleet.decaying_mean import DECAY_TIME, NEVER, DecayingMean
 from .requests import Attempt, ClassState, Request
 
 OVERDUE_LATENCIES = 1.8  # mean latencies after which most attempts that are still open are never answered
--- a/zinclever/policy/zone_crossing.py
+++ b/zinclever/policy/zone_crossing.py
@@ -5,7 +5,7 @@
 import random
 
 from .. import interface
-from ..fleet.smooth import DECAY_TIME, DecayingMean
+from ..fleet.decaying_mean import DECAY_TIME, DecayingMean
 from .requests import UNLOADED_LATENCY_SHARE, Request
 
 CROSSING_STEP = 0.25  # of the price: gain, in targets, from which some requests leave home, which also relieves it
