--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -155,8 +155,8 @@
     days: Iterator[Day] = (heavy(day) for day in hunting.drawn([kind], 1, 4, 4, 20.0))
     played = hunting.hunt(islice(days, 40), 1e9)
     found = next(f for f in played if any(b.startswith(rule) for b in f.figures["breaches"]))
-    least = hunting.Cutter(hunting.breaks(rule), 120).cut(found.day)
-    assert hunting.breaks(rule)(least)
+    least = hunting.Cutter(hunting.breaches_rule(rule), 120).minimize(found.day)
+    assert hunting.breaches_rule(rule)(least)
     assert hunting.size(least) < 20 and least.sidecars <= 3, least
 
 
--- a/zinclever/sim/applications.py
+++ b/zinclever/sim/applications.py
@@ -19,37 +19,47 @@
     from .sidecars import Sidecar
 
 MS = NS // 1000
-LATE = 0.1  # s over its deadline after which an answer that has not come never will
+ANSWER_GRACE = 0.1  # s over its deadline after which an answer that has not come never will
 BODY = b"x" * 64
 
 
-class Keys:
+class KeyPopularity:
     """What requests are about: a few are far more popular than the rest (Zipf), and some may be hot for a while."""
 
     def __init__(self, count: int, exponent: float, seed: str) -> None:
         weights = [1.0 / (n + 1) ** exponent for n in range(count)]
-        self.sums = list(itertools.accumulate(weights))
+        self.cumulative_weights = list(itertools.accumulate(weights))
         self.names = [f"{n:x}" for n in range(count)]
         Random(seed).shuffle(self.names)
-        self.hot: list[str] = []
+        self.hot_names: list[str] = []
         self.hot_share = 0.0
 
     def draw(self, rng: Random) -> str:
-        if self.hot and rng.random() < self.hot_share:
-            return rng.choice(self.hot)
-        return self.names[bisect(self.sums, rng.random() * self.sums[-1], 0, len(self.names) - 1)]
+        if self.hot_names and rng.random() < self.hot_share:
+            return rng.choice(self.hot_names)
+        return self.names[
+            bisect(self.cumulative_weights, rng.random() * self.cumulative_weights[-1], 0, len(self.names) - 1)
+        ]
 
 
-class Story:
+class ClientRequest:
     """A first try and the tries that belong to it."""
 
-    __slots__ = ("began", "idempotency", "key", "kind", "number", "over", "tries", "work")
+    __slots__ = ("finished", "idempotency_key", "key", "kind", "number", "started_at", "try_count", "work")
 
-    def __init__(self, number: int, kind: RequestKind, key: str, idempotency: str, work: float, began: int) -> None:
+    def __init__(
+        self, number: int, kind: RequestKind, key: str, idempotency_key: str, work: float, started_at: int
+    ) -> None:
         self.number = number
-        self.kind, self.key, self.idempotency, self.work, self.began = kind, key, idempotency, work, began
-        self.tries = 0
-        self.over = False
+        self.kind, self.key, self.idempotency_key, self.work, self.started_at = (
+            kind,
+            key,
+            idempotency_key,
+            work,
+            started_at,
+        )
+        self.try_count = 0
+        self.finished = False
 
 
 class Application:
@@ -60,39 +70,39 @@
         self.name = sidecar.name
         self.rng = Random(f"{world.day.seed}/application/{self.name}")
         self.loop = world.process(sidecar.machine)
-        self.idle: list[Caller] = []
-        told = world.day.applications
-        self.honours = self.rng.random() < told.honour
-        self.backoff = self.rng.uniform(*told.backoff_ms)
-        self.version = 0
+        self.idle: list[SidecarConnection] = []
+        settings = world.day.applications
+        self.honours_retry_after = self.rng.random() < settings.honour
+        self.backoff = self.rng.uniform(*settings.backoff_ms)
+        self.rate_version = 0
         """Of its rate: an arrival that was drawn by another is void."""
 
     def rate(self) -> float:
         """First tries a second, at this moment."""
-        return self.world.rate_now() * self.weight / self.world.weights
+        return self.world.request_rate() * self.weight / self.world.total_weight
 
     def go(self) -> None:
         """Begin to ask; called again when the rate changes."""
-        self.version += 1
-        self.next(self.version)
+        self.rate_version += 1
+        self.schedule_arrival(self.rate_version)
 
-    def pause(self) -> None:
+    def stop_arrivals(self) -> None:
         """Ask nothing new."""
-        self.version += 1
+        self.rate_version += 1
 
-    def next(self, version: int) -> None:
+    def schedule_arrival(self, rate_version: int) -> None:
         rate = self.rate()
         if rate > 0.0:
-            self.world.scheduler.after(round(self.rng.expovariate(rate) * NS), self.arrive, version)
+            self.world.scheduler.after(round(self.rng.expovariate(rate) * NS), self.on_arrival, rate_version)
 
-    def arrive(self, version: int) -> None:
-        if version != self.version or self.world.over:
+    def on_arrival(self, rate_version: int) -> None:
+        if rate_version != self.rate_version or self.world.over:
             return
-        self.next(version)
+        self.schedule_arrival(rate_version)
         world = self.world
-        number = world.next_request()
+        number = world.next_request_number()
         kind = world.draw_class(self.rng)
-        story = Story(
+        request = ClientRequest(
             number,
             kind,
             world.keys.draw(self.rng),
@@ -100,67 +110,67 @@
             self.rng.expovariate(1.0) * kind.work_ms / 1000.0,
             world.now(),
         )
-        if world.only and number not in world.only:
+        if world.selected_requests and number not in world.selected_requests:
             return
-        world.figures.began(story)
-        self.attempt(story)
+        world.figures.on_request_started(request)
+        self.send_try(request)
 
     # --- one try ---
 
-    def attempt(self, story: Story) -> None:
-        story.tries += 1
-        name = f"{self.name}.{story.number}.{story.tries}"
+    def send_try(self, request: ClientRequest) -> None:
+        request.try_count += 1
+        name = f"{self.name}.{request.number}.{request.try_count}"
         if self.idle:
-            caller = self.idle.pop()
-            caller.used = True
-            caller.send(story, name)
+            connection = self.idle.pop()
+            connection.reused = True
+            connection.send(request, name)
         else:
-            self.loop.create_task(self.connect(story, name))
+            self.loop.create_task(self.connect_and_send(request, name))
 
-    async def connect(self, story: Story, name: str, again: bool = False) -> None:
+    async def connect_and_send(self, request: ClientRequest, name: str, is_resend: bool = False) -> None:
         try:
-            _, caller = await self.loop.create_connection(lambda: Caller(self), *self.sidecar.address)
+            _, connection = await self.loop.create_connection(lambda: SidecarConnection(self), *self.sidecar.address)
         except OSError:
-            self.unreachable(story)
+            self.on_sidecar_unreachable(request)
             return
-        assert isinstance(caller, Caller)
-        caller.send(story, name, again)
+        assert isinstance(connection, SidecarConnection)
+        connection.send(request, name, is_resend)
 
-    def unreachable(self, story: Story) -> None:
+    def on_sidecar_unreachable(self, request: ClientRequest) -> None:
         """No sidecar: nothing has run."""
         self.world.counts.unreachable += 1
-        self.again(story, self.backoff)
+        self.retry(request, self.backoff)
 
-    def again(self, story: Story, pause: float) -> None:
+    def retry(self, request: ClientRequest, delay: float) -> None:
         """One more try after so many ms, if any is left."""
-        if self.world.closing or story.tries > self.world.day.applications.retries:
-            self.give_up(story)
+        if self.world.closing or request.try_count > self.world.day.applications.retries:
+            self.give_up(request)
         else:
-            self.world.scheduler.after(round(pause * MS), self.attempt, story)
+            self.world.scheduler.after(round(delay * MS), self.send_try, request)
 
-    def give_up(self, story: Story) -> None:
-        story.over = True
-        self.world.figures.ended(story, False)
+    def give_up(self, request: ClientRequest) -> None:
+        request.finished = True
+        self.world.figures.on_request_finished(request, False)
 
-    def answered(self, story: Story, status: int, advice: float) -> None:
+    def on_answer(self, request: ClientRequest, status: int, retry_after_ms: float) -> None:
         if status == 200:
-            story.over = True
-            self.world.figures.ended(story, True)
+            request.finished = True
+            self.world.figures.on_request_finished(request, True)
         elif status == 503:
-            self.again(story, max(self.backoff, advice) if self.honours else self.backoff)
+            self.retry(request, max(self.backoff, retry_after_ms) if self.honours_retry_after else self.backoff)
         else:
-            self.failed(story)
+            self.on_failure(request)
 
-    def failed(self, story: Story) -> None:
+    def on_failure(self, request: ClientRequest) -> None:
         """It may have run: tried again where a repeat is harmless."""
-        kind = story.kind
+        kind = request.kind
         if kind.repeat == "idempotent" or (kind.repeat == "deduplicated" and kind.group == "all"):
-            self.again(story, self.backoff)
+            self.retry(request, self.backoff)
         else:
-            self.give_up(story)
+            self.give_up(request)
 
 
-class Caller(asyncio.Protocol):
+class SidecarConnection(asyncio.Protocol):
     """A connection to the sidecar: one request at a time."""
 
     transport: asyncio.Transport
@@ -168,63 +178,63 @@
     def __init__(self, application: Application) -> None:
         self.application = application
         self.parser: Any = None
-        self.story: Story | None = None
+        self.request: ClientRequest | None = None
         self.name = ""
-        self.used = self.closes = self.resent = False
-        self.asked_at = self.wait = 0.0
+        self.reused = self.server_closes = self.is_resend = False
+        self.sent_at = self.timeout_ms = 0.0
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
-    def send(self, story: Story, name: str, again: bool = False) -> None:
+    def send(self, request: ClientRequest, name: str, is_resend: bool = False) -> None:
         """Ask. ``again``: the same request as on a connection that ended before it was read."""
-        world, kind = self.application.world, story.kind
+        world, kind = self.application.world, request.kind
         if self.transport.is_closing():  # it ended in this very moment
-            self.application.loop.create_task(self.application.connect(story, name))
+            self.application.loop.create_task(self.application.connect_and_send(request, name))
             return
-        self.story, self.name, self.resent = story, name, again
+        self.request, self.name, self.is_resend = request, name, is_resend
         self.parser = httptools.HttpResponseParser(self)
-        self.status, self.body, self.advice, self.closes = 0, b"", 0.0, False
-        wait = kind.deadline_ms * world.day.applications.try_share
-        safe = kind.repeat == "idempotent"
-        keyed = f"Idempotency-Key: {story.idempotency}\r\n" if kind.repeat == "deduplicated" else ""
+        self.status, self.body, self.retry_after_ms, self.server_closes = 0, b"", 0.0, False
+        timeout_ms = kind.deadline_ms * world.day.applications.try_share
+        idempotent = kind.repeat == "idempotent"
+        key_header = f"Idempotency-Key: {request.idempotency_key}\r\n" if kind.repeat == "deduplicated" else ""
         head = (
-            f"{'GET' if safe else 'POST'} /{kind.name}/p HTTP/1.1\r\nHost: backend.local\r\nReq-Id: {name}\r\n"
-            f"Cookie: key={story.key}\r\nReq-Deadline: {wait / 1000.0:.3f}\r\nReq-Cost: {story.work * 1e6:.0f}\r\n"
-            f"{keyed}{'' if safe else f'Content-Length: {len(BODY)}' + chr(13) + chr(10)}\r\n"
+            f"{'GET' if idempotent else 'POST'} /{kind.name}/p HTTP/1.1\r\nHost: backend.local\r\nReq-Id: {name}\r\n"
+            f"Cookie: key={request.key}\r\nReq-Deadline: {timeout_ms / 1000.0:.3f}\r\nReq-Cost: {request.work * 1e6:.0f}\r\n"
+            f"{key_header}{'' if idempotent else f'Content-Length: {len(BODY)}' + chr(13) + chr(10)}\r\n"
         )
-        self.wait = wait
-        if not again:
-            self.asked_at = world.ms()
+        self.timeout_ms = timeout_ms
+        if not is_resend:
+            self.sent_at = world.ms()
             world.log.asked.append(
                 Asked(
-                    self.asked_at,
+                    self.sent_at,
                     name,
                     kind.repeat,
-                    wait,
-                    story.idempotency,
+                    timeout_ms,
+                    request.idempotency_key,
                     "all" if kind.group == "all" else "zone",
                     kind.window_ms,
                 )
             )
-        self.timer = self.application.loop.call_later(wait / 1000.0 + LATE, self.too_late)
-        self.transport.write(head.encode() + (b"" if safe else BODY))
+        self.timer = self.application.loop.call_later(timeout_ms / 1000.0 + ANSWER_GRACE, self.on_timeout)
+        self.transport.write(head.encode() + (b"" if idempotent else BODY))
 
-    def too_late(self) -> None:
+    def on_timeout(self) -> None:
         """The client has given up: that it got no answer is a breach, which the auditor finds, unless its sidecar stood
         still."""
         self.timer = None
-        if self.application.sidecar.paused_since(self.asked_at):
+        if self.application.sidecar.paused_since(self.sent_at):
             self.application.world.log.left.append(Left(self.application.world.ms(), self.name))
-        story, self.story = self.story, None
+        request, self.request = self.request, None
         self.transport.abort()
-        if story is not None:
-            self.application.failed(story)
+        if request is not None:
+            self.application.on_failure(request)
 
     def data_received(self, data: bytes) -> None:
-        if self.story is None:
-            self.beyond()
+        if self.request is None:
+            self.log_extra_answer()
             self.transport.abort()
             return
         try:
@@ -233,39 +243,39 @@
             self.transport.abort()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        low = name.lower()
-        if low == b"retry-after":
-            self.advice = 1000.0 * float(value)
-        elif low == b"connection" and value.lower() == b"close":
-            self.closes = True
+        lower_name = name.lower()
+        if lower_name == b"retry-after":
+            self.retry_after_ms = 1000.0 * float(value)
+        elif lower_name == b"connection" and value.lower() == b"close":
+            self.server_closes = True
 
     def on_body(self, body: bytes) -> None:
         self.body += body
 
     def on_message_complete(self) -> None:
-        story, self.story = self.story, None
-        if story is None:
-            self.beyond()
+        request, self.request = self.request, None
+        if request is None:
+            self.log_extra_answer()
             return
         if self.timer is not None:
             self.timer.cancel()
         status = self.parser.get_status_code()
         world = self.application.world
-        if world.ms() > self.asked_at + self.wait and self.application.sidecar.paused_since(self.asked_at):
+        if world.ms() > self.sent_at + self.timeout_ms and self.application.sidecar.paused_since(self.sent_at):
             world.log.left.append(Left(world.ms(), self.name))  # it had given up already
-            self.application.failed(story)
+            self.application.on_failure(request)
             self.transport.abort()
             return
-        said: Kind = "served" if status == 200 else "refused" if status in (429, 503) else "failed"
-        world.log.answered.append(Answered(world.ms(), self.name, said, self.body.decode("latin-1")))
-        world.counts.answers[said] += 1
-        if self.closes:
+        outcome: Kind = "served" if status == 200 else "refused" if status in (429, 503) else "failed"
+        world.log.answered.append(Answered(world.ms(), self.name, outcome, self.body.decode("latin-1")))
+        world.counts.answers[outcome] += 1
+        if self.server_closes:
             self.transport.close()
         else:
             self.application.idle.append(self)
-        self.application.answered(story, status, self.advice)
+        self.application.on_answer(request, status, self.retry_after_ms)
 
-    def beyond(self) -> None:
+    def log_extra_answer(self) -> None:
         """Something more after a final answer, which the auditor finds: there is one to each request."""
         if self.name:
             self.application.world.log.answered.append(Answered(self.application.world.ms(), self.name, "served"))
@@ -276,17 +286,17 @@
             application.idle.remove(self)
         if self.timer is not None:
             self.timer.cancel()
-        story, self.story = self.story, None
+        request, self.request = self.request, None
         self.parser = None
-        if story is None:
+        if request is None:
             return
         world = application.world
-        if application.sidecar.killed_since(self.asked_at):
+        if application.sidecar.killed_since(self.sent_at):
             # What a sidecar that was killed has held is the client's to repeat, as far as it may.
             world.log.left.append(Left(world.ms(), self.name))
-            application.failed(story)
-        elif self.used and exc is None and not self.resent:
+            application.on_failure(request)
+        elif self.reused and exc is None and not self.is_resend:
             # The sidecar closed it between requests, and this one crossed that.
-            application.loop.create_task(application.connect(story, self.name, again=True))
+            application.loop.create_task(application.connect_and_send(request, self.name, is_resend=True))
         else:
-            application.failed(story)
+            application.on_failure(request)
--- a/zinclever/sim/cli.py
+++ b/zinclever/sim/cli.py
@@ -26,15 +26,15 @@
 """A day on which a rule was broken, or a sidecar failed."""
 
 
-SCALE = (
+SCALE_OPTIONS = (
     click.option("--sidecars", type=click.IntRange(1, 10_000), default=100, show_default=True),
     click.option("--endpoints", type=click.IntRange(1, 2_000), default=18, show_default=True),
     click.option("--seconds", type=click.FloatRange(1.0, 36_000.0), default=50.0, show_default=True),
 )
 
 
-def scaled(command: Any) -> Any:
-    return with_options(command, SCALE)
+def scale_options(command: Any) -> Any:
+    return with_options(command, SCALE_OPTIONS)
 
 
 def with_options(command: Any, options: Sequence[Any]) -> Any:
@@ -62,7 +62,7 @@
 @click.argument("kind", type=click.Choice(list(KINDS)))
 @click.option("--list", is_flag=True, is_eager=True, expose_value=False, callback=list_kinds, help="Name the kinds.")
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
-@scaled
+@scale_options
 @click.option(
     "--rate",
     type=click.FloatRange(0.0, min_open=True),
@@ -77,7 +77,7 @@
 @sim.command(name="draw")
 @click.argument("kind", type=click.Choice(list(KINDS)))
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
-@scaled
+@scale_options
 def draw_day(kind: str, seed: int, sidecars: int, endpoints: int, seconds: float) -> None:
     """Print a day as a file, to be changed and replayed."""
     click.echo(dayfile.write(draw(kind, seed, sidecars, endpoints, seconds)), nl=False)
@@ -87,10 +87,10 @@
     """Exit code 2 with the lines that are wrong."""
     try:
         return dayfile.read(path.read_bytes())
-    except (OSError, dayfile.DayError) as wrong:
-        for line in str(wrong).splitlines():
+    except (OSError, dayfile.DayError) as error:
+        for line in str(error).splitlines():
             click.echo(f"{path}: {line}", err=True)
-        raise SystemExit(EXIT_WRONG) from wrong
+        raise SystemExit(EXIT_WRONG) from error
 
 
 @sim.command()
@@ -104,7 +104,7 @@
     show(World(read_day(file), Trace(write), permute).play(), as_json)
 
 
-HUNTED = (
+HUNT_OPTIONS = (
     click.option(
         "--sidecars",
         type=click.IntRange(1, 10_000),
@@ -113,12 +113,12 @@
         help="What many do together shows from some two hundred on.",
     ),
     click.option("--endpoints", type=click.IntRange(1, 2_000), default=30, show_default=True),
-    SCALE[2],
+    SCALE_OPTIONS[2],
 )
 
 
-def hunted(command: Any) -> Any:
-    return with_options(command, HUNTED)
+def hunt_options(command: Any) -> Any:
+    return with_options(command, HUNT_OPTIONS)
 
 
 @sim.command()
@@ -128,7 +128,7 @@
 @click.option("--jobs", type=click.IntRange(1, 256), default=os.cpu_count() or 1, show_default=True)
 @click.option("--below", type=click.FloatRange(0.0, 1.0), default=0.0, help="Keep days whose goal is lower, too.")
 @click.option("--into", type=click.Path(path_type=Path), default=Path("found"), show_default=True)
-@hunted
+@hunt_options
 def hunt(
     kinds: tuple[str, ...],
     first: int,
@@ -144,15 +144,15 @@
     ordinary = [name for name in KINDS if name != "soak"]
     days = hunting.drawn(kinds or ordinary, first, sidecars, endpoints, seconds)
     played = kept = broken = 0
-    for found in hunting.hunt(days, budget, jobs):
+    for result in hunting.hunt(days, budget, jobs):
         played += 1
-        broken += bool(found.figures["breaches"])
-        if found.figures["breaches"] or found.figures["goal"] < below:
+        broken += bool(result.figures["breaches"])
+        if result.figures["breaches"] or result.figures["goal"] < below:
             kept += 1
             into.mkdir(parents=True, exist_ok=True)
-            path = into / f"{found.day.kind}-{found.day.seed}.toml"
-            path.write_bytes(dayfile.write(found.day))
-            click.echo(f"{path}: goal {found.figures['goal']}; {'; '.join(found.figures['breaches'][:3])}")
+            path = into / f"{result.day.kind}-{result.day.seed}.toml"
+            path.write_bytes(dayfile.write(result.day))
+            click.echo(f"{path}: goal {result.figures['goal']}; {'; '.join(result.figures['breaches'][:3])}")
     click.echo(f"{played} days played, {broken} with a breach, {kept} kept")
     if broken:
         raise SystemExit(EXIT_BREACH)
@@ -160,17 +160,23 @@
 
 @sim.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--tries", type=click.IntRange(1), default=hunting.TRIES, show_default=True, help="Days played at most.")
+@click.option(
+    "--tries",
+    type=click.IntRange(1),
+    default=hunting.DEFAULT_MAX_TRIALS,
+    show_default=True,
+    help="Days played at most.",
+)
 def shrink(file: Path, tries: int) -> None:
     """Cut a day that breaks a rule down to few sidecars, requests and troubles; print it as a file."""
-    told = read_day(file)
-    found = World(told).play()["breaches"]
-    if not found:
+    original = read_day(file)
+    breaches = World(original).play()["breaches"]
+    if not breaches:
         raise click.ClickException(f"{file}: no rule is broken on this day")
-    rule = found[0].partition(":")[0]
-    least = hunting.Cutter(hunting.breaks(rule), tries).cut(told)
-    click.echo(dayfile.write(least), nl=False)
-    parts = f"{hunting.size(least)} events, {least.sidecars} sidecars, {least.endpoints} endpoints"
+    rule = breaches[0].partition(":")[0]
+    smallest = hunting.Cutter(hunting.breaches_rule(rule), tries).minimize(original)
+    click.echo(dayfile.write(smallest), nl=False)
+    parts = f"{hunting.size(smallest)} events, {smallest.sidecars} sidecars, {smallest.endpoints} endpoints"
     click.echo(f"{rule}: {parts}", err=True)
 
 
@@ -181,28 +187,28 @@
 @click.option("--orders", type=click.IntRange(1), default=40, show_default=True, help="Of each step at most.")
 def explore(faults: tuple[str, ...], seed: int, steps: int, orders: int) -> None:
     """Play a small world in many orders of its events, with one fault at any step."""
-    found = exploring.explore(list(faults or exploring.FAULTS), seed, steps, orders)
-    for breach in found.breaches:
+    result = exploring.explore(list(faults or exploring.FAULTS), seed, steps, orders)
+    for breach in result.breaches:
         click.echo(breach)
-    whole = "all there are" if found.complete else "a bound was reached"
-    click.echo(f"{found.orders} orders ({whole}), {found.ties} choices, {len(found.breaches)} breaches")
-    if found.breaches:
+    coverage = "all there are" if result.complete else "a bound was reached"
+    click.echo(f"{result.orders} orders ({coverage}), {result.ties} choices, {len(result.breaches)} breaches")
+    if result.breaches:
         raise SystemExit(EXIT_BREACH)
 
 
-def play(told: Day) -> dict[str, Any]:
+def play(spec: Day) -> dict[str, Any]:
     """The figures of a day; on standard error, what it took to play it."""
-    began = time.process_time()
-    found = World(told).play()
-    print(f"played in {time.process_time() - began:.1f} s of a core", file=sys.stderr)
-    return found
+    started = time.process_time()
+    result = World(spec).play()
+    print(f"played in {time.process_time() - started:.1f} s of a core", file=sys.stderr)
+    return result
 
 
-def show(found: dict[str, Any], as_json: bool) -> None:
+def show(result: dict[str, Any], as_json: bool) -> None:
     if as_json:
-        click.echo(orjson.dumps(found))
+        click.echo(orjson.dumps(result))
     else:
-        for name, value in found.items():
+        for name, value in result.items():
             click.echo(f"{name:<26}{value}")
-    if found["breaches"]:
+    if result["breaches"]:
         raise SystemExit(EXIT_BREACH)
--- a/zinclever/sim/core.py
+++ b/zinclever/sim/core.py
@@ -11,84 +11,84 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Warming:
+class WarmUp:
     """How a server that has started gets up to its speed: evenly with time."""
 
-    since: int
+    started_at: int
     """ns"""
-    share: float
+    initial_share: float
     """Of its speed, that it has at the start."""
-    span: int
+    duration: int
     """ns until it has all of it."""
 
-    def at(self, now: int) -> float:
-        if now >= self.since + self.span:
+    def speed_factor(self, now: int) -> float:
+        if now >= self.started_at + self.duration:
             return 1.0
-        return self.share + (1.0 - self.share) * (now - self.since) / self.span
+        return self.initial_share + (1.0 - self.initial_share) * (now - self.started_at) / self.duration
 
 
 class Job:
     """Work that waits or is done, until it is through or called off."""
 
-    __slots__ = ("done", "left")
+    __slots__ = ("on_done", "work")
 
     def __init__(self, work: float, done: Callable[[], None]) -> None:
         """``work``: s on a processor of speed 1."""
-        self.left = work
-        self.done: Callable[[], None] | None = done
+        self.work = work
+        self.on_done: Callable[[], None] | None = done
 
 
-class Core:
+class ProcessorCore:
     """Does jobs in their order. What is called off costs nothing more."""
 
-    __slots__ = ("end", "jobs", "running", "scheduler", "speed", "warming", "worked")
+    __slots__ = ("completion", "current_job", "jobs", "scheduler", "speed", "total_work", "warming")
 
-    def __init__(self, scheduler: Clock, speed: float, warming: Warming | None = None) -> None:
+    def __init__(self, scheduler: Clock, speed: float, warming: WarmUp | None = None) -> None:
         self.scheduler, self.speed, self.warming = scheduler, speed, warming
         self.jobs: deque[Job] = deque()
-        self.running: Job | None = None
-        self.end: Due | None = None
-        self.worked = 0.0
+        self.current_job: Job | None = None
+        self.completion: Due | None = None
+        self.total_work = 0.0
         """s at speed 1"""
 
-    def rate(self) -> float:
+    def current_speed(self) -> float:
         """What it does at this moment, against speed 1."""
-        return self.speed * (self.warming.at(self.scheduler.now) if self.warming is not None else 1.0)
+        return self.speed * (self.warming.speed_factor(self.scheduler.now) if self.warming is not None else 1.0)
 
     def add(self, work: float, done: Callable[[], None]) -> Job:
         job = Job(work, done)
         self.jobs.append(job)
-        if self.running is None:
-            self.begin()
+        if self.current_job is None:
+            self.start_next()
         return job
 
-    def begin(self) -> None:
+    def start_next(self) -> None:
         while self.jobs:
             job = self.jobs.popleft()
-            if job.done is not None:
-                self.running = job
-                self.worked += job.left
-                self.end = self.scheduler.after(round(job.left / self.rate() * NS), self.finish, job)
+            if job.on_done is not None:
+                self.current_job = job
+                self.total_work += job.work
+                self.completion = self.scheduler.after(round(job.work / self.current_speed() * NS), self.finish, job)
                 return
 
     def finish(self, job: Job) -> None:
-        self.running = None
-        done, job.done = job.done, None
-        self.begin()
+        self.current_job = None
+        done, job.on_done = job.on_done, None
+        self.start_next()
         if done is not None:
             done()
 
     def call_off(self, job: Job) -> None:
         """Nobody waits for it any more."""
-        job.done = None
-        if job is self.running:
-            if self.end is not None:
-                self.end.call_off()
-            self.running = None
-            self.begin()
+        job.on_done = None
+        if job is self.current_job:
+            if self.completion is not None:
+                self.completion.call_off()
+            self.current_job = None
+            self.start_next()
 
     def stop(self) -> None:
         """Nothing of it goes on."""
         self.jobs.clear()
-        if self.running is not None:
-            self.call_off(self.running)
+        if self.current_job is not None:
+            self.call_off(self.current_job)
--- a/zinclever/sim/days.py
+++ b/zinclever/sim/days.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable, Sequence
 from random import Random
 
-from .model import PAGES, READER, Day, Trouble
+from .model import PAGE_SERVERS, READER_REQUESTS, Day, Trouble
 
-LOAD = 0.62  # of the fleet's capacity that is asked for where no rate is given
-SPARED = 0.15  # of the work, that key caches spare on an ordinary day
+DEFAULT_LOAD = 0.62  # of the fleet's capacity that is asked for where no rate is given
+CACHE_SAVING = 0.15  # of the work, that key caches spare on an ordinary day
 
-Draw = Callable[[Random, float], Sequence[Trouble]]
+FaultGenerator = Callable[[Random, float], Sequence[Trouble]]
 """From a generator and the length of the day in s: its troubles."""
 
 
@@ -19,7 +19,7 @@
     return round(rng.uniform(least, most), 2)
 
 
-def begin(rng: Random, seconds: float) -> float:
+def start_time(rng: Random, seconds: float) -> float:
     """When a trouble begins: early enough for its end to be seen."""
     return uniform(rng, 0.15 * seconds, 0.3 * seconds)
 
@@ -31,19 +31,30 @@
 
 def silent(rng: Random, seconds: float) -> Sequence[Trouble]:
     """Up to 17 % of the servers take requests and answer none for 7 to 23 s."""
-    return [Trouble("silent", begin(rng, seconds), uniform(rng, 7.2, 23.0), uniform(rng, 0.1, 0.17))]
+    return [Trouble("silent", start_time(rng, seconds), uniform(rng, 7.2, 23.0), uniform(rng, 0.1, 0.17))]
 
 
 def late(rng: Random, seconds: float) -> Sequence[Trouble]:
     """Load reports come 0.5 to 5 s later than usual."""
-    return [Trouble("late_reports", begin(rng, seconds), uniform(rng, 11.0, 26.0), factor=uniform(rng, 540.0, 5000.0))]
+    return [
+        Trouble(
+            "late_reports",
+            start_time(rng, seconds),
+            uniform(rng, 11.0, 26.0),
+            factor=uniform(rng, 540.0, 5000.0),
+        )
+    ]
 
 
 def keys(rng: Random, seconds: float) -> Sequence[Trouble]:
     """One to three keys draw 4 to 25 % of all traffic."""
     return [
         Trouble(
-            "hot_keys", begin(rng, seconds), uniform(rng, 5.3, 19.0), uniform(rng, 0.04, 0.25), count=rng.randint(1, 3)
+            "hot_keys",
+            start_time(rng, seconds),
+            uniform(rng, 5.3, 19.0),
+            uniform(rng, 0.04, 0.25),
+            count=rng.randint(1, 3),
         )
     ]
 
@@ -53,7 +64,7 @@
     return [
         Trouble(
             "hot_sidecars",
-            begin(rng, seconds),
+            start_time(rng, seconds),
             uniform(rng, 10.0, 24.0),
             uniform(rng, 0.05, 0.2),
             count=rng.randint(1, 3),
@@ -63,37 +74,45 @@
 
 def single(rng: Random, seconds: float) -> Sequence[Trouble]:
     """One sidecar at 100 times the others."""
-    return [Trouble("hot_sidecars", begin(rng, seconds), 0.5 * seconds, count=1, factor=100.0)]
+    return [Trouble("hot_sidecars", start_time(rng, seconds), 0.5 * seconds, count=1, factor=100.0)]
 
 
 def shrink(rng: Random, seconds: float) -> Sequence[Trouble]:
     """Traffic falls and the fleet shrinks to 36 to 59 % of its size within 11 to 24 s."""
-    return [Trouble("shrink", begin(rng, seconds), uniform(rng, 11.0, 24.0), uniform(rng, 0.36, 0.59), factor=0.5)]
+    return [
+        Trouble(
+            "shrink",
+            start_time(rng, seconds),
+            uniform(rng, 11.0, 24.0),
+            uniform(rng, 0.36, 0.59),
+            factor=0.5,
+        )
+    ]
 
 
 def collapse(rng: Random, seconds: float) -> Sequence[Trouble]:
     """The fleet shrinks to 36 % within 11 s and grows again, while the traffic stays."""
-    at = begin(rng, seconds)
-    return [Trouble("shrink", at, 11.0, 0.36), Trouble("grow", at + 18.0, 6.0, count=-1)]
+    start = start_time(rng, seconds)
+    return [Trouble("shrink", start, 11.0, 0.36), Trouble("grow", start + 18.0, 6.0, count=-1)]
 
 
 def release(rng: Random, seconds: float) -> Sequence[Trouble]:
     """Friday evening: a popular series has a new chapter."""
-    at, span = begin(rng, seconds), uniform(rng, 10.0, 20.0)
+    start, duration = start_time(rng, seconds), uniform(rng, 10.0, 20.0)
     return [
-        Trouble("spike", at, span, factor=uniform(rng, 1.5, 2.2)),
-        Trouble("hot_keys", at, span, uniform(rng, 0.1, 0.25), count=rng.randint(1, 3)),
+        Trouble("spike", start, duration, factor=uniform(rng, 1.5, 2.2)),
+        Trouble("hot_keys", start, duration, uniform(rng, 0.1, 0.25), count=rng.randint(1, 3)),
     ]
 
 
 def update(rng: Random, seconds: float) -> Sequence[Trouble]:
     """An app update restarts every sidecar within a second."""
-    return [Trouble("restart", begin(rng, seconds), 1.0, 1.0)]
+    return [Trouble("restart", start_time(rng, seconds), 1.0, 1.0)]
 
 
 def killed(rng: Random, seconds: float) -> Sequence[Trouble]:
     """Every sidecar is killed without warning, within a second."""
-    return [Trouble("kill", begin(rng, seconds), 1.0, 1.0)]
+    return [Trouble("kill", start_time(rng, seconds), 1.0, 1.0)]
 
 
 def rolling(rng: Random, seconds: float) -> Sequence[Trouble]:
@@ -103,93 +122,101 @@
 
 def datacentre(rng: Random, seconds: float) -> Sequence[Trouble]:
     """A data centre is lost, and comes back cold."""
-    return [Trouble("zone_lost", begin(rng, seconds), uniform(rng, 10.0, 16.0), zone=rng.choice(("rvk", "kef")))]
+    return [Trouble("zone_lost", start_time(rng, seconds), uniform(rng, 10.0, 16.0), zone=rng.choice(("rvk", "kef")))]
 
 
 def cut(rng: Random, seconds: float) -> Sequence[Trouble]:
     """The path between the data centres is cut while the list is late."""
-    at, span = begin(rng, seconds), uniform(rng, 6.0, 14.0)
-    return [Trouble("partition", at, span), Trouble("discovery_crowded", at, span, factor=0.3)]
+    start, duration = start_time(rng, seconds), uniform(rng, 6.0, 14.0)
+    return [Trouble("partition", start, duration), Trouble("discovery_crowded", start, duration, factor=0.3)]
 
 
 def oneway(rng: Random, seconds: float) -> Sequence[Trouble]:
     """Nothing gets out of one data centre, while all gets in."""
-    return [Trouble("one_way", begin(rng, seconds), uniform(rng, 3.0, 8.0), zone=rng.choice(("rvk", "kef")))]
+    return [Trouble("one_way", start_time(rng, seconds), uniform(rng, 3.0, 8.0), zone=rng.choice(("rvk", "kef")))]
 
 
 def paused(rng: Random, seconds: float) -> Sequence[Trouble]:
     """Some sidecars stand still for a while, and go on while servers are replaced."""
-    at = begin(rng, seconds)
+    start = start_time(rng, seconds)
     return [
-        Trouble("pause", at, uniform(rng, 0.5, 6.0), uniform(rng, 0.2, 0.5)),
-        Trouble("waves", at + 0.2, 3.0, 0.3, count=1),
+        Trouble("pause", start, uniform(rng, 0.5, 6.0), uniform(rng, 0.2, 0.5)),
+        Trouble("waves", start + 0.2, 3.0, 0.3, count=1),
     ]
 
 
 def slow(rng: Random, seconds: float) -> Sequence[Trouble]:
     """A few servers are a hundred times slower, not dead."""
-    return [Trouble("slow", begin(rng, seconds), uniform(rng, 5.0, 10.0), uniform(rng, 0.1, 0.2), factor=100.0)]
+    return [
+        Trouble(
+            "slow",
+            start_time(rng, seconds),
+            uniform(rng, 5.0, 10.0),
+            uniform(rng, 0.1, 0.2),
+            factor=100.0,
+        )
+    ]
 
 
 def flapping(rng: Random, seconds: float) -> Sequence[Trouble]:
     """Discovery goes down and comes back again and again, while servers are replaced."""
-    at = begin(rng, seconds)
+    start = start_time(rng, seconds)
     return [
-        Trouble("flapping", at, 0.5 * seconds, factor=uniform(rng, 0.5, 2.0)),
-        Trouble("waves", at, 0.4 * seconds, 0.3, count=1),
+        Trouble("flapping", start, 0.5 * seconds, factor=uniform(rng, 0.5, 2.0)),
+        Trouble("waves", start, 0.4 * seconds, 0.3, count=1),
     ]
 
 
 def loops(rng: Random, seconds: float) -> Sequence[Trouble]:
     """One sidecar dies every three seconds."""
-    return [Trouble("restart_loop", begin(rng, seconds), 0.6 * seconds, count=1, factor=3.0)]
+    return [Trouble("restart_loop", start_time(rng, seconds), 0.6 * seconds, count=1, factor=3.0)]
 
 
 def power(rng: Random, seconds: float) -> Sequence[Trouble]:
     """All machines are off for some seconds."""
-    return [Trouble("power", begin(rng, seconds), uniform(rng, 1.0, 4.0))]
+    return [Trouble("power", start_time(rng, seconds), uniform(rng, 1.0, 4.0))]
 
 
 def waves(rng: Random, seconds: float) -> Sequence[Trouble]:
     """Servers are replaced by new ones, a few at a time."""
-    return [Trouble("waves", begin(rng, seconds), 0.5 * seconds, 1.0, count=rng.randint(2, 4))]
+    return [Trouble("waves", start_time(rng, seconds), 0.5 * seconds, 1.0, count=rng.randint(2, 4))]
 
 
 def herd(rng: Random, seconds: float) -> Sequence[Trouble]:
     """The whole fleet is replaced by cold servers within 9 s."""
-    return [Trouble("waves", begin(rng, seconds), 9.0, 1.0, count=rng.randint(3, 6))]
+    return [Trouble("waves", start_time(rng, seconds), 9.0, 1.0, count=rng.randint(3, 6))]
 
 
 def directory(rng: Random, seconds: float) -> Sequence[Trouble]:
     """Discovery is down for a while, then crowded, while some servers go."""
-    at, span = begin(rng, seconds), uniform(rng, 8.0, 14.0)
+    start, duration = start_time(rng, seconds), uniform(rng, 8.0, 14.0)
     return [
-        Trouble("discovery_down", at, span),
-        Trouble("vanish", at + 1.0, 20.0, 0.1),
-        Trouble("discovery_crowded", at + span, 10.0, factor=0.25),
+        Trouble("discovery_down", start, duration),
+        Trouble("vanish", start + 1.0, 20.0, 0.1),
+        Trouble("discovery_crowded", start + duration, 10.0, factor=0.25),
     ]
 
 
 def vanish(rng: Random, seconds: float) -> Sequence[Trouble]:
     """Machines vanish without a word and come back cold."""
-    return [Trouble("vanish", begin(rng, seconds), uniform(rng, 6.0, 15.0), uniform(rng, 0.1, 0.25))]
+    return [Trouble("vanish", start_time(rng, seconds), uniform(rng, 6.0, 15.0), uniform(rng, 0.1, 0.25))]
 
 
 def faults(rng: Random, seconds: float) -> Sequence[Trouble]:
     """Answers go wrong in every way that stand-ins know."""
-    return [Trouble("faults", begin(rng, seconds), uniform(rng, 10.0, 25.0), uniform(rng, 0.05, 0.15))]
+    return [Trouble("faults", start_time(rng, seconds), uniform(rng, 10.0, 25.0), uniform(rng, 0.05, 0.15))]
 
 
 def soak(rng: Random, seconds: float) -> Sequence[Trouble]:
     """A long day on which servers are replaced and sidecars reload all the time."""
-    found: list[Trouble] = []
-    for at in range(5, max(6, round(seconds)), 60):
-        found += [
-            Trouble("waves", float(at), 20.0, 0.1, count=1),
-            Trouble("reload", at + 25.0, 10.0, 0.1),
-            Trouble("restart", at + 30.0, 10.0, 0.02),
+    events: list[Trouble] = []
+    for start in range(5, max(6, round(seconds)), 60):
+        events += [
+            Trouble("waves", float(start), 20.0, 0.1, count=1),
+            Trouble("reload", start + 25.0, 10.0, 0.1),
+            Trouble("restart", start + 30.0, 10.0, 0.02),
         ]
-    return [t for t in found if t.at_s < 0.9 * seconds]
+    return [t for t in events if t.at_s < 0.9 * seconds]
 
 
 def mixed(rng: Random, seconds: float) -> Sequence[Trouble]:
@@ -198,7 +225,7 @@
     return [t for kind in rng.sample(kinds, rng.randint(2, 3)) for t in kind(rng, seconds)]
 
 
-KINDS: dict[str, Draw] = {
+KINDS: dict[str, FaultGenerator] = {
     draw.__name__: draw
     for draw in (
         calm,
@@ -234,9 +261,11 @@
 
 def capacity(endpoints: int) -> float:
     """Requests a second that so many warm page servers can do."""
-    speed = sum(k.share * (k.speed[0] + k.speed[1]) / 2 for k in PAGES.kinds) / sum(k.share for k in PAGES.kinds)
-    work = sum(k.share * k.work_ms for k in READER) / sum(k.share for k in READER) / 1000.0
-    return endpoints * speed / (work * (1.0 - SPARED))
+    speed = sum(k.share * (k.speed[0] + k.speed[1]) / 2 for k in PAGE_SERVERS.kinds) / sum(
+        k.share for k in PAGE_SERVERS.kinds
+    )
+    work = sum(k.share * k.work_ms for k in READER_REQUESTS) / sum(k.share for k in READER_REQUESTS) / 1000.0
+    return endpoints * speed / (work * (1.0 - CACHE_SAVING))
 
 
 def draw(kind: str, seed: int, sidecars: int, endpoints: int, seconds: float, rate: float = 0.0) -> Day:
@@ -252,8 +281,8 @@
         seconds,
         sidecars,
         endpoints,
-        rate or round(LOAD * capacity(endpoints), 1),
-        READER,
-        PAGES,
+        rate or round(DEFAULT_LOAD * capacity(endpoints), 1),
+        READER_REQUESTS,
+        PAGE_SERVERS,
         troubles=troubles,
     )
--- a/zinclever/sim/exploring.py
+++ b/zinclever/sim/exploring.py
@@ -11,14 +11,14 @@
 from typing import NamedTuple
 
 from ..simnet.scheduler import NS
-from .applications import Story
+from .applications import ClientRequest
 from .days import draw
-from .model import Applications, Day, Zones
+from .model import ClientSettings, Day, ZoneSettings
 from .world import START, World
 
-SPAN = 9.0  # s from the requests on until all is over: the longest deadline and the clients' retries
-STEP = 3  # events between two instants at which the fault is tried
-Fault = Callable[[World], object]
+MAX_DURATION = 9.0  # s from the requests on until all is over: the longest deadline and the clients' retries
+FAULT_INTERVAL = 3  # events between two instants at which the fault is tried
+InjectFault = Callable[[World], object]
 
 
 def kill(world: World) -> None:
@@ -31,7 +31,7 @@
     world.sidecars[0].terminate()
 
 
-def end(world: World) -> None:
+def end_at(world: World) -> None:
     """A server dies: its connections are reset."""
     world.servers["s0"].end()
 
@@ -43,7 +43,7 @@
 
 def drain(world: World) -> None:
     """A server drains, and discovery tells it at its next step."""
-    world.listing.learn(world.servers["s0"], "draining", 0.001)
+    world.listing.schedule_change(world.servers["s0"], "draining", 0.001)
 
 
 def cut(world: World) -> None:
@@ -51,10 +51,10 @@
     world.network.cut(*world.day.zones.names[:2])
 
 
-FAULTS: dict[str, Fault] = {f.__name__: f for f in (kill, terminate, end, vanish, drain, cut)}
+FAULTS: dict[str, InjectFault] = {f.__name__: f for f in (kill, terminate, end_at, vanish, drain, cut)}
 
 
-class Explored(NamedTuple):
+class ExplorationResult(NamedTuple):
     """What came of it."""
 
     orders: int
@@ -70,31 +70,31 @@
 class Chooser:
     """Takes the choices that it is told, then the first of each; keeps how many ways there were."""
 
-    def __init__(self, told: list[int]) -> None:
-        self.told = told
-        self.ways: list[int] = []
+    def __init__(self, prefix: list[int]) -> None:
+        self.prefix = prefix
+        self.option_counts: list[int] = []
 
     def __call__(self, count: int) -> int:
-        at = len(self.ways)
-        self.ways.append(count)
-        return self.told[at] if at < len(self.told) else 0
+        index = len(self.option_counts)
+        self.option_counts.append(count)
+        return self.prefix[index] if index < len(self.prefix) else 0
 
-    def following(self) -> list[int] | None:
+    def next_prefix(self) -> list[int] | None:
         """The choices of the next order; None where this was the last."""
-        taken = [*self.told[: len(self.ways)], *[0] * (len(self.ways) - len(self.told))]
-        for at in range(len(self.ways) - 1, -1, -1):
-            if taken[at] + 1 < self.ways[at]:
-                return [*taken[:at], taken[at] + 1]
+        choices = [*self.prefix[: len(self.option_counts)], *[0] * (len(self.option_counts) - len(self.prefix))]
+        for index in range(len(self.option_counts) - 1, -1, -1):
+            if choices[index] + 1 < self.option_counts[index]:
+                return [*choices[:index], choices[index] + 1]
         return None
 
 
-def small(seed: int) -> Day:
+def small_day(seed: int) -> Day:
     """Without jitter, so that much happens at one instant."""
     day = draw("calm", seed, 2, 2, 1.0, rate=1e-6)
-    return replace(day, zones=replace(Zones(), jitter=0.0), applications=replace(Applications(), busy=1.0))
+    return replace(day, zones=replace(ZoneSettings(), jitter=0.0), applications=replace(ClientSettings(), busy=1.0))
 
 
-def play(day: Day, fault: Fault, step: int, chooser: Chooser) -> tuple[World, int]:
+def play_order(day: Day, fault: InjectFault, step: int, chooser: Chooser) -> tuple[World, int]:
     """One order: the world after it, and how many events it took."""
     world = World(day)
     world.begin()
@@ -102,50 +102,50 @@
     scheduler.run(START)
     scheduler.choose = chooser
     for number, kind in enumerate(day.classes[:3], 1):
-        story = Story(number, kind, "k", f"{number:032x}", kind.work_ms / 1000.0, world.now())
-        scheduler.at(START, world.applications[number % 2].attempt, story)
-    begun, over = scheduler.ran, START + round(SPAN * NS)
-    while (when := scheduler.next_at()) is not None and when <= over:
-        if scheduler.ran - begun == step:
+        request = ClientRequest(number, kind, "k", f"{number:032x}", kind.work_ms / 1000.0, world.now())
+        scheduler.at(START, world.applications[number % 2].send_try, request)
+    events_before, end_at = scheduler.ran, START + round(MAX_DURATION * NS)
+    while (when := scheduler.next_at()) is not None and when <= end_at:
+        if scheduler.ran - events_before == step:
             fault(world)  # which may call off what was next
-            when = scheduler.next_at() or over
+            when = scheduler.next_at() or end_at
         scheduler.run_one(when)
-    return world, scheduler.ran - begun
+    return world, scheduler.ran - events_before
 
 
-def orders(day: Day, fault: Fault, step: int) -> Iterator[tuple[World, int, Chooser]]:
+def enumerate_orders(day: Day, fault: InjectFault, step: int) -> Iterator[tuple[World, int, Chooser]]:
     """All orders of one step, one after another."""
-    told: list[int] | None = []
-    while told is not None:
-        chooser = Chooser(told)
-        world, events = play(day, fault, step, chooser)
+    prefix: list[int] | None = []
+    while prefix is not None:
+        chooser = Chooser(prefix)
+        world, events = play_order(day, fault, step, chooser)
         yield world, events, chooser
-        told = chooser.following()
+        prefix = chooser.next_prefix()
 
 
-def other(chooser: Chooser) -> str:
+def format_choices(chooser: Chooser) -> str:
     """The choices that were not the first way, as place=way."""
-    return " ".join(f"{at}={way}" for at, way in enumerate(chooser.told) if way) or "first order"
+    return " ".join(f"{index}={option}" for index, option in enumerate(chooser.prefix) if option) or "first order"
 
 
-def explore(names: list[str], seed: int, most_steps: int, most_orders: int) -> Explored:
+def explore(names: list[str], seed: int, max_steps: int, max_orders: int) -> ExplorationResult:
     """Each fault at each ``STEP``-th event, in up to ``most_orders`` orders each."""
-    played = ties = 0
+    order_count = ties = 0
     complete = True
     breaches: list[str] = []
-    day, last = small(seed), 0
+    day, last_event = small_day(seed), 0
     for name in names:
-        for step in range(0, most_steps * STEP, STEP):
-            for number, (world, events, chooser) in enumerate(orders(day, FAULTS[name], step), 1):
-                played, ties = played + 1, ties + len(chooser.ways)
-                breaches += [f"{name} at {step}, {other(chooser)}: {b.about}: {b.what}" for b in world.judge()]
+        for step in range(0, max_steps * FAULT_INTERVAL, FAULT_INTERVAL):
+            for number, (world, events, chooser) in enumerate(enumerate_orders(day, FAULTS[name], step), 1):
+                order_count, ties = order_count + 1, ties + len(chooser.option_counts)
+                breaches += [f"{name} at {step}, {format_choices(chooser)}: {b.about}: {b.what}" for b in world.judge()]
                 world.end()
-                last = events
-                if number == most_orders:
-                    complete = complete and chooser.following() is None
+                last_event = events
+                if number == max_orders:
+                    complete = complete and chooser.next_prefix() is None
                     break
-            if last <= step:
+            if last_event <= step:
                 break  # the requests were over before: later faults change nothing
         else:
             complete = False
-    return Explored(played, ties, complete, breaches)
+    return ExplorationResult(order_count, ties, complete, breaches)
--- a/zinclever/sim/hunting.py
+++ b/zinclever/sim/hunting.py
@@ -14,8 +14,8 @@
 from .world import World
 
 Fails = Callable[[Day], bool]
-LEAST_SECONDS = 4.0  # of a day that is cut down
-TRIES = 300  # days that are played at most to cut one down
+MIN_SECONDS = 4.0  # of a day that is cut down
+DEFAULT_MAX_TRIALS = 300  # days that are played at most to cut one down
 
 
 class Found(NamedTuple):
@@ -45,77 +45,77 @@
 ) -> Iterator[Found]:
     """Play days for so many s of wall time, on so many cores; each as it is over, in their order. ``prepare`` is called
     first in each of the processes that play."""
-    until, days = time.monotonic() + budget, iter(days)
+    deadline, days = time.monotonic() + budget, iter(days)
     if jobs == 1:
         for day in days:
-            if time.monotonic() >= until:
+            if time.monotonic() >= deadline:
                 return
             yield play(day)
         return
     with ProcessPoolExecutor(jobs, initializer=prepare) as pool:
-        waiting = [pool.submit(play, day) for day in itertools.islice(days, 2 * jobs)]
-        while waiting:
-            yield waiting.pop(0).result()
-            if time.monotonic() < until:
-                waiting += [pool.submit(play, day) for day in itertools.islice(days, 1)]
+        pending = [pool.submit(play, day) for day in itertools.islice(days, 2 * jobs)]
+        while pending:
+            yield pending.pop(0).result()
+            if time.monotonic() < deadline:
+                pending += [pool.submit(play, day) for day in itertools.islice(days, 1)]
 
 
 # --- cutting down ---
 
 
-def smaller(day: Day) -> Iterator[Day]:
+def reductions(day: Day) -> Iterator[Day]:
     """Days that have less of something, the boldest cuts first."""
     for number in range(len(day.troubles)):
         yield replace(day, troubles=day.troubles[:number] + day.troubles[number + 1 :])
-    for sidecars in cuts(day.sidecars):
+    for sidecars in smaller_counts(day.sidecars):
         yield replace(day, sidecars=sidecars)
-    for endpoints in cuts(day.endpoints):
+    for endpoints in smaller_counts(day.endpoints):
         yield replace(day, endpoints=endpoints)
     last = max((t.at_s for t in day.troubles), default=0.0)
     for seconds in (day.seconds / 2, 0.8 * day.seconds):
-        if seconds >= max(LEAST_SECONDS, last):
+        if seconds >= max(MIN_SECONDS, last):
             yield replace(day, seconds=round(seconds, 2))
     for rate in (day.rate / 4, day.rate / 2, 0.8 * day.rate):
         yield replace(day, rate=round(rate, 3))
 
 
-def cuts(count: int) -> list[int]:
+def smaller_counts(count: int) -> list[int]:
     return sorted({c for c in (1, count // 4, count // 2, count - 1) if 0 < c < count})
 
 
 class Cutter:
     """Plays smaller days until none of them fails any more, or a bound is reached."""
 
-    def __init__(self, fails: Fails, most: int = TRIES) -> None:
-        self.fails, self.left = fails, most
+    def __init__(self, fails: Fails, max_trials: int = DEFAULT_MAX_TRIALS) -> None:
+        self.fails, self.remaining_trials = fails, max_trials
 
-    def still(self, day: Day) -> bool:
-        self.left -= 1
+    def still_fails(self, day: Day) -> bool:
+        self.remaining_trials -= 1
         return self.fails(day)
 
-    def cut(self, day: Day) -> Day:
+    def minimize(self, day: Day) -> Day:
         """The least day found that fails as this one does."""
-        return self.cut_requests(self.cut_world(day))
+        return self.minimize_requests(self.cut_world(day))
 
     def cut_world(self, day: Day) -> Day:
         """With fewer troubles, machines, seconds and requests a second, but for those that are left out one by one."""
-        while self.left > 0:
-            found = next((d for d in smaller(day) if self.left > 0 and self.still(d)), None)
-            if found is None:
+        while self.remaining_trials > 0:
+            smaller = next((d for d in reductions(day) if self.remaining_trials > 0 and self.still_fails(d)), None)
+            if smaller is None:
                 break
-            day = found
+            day = smaller
         return day
 
-    def cut_requests(self, day: Day) -> Day:
+    def minimize_requests(self, day: Day) -> Day:
         """Fewer first tries: halves, quarters and so on are left out as long as it still fails (delta debugging)."""
-        kept = list(day.only) or list(range(1, 1 + requests(day)))
+        kept = list(day.only) or list(range(1, 1 + count_requests(day)))
         parts = 2
-        while len(kept) > 1 and self.left > 0:
+        while len(kept) > 1 and self.remaining_trials > 0:
             size = -(-len(kept) // parts)
             chunks = [kept[at : at + size] for at in range(0, len(kept), size)]
             for number in range(len(chunks)):
                 fewer = [n for other, chunk in enumerate(chunks) if other != number for n in chunk]
-                if fewer and self.left > 0 and self.still(replace(day, only=tuple(fewer))):
+                if fewer and self.remaining_trials > 0 and self.still_fails(replace(day, only=tuple(fewer))):
                     kept, parts = fewer, max(2, parts - 1)
                     break
             else:
@@ -125,11 +125,11 @@
         return replace(day, only=tuple(kept))
 
 
-def requests(day: Day) -> int:
+def count_requests(day: Day) -> int:
     """How many first tries are drawn on a day."""
     world = World(day)
     world.play()
-    return world.drawn
+    return world.request_count
 
 
 def size(day: Day) -> int:
@@ -137,6 +137,6 @@
     return len(day.only) + len(day.troubles)
 
 
-def breaks(rule: str) -> Fails:
+def breaches_rule(rule: str) -> Fails:
     """Whether a day has a breach whose text begins so."""
     return lambda day: any(b.startswith(rule) for b in World(day).play()["breaches"])
--- a/zinclever/sim/listing.py
+++ b/zinclever/sim/listing.py
@@ -21,34 +21,34 @@
 PORT = 8500
 MS = NS // 1000
 Health = Literal["ready", "draining", "gone"]
-WORDS: dict[Health, str] = {"ready": "in_service", "draining": "terminating", "gone": "terminated"}
-MOST_WAIT = 60_000.0  # ms that a watch waits, as the protocol has it
+HEALTH_NAMES: dict[Health, str] = {"ready": "in_service", "draining": "terminating", "gone": "terminated"}
+MAX_WATCH_MS = 60_000.0  # ms that a watch waits, as the protocol has it
 
 
-class Listing:
+class DiscoveryServer:
     """The list, its versions and who watches it."""
 
     def __init__(self, world: Scene, machine: Machine) -> None:
-        self.world, self.machine, self.told = world, machine, world.day.listing
+        self.world, self.machine, self.settings = world, machine, world.day.listing
         self.rng = Random(f"{world.day.seed}/listing")
         self.loop = world.process(machine)
         self.version = 0
         self.entries: dict[str, tuple[int, Health, dict[str, Any]]] = {}
         """By name: the version of the latest change, what it was, the line."""
-        self.coming: dict[str, tuple[Health, dict[str, Any]]] = {}
+        self.pending: dict[str, tuple[Health, dict[str, Any]]] = {}
         """What the next step will tell."""
-        self.stepping = False
-        self.watchers: dict[Call, None] = {}
-        self.free_at = 0
+        self.step_scheduled = False
+        self.watching: dict[DiscoveryConnection, None] = {}
+        self.busy_until = 0
         """ns when it is through with the calls that have come."""
         self.down = False
 
     async def listen(self) -> None:
-        await self.loop.create_server(lambda: Call(self), self.machine.address, PORT, backlog=4096)
+        await self.loop.create_server(lambda: DiscoveryConnection(self), self.machine.address, PORT, backlog=4096)
 
     # --- what it learns ---
 
-    def learn(self, server: PageServer, health: Health, after: float) -> None:
+    def schedule_change(self, server: PageServer, health: Health, after: float) -> None:
         """It knows of a change after so many s."""
         line = {
             "host": server.name,
@@ -56,37 +56,37 @@
             "site": server.machine.zone,
             "class": server.kind.name,
             "block": server.cell,
-            "health": WORDS[health],
+            "health": HEALTH_NAMES[health],
             "share": 1.0,
-            "born_ms": round(server.born),
+            "born_ms": round(server.started_at_ms),
         }
         if after <= 0.0:
-            self.put(server.name, health, line)
+            self.record_change(server.name, health, line)
         else:
-            self.world.scheduler.after(round(after * NS), self.expect, server.name, health, line)
+            self.world.scheduler.after(round(after * NS), self.queue_change, server.name, health, line)
 
-    def expect(self, name: str, health: Health, line: dict[str, Any]) -> None:
-        self.coming[name] = health, line
-        if not self.stepping:
-            self.stepping = True
-            step = round(self.told.period_ms * MS)
-            self.world.scheduler.at((self.world.now() // step + 1) * step, self.step)
+    def queue_change(self, name: str, health: Health, line: dict[str, Any]) -> None:
+        self.pending[name] = health, line
+        if not self.step_scheduled:
+            self.step_scheduled = True
+            step_ns = round(self.settings.period_ms * MS)
+            self.world.scheduler.at((self.world.now() // step_ns + 1) * step_ns, self.publish_step)
 
-    def step(self) -> None:
+    def publish_step(self) -> None:
         """All that has come since the last one makes a new version."""
-        self.stepping = False
-        coming, self.coming = self.coming, {}
-        for name, (health, line) in coming.items():
-            self.put(name, health, line)
-        watchers, self.watchers = self.watchers, {}
-        for call in watchers:
-            call.due()
-
-    def put(self, name: str, health: Health, line: dict[str, Any]) -> None:
+        self.step_scheduled = False
+        pending, self.pending = self.pending, {}
+        for name, (health, line) in pending.items():
+            self.record_change(name, health, line)
+        watching, self.watching = self.watching, {}
+        for connection in watching:
+            connection.schedule_answer()
+
+    def record_change(self, name: str, health: Health, line: dict[str, Any]) -> None:
         self.version += 1
         self.entries[name] = self.version, health, line
 
-    def hosts(self, since: int | None) -> dict[str, tuple[Health, dict[str, Any]]]:
+    def changes_since(self, since: int | None) -> dict[str, tuple[Health, dict[str, Any]]]:
         """What has changed since a version, or all there is."""
         return {
             name: (health, line)
@@ -94,20 +94,20 @@
             if (version > since if since is not None else health != "gone")
         }
 
-    def listed(self) -> list[str]:
+    def ready_names(self) -> list[str]:
         """The servers that are ready as far as it knows."""
-        return [name for name, (health, _) in self.hosts(None).items() if health == "ready"]
+        return [name for name, (health, _) in self.changes_since(None).items() if health == "ready"]
 
-    def whole(self) -> dict[str, Any]:
+    def snapshot(self) -> dict[str, Any]:
         """As a sidecar that has just started may know it."""
-        return {"seq": self.version, "whole": True, "hosts": [line for _, line in self.hosts(None).values()]}
+        return {"seq": self.version, "whole": True, "hosts": [line for _, line in self.changes_since(None).values()]}
 
     # --- its own troubles ---
 
     def go_down(self) -> None:
         """Watches end, calls fail."""
         self.down = True
-        self.watchers.clear()
+        self.watching.clear()
         self.loop.die()
         self.machine.listeners.clear()
 
@@ -115,15 +115,15 @@
         self.down = False
         self.loop = self.world.process(self.machine)
         self.loop.create_task(self.listen())
-        self.free_at = self.world.now()
+        self.busy_until = self.world.now()
 
 
-class Call(asyncio.Protocol):
+class DiscoveryConnection(asyncio.Protocol):
     """A connection of a sidecar: one call at a time."""
 
     transport: asyncio.Transport
 
-    def __init__(self, listing: Listing) -> None:
+    def __init__(self, listing: DiscoveryServer) -> None:
         self.listing, self.world = listing, listing.world
         self.parser: Any = httptools.HttpRequestParser(self)
         self.url = b""
@@ -133,14 +133,14 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.caller = self.world.names.get(transport.get_extra_info("peername")[0], "")
+        self.caller = self.world.machine_names.get(transport.get_extra_info("peername")[0], "")
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.parser = None
-        self.leave()
+        self.stop_watching()
 
-    def leave(self) -> None:
-        self.listing.watchers.pop(self, None)
+    def stop_watching(self) -> None:
+        self.listing.watching.pop(self, None)
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -158,41 +158,41 @@
     def on_message_complete(self) -> None:
         query = parse_qs(urlsplit(self.url.decode()).query)
         self.url = b""
-        self.world.counts.list_call()
+        self.world.counts.count_discovery_call()
         self.since = int(query["index"][0]) if "index" in query else None
-        wait = min(float(query.get("wait", ["0"])[0]), MOST_WAIT)
+        wait = min(float(query.get("wait", ["0"])[0]), MAX_WATCH_MS)
         if self.since is not None and self.since >= self.listing.version and wait > 0.0:
-            self.listing.watchers[self] = None
-            self.timer = self.listing.loop.call_later(wait / 1000.0, self.due)
+            self.listing.watching[self] = None
+            self.timer = self.listing.loop.call_later(wait / 1000.0, self.schedule_answer)
         else:
-            self.due()
+            self.schedule_answer()
 
-    def due(self) -> None:
+    def schedule_answer(self) -> None:
         """It is to be answered, in its turn."""
-        self.leave()
+        self.stop_watching()
         listing, now = self.listing, self.world.now()
-        told = listing.told
-        start = max(now, listing.free_at)
-        if start - now > told.timeout_ms * MS:
-            listing.loop.call_later(told.timeout_ms / 1000.0, self.fail)
+        settings = listing.settings
+        start = max(now, listing.busy_until)
+        if start - now > settings.timeout_ms * MS:
+            listing.loop.call_later(settings.timeout_ms / 1000.0, self.send_failure)
             return
-        lines = len(listing.hosts(self.since)) + told.call_lines
-        listing.free_at = start + round(lines / told.lines_per_s * NS)
-        listing.loop.call_later((listing.free_at - now) / NS, self.answer)
+        lines = len(listing.changes_since(self.since)) + settings.call_lines
+        listing.busy_until = start + round(lines / settings.lines_per_s * NS)
+        listing.loop.call_later((listing.busy_until - now) / NS, self.send_answer)
 
-    def fail(self) -> None:
-        self.world.counts.list_failures += 1
+    def send_failure(self) -> None:
+        self.world.counts.discovery_failures += 1
         if not self.transport.is_closing():
             self.transport.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 
-    def answer(self) -> None:
+    def send_answer(self) -> None:
         if self.transport.is_closing():
             return
         listing = self.listing
-        new = listing.hosts(self.since)
-        told = [self.world.as_told(line, self.caller) for _, line in new.values()]
-        body = orjson.dumps({"seq": listing.version, "whole": self.since is None, "hosts": told})
-        self.world.counts.list_line(len(new))
+        new = listing.changes_since(self.since)
+        entries = [self.world.as_told(line, self.caller) for _, line in new.values()]
+        body = orjson.dumps({"seq": listing.version, "whole": self.since is None, "hosts": entries})
+        self.world.counts.count_discovery_entries(len(new))
         self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-        at = self.world.ms()
-        self.world.log.told += [Told(at, name, health, self.caller) for name, (health, _) in new.items()]
+        now = self.world.ms()
+        self.world.log.told += [Told(now, name, health, self.caller) for name, (health, _) in new.items()]
--- a/zinclever/sim/model.py
+++ b/zinclever/sim/model.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Servers:
+class ServerSettings:
     """What all page servers have in common."""
 
     kinds: tuple[ServerKind, ...]
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Applications:
+class ClientSettings:
     """The clients."""
 
     retries: int = 3
@@ -85,7 +85,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
+class DiscoverySettings:
     """Discovery."""
 
     notice_s: Range = (1.0, 4.0)
@@ -102,7 +102,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class RuleLimits:
     """The figures of the four rules."""
 
     drain_grace_ms: float = 1000.0
@@ -112,7 +112,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sidecars:
+class SidecarSettings:
     """What each sidecar has, and costs."""
 
     sockets: int = 256
@@ -128,7 +128,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Zones:
+class ZoneSettings:
     """The data centres."""
 
     names: tuple[str, ...] = ("rvk", "kef")
@@ -165,25 +165,25 @@
     rate: float
     """First tries a second, of all applications."""
     classes: tuple[RequestKind, ...]
-    servers: Servers
-    applications: Applications = field(default_factory=Applications)
-    listing: Listing = field(default_factory=Listing)
-    rules: Rules = field(default_factory=Rules)
-    sidecar: Sidecars = field(default_factory=Sidecars)
-    zones: Zones = field(default_factory=Zones)
+    servers: ServerSettings
+    applications: ClientSettings = field(default_factory=ClientSettings)
+    listing: DiscoverySettings = field(default_factory=DiscoverySettings)
+    rules: RuleLimits = field(default_factory=RuleLimits)
+    sidecar: SidecarSettings = field(default_factory=SidecarSettings)
+    zones: ZoneSettings = field(default_factory=ZoneSettings)
     troubles: tuple[Trouble, ...] = ()
     only: tuple[int, ...] = ()
     """Which first tries are made, by their numbers in the order in which they are drawn; none named: all."""
 
 
-READER = (
+READER_REQUESTS = (
     RequestKind("read", 0.42, 47.0, 120.0, 1200.0, 6000.0, 2.0, "idempotent"),
     RequestKind("unlock", 0.40, 70.0, 115.0, 1000.0, 2500.0, 10.0, "deduplicated", 12000.0, "zone"),
     RequestKind("tip", 0.18, 70.0, 120.0, 800.0, 4000.0, 8.0, "at_most_once"),
 )
 """The reader app's requests, as the brief words them."""
 
-PAGES = Servers(
+PAGE_SERVERS = ServerSettings(
     (
         ServerKind("large", 0.34, (1.4, 1.8), 14, 16, 0.2, 17.0),
         ServerKind("medium", 0.20, (0.85, 1.1), 13, 20, 0.22, 19.0),
--- a/zinclever/sim/scene.py
+++ b/zinclever/sim/scene.py
@@ -19,22 +19,24 @@
 from ..simnet.trace import Trace
 from ..standins.audit import Breach, Terms, audit
 from ..standins.log import Log
-from .applications import Application, Keys
-from .figures import Counts, Figures
+from .applications import Application, KeyPopularity
+from .figures import FleetCounters, ServiceMetrics
 from .ground import Clock, Process
-from .listing import Listing
+from .listing import DiscoveryServer
 from .model import Day, RequestKind, ServerKind
 from .pages import PageServer
 from .sidecars import Sidecar
-from .troubles import Cut, Troubles
+from .troubles import FaultInjector, NetworkCut
 
 MS = NS // 1000
 START = 3 * NS  # ns at which the day begins: the sidecars are up by then
 AFTER = 3.0  # s after its day in which clients still try again
-MOST_ATTEMPTS = 6
-SLACK = 60.0  # ms that an answer, or a send, may be late: the rules' 50 and what a segment takes
-REDELIVERED = 4000.0  # ms after a cut of some seconds within which what it held has come: TCP's tries double from 0.2 s
-BUSY_PART = 20  # one in so many sidecars is a busy one
+MAX_ATTEMPTS = 6
+ANSWER_SLACK_MS = 60.0  # ms that an answer, or a send, may be late: the rules' 50 and what a segment takes
+REDELIVERY_MS = (
+    4000.0  # ms after a cut of some seconds within which what it held has come: TCP's tries double from 0.2 s
+)
+BUSY_SIDECAR_INTERVAL = 20  # one in so many sidecars is a busy one
 
 
 class Nets(NamedTuple):
@@ -43,7 +45,7 @@
     sidecars: str
     servers: str
     discovery: str
-    most_servers: int
+    max_servers: int
 
 
 NETS = Nets("10.1.0.1", "10.2.0.1", "10.3.0.1", 60_000)
@@ -60,37 +62,37 @@
         self.network = network
         self.trace: Trace = network.trace
         zones = day.zones
-        for one, other in itertools.combinations(zones.names, 2):
-            self.network.between(one, other, Path(zones.cross_ms / 1000.0, zones.jitter))
+        for source, target in itertools.combinations(zones.names, 2):
+            self.network.between(source, target, Path(zones.cross_ms / 1000.0, zones.jitter))
         self.rng = Random(f"{day.seed}/world")
         self.log = Log(self.ms)
-        self.counts, self.figures = Counts(self), Figures(self)
-        self.serials = itertools.count(1)
-        self.only = frozenset(day.only)
-        self.cuts: list[Cut] = []
-        self.drawn = 0
+        self.counts, self.figures = FleetCounters(self), ServiceMetrics(self)
+        self.execution_numbers = itertools.count(1)
+        self.selected_requests = frozenset(day.only)
+        self.cuts: list[NetworkCut] = []
+        self.request_count = 0
         """First tries drawn so far."""
         self.classes = {kind.name: kind for kind in day.classes}
-        self.class_sums = list(itertools.accumulate(kind.share for kind in day.classes))
-        self.names: dict[str, str] = {}
+        self.cumulative_class_shares = list(itertools.accumulate(kind.share for kind in day.classes))
+        self.machine_names: dict[str, str] = {}
         """Of the machines, by address."""
         self.over = False
         """No new requests."""
         self.closing = False
         """No new tries of those that there are: what is still out gets its answer before the world ends."""
-        self.factor = 1.0
+        self.rate_factor = 1.0
         """Of the rate of requests."""
         self.report_delay_ms = 0.0
-        self.keys = Keys(day.applications.keys, day.applications.zipf, f"{day.seed}/keys")
-        self.listing = Listing(self, self.network.machine("discovery", nets.discovery, zones.names[0]))
-        self.server_addresses = iter(addresses(nets.servers, nets.most_servers))
+        self.keys = KeyPopularity(day.applications.keys, day.applications.zipf, f"{day.seed}/keys")
+        self.listing = DiscoveryServer(self, self.network.machine("discovery", nets.discovery, zones.names[0]))
+        self.server_addresses = iter(addresses(nets.servers, nets.max_servers))
         self.servers: dict[str, PageServer] = {}
         """By name; those that are gone among them."""
-        self.make_servers()
-        self.sidecars: Sequence[Sidecar] = list(self.make_sidecars(nets.sidecars))
-        self.applications = [Application(self, s, self.weight(n)) for n, s in enumerate(self.sidecars)]
-        self.weights = sum(a.weight for a in self.applications)
-        self.troubles = Troubles(self)
+        self.create_servers()
+        self.sidecars: Sequence[Sidecar] = list(self.create_sidecars(nets.sidecars))
+        self.applications = [Application(self, s, self.draw_weight(n)) for n, s in enumerate(self.sidecars)]
+        self.total_weight = sum(a.weight for a in self.applications)
+        self.troubles = FaultInjector(self)
 
     # --- time and draws ---
 
@@ -107,23 +109,25 @@
     def day_second(self, at: int) -> int:
         return (at - self.start) // NS
 
-    def serial(self) -> int:
-        return next(self.serials)
+    def next_execution_number(self) -> int:
+        return next(self.execution_numbers)
 
     def text_seed(self, text: str) -> int:
         return text_seed(text)
 
-    def next_request(self) -> int:
+    def next_request_number(self) -> int:
         """The number of a first try: from 1, over all applications."""
-        self.drawn += 1
-        return self.drawn
+        self.request_count += 1
+        return self.request_count
 
-    def rate_now(self) -> float:
-        return self.day.rate * self.factor
+    def request_rate(self) -> float:
+        return self.day.rate * self.rate_factor
 
     def draw_class(self, rng: Random) -> RequestKind:
-        sums = self.class_sums
-        return self.day.classes[bisect(sums, rng.random() * sums[-1], 0, len(sums) - 1)]
+        cumulative_shares = self.cumulative_class_shares
+        return self.day.classes[
+            bisect(cumulative_shares, rng.random() * cumulative_shares[-1], 0, len(cumulative_shares) - 1)
+        ]
 
     # --- what it stands on ---
 
@@ -140,44 +144,46 @@
 
     # --- who is there ---
 
-    def zone_of(self, number: int) -> str:
+    def zone_for(self, number: int) -> str:
         names = self.day.zones.names
         return names[number % len(names)]
 
     def new_server(self, zone: str, kind: ServerKind, cell: int, cold: bool) -> PageServer:
         """A server on a machine of its own; who wants it heard of tells discovery."""
         machine = self.network.machine(f"s{len(self.servers)}", next(self.server_addresses), zone)
-        self.names[machine.address] = machine.name
+        self.machine_names[machine.address] = machine.name
         server = self.servers[machine.name] = PageServer(self, machine, kind, cell, cold)
         server.loop.create_task(server.listen())
         return server
 
-    def make_servers(self) -> None:
-        told = self.day.servers
+    def create_servers(self) -> None:
+        settings = self.day.servers
         zones = len(self.day.zones.names)
         for number in range(self.day.endpoints):
-            cell = zones * (number // zones // told.cell) + number % zones
-            server = self.new_server(self.zone_of(number), self.draw_kind(), cell, False)
-            self.listing.learn(server, "ready", 0.0)
+            cell = zones * (number // zones // settings.cell) + number % zones
+            server = self.new_server(self.zone_for(number), self.draw_kind(), cell, False)
+            self.listing.schedule_change(server, "ready", 0.0)
 
     def draw_kind(self) -> ServerKind:
         kinds = self.day.servers.kinds
-        sums = list(itertools.accumulate(kind.share for kind in kinds))
-        return kinds[bisect(sums, self.rng.random() * sums[-1], 0, len(sums) - 1)]
+        cumulative_shares = list(itertools.accumulate(kind.share for kind in kinds))
+        return kinds[
+            bisect(cumulative_shares, self.rng.random() * cumulative_shares[-1], 0, len(cumulative_shares) - 1)
+        ]
 
-    def make_sidecars(self, first: str) -> Iterator[Sidecar]:
+    def create_sidecars(self, first_address: str) -> Iterator[Sidecar]:
         zones = self.day.zones
-        for number, address in enumerate(addresses(first, self.day.sidecars)):
+        for number, address in enumerate(addresses(first_address, self.day.sidecars)):
             in_first = self.rng.random() < zones.skew
             half = (len(zones.names) + 1) // 2
             names = zones.names[:half] if in_first or half == len(zones.names) else zones.names[half:]
             machine = self.network.machine(f"n{number}", address, names[number % len(names)])
-            self.names[address] = machine.name
+            self.machine_names[address] = machine.name
             yield self.new_sidecar(machine, number)
 
-    def weight(self, number: int) -> float:
+    def draw_weight(self, number: int) -> float:
         """How busy a sidecar's application is: most are quiet, some are not."""
-        return self.day.applications.busy if number % BUSY_PART == 0 else 0.5 + self.rng.random()
+        return self.day.applications.busy if number % BUSY_SIDECAR_INTERVAL == 0 else 0.5 + self.rng.random()
 
     def ready_servers(self) -> list[PageServer]:
         return [s for s in self.servers.values() if s.health == "ready" and s.machine.up]
@@ -195,18 +201,18 @@
             "zones": list(day.zones.names),
             "classes": [
                 {
-                    "name": k.name,
-                    "aim": k.aim_ms,
-                    "deadline": k.deadline_ms,
-                    "value": k.worth,
-                    "repeat": k.repeat,
-                    "group": k.group,
-                    "window": k.window_ms,
+                    "name": kind.name,
+                    "aim": kind.aim_ms,
+                    "deadline": kind.deadline_ms,
+                    "value": kind.worth,
+                    "repeat": kind.repeat,
+                    "group": kind.group,
+                    "window": kind.window_ms,
                 }
-                for k in day.classes
+                for kind in day.classes
             ],
             "limits": {
-                "attempts-cap": MOST_ATTEMPTS,
+                "attempts-cap": MAX_ATTEMPTS,
                 "cancel": True,
                 "second-copies": True,
                 "retry-after": True,
@@ -218,8 +224,8 @@
                 "answer-slack": 50.0,
                 "ask-within": day.rules.ask_within_ms,
                 "stop-sending-within": day.rules.drain_grace_ms,
-                "cold-share": min(k.cold_share for k in kinds),
-                "cold": 1000.0 * max(k.cold_s for k in kinds),
+                "cold-share": min(kind.cold_share for kind in kinds),
+                "cold": 1000.0 * max(kind.cold_s for kind in kinds),
                 "overload-factor": day.rules.fall_multiple,
                 "fall": day.rules.fall_ms,
             },
@@ -235,7 +241,7 @@
 
     def slack(self) -> float:
         """ms that an answer, or a send, may be late."""
-        return SLACK
+        return ANSWER_SLACK_MS
 
     def judge(self) -> list[Breach]:
         """Every breach of the four rules, by the shared auditor; a server that fell is one of the fourth."""
@@ -247,24 +253,26 @@
             overload_for=rules.fall_ms,
             cold_for=0.0,
         )
-        fallen = [Breach(4, name, "pushed over while cold") for name in self.counts.fallen]
-        return [*audit(self.as_sent(), terms), *fallen]
+        overloads = [Breach(4, name, "pushed over while cold") for name in self.counts.overloaded_servers]
+        return [*audit(self.log_adjusted_for_cuts(), terms), *overloads]
 
-    def as_sent(self) -> Log:
+    def log_adjusted_for_cuts(self) -> Log:
         """The log with what a cut has held back dated to when it may have been sent, which no peer has seen."""
         if not self.cuts:
             return self.log
         zones = {m.name: m.zone for m in self.network.machines.values()}
-        held = replace(self.log, received=[])
+        adjusted = replace(self.log, received=[])
         for r in self.log.received:
             ends = {r.via, zones.get(r.via, ""), ""}, {r.endpoint, zones.get(r.endpoint, "")}
             since = [
-                c.at
+                c.started_at
                 for c in self.cuts
-                if c.source in ends[0] and c.target in ends[1] and c.at <= r.first <= c.at + c.span + REDELIVERED
+                if c.source in ends[0]
+                and c.target in ends[1]
+                and c.started_at <= r.first <= c.started_at + c.duration + REDELIVERY_MS
             ]
-            held.received.append(r._replace(first=min([r.first, *since])))
-        return held
+            adjusted.received.append(r._replace(first=min([r.first, *since])))
+        return adjusted
 
 
 def text_seed(text: str) -> int:
--- a/zinclever/sim/sidecars.py
+++ b/zinclever/sim/sidecars.py
@@ -21,7 +21,7 @@
 
 PORT = 8080
 CONFIG = "/config.json"
-CROSSES = 1.0  # ms that a reset takes to the application beside
+RESET_DELAY_MS = 1.0  # ms that a reset takes to the application beside
 
 
 class Sidecar:
@@ -29,7 +29,7 @@
 
     loop: object | None
     """What is its process, as long as there is one."""
-    crosses = CROSSES
+    crosses = RESET_DELAY_MS
 
     def __init__(self, world: Scene, machine: Machine, number: int) -> None:
         self.world, self.machine, self.number = world, machine, number
@@ -50,7 +50,7 @@
         """The platform asks it to end."""
         raise NotImplementedError
 
-    def reload(self, **more: object) -> None:
+    def reload(self, **overrides: object) -> None:
         """Its file is written anew, and it is told."""
         raise NotImplementedError
 
@@ -76,35 +76,35 @@
         """What a new process remembers has been told, too: a server may have come back since the last heard of it."""
         world = self.world
         if world.day.sidecar.known:
-            world.log.told += [Told(world.ms(), name, "ready", self.name) for name in world.listing.listed()]
+            world.log.told += [Told(world.ms(), name, "ready", self.name) for name in world.listing.ready_names()]
 
-    def configuration(self, seed: int, **more: object) -> bytes:
+    def configuration(self, seed: int, **overrides: object) -> bytes:
         world = self.world
-        known = world.listing.whole() if world.day.sidecar.known else {"hosts": []}
-        known["hosts"] = [world.as_told(line, self.name) for line in known["hosts"]]
-        told: Mapping[str, object] = {
+        known_servers = world.listing.snapshot() if world.day.sidecar.known else {"hosts": []}
+        known_servers["hosts"] = [world.as_told(line, self.name) for line in known_servers["hosts"]]
+        config: Mapping[str, object] = {
             "name": self.name,
             "listen": f"{self.machine.address}:{PORT}",
             "discovery": self.discovery(),
             "seed": f"{seed:016x}",
             "limits": {"cores": 1.0, "memory_mb": world.day.sidecar.memory_mb, "sockets": world.day.sidecar.sockets},
-            "known": known if known["hosts"] else {},
+            "known": known_servers if known_servers["hosts"] else {},
             "settings": world.settings(self),
         }
-        return orjson.dumps({**told, **more})
+        return orjson.dumps({**config, **overrides})
 
     def discovery(self) -> str:
         """Where it finds discovery."""
         return f"{self.world.listing.machine.address}:8500"
 
-    def killed_since(self, at: float) -> bool:
+    def killed_since(self, instant: float) -> bool:
         """Whether its process was killed at or after an instant, in ms, or just before: the reset is then on its way,
         and nobody has taken what crosses it."""
-        return self.killed_at >= at - self.crosses
+        return self.killed_at >= instant - self.crosses
 
-    def paused_since(self, at: float) -> bool:
+    def paused_since(self, instant: float) -> bool:
         """Whether it stood still at an instant, in ms, or later."""
-        return self.paused_at >= 0.0 and (self.resumed_at < self.paused_at or self.resumed_at >= at)
+        return self.paused_at >= 0.0 and (self.resumed_at < self.paused_at or self.resumed_at >= instant)
 
 
 class SimulatedSidecar(Sidecar):
@@ -118,7 +118,7 @@
         self.host: SimulatedHost | None = None
         self.most_descriptors = 0
         self.callbacks = 0
-        self.used = 0
+        self.cpu_used_ns = 0
         """ns of its core, of processes that have ended."""
 
     def start(self) -> None:
@@ -126,33 +126,33 @@
             return
         world = self.world
         self.starts += 1
-        told = world.day.sidecar
-        cost = Cost(told.callback_us / 1e6, told.byte_ns / 1e9, told.core_share)
-        loop = Loop(self.machine, cost, told.sockets)
+        settings = world.day.sidecar
+        cost = Cost(settings.callback_us / 1e6, settings.byte_ns / 1e9, settings.core_share)
+        loop = Loop(self.machine, cost, settings.sockets)
         seed = f"{world.day.seed}/{self.name}/{self.starts}"
         self.remember()
         self.disk.files[CONFIG] = self.configuration(world.text_seed(seed))
         host = SimulatedHost(loop, world.text_seed(seed + "/host"), {"LB_CONFIG": CONFIG}, self.disk)
         self.loop, self.host = loop, host
         self.task = loop.create_task(self.run(host))
-        self.task.add_done_callback(lambda task: self.ended(loop, task))
+        self.task.add_done_callback(lambda task: self.on_exit(loop, task))
 
     async def run(self, host: SimulatedHost) -> None:
         """What ``python -m zinclever`` does."""
         config, operator = read(host.environ, host.read_file)
         await serve(config, operator, host)
 
-    def ended(self, loop: Loop, task: asyncio.Task[None]) -> None:
+    def on_exit(self, loop: Loop, task: asyncio.Task[None]) -> None:
         """The process has ended by itself: in order, or because it failed."""
         if task.cancelled() or task.exception() is not None:
-            said = task.exception() if not task.cancelled() else "cancelled"
-            self.world.counts.crashes.append(f"{self.name}: {said}")
-        self.bury(loop)
+            reason = task.exception() if not task.cancelled() else "cancelled"
+            self.world.counts.crashes.append(f"{self.name}: {reason}")
+        self.record_exit(loop)
 
-    def bury(self, loop: Loop) -> None:
+    def record_exit(self, loop: Loop) -> None:
         self.most_descriptors = max(self.most_descriptors, loop.descriptors.most)
         self.callbacks += loop.callbacks
-        self.used += loop.used
+        self.cpu_used_ns += loop.used
         loop.die()
         if self.loop is loop:
             self.loop = self.task = None
@@ -165,15 +165,15 @@
     def kill(self) -> None:
         self.killed_at = self.world.ms()
         if self.loop is not None:
-            self.bury(self.loop)
+            self.record_exit(self.loop)
 
     def terminate(self) -> None:
         if self.loop is not None:
             self.loop.signal(signal.SIGTERM)
 
-    def reload(self, **more: object) -> None:
+    def reload(self, **overrides: object) -> None:
         if self.loop is not None:
-            self.disk.files[CONFIG] = self.configuration(self.world.text_seed(f"{self.name}/reload"), **more)
+            self.disk.files[CONFIG] = self.configuration(self.world.text_seed(f"{self.name}/reload"), **overrides)
             self.loop.signal(signal.SIGHUP)
 
     def pause(self) -> None:
