--- a/zinclever/sim/__init__.py
+++ b/zinclever/sim/__init__.py
@@ -1,7 +1,8 @@
-"""Days of a whole fleet in simulated time: the unchanged program many times over, and a model of all that is round it.
+"""Discrete-event simulation of a fleet: many instances of the unmodified sidecar program, with a model of everything else.
 
-:mod:`~zinclever.sim.model` says what a world is made of and what goes wrong in it, as data; :mod:`~zinclever.sim.days`
-draws such days from seeds; :mod:`~zinclever.sim.world` plays one. Page servers, discovery and clients are of
-:mod:`~zinclever.sim.pages`, :mod:`~zinclever.sim.listing` and :mod:`~zinclever.sim.applications`; the program runs in
-:mod:`~zinclever.sim.sidecars`. Whatever is counted is counted at those who were sent something.
+A *day* is one scenario: the fleet, its load, the faults that are injected and a seed. :mod:`~zinclever.sim.model` defines
+days as data, :mod:`~zinclever.sim.days` generates them from seeds and :mod:`~zinclever.sim.world` runs one. The upstream
+servers, service discovery and the clients are modelled in :mod:`~zinclever.sim.pages`, :mod:`~zinclever.sim.listing` and
+:mod:`~zinclever.sim.applications`; the program runs in :mod:`~zinclever.sim.sidecars`. Traffic is counted by its
+receivers, not by its senders.
 """
--- a/zinclever/sim/applications.py
+++ b/zinclever/sim/applications.py
@@ -1,4 +1,4 @@
-"""The applications: each asks its own sidecar, on kept connections, and tries again as real clients do."""
+"""The client applications: each sends requests to its own sidecar over persistent connections, and retries failures."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
     from .sidecars import Sidecar
 
 MS = NS // 1000
-ANSWER_GRACE = 0.1  # s over its deadline after which an answer that has not come never will
+ANSWER_GRACE = 0.1  # s past the client's timeout at which it gives up on the answer
 BODY = b"x" * 64
 
 
 class KeyPopularity:
-    """What requests are about: a few are far more popular than the rest (Zipf), and some may be hot for a while."""
+    """Distribution of request keys: Zipf, plus an optional set of hot keys that take a share of all requests."""
 
     def __init__(self, count: int, exponent: float, seed: str) -> None:
         weights = [1.0 / (n + 1) ** exponent for n in range(count)]
@@ -35,6 +35,7 @@
         self.hot_share = 0.0
 
     def draw(self, rng: Random) -> str:
+        """Return a random key."""
         if self.hot_names and rng.random() < self.hot_share:
             return rng.choice(self.hot_names)
         return self.names[
@@ -43,7 +44,7 @@
 
 
 class ClientRequest:
-    """A first try and the tries that belong to it."""
+    """One request as the client sees it: the first try and its retries."""
 
     __slots__ = ("finished", "idempotency_key", "key", "kind", "number", "started_at", "try_count", "work")
 
@@ -63,7 +64,7 @@
 
 
 class Application:
-    """One client process beside its sidecar."""
+    """The client process that runs next to one sidecar."""
 
     def __init__(self, world: Scene, sidecar: Sidecar, weight: float) -> None:
         self.world, self.sidecar, self.weight = world, sidecar, weight
@@ -75,27 +76,29 @@
         self.honours_retry_after = self.rng.random() < settings.honour
         self.backoff = self.rng.uniform(*settings.backoff_ms)
         self.rate_version = 0
-        """Of its rate: an arrival that was drawn by another is void."""
+        """Incremented on each rate change; an arrival that was scheduled under an older version is ignored."""
 
     def rate(self) -> float:
-        """First tries a second, at this moment."""
+        """Return the current rate of new requests per second, without retries."""
         return self.world.request_rate() * self.weight / self.world.total_weight
 
     def go(self) -> None:
-        """Begin to ask; called again when the rate changes."""
+        """Start sending requests; call again whenever the rate changes."""
         self.rate_version += 1
         self.schedule_arrival(self.rate_version)
 
     def stop_arrivals(self) -> None:
-        """Ask nothing new."""
+        """Send no new requests until :meth:`go` is called."""
         self.rate_version += 1
 
     def schedule_arrival(self, rate_version: int) -> None:
+        """Schedule the next request of the Poisson process."""
         rate = self.rate()
         if rate > 0.0:
             self.world.scheduler.after(round(self.rng.expovariate(rate) * NS), self.on_arrival, rate_version)
 
     def on_arrival(self, rate_version: int) -> None:
+        """Create a request and send its first try."""
         if rate_version != self.rate_version or self.world.over:
             return
         self.schedule_arrival(rate_version)
@@ -115,9 +118,10 @@
         world.figures.on_request_started(request)
         self.send_try(request)
 
-    # --- one try ---
+    # --- a single try ---
 
     def send_try(self, request: ClientRequest) -> None:
+        """Send one try, on an idle connection if there is one."""
         request.try_count += 1
         name = f"{self.name}.{request.number}.{request.try_count}"
         if self.idle:
@@ -128,6 +132,7 @@
             self.loop.create_task(self.connect_and_send(request, name))
 
     async def connect_and_send(self, request: ClientRequest, name: str, is_resend: bool = False) -> None:
+        """Open a connection to the sidecar and send the request on it."""
         try:
             _, connection = await self.loop.create_connection(lambda: SidecarConnection(self), *self.sidecar.address)
         except OSError:
@@ -137,22 +142,24 @@
         connection.send(request, name, is_resend)
 
     def on_sidecar_unreachable(self, request: ClientRequest) -> None:
-        """No sidecar: nothing has run."""
+        """The connection was refused, so nothing was executed: retry after the backoff."""
         self.world.counts.unreachable += 1
         self.retry(request, self.backoff)
 
     def retry(self, request: ClientRequest, delay: float) -> None:
-        """One more try after so many ms, if any is left."""
+        """Send another try after ``delay`` ms, if the retry limit allows it."""
         if self.world.closing or request.try_count > self.world.day.applications.retries:
             self.give_up(request)
         else:
             self.world.scheduler.after(round(delay * MS), self.send_try, request)
 
     def give_up(self, request: ClientRequest) -> None:
+        """End the request as failed."""
         request.finished = True
         self.world.figures.on_request_finished(request, False)
 
     def on_answer(self, request: ClientRequest, status: int, retry_after_ms: float) -> None:
+        """Finish the request, or retry it if the sidecar refused it with 503."""
         if status == 200:
             request.finished = True
             self.world.figures.on_request_finished(request, True)
@@ -162,7 +169,7 @@
             self.on_failure(request)
 
     def on_failure(self, request: ClientRequest) -> None:
-        """It may have run: tried again where a repeat is harmless."""
+        """Handle a failure after which the request may have been executed: retry only if a repeat has no effect."""
         kind = request.kind
         if kind.repeat == "idempotent" or (kind.repeat == "deduplicated" and kind.group == "all"):
             self.retry(request, self.backoff)
@@ -171,7 +178,7 @@
 
 
 class SidecarConnection(asyncio.Protocol):
-    """A connection to the sidecar: one request at a time."""
+    """A client's HTTP/1.1 connection to its sidecar, with at most one request in flight."""
 
     transport: asyncio.Transport
 
@@ -188,9 +195,15 @@
         self.transport = cast(asyncio.Transport, transport)
 
     def send(self, request: ClientRequest, name: str, is_resend: bool = False) -> None:
-        """Ask. ``again``: the same request as on a connection that ended before it was read."""
+        """Send one try.
+
+        Args:
+            request: The request that the try belongs to.
+            name: Identifier of the try.
+            is_resend: The sidecar closed the previous connection before it read this try.
+        """
         world, kind = self.application.world, request.kind
-        if self.transport.is_closing():  # it ended in this very moment
+        if self.transport.is_closing():  # closed since it was taken from the idle list
             self.application.loop.create_task(self.application.connect_and_send(request, name))
             return
         self.request, self.name, self.is_resend = request, name, is_resend
@@ -222,8 +235,10 @@
         self.transport.write(head.encode() + (b"" if idempotent else BODY))
 
     def on_timeout(self) -> None:
-        """The client has given up: that it got no answer is a breach, which the auditor finds, unless its sidecar stood
-        still."""
+        """Give up waiting for the answer.
+
+        The auditor reports the missing answer as a breach, unless the sidecar process was paused.
+        """
         self.timer = None
         if self.application.sidecar.paused_since(self.sent_at):
             self.application.world.log.left.append(Left(self.application.world.ms(), self.name))
@@ -262,7 +277,7 @@
         status = self.parser.get_status_code()
         world = self.application.world
         if world.ms() > self.sent_at + self.timeout_ms and self.application.sidecar.paused_since(self.sent_at):
-            world.log.left.append(Left(world.ms(), self.name))  # it had given up already
+            world.log.left.append(Left(world.ms(), self.name))  # the client had already given up
             self.application.on_failure(request)
             self.transport.abort()
             return
@@ -276,7 +291,7 @@
         self.application.on_answer(request, status, self.retry_after_ms)
 
     def log_extra_answer(self) -> None:
-        """Something more after a final answer, which the auditor finds: there is one to each request."""
+        """Log data after the final answer as a second answer, which the auditor reports as a breach."""
         if self.name:
             self.application.world.log.answered.append(Answered(self.application.world.ms(), self.name, "served"))
 
@@ -292,11 +307,11 @@
             return
         world = application.world
         if application.sidecar.killed_since(self.sent_at):
-            # What a sidecar that was killed has held is the client's to repeat, as far as it may.
+            # A killed sidecar cannot answer; the client retries if a repeat has no effect.
             world.log.left.append(Left(world.ms(), self.name))
             application.on_failure(request)
         elif self.reused and exc is None and not self.is_resend:
-            # The sidecar closed it between requests, and this one crossed that.
+            # The sidecar closed the idle connection while this request was on its way to it.
             application.loop.create_task(application.connect_and_send(request, self.name, is_resend=True))
         else:
             application.on_failure(request)
--- a/zinclever/sim/core.py
+++ b/zinclever/sim/core.py
@@ -1,4 +1,4 @@
-"""One processor of a page server: jobs one after another, at a speed that changes while it warms up."""
+"""The processor of a simulated server: runs jobs in FIFO order, at a speed that rises while the server warms up."""
 
 from __future__ import annotations
 
@@ -12,34 +12,35 @@
 
 @dataclass(frozen=True, slots=True)
 class WarmUp:
-    """How a server that has started gets up to its speed: evenly with time."""
+    """The linear ramp from a cold server's initial speed to its full speed."""
 
     started_at: int
-    """ns"""
+    """Start of the ramp, in ns."""
     initial_share: float
-    """Of its speed, that it has at the start."""
+    """Fraction of the full speed at the start."""
     duration: int
-    """ns until it has all of it."""
+    """Length of the ramp, in ns."""
 
     def speed_factor(self, now: int) -> float:
+        """Return the fraction of the full speed that is available at ``now``, in ns."""
         if now >= self.started_at + self.duration:
             return 1.0
         return self.initial_share + (1.0 - self.initial_share) * (now - self.started_at) / self.duration
 
 
 class Job:
-    """Work that waits or is done, until it is through or called off."""
+    """A unit of work that is queued or running."""
 
     __slots__ = ("on_done", "work")
 
-    def __init__(self, work: float, done: Callable[[], None]) -> None:
-        """``work``: s on a processor of speed 1."""
+    def __init__(self, work: float, on_done: Callable[[], None]) -> None:
+        """``work`` is in seconds on a processor of speed 1; ``on_done`` runs when the job completes."""
         self.work = work
-        self.on_done: Callable[[], None] | None = done
+        self.on_done: Callable[[], None] | None = on_done
 
 
 class ProcessorCore:
-    """Does jobs in their order. What is called off costs nothing more."""
+    """Runs one job at a time, in FIFO order. A cancelled job consumes no further processor time."""
 
     __slots__ = ("completion", "current_job", "jobs", "scheduler", "speed", "total_work", "warming")
 
@@ -49,20 +50,22 @@
         self.current_job: Job | None = None
         self.completion: Due | None = None
         self.total_work = 0.0
-        """s at speed 1"""
+        """Work of all jobs started so far, in seconds at speed 1."""
 
     def current_speed(self) -> float:
-        """What it does at this moment, against speed 1."""
+        """Return the present speed, relative to a processor of speed 1."""
         return self.speed * (self.warming.speed_factor(self.scheduler.now) if self.warming is not None else 1.0)
 
-    def add(self, work: float, done: Callable[[], None]) -> Job:
-        job = Job(work, done)
+    def add(self, work: float, on_done: Callable[[], None]) -> Job:
+        """Queue a job of ``work`` seconds at speed 1; ``on_done`` runs when it completes."""
+        job = Job(work, on_done)
         self.jobs.append(job)
         if self.current_job is None:
             self.start_next()
         return job
 
     def start_next(self) -> None:
+        """Start the first queued job that has not been cancelled."""
         while self.jobs:
             job = self.jobs.popleft()
             if job.on_done is not None:
@@ -72,14 +75,15 @@
                 return
 
     def finish(self, job: Job) -> None:
+        """Complete the running job and start the next one before calling back."""
         self.current_job = None
-        done, job.on_done = job.on_done, None
+        on_done, job.on_done = job.on_done, None
         self.start_next()
-        if done is not None:
-            done()
+        if on_done is not None:
+            on_done()
 
-    def call_off(self, job: Job) -> None:
-        """Nobody waits for it any more."""
+    def cancel(self, job: Job) -> None:
+        """Cancel a queued or running job; its callback is not called."""
         job.on_done = None
         if job is self.current_job:
             if self.completion is not None:
@@ -88,7 +92,7 @@
             self.start_next()
 
     def stop(self) -> None:
-        """Nothing of it goes on."""
+        """Drop all queued jobs and cancel the running one."""
         self.jobs.clear()
         if self.current_job is not None:
-            self.call_off(self.current_job)
+            self.cancel(self.current_job)
--- a/zinclever/sim/ground.py
+++ b/zinclever/sim/ground.py
@@ -1,5 +1,7 @@
-"""What a world stands on: a clock with what happens when, and processes on its machines. Simulated in
-:mod:`zinclever.simnet`, real in :mod:`zinclever.rig`."""
+"""Interfaces of the execution environment: the clock with its event queue, and the processes on each machine.
+
+:mod:`zinclever.simnet` implements them in simulated time, :mod:`zinclever.rig` with real processes.
+"""
 
 from __future__ import annotations
 
@@ -9,37 +11,55 @@
 
 
 class Due(Protocol):
-    """What is to happen at an instant."""
+    """A callback that is scheduled for some instant."""
 
-    def call_off(self) -> None: ...
+    def call_off(self) -> None:
+        """Cancel the callback."""
+        ...
 
 
 class Clock(Protocol):
-    """Instants are whole ns."""
+    """A clock with an event queue. Instants and durations are integers in ns."""
 
     @property
-    def now(self) -> int: ...
+    def now(self) -> int:
+        """The current instant."""
+        ...
 
-    def at(self, when: int, act: Callable[..., object], /, *args: Any) -> Due: ...
+    def at(self, when: int, callback: Callable[..., object], /, *args: Any) -> Due:
+        """Schedule a callback for the instant ``when``."""
+        ...
 
-    def after(self, span: int, act: Callable[..., object], /, *args: Any) -> Due: ...
+    def after(self, delay: int, callback: Callable[..., object], /, *args: Any) -> Due:
+        """Schedule a callback for ``delay`` ns from now."""
+        ...
 
 
 class Process(Protocol):
-    """A loop that is one process' own: nothing of it goes on once it has died."""
+    """The event loop of a single process: after :meth:`die`, no callback or task of it runs any more."""
 
     dead: bool
 
-    def create_task(self, coro: Coroutine[Any, Any, Any], /) -> asyncio.Task[Any]: ...
+    def create_task(self, coro: Coroutine[Any, Any, Any], /) -> asyncio.Task[Any]:
+        """As :meth:`asyncio.loop.create_task`."""
+        ...
 
-    def call_later(self, delay: float, callback: Callable[..., object], /, *args: Any) -> asyncio.TimerHandle: ...
+    def call_later(self, delay: float, callback: Callable[..., object], /, *args: Any) -> asyncio.TimerHandle:
+        """As :meth:`asyncio.loop.call_later`; ``delay`` is in seconds."""
+        ...
 
     async def create_server(
         self, protocol_factory: Callable[[], asyncio.BaseProtocol], host: str, port: int, *, backlog: int
-    ) -> Any: ...
+    ) -> Any:
+        """As :meth:`asyncio.loop.create_server`."""
+        ...
 
     async def create_connection(
         self, protocol_factory: Callable[[], asyncio.BaseProtocol], host: str, port: int
-    ) -> tuple[Any, asyncio.BaseProtocol]: ...
+    ) -> tuple[Any, asyncio.BaseProtocol]:
+        """As :meth:`asyncio.loop.create_connection`."""
+        ...
 
-    def die(self) -> None: ...
+    def die(self) -> None:
+        """Kill the process: cancel its tasks and timers and reset its connections."""
+        ...
--- a/zinclever/sim/pages.py
+++ b/zinclever/sim/pages.py
@@ -209,7 +209,7 @@
             request.io_wait.call_off()
             request.io_wait = None
         if request.job is not None:
-            self.core.call_off(request.job)
+            self.core.cancel(request.job)
         if request.has_slot:
             self.release_slot(request)
         elif request in self.queued:
