--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -8,14 +8,14 @@
 import sys
 import time
 
-from zinclever.mesh.model.slow_links import MEGABIT, SlowWorld
+from zinclever.mesh.model.slow_links import MEGABIT, SlowLinkWorld
 
 FAST = 1e9  # bytes per s
 MOST = 60.0  # s
 
 
-def founded(size: int, exchange: bool) -> SlowWorld:
-    world = SlowWorld(1, FAST, exchange)
+def founded(size: int, exchange: bool) -> SlowLinkWorld:
+    world = SlowLinkWorld(1, FAST, exchange)
     world.run(1.5)
     world.change(size)
     world.run(1.0)
@@ -33,11 +33,11 @@
         world.run(0.06)
     world.run(0.5)
     world.rate = MEGABIT
-    world.queued = world.heartbeat_late = 0.0
+    world.queued = world.max_heartbeat_delay = 0.0
     world.sent_bytes.clear()
     world.start(follower)
     began = time.perf_counter()
-    took = world.until_caught_up(follower, size if storm else 0, int(whole), MOST if exchange else 10.0)
+    took = world.run_until_caught_up(follower, size if storm else 0, int(whole), MOST if exchange else 10.0)
     spent = time.perf_counter() - began
     there = world.replica(follower).committed.index > 2
     sent = world.sent_bytes.get((leader, follower), 0) / 1e6
@@ -45,7 +45,7 @@
     return (
         f"{size / 1e6:g} MB, away for {away}, {'nothing as it was' if whole else 'three routes a change'}, "
         f"{'changes go on' if storm else 'quiet'}: {f'{took:.2f} s' if there else f'not within {took:.0f} s'}; "
-        f"heartbeats late by {world.heartbeat_late:.2f} s at most; {sent:.2f} MB to the follower; "
+        f"heartbeats late by {world.max_heartbeat_delay:.2f} s at most; {sent:.2f} MB to the follower; "
         f"blocks held {held:.1f} MB; leader {'stays' if world.leaders() == [leader] else 'LOST'}; "
         f"{spent:.2f} s of processor"
     )
--- a/benchmarks/mesh.py
+++ b/benchmarks/mesh.py
@@ -49,7 +49,7 @@
         for n in range(20):
             drain = endpoint(f"e{n}", rank=1)
             field.tell(field.rng.choice(field.names), drain)
-            spans.append(field.until_all_know(drain))
+            spans.append(field.time_to_reach_all(drain))
         victim = field.names[-1]
         del field.gossips[victim]
         began = field.now
@@ -199,19 +199,19 @@
 
 def explore(sizes: list[int]) -> None:
     """Every order of events for three members and two operators, breadth first, to so many states."""
-    quiet = Budget(turns=0, crashes=0, losses=0)
+    quiet = Budget(time_steps=0, crashes=0, losses=0)
     cases = {
-        "a crash": (Start.ASKED, replace(quiet, turns=1, crashes=1)),
-        "a lost disk": (Start.ASKED, replace(quiet, turns=1, wipes=1)),
-        "a lost message, two take-overs": (Start.ASKED, replace(quiet, turns=2, losses=1)),
-        "a doubled message": (Start.ASKED, replace(quiet, turns=1, doubles=1)),
-        "a pause": (Start.ASKED, replace(quiet, turns=1, pauses=1, changes=1, reads=1)),
+        "a crash": (Start.TWO_CHANGES, replace(quiet, time_steps=1, crashes=1)),
+        "a lost disk": (Start.TWO_CHANGES, replace(quiet, time_steps=1, wipes=1)),
+        "a lost message, two take-overs": (Start.TWO_CHANGES, replace(quiet, time_steps=2, losses=1)),
+        "a doubled message": (Start.TWO_CHANGES, replace(quiet, time_steps=1, duplicates=1)),
+        "a pause": (Start.TWO_CHANGES, replace(quiet, time_steps=1, pauses=1, changes=1, reads=1)),
         "a leader replaced, calls": (Start.REPLACED, replace(quiet, changes=2, reads=1)),
-        "a leader replaced, a take-over": (Start.REPLACED, replace(quiet, turns=1, changes=1, reads=1)),
+        "a leader replaced, a take-over": (Start.REPLACED, replace(quiet, time_steps=1, changes=1, reads=1)),
         "a leader replaced, a lost message": (Start.REPLACED, replace(quiet, losses=1, changes=2, reads=1)),
         "a leader replaced, a crash": (Start.REPLACED, replace(quiet, crashes=1, changes=1, reads=1)),
-        "a member behind takes over": (Start.BEHIND, replace(quiet, changes=1, reads=1)),
-        "a member behind takes over, a crash": (Start.BEHIND, replace(quiet, crashes=1, reads=1)),
+        "a member behind takes over": (Start.LAGGING_MEMBER, replace(quiet, changes=1, reads=1)),
+        "a member behind takes over, a crash": (Start.LAGGING_MEMBER, replace(quiet, crashes=1, reads=1)),
     }
     for most in sizes:
         for name, (start, budget) in cases.items():
@@ -221,30 +221,33 @@
 def explore_voters(sizes: list[int]) -> None:
     """Every order of events while voters change, breadth first, to so many states; of the states, one in
     LIVENESS_EVERY is tried for whether a leader is elected again."""
-    quiet = Budget(turns=0, crashes=0, losses=0)
+    quiet = Budget(time_steps=0, crashes=0, losses=0)
     cases = {
-        "a follower leaves, a take-over, a change": (VoterStart.FOLLOWER_LEAVES, replace(quiet, turns=1, changes=1)),
+        "a follower leaves, a take-over, a change": (
+            VoterStart.FOLLOWER_LEAVES,
+            replace(quiet, time_steps=1, changes=1),
+        ),
         "a follower leaves, a loss": (VoterStart.FOLLOWER_LEAVES, replace(quiet, changes=1, destroyed=1)),
-        "a follower is ended by force": (VoterStart.FOLLOWER_LEAVES, replace(quiet, turns=1, forced_ends=1)),
+        "a follower is ended by force": (VoterStart.FOLLOWER_LEAVES, replace(quiet, time_steps=1, forced_ends=1)),
         "two wiped disks, one after the other": (VoterStart.FOLLOWER_LEAVES, replace(quiet, waits=2, wipes=2)),
-        "a follower was let go, a pause": (VoterStart.LET_GO, replace(quiet, waits=1, pauses=1, changes=1)),
-        "a follower was let go, a take-over": (VoterStart.LET_GO, replace(quiet, turns=1, changes=1)),
-        "the leader leaves": (VoterStart.LEADER_LEAVES, replace(quiet, turns=1, forced_ends=1)),
-        "the leader leaves, a wiped disk": (VoterStart.LEADER_LEAVES, replace(quiet, turns=1, wipes=1)),
-        "a replacement, a crash": (VoterStart.REPLACEMENT, replace(quiet, crashes=1, turns=1)),
-        "a replacement, a second loss": (VoterStart.REPLACEMENT, replace(quiet, destroyed=1, turns=1)),
+        "a follower was let go, a pause": (VoterStart.LEAVE_GRANTED, replace(quiet, waits=1, pauses=1, changes=1)),
+        "a follower was let go, a take-over": (VoterStart.LEAVE_GRANTED, replace(quiet, time_steps=1, changes=1)),
+        "the leader leaves": (VoterStart.LEADER_LEAVES, replace(quiet, time_steps=1, forced_ends=1)),
+        "the leader leaves, a wiped disk": (VoterStart.LEADER_LEAVES, replace(quiet, time_steps=1, wipes=1)),
+        "a replacement, a crash": (VoterStart.REPLACEMENT, replace(quiet, crashes=1, time_steps=1)),
+        "a replacement, a second loss": (VoterStart.REPLACEMENT, replace(quiet, destroyed=1, time_steps=1)),
         "a replacement, a pause, a second loss": (
             VoterStart.REPLACEMENT,
-            replace(quiet, pauses=1, destroyed=1, turns=1),
+            replace(quiet, pauses=1, destroyed=1, time_steps=1),
         ),
-        "after a replacement, a second loss": (VoterStart.REPLACED, replace(quiet, destroyed=1, turns=1)),
-        "after a replacement, a wiped disk": (VoterStart.REPLACED, replace(quiet, wipes=1, turns=1, waits=1)),
-        "a planned replacement, a loss": (VoterStart.PLANNED, replace(quiet, waits=1, destroyed=1)),
+        "after a replacement, a second loss": (VoterStart.REPLACED, replace(quiet, destroyed=1, time_steps=1)),
+        "after a replacement, a wiped disk": (VoterStart.REPLACED, replace(quiet, wipes=1, time_steps=1, waits=1)),
+        "a planned replacement, a loss": (VoterStart.PLANNED_REPLACEMENT, replace(quiet, waits=1, destroyed=1)),
         "a planned replacement, a pause, a loss": (
-            VoterStart.PLANNED,
-            replace(quiet, waits=1, turns=1, pauses=1, destroyed=1),
+            VoterStart.PLANNED_REPLACEMENT,
+            replace(quiet, waits=1, time_steps=1, pauses=1, destroyed=1),
         ),
-        "a learner joins, a member leaves": (VoterStart.UNHEARD, replace(quiet, waits=2, turns=1, leaves=1)),
+        "a learner joins, a member leaves": (VoterStart.LEARNER_WAITS, replace(quiet, waits=2, time_steps=1, leaves=1)),
     }
     for most in sizes:
         for name, (start, budget) in cases.items():
--- a/benchmarks/request.py
+++ b/benchmarks/request.py
@@ -30,7 +30,7 @@
 from zinclever.core.descriptors import Descriptors
 from zinclever.core.dispatcher import Dispatcher
 from zinclever.discovery.fixed import StaticEndpoints
-from zinclever.http1.front import Front
+from zinclever.http1.front import Frontend
 from zinclever.http1.wire import HttpWire
 from zinclever.system import System
 
@@ -180,7 +180,7 @@
             descriptors,
             System(),
         )
-        front = Front(dispatcher)
+        front = Frontend(dispatcher)
         await asyncio.get_running_loop().create_server(front.connection, "127.0.0.1", port)
         dispatcher.start()
         await asyncio.sleep(2.0)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -18,7 +18,7 @@
 from zinclever.core.dispatcher import Dispatcher
 from zinclever.core.host import Host
 from zinclever.discovery.catalog import Discovery
-from zinclever.http1.front import Front
+from zinclever.http1.front import Frontend
 from zinclever.http1.wire import HttpWire
 from zinclever.simnet import runner
 from zinclever.system import System
@@ -246,7 +246,7 @@
 class Setup:
     """A sidecar in this process with a scripted balancer."""
 
-    def __init__(self, sidecar: Dispatcher, balancer: Scripted, front: Front, address: tuple[str, int]) -> None:
+    def __init__(self, sidecar: Dispatcher, balancer: Scripted, front: Frontend, address: tuple[str, int]) -> None:
         self.sidecar, self.balancer, self.front, self.address = sidecar, balancer, front, address
         assert isinstance(sidecar.wire, HttpWire) and isinstance(sidecar.source, Discovery)
         self.wire, self.discovery = sidecar.wire, sidecar.source
@@ -280,7 +280,7 @@
         descriptors,
         machine,
     )
-    front = Front(dispatcher)
+    front = Frontend(dispatcher)
     loop = asyncio.get_running_loop()
     server = await loop.create_server(front.connection, "127.0.0.1", 0)
     dispatcher.start()
--- a/tests/mesh/test_catch_up.py
+++ b/tests/mesh/test_catch_up.py
@@ -20,7 +20,7 @@
 from zinclever.mesh.consensus.text_store import MAX_HELD_BYTES
 from zinclever.mesh.membership.record_store import RecordStore
 from zinclever.mesh.membership.records import ENDED_RANK, RecordKind
-from zinclever.mesh.model.slow_links import MEGABIT, SlowWorld, config_text
+from zinclever.mesh.model.slow_links import MEGABIT, SlowLinkWorld, config_text
 from zinclever.mesh.roles import node_settings
 from zinclever.mesh.roles.control import ControlNode
 from zinclever.mesh.storage.generation_file import GenerationFile
@@ -33,18 +33,18 @@
 BASE_TIME = 1.0  # s of a catch-up besides the bytes
 
 
-def founded(size: int, exchange: bool = True, seed: int = 1, old: tuple[str, ...] = ()) -> SlowWorld:
+def founded(size: int, exchange: bool = True, seed: int = 1, old: tuple[str, ...] = ()) -> SlowLinkWorld:
     """Three members on fast links, with a configuration."""
-    world = SlowWorld(seed, FAST, exchange, old)
+    world = SlowLinkWorld(seed, FAST, exchange, old)
     world.run(1.5)
     world.change(size)
     world.run(1.0)
     return world
 
 
-def slow_down(world: SlowWorld) -> None:
+def slow_down(world: SlowLinkWorld) -> None:
     world.rate = MEGABIT
-    world.queued = world.heartbeat_late = 0.0
+    world.queued = world.max_heartbeat_delay = 0.0
 
 
 def stated_time(size: int) -> float:
@@ -72,7 +72,7 @@
         self.assertGreaterEqual(world.confirmed, away)
         slow_down(world)
         world.start(follower)
-        took = world.until_caught_up(follower, size if storm else 0)
+        took = world.run_until_caught_up(follower, size if storm else 0)
         self.assertLess(took, stated_time(size))
         self.judge(world, leader)
 
@@ -88,12 +88,12 @@
         world.run(0.5)
         slow_down(world)
         world.start(follower)
-        self.assertLess(world.until_caught_up(follower, size, kind=1), stated_time(size))
+        self.assertLess(world.run_until_caught_up(follower, size, kind=1), stated_time(size))
         self.judge(world, leader)
 
-    def judge(self, world: SlowWorld, leader: str) -> None:
+    def judge(self, world: SlowLinkWorld, leader: str) -> None:
         self.assertEqual(world.leaders(), [leader])
-        self.assertLess(world.heartbeat_late, MOST_LATE)
+        self.assertLess(world.max_heartbeat_delay, MOST_LATE)
         self.assertLess(world.queued, MOST_LATE)
         for texts in world.texts.values():
             self.assertLessEqual(texts.store.held_bytes, MAX_HELD_BYTES)
@@ -110,9 +110,9 @@
         world.run(0.5)
         slow_down(world)
         world.start(follower)
-        took = world.until_caught_up(follower, MIDDLE, most=5.0)
+        took = world.run_until_caught_up(follower, MIDDLE, most=5.0)
         self.assertGreater(took, 5.0)
-        self.assertGreater(world.heartbeat_late, 5.0)
+        self.assertGreater(world.max_heartbeat_delay, 5.0)
         self.assertNotEqual(world.leaders(), [leader])
 
     @params((MIDDLE, True), (LARGE, True), (MIDDLE, False))
@@ -163,7 +163,7 @@
             def read(self, now: float, call: int) -> None:
                 self.actions.append(Reply(call, 200, self.committed.text))
 
-        world = SlowWorld(1, FAST, kind=Hasty)
+        world = SlowLinkWorld(1, FAST, kind=Hasty)
         world.run(1.5)
         world.change(200_000)
         world.run(1.0)
@@ -177,7 +177,7 @@
 
     def test_who_follows_is_sent_nothing(self) -> None:
         """Changes that come so fast that every follower is always one behind: nobody is sent whole entries for it."""
-        world = SlowWorld(2, FAST)
+        world = SlowLinkWorld(2, FAST)
         world.synced = 0.3
         world.run(1.5)
         before = world.snapshots
@@ -217,7 +217,7 @@
             self.assertTrue(world.change(200_000, kind=1))
             world.run(0.5)
             world.start(victim)
-            self.assertLess(world.until_caught_up(victim), 2.0)
+            self.assertLess(world.run_until_caught_up(victim), 2.0)
         world.run(1.0)
         texts = {world.replica(ip).committed.text for ip in world.machines}
         self.assertEqual(texts, {config_text(200_000, world.confirmed, 1)})
@@ -350,9 +350,9 @@
         self.assertLess(len(acting.calls.unconfirmed) + len(acting.calls.queued_changes), 2)
         slow_down(world)
         world.start(follower)
-        self.assertLess(world.until_caught_up(follower, SMALL), stated_time(SMALL))
+        self.assertLess(world.run_until_caught_up(follower, SMALL), stated_time(SMALL))
         self.assertEqual(world.leaders(), [leader])
-        self.assertLess(world.heartbeat_late, MOST_LATE)
+        self.assertLess(world.max_heartbeat_delay, MOST_LATE)
 
     def test_of_endpoints(self) -> None:
         """5,000 endpoints that come and go, one every 2 s: records of those that are gone are forgotten."""
--- a/tests/mesh/test_client_calls.py
+++ b/tests/mesh/test_client_calls.py
@@ -17,7 +17,7 @@
     direct_answer,
 )
 from zinclever.mesh.consensus.messages import ChangeCall
-from zinclever.mesh.model.histories import Call, Told, linearizable
+from zinclever.mesh.model.histories import Call, Told, is_linearizable
 from zinclever.mesh.model.members import World
 from zinclever.mesh.transport.mesh_pb2 import AppliedCall, LogEntry
 
@@ -52,10 +52,10 @@
         for ip in w.leaders():
             call = w.put(ip, base, generation, variant)
             w.run(0.3)
-            if told(call) is not Told.UNCLEAR:
+            if told(call) is not Told.INDETERMINATE:
                 return told(call)
         w.run(0.1)
-    return Told.UNCLEAR
+    return Told.INDETERMINATE
 
 
 class Bounded(unittest.TestCase):
@@ -107,7 +107,7 @@
         call = w.put(old, 2, 3)  # at the first instant: before a message, before a turn
         w.run(1.0)
         self.assertIsNot(told(call), Told.STALE)
-        self.assertTrue(linearizable(w.history))
+        self.assertTrue(is_linearizable(w.history))
         self.assertIs(put_until_told(w, 2, 3), Told.DONE)
 
     @params(*range(6))
@@ -115,8 +115,8 @@
         w, old = self.replaced(seed)
         call = w.put(old, 1, 1)
         w.run(1.0)
-        self.assertIsNot(told(call), Told.NOT_ABOVE)
-        self.assertTrue(linearizable(w.history))
+        self.assertIsNot(told(call), Told.GENERATION_TOO_LOW)
+        self.assertTrue(is_linearizable(w.history))
 
     @params(*range(6))
     def test_calls_that_came_while_it_stood_still(self, seed: int) -> None:
@@ -133,7 +133,7 @@
         w.resume(old)
         w.get(old)
         w.run(1.5)
-        self.assertTrue(linearizable(w.history))
+        self.assertTrue(is_linearizable(w.history))
 
     @params(*range(6))
     def test_cut_off_both_ways(self, seed: int) -> None:
@@ -152,7 +152,7 @@
                     w.put(old, newest, generation)
                     asked += 1
         self.assertGreater(asked, 0)
-        self.assertTrue(linearizable(w.history))
+        self.assertTrue(is_linearizable(w.history))
 
     @params(*range(6))
     def test_refusals_of_a_leader_that_nobody_hears(self, seed: int) -> None:
@@ -162,7 +162,7 @@
         w.cut = {(old, ip) for ip in w.machines if ip != old}
         call = w.put(old, 0, 9)
         w.run(1.0)
-        self.assertIs(told(call), Told.UNCLEAR)
+        self.assertIs(told(call), Told.INDETERMINATE)
 
 
 class Confirmations(unittest.TestCase):
@@ -197,7 +197,7 @@
             replica.calls.confirmations.record(disk, replica.calls.confirmations.round - 1)
         replica.answer_confirmed()
         w.carry_out(w.machines[old])
-        self.assertIs(told(later), Told.UNCLEAR)
+        self.assertIs(told(later), Told.INDETERMINATE)
         self.assertEqual(later.ended if later else 0.0, math.inf)
 
     def test_those_of_an_earlier_term_are_none(self) -> None:
@@ -217,7 +217,7 @@
         call = {"get": lambda: w.get(ip), "put": lambda: w.put(ip, 1, 2), "refusal": lambda: w.put(ip, 0, 2)}[kind]()
         w.run(CALL_TIMEOUT + 0.1)
         assert call is not None
-        self.assertIs(call.told, Told.UNCLEAR)
+        self.assertIs(call.told, Told.INDETERMINATE)
         self.assertLess(call.ended - call.began, CALLER_TIMEOUT - 0.2)
 
     @params((0, 0.6), (32 * 1024, 0.6), (132_768, 1.6), (4_000_000, 2.5))
@@ -239,7 +239,7 @@
             again = w.put(ip, 1, 5, variant)
             w.run(0.5)
             self.assertIs(told(again), want)
-        self.assertTrue(linearizable(w.history))
+        self.assertTrue(is_linearizable(w.history))
 
     def test_one_text_under_two_numbers(self) -> None:
         committed = LogEntry(generation=5, applied_calls=[AppliedCall(generation=5, base=1, digest=b"text")])
@@ -289,28 +289,28 @@
         again = w.put(ip, 0, 1)
         lost = w.put(ip, 0, others + 7)  # never taken: its number is above all that are forgotten
         w.run(0.5)
-        self.assertIs(told(again), Told.DONE if others < MAX_APPLIED_CALLS else Told.UNCLEAR)
+        self.assertIs(told(again), Told.DONE if others < MAX_APPLIED_CALLS else Told.INDETERMINATE)
         self.assertIs(told(lost), Told.STALE)
 
     @params(*range(4))
     def test_again_across_a_change_of_leader(self, seed: int) -> None:
         w = up(seed)
         (old,) = w.leaders()
-        w.answer_loss = 1.0
+        w.reply_loss = 1.0
         w.put(old, 1, 2)
         w.run(0.01 * seed)
         w.kill(old)
-        w.answer_loss = 0.0
+        w.reply_loss = 0.0
         self.assertIs(put_until_told(w, 1, 2), Told.DONE)
         w.start(old)
         self.assertIs(put_until_told(w, 2, 3), Told.DONE)
         self.assertIs(put_until_told(w, 1, 2), Told.DONE)
-        self.assertTrue(linearizable(w.history))
+        self.assertTrue(is_linearizable(w.history))
 
     @params(*range(4))
     def test_again_after_all_power_was_lost(self, seed: int) -> None:
         w = up(seed)
-        w.answer_loss = 1.0
+        w.reply_loss = 1.0
         w.put(w.leaders()[0], 1, 2)
         w.run(0.5)
         for ip in list(w.machines):
@@ -318,7 +318,7 @@
         w.quiet(2.0)
         self.assertIs(put_until_told(w, 1, 2), Told.DONE)
         self.assertIs(put_until_told(w, 1, 3), Told.STALE)
-        self.assertTrue(linearizable(w.history))
+        self.assertTrue(is_linearizable(w.history))
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_consensus.py
+++ b/tests/mesh/test_consensus.py
@@ -129,7 +129,7 @@
                 else:
                     w.kill(ip)
             w.quiet()
-            w.nothing_lost()
+            w.assert_acknowledged_kept()
             self.assertEqual(len(w.newest().voters), 3)
 
     def test_an_empty_disk_counts_only_once_it_was_let_in(self) -> None:
@@ -155,7 +155,7 @@
             w.add(f"10.0.0.{10 + n}")
             w.run(3.0)
             self.assertEqual(len(w.newest().voters), 3)
-        w.nothing_lost()
+        w.assert_acknowledged_kept()
         self.assertEqual({s.ip for s in w.newest().voters}, {f"10.0.0.{10 + n}" for n in range(3)})
 
     def test_planned_replacement_leaves_as_many_voices(self) -> None:
@@ -239,7 +239,7 @@
         w.quiet(4.0)
         (ip,) = w.leaders()
         self.assertTrue(w.reads(ip))
-        w.nothing_lost()
+        w.assert_acknowledged_kept()
 
     @params(0.5, 0.8, 2.0, 10.0)
     def test_a_follower_that_stood_still_lets_the_leader_be(self, span: float) -> None:
--- a/tests/mesh/test_explore.py
+++ b/tests/mesh/test_explore.py
@@ -14,30 +14,34 @@
 
 class Explored(unittest.TestCase):
     @params(
-        ("a crash and a take-over", Budget(turns=1, crashes=1, losses=0), 2500, 7),
-        ("a lost disk and a take-over", Budget(turns=1, crashes=0, wipes=1, losses=0), 2500, 7),
-        ("two take-overs and a lost message", Budget(turns=2, crashes=0, losses=1), 2500, 6),
-        ("a doubled message", Budget(turns=1, crashes=0, losses=0, doubles=1), 2500, 7),
+        ("a crash and a take-over", Budget(time_steps=1, crashes=1, losses=0), 2500, 7),
+        ("a lost disk and a take-over", Budget(time_steps=1, crashes=0, wipes=1, losses=0), 2500, 7),
+        ("two take-overs and a lost message", Budget(time_steps=2, crashes=0, losses=1), 2500, 6),
+        ("a doubled message", Budget(time_steps=1, crashes=0, losses=0, duplicates=1), 2500, 7),
     )
     def test_invariants(self, name: str, budget: Budget, most: int, depth: int) -> None:
         self.assertGreater(Explorer(budget=budget).explore(most, depth), 500, name)
 
     @params(
-        ("a member stands still during a take-over", Start.ASKED, Budget(turns=1, crashes=0, losses=0, pauses=1)),
+        (
+            "a member stands still during a take-over",
+            Start.TWO_CHANGES,
+            Budget(time_steps=1, crashes=0, losses=0, pauses=1),
+        ),
         (
             "two operators, a read, and a leader that was replaced",
             Start.REPLACED,
-            Budget(turns=0, crashes=0, losses=0, changes=2, reads=1),
+            Budget(time_steps=0, crashes=0, losses=0, changes=2, reads=1),
         ),
         (
             "a leader that was replaced, and a lost message",
             Start.REPLACED,
-            Budget(turns=0, crashes=0, losses=1, changes=1, reads=1),
+            Budget(time_steps=0, crashes=0, losses=1, changes=1, reads=1),
         ),
         (
             "a member that has missed a version takes over",
-            Start.BEHIND,
-            Budget(turns=0, crashes=0, losses=0, changes=1, reads=1),
+            Start.LAGGING_MEMBER,
+            Budget(time_steps=0, crashes=0, losses=0, changes=1, reads=1),
         ),
     )
     def test_calls_of_operators(self, name: str, start: Start, budget: Budget) -> None:
@@ -57,7 +61,7 @@
 
 
 class BrokenOnPurpose(unittest.TestCase):
-    def found_cluster(self, kind: type[Replica], budget: Budget, start: Start = Start.ASKED) -> bool:
+    def found_cluster(self, kind: type[Replica], budget: Budget, start: Start = Start.TWO_CHANGES) -> bool:
         try:
             Explorer(kind, budget, start).explore(6000, 12)
         except Broken:
@@ -70,7 +74,7 @@
                 self.actions += after
                 super().persist(accepted, [])
 
-        self.assertTrue(self.found_cluster(Hasty, Budget(turns=0, crashes=0, losses=0)))
+        self.assertTrue(self.found_cluster(Hasty, Budget(time_steps=0, crashes=0, losses=0)))
 
     def test_an_epoch_that_goes_back(self) -> None:
         class Meek(Replica):
@@ -78,7 +82,7 @@
                 self.vote = messages.Vote(min(self.vote.term, m.term), m.disk)
                 super().on_append(now, m)
 
-        self.assertTrue(self.found_cluster(Meek, Budget(turns=1, crashes=0, losses=0)))
+        self.assertTrue(self.found_cluster(Meek, Budget(time_steps=1, crashes=0, losses=0)))
 
     def test_two_winners_on_one_version(self) -> None:
         class Generous(Replica):
@@ -87,7 +91,7 @@
                 if self.calls.queued_changes:  # takes the next one for the same entry
                     self.reply(self.calls.queued_changes.popleft().call_id, 200, b"")
 
-        self.assertTrue(self.found_cluster(Generous, Budget(turns=0, crashes=0, losses=0)))
+        self.assertTrue(self.found_cluster(Generous, Budget(time_steps=0, crashes=0, losses=0)))
 
     def test_two_settled_under_one_number(self) -> None:
         class Proud(Replica):
@@ -101,7 +105,7 @@
                 self.acknowledged_by.add(self.own_voter.disk)  # and has_commit_quorum with what another has
                 super().on_append_reply(now, m)
 
-        self.assertTrue(self.found_cluster(Proud, Budget(turns=1, crashes=0, losses=0)))
+        self.assertTrue(self.found_cluster(Proud, Budget(time_steps=1, crashes=0, losses=0)))
 
     def test_a_refusal_without_a_majority(self) -> None:
         class Sure(Replica):
@@ -109,9 +113,9 @@
                 if self.is_established():
                     self.calls.answer_confirmed(self.committed, [v.disk for v in self.committed.voters])
 
-        changes = Budget(turns=0, crashes=0, losses=0, changes=1)
+        changes = Budget(time_steps=0, crashes=0, losses=0, changes=1)
         self.assertTrue(self.found_cluster(Sure, changes, Start.REPLACED))
-        reads = Budget(turns=0, crashes=0, losses=0, reads=1)
+        reads = Budget(time_steps=0, crashes=0, losses=0, reads=1)
         self.assertTrue(self.found_cluster(Sure, reads, Start.REPLACED))
 
     def test_a_confirmation_of_an_earlier_round(self) -> None:
@@ -125,7 +129,7 @@
                 super().answer_confirmed()
 
         self.assertTrue(
-            self.found_cluster(Content, Budget(turns=0, crashes=0, losses=0, reads=1), Start.REPLACED),
+            self.found_cluster(Content, Budget(time_steps=0, crashes=0, losses=0, reads=1), Start.REPLACED),
         )
 
     def test_a_voter_that_confirms_whoever_asks(self) -> None:
@@ -142,14 +146,16 @@
                     ),
                 )
 
-        self.assertTrue(self.found_cluster(Polite, Budget(turns=0, crashes=0, losses=0, reads=1), Start.REPLACED))
+        self.assertTrue(self.found_cluster(Polite, Budget(time_steps=0, crashes=0, losses=0, reads=1), Start.REPLACED))
 
     def test_a_leader_that_answers_before_it_knows_what_is_committed(self) -> None:
         class Eager(Replica):
             def is_established(self) -> bool:
                 return self.role is messages.ReplicaRole.LEADER
 
-        self.assertTrue(self.found_cluster(Eager, Budget(turns=0, crashes=0, losses=0, reads=1), Start.BEHIND))
+        self.assertTrue(
+            self.found_cluster(Eager, Budget(time_steps=0, crashes=0, losses=0, reads=1), Start.LAGGING_MEMBER)
+        )
 
     def test_a_change_that_is_forgotten_and_refused(self) -> None:
         class Forgetful(Replica):
@@ -158,7 +164,9 @@
                 entry.applied_calls.add(generation=entry.generation)
                 super().propose(now, entry)
 
-        self.assertTrue(self.found_cluster(Forgetful, Budget(turns=0, crashes=0, losses=0, changes=1), Start.REPLACED))
+        self.assertTrue(
+            self.found_cluster(Forgetful, Budget(time_steps=0, crashes=0, losses=0, changes=1), Start.REPLACED)
+        )
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_explore_voters.py
+++ b/tests/mesh/test_explore_voters.py
@@ -19,7 +19,7 @@
 
 def budget(**named: int) -> Budget:
     """Nothing happens but what is named."""
-    made = Budget(turns=0, crashes=0, losses=0)
+    made = Budget(time_steps=0, crashes=0, losses=0)
     for name, count in named.items():
         setattr(made, name, count)
     return made
@@ -28,15 +28,15 @@
 class Explored(unittest.TestCase):
     @params(
         (VoterStart.FOLLOWER_LEAVES, budget(changes=1, destroyed=1)),
-        (VoterStart.FOLLOWER_LEAVES, budget(turns=1, forced_ends=1)),
+        (VoterStart.FOLLOWER_LEAVES, budget(time_steps=1, forced_ends=1)),
         (VoterStart.FOLLOWER_LEAVES, budget(waits=2, wipes=2)),
-        (VoterStart.LET_GO, budget(turns=1, changes=1, destroyed=1)),
-        (VoterStart.LEADER_LEAVES, budget(turns=1, wipes=1)),
-        (VoterStart.REPLACEMENT, budget(destroyed=1, turns=1)),
-        (VoterStart.REPLACED, budget(destroyed=1, turns=1)),
-        (VoterStart.REPLACED, budget(wipes=1, turns=1, waits=1)),
-        (VoterStart.PLANNED, budget(waits=1, destroyed=1)),
-        (VoterStart.UNHEARD, budget(waits=2, turns=1, leaves=1)),
+        (VoterStart.LEAVE_GRANTED, budget(time_steps=1, changes=1, destroyed=1)),
+        (VoterStart.LEADER_LEAVES, budget(time_steps=1, wipes=1)),
+        (VoterStart.REPLACEMENT, budget(destroyed=1, time_steps=1)),
+        (VoterStart.REPLACED, budget(destroyed=1, time_steps=1)),
+        (VoterStart.REPLACED, budget(wipes=1, time_steps=1, waits=1)),
+        (VoterStart.PLANNED_REPLACEMENT, budget(waits=1, destroyed=1)),
+        (VoterStart.LEARNER_WAITS, budget(waits=2, time_steps=1, leaves=1)),
     )
     def test_invariants(self, start: VoterStart, allowed: Budget) -> None:
         explorer = VoterExplorer(budget=allowed, start=start, liveness_every=LIVENESS_EVERY)
@@ -67,7 +67,7 @@
         explorer.check_recovers(state)
 
     def test_a_candidate_that_the_entry_to_go_on_from_takes_out(self) -> None:
-        explorer = VoterExplorer(start=VoterStart.PLANNED)
+        explorer = VoterExplorer(start=VoterStart.PLANNED_REPLACEMENT)
         state = explorer.start
         state.paused.add(1)
         explorer.wait(state)  # the leader proposes voters without it ...
@@ -75,7 +75,7 @@
         explorer.check_recovers(state)
 
     def test_an_acknowledgement_of_one_that_was_let_go(self) -> None:
-        explorer = VoterExplorer(start=VoterStart.LET_GO)
+        explorer = VoterExplorer(start=VoterStart.LEAVE_GRANTED)
         state = explorer.start
         state.paused.add(2)
         explorer.wait(state)  # the leader forgets that it leaves
@@ -127,7 +127,7 @@
                 super().on_append(now, m)
                 self.leave_granted = let_go
 
-        self.assert_found(Counting, VoterStart.LET_GO, budget(changes=1), "fewer disks than may be lost")
+        self.assert_found(Counting, VoterStart.LEAVE_GRANTED, budget(changes=1), "fewer disks than may be lost")
 
     def test_a_newcomer_with_a_vote_before_it_has_the_state(self) -> None:
         class Hasty(Replica):
@@ -136,7 +136,7 @@
                 known.durable_index = {**dict.fromkeys(known.learners, 0), **known.durable_index}
                 return super().next_voter_change(now)
 
-        self.assert_found(Hasty, VoterStart.UNHEARD, budget(waits=1), "doesn't have the state")
+        self.assert_found(Hasty, VoterStart.LEARNER_WAITS, budget(waits=1), "doesn't have the state")
 
     def test_a_change_committed_by_the_new_voters_alone(self) -> None:
         class Hurried(Replica):
@@ -164,7 +164,7 @@
                 rest = [v for v in voters if v.disk != silent[0].disk]
                 return VoterChange(rest, VoterChangeReason.LOST, removed=silent[0])
 
-        self.assert_found(Shrinking, VoterStart.UNHEARD, budget(), "fewer voters")
+        self.assert_found(Shrinking, VoterStart.LEARNER_WAITS, budget(), "fewer voters")
 
     def test_a_candidate_that_never_wins(self) -> None:
         class Shy(Replica):
--- a/tests/mesh/test_gossip.py
+++ b/tests/mesh/test_gossip.py
@@ -26,11 +26,11 @@
     @params((15, 0.0), (15, 0.1), (50, 0.0), (50, 0.1))
     def test_a_drain_reaches_all_nodes_within_the_bound(self, count: int, loss: float) -> None:
         sim = joined_simulation(count, loss=loss)
-        sim.doubles = loss
+        sim.duplicates = loss
         for n in range(6):
             drain = endpoint(f"e{n}", rank=1)
             sim.tell(sim.rng.choice(sim.names), drain)
-            self.assertLess(sim.until_all_know(drain), DRAIN_BOUND)
+            self.assertLess(sim.time_to_reach_all(drain), DRAIN_BOUND)
 
     def test_the_traffic_per_node_does_not_grow_with_the_mesh(self) -> None:
         rates: list[float] = []
@@ -67,7 +67,7 @@
         sim.gossips["b3"].broadcasts.retransmits.clear()
         sim.gossips["b3"].records.apply(sim.now, endpoint("quiet"))  # not broadcast, so only digests deliver it
         sim.run(6.0)
-        self.assertEqual(sim.knowing(endpoint("quiet")), 12)
+        self.assertEqual(sim.count_holders(endpoint("quiet")), 12)
 
     def test_an_equal_root_digest_means_joined(self) -> None:
         sim = joined_simulation(2)
@@ -85,10 +85,10 @@
         sim.tell("b3", heartbeat)
         sim.tell("b3", drain)
         sim.run(0.3)
-        self.assertEqual(sim.knowing(drain), 20)
-        self.assertLess(sim.knowing(heartbeat), 20)
+        self.assertEqual(sim.count_holders(drain), 20)
+        self.assertLess(sim.count_holders(heartbeat), 20)
         sim.run(20.0)  # digests deliver the rest
-        self.assertEqual(sim.knowing(heartbeat), 20)
+        self.assertEqual(sim.count_holders(heartbeat), 20)
 
     def test_records_converge_after_a_partition(self) -> None:
         sim = joined_simulation(16)
@@ -159,7 +159,7 @@
 
 def time_to_converge(sim: Field, records: list[Record]) -> float:
     """Return the seconds until all nodes hold all the records."""
-    return sum(sim.until_all_know(record) for record in records)
+    return sum(sim.time_to_reach_all(record) for record in records)
 
 
 class Recovery(unittest.TestCase):
--- a/tests/mesh/test_gossip_messages.py
+++ b/tests/mesh/test_gossip_messages.py
@@ -96,7 +96,7 @@
             while len(broadcast.confirmed_by) < 2:
                 sim.run(0.005)
             del sim.gossips[sender]
-            self.assertLess(sim.until_all_know(drain), DRAIN_BOUND)
+            self.assertLess(sim.time_to_reach_all(drain), DRAIN_BOUND)
 
     def test_a_node_refutes_its_declared_death(self) -> None:
         node = Gossip("me", 5, NodeInfo(ip="10.0.0.1", port=7), [], 0.0, random.Random(1))
--- a/tests/mesh/test_repairs.py
+++ b/tests/mesh/test_repairs.py
@@ -67,8 +67,8 @@
                         w.kill(ip)
                 w.wipe(lost)
                 w.quiet(2.5)
-                w.nothing_lost()
-                w.one_winner()
+                w.assert_acknowledged_kept()
+                w.assert_one_change_per_base()
                 self.assertTrue(w.leaders() and w.reads(w.leaders()[0]))
 
     def test_one_repair_after_another(self) -> None:
@@ -91,7 +91,7 @@
                     w.run(4.0)
                     self.assertEqual(len(voters(w)), 3)
                     self.assertEqual(voters(w), set(w.machines))
-                    w.nothing_lost()
+                    w.assert_acknowledged_kept()
 
 
 class BrokenOnPurpose(unittest.TestCase):
--- a/tests/mesh/test_storms.py
+++ b/tests/mesh/test_storms.py
@@ -6,7 +6,7 @@
 
 from zinclever.mesh.consensus import messages as orders
 from zinclever.mesh.consensus.replica import Replica
-from zinclever.mesh.model.histories import Call, Told, linearizable
+from zinclever.mesh.model.histories import Call, Told, is_linearizable
 from zinclever.mesh.model.members import World
 from zinclever.mesh.transport.mesh_pb2 import ConsensusMessage, LogEntry
 
@@ -17,7 +17,7 @@
     def day(self, seed: int, kind: type[Replica] = Replica) -> World:
         w = World(seed, kind=kind)
         w.run(2.0)
-        w.loss, w.doubles, w.delay, w.synced, w.answer_loss = 0.1, 0.1, 0.01, 0.15, 0.1
+        w.loss, w.duplicates, w.delay, w.synced, w.reply_loss = 0.1, 0.1, 0.01, 0.15, 0.1
         generation, hurt, names = 0, "", 20
         for _ in range(40):
             w.run(0.3 * w.rng.random())
@@ -79,8 +79,8 @@
                 for ip in list(w.machines):
                     w.start(ip)
         w.quiet(8.0)
-        w.nothing_lost()
-        w.one_winner()
+        w.assert_acknowledged_kept()
+        w.assert_one_change_per_base()
         return w
 
     def other_calls(self, w: World, ip: str) -> None:
@@ -104,7 +104,7 @@
                 w = self.day(seed)
                 self.assertEqual(len(w.leaders()), 1)
                 self.assertTrue(w.reads(w.leaders()[0]))
-                self.assertTrue(linearizable(w.history))
+                self.assertTrue(is_linearizable(w.history))
                 acked += len(w.acked)
                 for call in w.history:
                     told[call.told] += call.kind == "put"
@@ -139,7 +139,7 @@
                 if self.is_established():
                     self.calls.answer_confirmed(self.committed, [v.disk for v in self.committed.voters])
 
-        self.assertFalse(all(linearizable(self.day(seed, Sure).history) for seed in range(60)))
+        self.assertFalse(all(is_linearizable(self.day(seed, Sure).history) for seed in range(60)))
 
     def breaks(self, seed: int, kind: type[Replica]) -> bool:
         try:
@@ -169,15 +169,15 @@
             ("one of two", [put(0, 1, 0, 1), put(0, 1, 0, 2, Told.STALE)], True),
             ("refused without a cause", [put(0, 1, 0, 1, Told.STALE), get(2, 3, 0)], False),
             ("the same again", [put(0, 1, 0, 1), put(2, 3, 1, 2), put(4, 5, 0, 1)], True),
-            ("unclear, and taken later", [put(0, 1, 0, 1, Told.UNCLEAR), get(2, 3, 0), get(4, 5, 1)], True),
-            ("unclear, and never taken", [put(0, 1, 0, 1, Told.UNCLEAR), put(2, 3, 0, 2), get(4, 5, 2)], True),
-            ("unclear, taken and undone", [put(0, 1, 0, 1, Told.UNCLEAR), get(2, 3, 1), get(4, 5, 0)], False),
+            ("unclear, and taken later", [put(0, 1, 0, 1, Told.INDETERMINATE), get(2, 3, 0), get(4, 5, 1)], True),
+            ("unclear, and never taken", [put(0, 1, 0, 1, Told.INDETERMINATE), put(2, 3, 0, 2), get(4, 5, 2)], True),
+            ("unclear, taken and undone", [put(0, 1, 0, 1, Told.INDETERMINATE), get(2, 3, 1), get(4, 5, 0)], False),
             ("refused, and in force all the same", [put(0, 1, 0, 1), put(2, 3, 0, 2, Told.STALE), get(4, 5, 2)], False),
             ("lost", [put(0, 1, 0, 1), put(2, 3, 0, 2)], False),
         ]
         for name, history, want in cases:
             with self.subTest(name):
-                self.assertEqual(linearizable(history), want)
+                self.assertEqual(is_linearizable(history), want)
 
     def test_reads_of_one_that_asks_nobody_are_found(self) -> None:
         class Sure(Replica):
@@ -197,7 +197,7 @@
                     if at != ip and replica is not None:
                         w.put(at, replica.committed.generation, n)
                     w.get(at)
-            found_cluster = found_cluster or not linearizable(w.history)
+            found_cluster = found_cluster or not is_linearizable(w.history)
         self.assertTrue(found_cluster)
 
 
--- a/tests/mesh/test_voters.py
+++ b/tests/mesh/test_voters.py
@@ -58,7 +58,7 @@
                 for ip in lost:
                     w.wipe(ip)
                 w.quiet(3.0)
-                w.nothing_lost()
+                w.assert_acknowledged_kept()
                 self.assertEqual(len(w.leaders()), 1)
                 self.assertTrue(w.reads(w.leaders()[0]))
 
@@ -243,7 +243,7 @@
                     w.start(ip)
                     w.run(1.0)
                 self.assertEqual(disks(w), before)
-                w.nothing_lost()
+                w.assert_acknowledged_kept()
 
     def test_beyond_the_target_a_restart_comes_back_in(self) -> None:
         w = core(1, 5, 1, 3)
@@ -291,7 +291,7 @@
                     for ip in list(w.machines):
                         w.kill(ip)
                     w.quiet(4.0)
-                    w.nothing_lost()
+                    w.assert_acknowledged_kept()
                     self.assertTrue(w.leaders() and w.reads(w.leaders()[0]))
 
 
--- a/tests/test_collapse.py
+++ b/tests/test_collapse.py
@@ -9,7 +9,7 @@
 import pytest
 
 from zinclever.sim.days import draw
-from zinclever.sim.model import Day, Trouble
+from zinclever.sim.model import Day, FaultEvent
 from zinclever.sim.world import World
 
 SIZE: Any = {"sidecars": 10, "endpoints": 6, "seconds": 20.0}
@@ -31,13 +31,13 @@
 
 
 def silent_and_late(day: Day) -> Day:
-    troubles = Trouble("silent", 4.0, 14.0, 0.17), Trouble("late_reports", 4.0, 14.0, factor=5000.0)
+    troubles = FaultEvent("silent", 4.0, 14.0, 0.17), FaultEvent("late_reports", 4.0, 14.0, factor=5000.0)
     return replace(day, troubles=troubles)
 
 
 def alone(day: Day) -> Day:
     """The one zone that has sidecars is cut from both zones' servers."""
-    return replace(day, troubles=(Trouble("partition", 6.0, 5.0), Trouble("zone_lost", 6.0, 5.0, zone="rvk")))
+    return replace(day, troubles=(FaultEvent("partition", 6.0, 5.0), FaultEvent("zone_lost", 6.0, 5.0, zone="rvk")))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_configtool.py
+++ b/tests/test_configtool.py
@@ -137,7 +137,7 @@
     assert not report.errors
     from zinclever.configuration.operator import build
 
-    assert build(report.clean).services[app.name].rules.most_clients >= writing.LEAST_CLIENTS
+    assert build(report.clean).services[app.name].rules.max_clients >= writing.LEAST_CLIENTS
 
 
 # --- check ---
--- a/tests/test_jsonrpc_codec.py
+++ b/tests/test_jsonrpc_codec.py
@@ -134,13 +134,13 @@
     ],
 )
 def test_keys_are_found(pointer: str, params: Any, found: str | None) -> None:
-    assert codec.point(params, codec.read_pointer(pointer)) == found
+    assert codec.point(params, codec.parse_json_pointer(pointer)) == found
 
 
 @pytest.mark.parametrize("pointer", ["", "key", "/a~2", "/a~"])
 def test_what_is_no_pointer(pointer: str) -> None:
     with pytest.raises(ValueError, match="not a JSON Pointer"):
-        codec.read_pointer(pointer)
+        codec.parse_json_pointer(pointer)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_jsonrpc_wire.py
+++ b/tests/test_jsonrpc_wire.py
@@ -17,7 +17,7 @@
 from zinclever import interface
 from zinclever.core import shared
 from zinclever.jsonrpc import codec, connection
-from zinclever.jsonrpc.connection import ClientConnection, Exchange, Payload, Proofs, dial
+from zinclever.jsonrpc.connection import ClientConnection, ErrorCodeMapping, Exchange, Payload, dial
 from zinclever.standins import Fault, always, audit
 
 
@@ -211,9 +211,9 @@
         listener.listen()
         listener.setblocking(False)
         self.watch = Watch()
-        proofs = Proofs(frozenset(), frozenset())
+        error_codes = ErrorCodeMapping(frozenset(), frozenset())
         self.connection = await dial(
-            SYSTEM, listener.getsockname(), 5.0, "lines", proofs.outcome, self.watch, Counter()
+            SYSTEM, listener.getsockname(), 5.0, "lines", error_codes.outcome, self.watch, Counter()
         )
         self.other, _ = await self.loop.sock_accept(listener)
         listener.close()
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -16,7 +16,7 @@
 from zinclever import interface
 from zinclever.core import dispatcher
 from zinclever.http1 import bodies, clients, connection, server
-from zinclever.http1.bodies import Room, room_for
+from zinclever.http1.bodies import Room, body_memory_limit
 
 LARGE = 1_000_003  # bytes: beyond what is held, and beyond what the kernel takes at once
 PAGE = bytes(range(256)) * (LARGE // 256 + 1)
@@ -480,9 +480,9 @@
 
 
 def test_room_follows_the_memory() -> None:
-    assert room_for(None) == bodies.ROOM_UNTOLD
-    assert room_for(32 << 20) == bodies.LEAST_ROOM
-    assert room_for(80 << 20) == int(0.4 * (50 << 20))
+    assert body_memory_limit(None) == bodies.ROOM_UNTOLD
+    assert body_memory_limit(32 << 20) == bodies.LEAST_ROOM
+    assert body_memory_limit(80 << 20) == int(0.4 * (50 << 20))
 
 
 # --- bodies that go out as they come ---
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -24,13 +24,13 @@
 from zinclever.rig.run import play
 from zinclever.rig.world import RigError
 from zinclever.sim.days import draw
-from zinclever.sim.model import Day, Trouble
+from zinclever.sim.model import Day, FaultEvent
 
 BROKEN = f"exec {sys.executable} tests/broken.py"
 SIZE: Any = {"sidecars": 3, "endpoints": 4, "seconds": 5.0}
 
 
-def day(kind: str, seed: int, *troubles: Trouble) -> Day:
+def day(kind: str, seed: int, *troubles: FaultEvent) -> Day:
     drawn = draw(kind, seed, **SIZE)
     return replace(drawn, troubles=troubles) if troubles else drawn
 
@@ -49,7 +49,7 @@
     """All of them, for longer than most clients wait: requests on kept connections, on new ones, and half sent."""
     drawn = replace(
         draw("calm", 3, **SIZE | {"seconds": 7.0}),
-        troubles=(Trouble("pause", 1.5, 2.2, 1.0), Trouble("shrink", 1.6, 0.2, 0.5)),
+        troubles=(FaultEvent("pause", 1.5, 2.2, 1.0), FaultEvent("shrink", 1.6, 0.2, 0.5)),
     )
     found = play(drawn, tmp_path)
     assert found["breaches"] == [], found
@@ -60,12 +60,12 @@
 @pytest.mark.parametrize(
     ("breach", "trouble", "rule"),
     [
-        ("resends", Trouble("faults", 0.5, 4.0, 0.9), "rule 2"),
-        ("drains_ignored", Trouble("shrink", 0.2, 0.1, 0.5), "rule 3"),
-        ("answers_twice", Trouble("spike", 0.5, 1.0, factor=1.2), "rule 1"),
+        ("resends", FaultEvent("faults", 0.5, 4.0, 0.9), "rule 2"),
+        ("drains_ignored", FaultEvent("shrink", 0.2, 0.1, 0.5), "rule 3"),
+        ("answers_twice", FaultEvent("spike", 0.5, 1.0, factor=1.2), "rule 1"),
     ],
 )
-def test_a_breach_put_in_on_purpose_is_found(tmp_path: Path, breach: str, trouble: Trouble, rule: str) -> None:
+def test_a_breach_put_in_on_purpose_is_found(tmp_path: Path, breach: str, trouble: FaultEvent, rule: str) -> None:
     found = play(replace(day("calm", 4, trouble), seconds=8.0), tmp_path, f"{BROKEN} {breach}")
     assert any(told.startswith(rule) for told in found["breaches"]), found
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -235,7 +235,7 @@
 def test_client_that_does_not_read_is_not_buffered_for(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against answers that pile up for a client that sends on and never reads."""
     monkeypatch.setattr(clients, "WRITE_FOR", 0.5)
-    page = b"x" * http.MOST_BODY
+    page = b"x" * http.MAX_BUFFERED_BODY
 
     async def test() -> None:
         async with serving(always(response(200, page))) as (_, at), sidecar(send_to("e"), known(e=at)) as s:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -69,7 +69,7 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npage",
         b"HTTP/1.1 200 OK\r\n\r\npage",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npage\r\n",
-        b"HTTP/1.1 200 OK\r\nX-Fill: " + b"x" * (http.MOST_BYTES + http.MOST_BODY),
+        b"HTTP/1.1 200 OK\r\nX-Fill: " + b"x" * (http.MAX_RESPONSE_OVERHEAD + http.MAX_BUFFERED_BODY),
         b"HTTP/1.1 200 OK\r\n" + b"X: y\r\n" * 20000,
         b"HTTP/1.1 20",
         b"\x16\x03\x01 noise",
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -155,7 +155,7 @@
     days: Iterator[Day] = (heavy(day) for day in hunting.drawn([kind], 1, 4, 4, 20.0))
     played = hunting.hunt(islice(days, 40), 1e9)
     found = next(f for f in played if any(b.startswith(rule) for b in f.figures["breaches"]))
-    least = hunting.Cutter(hunting.breaches_rule(rule), 120).minimize(found.day)
+    least = hunting.DayMinimizer(hunting.breaches_rule(rule), 120).minimize(found.day)
     assert hunting.breaches_rule(rule)(least)
     assert hunting.size(least) < 20 and least.sidecars <= 3, least
 
@@ -213,7 +213,7 @@
 
         def set_back(sidecar: Sidecar) -> None:
             assert sidecar.host is not None
-            sidecar.host.set_off = -3600 * 10**9
+            sidecar.host.clock_offset_ns = -3600 * 10**9
 
         if back:
             for sidecar in world.sidecars:
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -99,7 +99,7 @@
             connection = await dial(System(), (where, int(port)), 5.0, lambda c: None, lambda c: closed.set())
 
             def on_client_left() -> None:
-                assert connection.outstanding(), "the last byte was sent"
+                assert connection.has_unsent_bytes(), "the last byte was sent"
                 connection.abort()
 
             connection.request(b"GET / HTTP/1.1\r\n\r\n", lambda result: None, hold=0.002)
--- a/zinclever/assembly.py
+++ b/zinclever/assembly.py
@@ -16,8 +16,8 @@
 from .core.service import Service
 from .discovery.catalog import Discovery
 from .discovery.fixed import StaticEndpoints
-from .http1.bodies import room_for
-from .http1.front import Front
+from .http1.bodies import body_memory_limit
+from .http1.front import Frontend
 from .http1.wire import HttpWire
 from .policy import Balancer
 
@@ -44,7 +44,7 @@
         )
         assert isinstance(self.dispatcher.source, Discovery)
         self.discovery = self.dispatcher.source
-        self.front = Front(self.dispatcher)
+        self.front = Frontend(self.dispatcher)
         self.processes = 1
         """Processes of this sidecar that share its limits: more than one during a takeover."""
         self.apply_limits()
@@ -75,7 +75,7 @@
         """Sets this process's equal part of the descriptors and of the memory."""
         self.descriptors.configure(self.config.sockets // self.processes)
         memory = self.config.memory
-        self.front.room.limit = room_for(memory / self.processes if memory is not None else None)
+        self.front.room.limit = body_memory_limit(memory / self.processes if memory is not None else None)
         self.front.configure()
 
     def gauges(self) -> Gauges:
@@ -101,13 +101,13 @@
     """A JSON-RPC service, built from the operator file."""
 
     def __init__(self, spec: JsonRpcService, seed: int, descriptors: Descriptors, host: Host) -> None:
-        from .jsonrpc.front import Front as JsonRpcFront
+        from .jsonrpc.front import Frontend as JsonRpcFrontend
         from .jsonrpc.wire import JsonRpcWire
 
         self.spec, self.seed, self.host = spec, seed, host
-        self.wire = JsonRpcWire(spec.rules.framing, spec.proofs, descriptors, host)
+        self.wire = JsonRpcWire(spec.rules.framing, spec.error_codes, descriptors, host)
         self.dispatcher = Dispatcher(Balancer(spec.settings, seed), self.wire, self.make_source, descriptors, host)
-        self.front = JsonRpcFront(self.dispatcher, spec.rules)
+        self.front = JsonRpcFrontend(self.dispatcher, spec.rules)
         max_deadline = max(c.deadline for c in spec.settings.classes)
         self.service = Service(
             spec.name, spec.listen, self.dispatcher, self.front, (max_deadline + DEADLINE_MARGIN) / 1000.0
@@ -133,7 +133,7 @@
                 "effect only after a restart",
                 spec.name,
             )
-        self.wire.proofs = spec.proofs
+        self.wire.error_codes = spec.error_codes
         source = self.dispatcher.source
         if isinstance(source, Discovery):
             source.configure(spec.settings, spec.zones)
--- a/zinclever/configuration/operator.py
+++ b/zinclever/configuration/operator.py
@@ -8,8 +8,8 @@
 
 from .. import interface
 from ..core.protocol import Address, Entry, read_address
-from ..jsonrpc.codec import read_pointer
-from ..jsonrpc.connection import Proofs
+from ..jsonrpc.codec import parse_json_pointer
+from ..jsonrpc.connection import ErrorCodeMapping
 from ..jsonrpc.rules import Method, Rules
 
 Clean = dict[str, Any]
@@ -30,7 +30,7 @@
     """Empty where ``discovery`` is asked."""
     discovery: Address | None
     rules: Rules
-    proofs: Proofs
+    error_codes: ErrorCodeMapping
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
         entries,
         discovery,
         rules,
-        Proofs(frozenset(told["never_ran_errors"]), frozenset(told["failure_errors"])),
+        ErrorCodeMapping(frozenset(told["never_ran_errors"]), frozenset(told["failure_errors"])),
     )
 
 
@@ -91,7 +91,7 @@
     """By each name that a method goes by."""
     found: dict[str, Method] = {}
     for name, one in told["methods"].items():
-        method = Method(numbers[one["class"]], read_pointer(one["key"]) if one["key"] is not None else ())
+        method = Method(numbers[one["class"]], parse_json_pointer(one["key"]) if one["key"] is not None else ())
         for known in (name, *one["aliases"]):
             found[known] = method
     return found
--- a/zinclever/configuration/relations.py
+++ b/zinclever/configuration/relations.py
@@ -30,7 +30,7 @@
         yield from classes(service, path)
         yield from methods(service, path)
         yield from endpoints(service, path)
-        yield from proofs(service, path)
+        yield from error_codes(service, path)
         yield from attempts(service, path)
         yield from instances(service, path, clean.get("shares") or {})
     yield from floor(clean.get("shares") or {})
@@ -218,7 +218,7 @@
         yield Finding("ZC230", (*path, "zone"), f"no endpoint is in {service['zone']!r}")
 
 
-def proofs(service: Clean, path: Path) -> Iterator[Finding]:
+def error_codes(service: Clean, path: Path) -> Iterator[Finding]:
     for n, code in enumerate(service["never_ran_errors"] or ()):
         at: Path = (*path, "never_ran_errors", n)
         if code in (INTERNAL, OWN_FAILURE):
--- a/zinclever/configuration/shape.py
+++ b/zinclever/configuration/shape.py
@@ -186,10 +186,10 @@
         if not host or unsuitable(host) or " " in host or not 0 < port < 65536:
             yield Finding("ZC116", path, f"{short(value)} is no address", "write host:port, as in 127.0.0.1:7001")
     elif key.kind == "pointer":
-        from ..jsonrpc.codec import read_pointer
+        from ..jsonrpc.codec import parse_json_pointer
 
         try:
-            read_pointer(value)
+            parse_json_pointer(value)
         except ValueError:
             yield Finding("ZC117", path, f"{short(value)} is no JSON Pointer", "write a path such as /key")
     elif key.default != "" and (problem := unsuitable(value)):
--- a/zinclever/core/dispatcher.py
+++ b/zinclever/core/dispatcher.py
@@ -324,7 +324,7 @@
         self.counts.concurrent += 1
         request.guard = self.loop.call_later(max(0.0, wait - GUARD_MARGIN) / 1000.0, self.give_up, request)
 
-    def uploaded(self, request_id: str) -> None:
+    def upload_finished(self, request_id: str) -> None:
         """Handles the end of a request body that was uploaded while attempts received it.
 
         The client's waiting time starts now, and so do the timeouts of these attempts.
--- a/zinclever/core/protocol.py
+++ b/zinclever/core/protocol.py
@@ -43,7 +43,7 @@
     payload: Any
     """What the wire of the same protocol sends; opaque to the core."""
     uploading: bool = False
-    """The payload is still being received; the front calls ``Dispatcher.uploaded`` at its end."""
+    """The payload is still being received; the front calls ``Dispatcher.upload_finished`` at its end."""
 
 
 class Served(NamedTuple):
--- a/zinclever/core/service.py
+++ b/zinclever/core/service.py
@@ -17,7 +17,7 @@
 BACKLOG = 1024
 
 
-class Front(Protocol):
+class Frontend(Protocol):
     """The client side of a protocol."""
 
     def configure(self) -> None:
@@ -46,7 +46,7 @@
     name: str
     address: Address
     dispatcher: Dispatcher
-    front: Front
+    front: Frontend
     drain_timeout: float = DRAIN_TIMEOUT
     """s that open requests may take to finish at shutdown."""
     server: asyncio.Server | None = field(default=None, init=False)
--- a/zinclever/http1/bodies.py
+++ b/zinclever/http1/bodies.py
@@ -19,7 +19,7 @@
 SHARE = 0.4  # of the rest: a body is held twice for a moment, and every attempt has the kernel's copy besides
 
 
-def room_for(memory: float | None) -> int:
+def body_memory_limit(memory: float | None) -> int:
     """Bytes of room in so many bytes of memory; None: not told."""
     if memory is None:
         return ROOM_UNTOLD
--- a/zinclever/http1/clients.py
+++ b/zinclever/http1/clients.py
@@ -52,7 +52,7 @@
         self.since: dict[State, dict[ServerConnection, float]] = {state: {} for state in State}
         """The connections in each state, those longest in it first."""
         self.clients = 0
-        self.read_for = self.idle_for = 0.0
+        self.read_timeout = self.max_idle_time = 0.0
         """s, where somebody says so: else READ_FOR and IDLE_FOR."""
         self.turned = 0
         """Of them, those that are to be turned away."""
@@ -140,7 +140,7 @@
         self.sweeper = self.loop.call_later(SWEEP, self.sweep) if self.count() else None
         now = self.loop.time()
         for state in (State.READING, State.UPLOADING):
-            for connection in self.overdue(state, self.read_for or READ_FOR):
+            for connection in self.overdue(state, self.read_timeout or READ_FOR):
                 if connection.patience() + self.since[state][connection] <= now:
                     connection.too_slow()
         for connection in self.overdue(State.WAITING, ROOM_FOR):
@@ -153,7 +153,7 @@
             if many <= 0:
                 break
             many -= connection.close_idle()
-        for connection in self.overdue(State.IDLE, self.idle_for or IDLE_FOR):
+        for connection in self.overdue(State.IDLE, self.max_idle_time or IDLE_FOR):
             connection.close_idle()
 
     def overdue(self, state: State, limit: float) -> list[ServerConnection]:
--- a/zinclever/http1/connection.py
+++ b/zinclever/http1/connection.py
@@ -23,7 +23,7 @@
 BODILESS = (204, 304)
 
 #: Headers that hold for one connection only, and those that the sidecar words itself.
-OWN_HEADERS = frozenset(
+NON_FORWARDED_HEADERS = frozenset(
     {
         b"connection",
         b"content-length",
@@ -38,11 +38,11 @@
         b"upgrade",
     }
 )
-MOST_BODY = 64 * 1024  # of an answer that is held until it is whole; a longer one is passed on as it comes
+MAX_BUFFERED_BODY = 64 * 1024  # of an answer that is held until it is whole; a longer one is passed on as it comes
 MOST_ANSWER = 40 << 20  # bytes of one that is passed on: the longest have 32 MB
 MOST_HEAD = 32 * 1024
 SMALL_BODY = 16 * 1024  # bytes of a request's body that are copied behind its head, for one call of the kernel
-MOST_BYTES = 8 * MOST_HEAD  # of an answer beyond its body: head, sizes of chunks, 1xx answers ahead
+MAX_RESPONSE_OVERHEAD = 8 * MOST_HEAD  # of an answer beyond its body: head, sizes of chunks, 1xx answers ahead
 STALL = 0.5  # s between two pieces of an answer that is held: what stops is spoilt, and another attempt may help
 LINGERS = 0.03  # s after its first bytes from which on an answer of untold length is passed on as it comes
 TRANSFER_STALL = 10.0  # s between two pieces of one that is passed on: its client can't get another
@@ -136,15 +136,15 @@
         sock: Socket,
         on_free: Callable[[ClientConnection], None],
         on_lost: Callable[[ClientConnection], None],
-        most_body: int = MOST_BODY,
+        max_buffered_body: int = MAX_BUFFERED_BODY,
         transfers: bool = False,
         stall: float = STALL,
     ) -> None:
-        """``most_body``: bytes that are held of an answer; with ``transfers`` a longer one is passed on. ``stall``: s
+        """``max_buffered_body``: bytes that are held of an answer; with ``transfers`` a longer one is passed on. ``stall``: s
         between two pieces of one that is held."""
         self.patience = stall
-        self.sock, self.on_free, self.on_lost, self.most_body = sock, on_free, on_lost, most_body
-        self.most_answer = MOST_ANSWER if transfers else most_body
+        self.sock, self.on_free, self.on_lost, self.max_buffered_body = sock, on_free, on_lost, max_buffered_body
+        self.most_answer = MOST_ANSWER if transfers else max_buffered_body
         self.rest: Transfer | None = None
         self.body: list[bytes] = []
         self.paused = False
@@ -231,7 +231,7 @@
         if not data or self.write(data):
             self.resume_writing()
 
-    def outstanding(self) -> bool:
+    def has_unsent_bytes(self) -> bool:
         """Whether bytes of the request have not been written yet, so that it can't have run."""
         return self.uploading or self.held is not None
 
@@ -267,7 +267,7 @@
 
     def resume_writing(self) -> None:
         """The kernel has all that was handed to the transport."""
-        self.unsent = self.outstanding() or self.transport.get_write_buffer_size() > 0
+        self.unsent = self.has_unsent_bytes() or self.transport.get_write_buffer_size() > 0
         if not self.unsent and self.sent is not None:
             sent, self.sent = self.sent, None
             sent()
@@ -304,9 +304,9 @@
             return
         if self.rest is not None:
             self.pass_on(self.rest)
-        elif self.begun and self.body and (self.large or self.size > self.most_body or self.lingers()):
+        elif self.begun and self.body and (self.large or self.size > self.max_buffered_body or self.lingers()):
             self.open()
-        elif self.received > MOST_BYTES + self.most_body:
+        elif self.received > MAX_RESPONSE_OVERHEAD + self.max_buffered_body:
             self.spoilt()
             return
         if self.begun and (self.done is not None or self.rest is not None):
@@ -314,7 +314,7 @@
 
     def lingers(self) -> bool:
         """An answer of untold length goes on for so long that it may well be too large to be held."""
-        if self.most_answer == self.most_body or self.status != 200 or self.length() is not None:
+        if self.most_answer == self.max_buffered_body or self.status != 200 or self.length() is not None:
             return False
         return self.stall is not None and asyncio.get_running_loop().time() > self.begun_at + LINGERS
 
@@ -445,9 +445,9 @@
             self.size = 0
             told = self.length()
             length = int(told) if told is not None else 0
-            if length > self.most_answer or (length > self.most_body and self.status != 200):
+            if length > self.most_answer or (length > self.max_buffered_body and self.status != 200):
                 raise ValueError("body too long")
-            self.large = length > self.most_body
+            self.large = length > self.max_buffered_body
             coded = any(k.lower() == b"transfer-encoding" for k, _ in self.headers)
             self.until_end = told is None and not coded and self.status not in BODILESS and self.status >= 200
 
@@ -459,7 +459,7 @@
         if not self.complete:
             self.body.append(body)
             self.size += len(body)
-            if self.size > (self.most_answer if self.status == 200 else self.most_body):
+            if self.size > (self.most_answer if self.status == 200 else self.max_buffered_body):
                 raise ValueError("body too long")
 
     def on_message_complete(self) -> None:
@@ -478,7 +478,7 @@
     timeout: float,
     on_free: Callable[[ClientConnection], None],
     on_lost: Callable[[ClientConnection], None],
-    most_body: int = MOST_BODY,
+    max_buffered_body: int = MAX_BUFFERED_BODY,
     transfers: bool = False,
     stall: float = STALL,
 ) -> ClientConnection:
@@ -490,7 +490,7 @@
         async with asyncio.timeout(timeout):
             await loop.sock_connect(sock, address)
         _, connection = await loop.create_connection(
-            lambda: ClientConnection(sock, on_free, on_lost, most_body, transfers, stall), sock=sock
+            lambda: ClientConnection(sock, on_free, on_lost, max_buffered_body, transfers, stall), sock=sock
         )
     except BaseException:
         sock.close()
--- a/zinclever/http1/desk.py
+++ b/zinclever/http1/desk.py
@@ -14,11 +14,11 @@
 from .bodies import ROOM_UNTOLD, Body, Room
 from .clients import Clients
 from .connection import Headers
-from .heads import Answer, Whole
+from .heads import HttpResponse, Whole
 from .server import ServerConnection
 
 
-class Desk(Clients):
+class RequestHandler(Clients):
     """Who is connected and since when, room for bodies, and what becomes of a request that has come in."""
 
     def __init__(self, descriptors: Descriptors) -> None:
@@ -26,9 +26,9 @@
         self.room = Room(ROOM_UNTOLD)
         """For bodies that are too large to be held freely."""
         self.draining = False
-        self.most_upload = 0
+        self.max_body_size = 0
         """Bytes of a request's body, where somebody says so: else the server's own bound."""
-        self.whole_only = False
+        self.requires_complete_body = False
         """Requests are handed on once their bodies are whole, however large they are."""
 
     def give(self, taken: int) -> None:
@@ -50,11 +50,11 @@
         """A request that has ``waited`` so many ms here, checked; :class:`~.heads.Rejected` where it is none."""
 
     @abstractmethod
-    def take(self, told: IncomingRequest, answer: Callable[[FinalAnswer | Answer], None]) -> None:
+    def take(self, told: IncomingRequest, answer: Callable[[FinalAnswer | HttpResponse], None]) -> None:
         """A request to be answered once, unless its client leaves before."""
 
     @abstractmethod
-    def abandon(self, request_id: str) -> None:
+    def on_client_disconnected(self, request_id: str) -> None:
         """The client has gone away."""
 
     @abstractmethod
@@ -65,14 +65,14 @@
     def unread(self, sock: Any) -> bool:
         """Whether the kernel holds bytes, or an end, that nobody has read from a connection."""
 
-    def uploaded(self, request_id: str) -> None:
+    def upload_finished(self, request_id: str) -> None:
         """The last byte of a body that was handed on as it came is there."""
 
     def waited(self, transport: asyncio.BaseTransport, first: bool) -> float:
         """ms that what is read from a connection right now has waited for this process, as far as anybody asks."""
         return 0.0
 
-    def answers_itself(self, whole: Whole) -> Answer | None:
+    def answers_itself(self, whole: Whole) -> HttpResponse | None:
         """The answer to a request that concerns the listener itself."""
         return None
 
--- a/zinclever/http1/front.py
+++ b/zinclever/http1/front.py
@@ -11,14 +11,14 @@
 from ..core.protocol import FinalAnswer, IncomingRequest
 from .bodies import Body
 from .connection import Headers
-from .desk import Desk
-from .heads import Answer, Rejected, Whole, cookie, number, request_head
+from .desk import RequestHandler
+from .heads import HttpResponse, Rejected, Whole, cookie, number, request_head
 from .wire import Payload
 
 HEALTH = "/_health"
 
 
-class Front(Desk):
+class Frontend(RequestHandler):
     """The ledger, the settings as names, who is connected and since when."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
@@ -35,14 +35,14 @@
         self.waits = [c.deadline for c in settings.classes]
         self.divide()
 
-    def take(self, told: IncomingRequest, answer: Callable[[FinalAnswer | Answer], None]) -> None:
+    def take(self, told: IncomingRequest, answer: Callable[[FinalAnswer | HttpResponse], None]) -> None:
         self.dispatcher.take(told, answer)
 
-    def abandon(self, request_id: str) -> None:
+    def on_client_disconnected(self, request_id: str) -> None:
         self.dispatcher.leave(request_id)
 
-    def uploaded(self, request_id: str) -> None:
-        self.dispatcher.uploaded(request_id)
+    def upload_finished(self, request_id: str) -> None:
+        self.dispatcher.upload_finished(request_id)
 
     def replies(self, told: IncomingRequest) -> ReplyCounts:
         return self.dispatcher.counts.of(self.dispatcher.settings.classes[told.klass].name)
@@ -53,9 +53,9 @@
     def waited(self, transport: asyncio.BaseTransport, first: bool) -> float:
         return self.dispatcher.waited(transport, first)
 
-    def answers_itself(self, whole: Whole) -> Answer | None:
+    def answers_itself(self, whole: Whole) -> HttpResponse | None:
         if whole.method == "GET" and whole.target == HEALTH:
-            return Answer(200 if self.dispatcher.ready else 500)
+            return HttpResponse(200 if self.dispatcher.ready else 500)
         return None
 
     def passing(self, by: int) -> None:
--- a/zinclever/http1/heads.py
+++ b/zinclever/http1/heads.py
@@ -7,14 +7,14 @@
 import re
 from typing import NamedTuple
 
-from .connection import OWN_HEADERS, Headers, end_to_end
+from .connection import NON_FORWARDED_HEADERS, Headers, end_to_end
 
 REASONS = {s.value: s.phrase.encode() for s in http.HTTPStatus}
-TO_ENDPOINTS = OWN_HEADERS | {b"req-deadline"}  # what is not passed on as it came
+TO_ENDPOINTS = NON_FORWARDED_HEADERS | {b"req-deadline"}  # what is not passed on as it came
 NUMBER = re.compile(rb"[0-9]{1,12}(\.[0-9]{0,12})?")
 
 
-class Answer(NamedTuple):
+class HttpResponse(NamedTuple):
     """What the application gets."""
 
     status: int
@@ -60,7 +60,7 @@
     """When it was whole, on the loop's clock: its client's deadline counts from then."""
 
 
-def render(answer: Answer, keep: bool) -> bytes:
+def render(answer: HttpResponse, keep: bool) -> bytes:
     return render_head(answer.status, answer.headers, len(answer.body), False, keep) + answer.body
 
 
--- a/zinclever/http1/server.py
+++ b/zinclever/http1/server.py
@@ -13,23 +13,23 @@
 from ..core.protocol import FinalAnswer, IncomingRequest, Refused, Served
 from .bodies import HELD_FREELY, STEP, Body
 from .clients import READ_FOR, State
-from .connection import BLANK, MOST_BODY, MOST_HEAD, OWN_HEADERS, Headers, Reply, Transfer, end_to_end
-from .heads import Answer, Rejected, Whole, render, render_head
+from .connection import BLANK, MAX_BUFFERED_BODY, MOST_HEAD, NON_FORWARDED_HEADERS, Headers, Reply, Transfer, end_to_end
+from .heads import HttpResponse, Rejected, Whole, render, render_head
 
 if TYPE_CHECKING:
-    from .desk import Desk
+    from .desk import RequestHandler
 
 log = logging.getLogger(__name__)
 
 MOST_UPLOAD = 40 << 20  # bytes of a request's body: the longest have 32 MB
 VERSIONS = ("1.1", "1.0")
-MOST_CHUNKED = 4 * MOST_BODY  # raw bytes of a body's chunks beyond ...
+MOST_CHUNKED = 4 * MAX_BUFFERED_BODY  # raw bytes of a body's chunks beyond ...
 CHUNKED = 8  # ... this multiple of what they hold: chunks of one byte have six
 PIPELINED = 8  # whole requests that may wait behind the one that is out; ordinary clients send one at a time
 SLOWEST = 32 * 1024  # ... a body: a second for so many bytes that have come of it; clients send twice as fast
-LINGER_BYTES = 4 * MOST_BODY  # that are read so at most: the rest is left to the kernel, which resets
+LINGER_BYTES = 4 * MAX_BUFFERED_BODY  # that are read so at most: the rest is left to the kernel, which resets
 ADVICE = b"Retry-After: 1.000\r\n"  # for who has found no room, for a body or a connection
-TO_CLIENTS = OWN_HEADERS | {b"srv-load"}
+TO_CLIENTS = NON_FORWARDED_HEADERS | {b"srv-load"}
 
 
 class ServerConnection(asyncio.Protocol):
@@ -39,7 +39,7 @@
 
     transport: asyncio.Transport
 
-    def __init__(self, front: Desk) -> None:
+    def __init__(self, front: RequestHandler) -> None:
         self.front = front
         self.state = State.READING
         self.heard_at = front.loop.time()  # when it connected, or last sent something
@@ -79,7 +79,7 @@
         if self.source is not None:
             self.end_source()
         if self.request_id is not None:
-            self.front.abandon(self.request_id)
+            self.front.on_client_disconnected(self.request_id)
 
     def data_received(self, data: bytes) -> None:
         self.raw += len(data)
@@ -155,7 +155,7 @@
                 hosts += 1
         if hosts > 1 or (not hosts and version == "1.1"):
             raise Rejected(400)  # RFC 9112, 3.2
-        if length > min(self.front.most_upload or MOST_UPLOAD, self.front.room.limit):
+        if length > min(self.front.max_body_size or MOST_UPLOAD, self.front.room.limit):
             raise Rejected(413)
         self.length = length or None
         if expects and not self.owing():
@@ -169,7 +169,7 @@
             self.upload.add(body)
         elif not self.ending:
             self.body.append(body)
-        if self.size > (self.front.most_upload or MOST_UPLOAD):
+        if self.size > (self.front.max_body_size or MOST_UPLOAD):
             raise Rejected(413)
         lacks = self.size > max(HELD_FREELY, self.room) and not self.ending and self not in self.front.room.waiting
         if lacks and self.take_room(max(STEP, self.size - self.room)):
@@ -202,7 +202,14 @@
 
     def begin_upload(self) -> None:
         """Hand on a request whose body is still coming in, unless another one is before it on this connection."""
-        if self.upload is not None or self.ending or self.owing() or self.queue or self.paused or self.front.whole_only:
+        if (
+            self.upload is not None
+            or self.ending
+            or self.owing()
+            or self.queue
+            or self.paused
+            or self.front.requires_complete_body
+        ):
             return
         body = Body(self.length)
         if self.turned_away:
@@ -226,7 +233,7 @@
         assert self.request_id is not None
         request_id = self.request_id
         body.finish()
-        self.front.uploaded(request_id)
+        self.front.upload_finished(request_id)
 
     def give_up_upload(self) -> None:
         """What has come of a body will not be whole, or is of no use: nothing more goes out of it."""
@@ -234,7 +241,7 @@
             self.upload = None
             request_id, self.request_id = self.request_id, None
             if request_id is not None:
-                self.front.abandon(request_id)
+                self.front.on_client_disconnected(request_id)
 
     def finds_no_room(self) -> None:
         """A refusal: nothing of the request has gone out."""
@@ -252,7 +259,7 @@
 
     def patience(self) -> float:
         """s for which what is coming in may take."""
-        return (self.front.read_for or READ_FOR) + (self.size / SLOWEST if self.in_body else 0.0)
+        return (self.front.read_timeout or READ_FOR) + (self.size / SLOWEST if self.in_body else 0.0)
 
     def on_message_complete(self) -> None:
         if self.upload is not None:
@@ -307,35 +314,35 @@
         """Nothing of it goes out: a repeat is harmless."""
         self.front.replies(told).refused += 1
         self.keep = False
-        self.answer(Answer(503, ADVICE))
+        self.answer(HttpResponse(503, ADVICE))
 
     def hand_on(self, told: IncomingRequest) -> None:
         self.request_id = told.id
         self.replies = self.front.replies(told)
         self.front.take(told, self.finish)
 
-    def finish(self, final: FinalAnswer | Answer) -> None:
+    def finish(self, final: FinalAnswer | HttpResponse) -> None:
         """The final answer: the ledger's, or one that is worded already."""
-        if isinstance(final, Answer):
+        if isinstance(final, HttpResponse):
             self.answer(final)
         elif isinstance(final, Served):
             reply: Reply = final.reply
             if reply.rest is not None:
                 self.pass_on(reply, reply.rest)
             else:
-                self.answer(Answer(200, end_to_end(reply.headers, TO_CLIENTS), reply.body))
+                self.answer(HttpResponse(200, end_to_end(reply.headers, TO_CLIENTS), reply.body))
         elif isinstance(final, Refused):
             after = final.retry_after / 1000.0
-            self.answer(Answer(503, b"Retry-After: %.3f\r\n" % after if after > 0.0 else b""))
+            self.answer(HttpResponse(503, b"Retry-After: %.3f\r\n" % after if after > 0.0 else b""))
         else:
-            self.answer(Answer(502))
+            self.answer(HttpResponse(502))
 
     def let_go(self) -> None:
         """The body of the request that was out is not needed any more."""
         given, self.out_room = self.out_room, 0
         self.front.give(given)
 
-    def answer(self, answer: Answer) -> None:
+    def answer(self, answer: HttpResponse) -> None:
         """The answer to the request that is out."""
         self.request_id = None
         if self.upload is not None:
@@ -373,7 +380,7 @@
         self.request_id = None
         if self.upload is not None:  # an answer to half a request
             rest.abort()
-            self.cut_short(Answer(502))
+            self.cut_short(HttpResponse(502))
             return
         self.let_go()
         if self.transport.is_closing():
@@ -447,13 +454,13 @@
             self.front.enter(self, State.READING if self.started else State.IDLE)
             self.go_on()
 
-    def cut_short(self, answer: Answer) -> None:
+    def cut_short(self, answer: HttpResponse) -> None:
         """Answer a request whose body is still coming in, and end the connection: the rest is dropped."""
         self.upload = None
         if not self.transport.is_closing():
             self.linger(answer)
 
-    def linger(self, answer: Answer) -> None:
+    def linger(self, answer: HttpResponse) -> None:
         """The last answer on this connection, while its client may still be sending."""
         self.ending, self.raw, self.body = True, 0, []
         self.leave_room(all=True)
@@ -469,7 +476,7 @@
             self.rejected = status
             self.transport.pause_reading()
         elif not self.ending:
-            self.linger(Answer(status, ADVICE if status == 503 else b""))
+            self.linger(HttpResponse(status, ADVICE if status == 503 else b""))
 
     # --- ends that the server chooses ---
 
--- a/zinclever/http1/wire.py
+++ b/zinclever/http1/wire.py
@@ -97,7 +97,7 @@
 
     def begun(self) -> bool:
         """Whether the endpoint may have the whole request."""
-        return self.connection is not None and not self.connection.outstanding()
+        return self.connection is not None and not self.connection.has_unsent_bytes()
 
     def cancel(self, silent: bool) -> None:
         """Stop waiting and end the connection. Nothing is reported."""
--- a/zinclever/jsonrpc/codec.py
+++ b/zinclever/jsonrpc/codec.py
@@ -248,7 +248,7 @@
     return str(params) if isinstance(params, int | float) and not isinstance(params, bool) else None
 
 
-def read_pointer(text: str) -> tuple[str, ...]:
+def parse_json_pointer(text: str) -> tuple[str, ...]:
     """The parts of a JSON Pointer (RFC 6901). ValueError where it is none."""
     if not text.startswith("/") or re.search(r"~(?![01])", text):
         raise ValueError(f"not a JSON Pointer: {text!r}")
--- a/zinclever/jsonrpc/connection.py
+++ b/zinclever/jsonrpc/connection.py
@@ -42,7 +42,7 @@
     """The error object as written; empty: a result."""
 
 
-class Proofs(NamedTuple):
+class ErrorCodeMapping(NamedTuple):
     """What the codes of an endpoint's errors mean. Others are answers like any result."""
 
     never_ran: frozenset[int]
--- a/zinclever/jsonrpc/front.py
+++ b/zinclever/jsonrpc/front.py
@@ -35,7 +35,7 @@
 END_ADVICE = 500.0  # ms: after which a client of a sidecar that ends should come again
 
 
-class Front:
+class Frontend:
     """What the connections of one service share."""
 
     def __init__(self, dispatcher: Dispatcher, rules: Rules) -> None:
@@ -51,7 +51,7 @@
 
     def configure(self) -> None:
         self.waits = [c.deadline for c in self.dispatcher.settings.classes]
-        self.most = max(1, min(self.descriptors.limit // SHARE, self.rules.most_clients))
+        self.most = max(1, min(self.descriptors.limit // SHARE, self.rules.max_clients))
 
     def reconfigure(self, rules: Rules) -> None:
         """Other methods from now on; connections that are open keep their framing."""
@@ -145,7 +145,7 @@
 
     transport: asyncio.Transport
 
-    def __init__(self, front: Front) -> None:
+    def __init__(self, front: Frontend) -> None:
         self.front = front
         self.framing = front.rules.framing
         self.framer = Framer(self.framing, front.rules.most_text)
--- a/zinclever/jsonrpc/rules.py
+++ b/zinclever/jsonrpc/rules.py
@@ -25,5 +25,5 @@
     """The class of methods that are not listed; None: they are answered -32601."""
     most_text: int
     """Bytes of one text, a whole batch among them."""
-    most_clients: int
+    max_clients: int
     """Connections at once."""
--- a/zinclever/jsonrpc/wire.py
+++ b/zinclever/jsonrpc/wire.py
@@ -10,16 +10,16 @@
 from ..core.protocol import Address, OnEnded
 from ..core.shared import SharedPools, Watcher
 from .codec import Response
-from .connection import ClientConnection, Exchange, Payload, Proofs, dial
+from .connection import ClientConnection, ErrorCodeMapping, Exchange, Payload, dial
 from .framing import Framing
 
 
 class JsonRpcWire(SharedPools[ClientConnection]):
     """Calls on endpoints, many on a connection."""
 
-    def __init__(self, framing: Framing, proofs: Proofs, descriptors: Descriptors, host: Host) -> None:
+    def __init__(self, framing: Framing, error_codes: ErrorCodeMapping, descriptors: Descriptors, host: Host) -> None:
         super().__init__(self.open, descriptors)
-        self.framing, self.proofs, self.host = framing, proofs, host
+        self.framing, self.error_codes, self.host = framing, error_codes, host
         self.counts: Counter[str] = Counter()
         """What endpoints sent that answered no pending call, by kind."""
 
@@ -28,7 +28,7 @@
 
     def outcome(self, response: Response) -> interface.Outcome:
         """By what holds now: a reload changes it for connections that are open, too."""
-        return self.proofs.outcome(response)
+        return self.error_codes.outcome(response)
 
     def start(self, endpoint: str, payload: Payload, left: float, ended: OnEnded, unsafe: bool) -> Exchange:
         """Begin a call. ``left`` and ``unsafe`` change nothing: a shared connection can't hold a byte back
--- a/zinclever/mesh/control_api/listener.py
+++ b/zinclever/mesh/control_api/listener.py
@@ -15,8 +15,8 @@
 from ...core.protocol import FinalAnswer, IncomingRequest
 from ...http1.bodies import Body
 from ...http1.connection import Headers
-from ...http1.desk import Desk
-from ...http1.heads import Answer, Rejected
+from ...http1.desk import RequestHandler
+from ...http1.heads import HttpResponse, Rejected
 from ..errors import MeshError
 from .router import Router
 
@@ -39,26 +39,26 @@
             raise MeshError("CALL_UNREADABLE", str(error)) from None
 
 
-Handler = Callable[[Call], Answer | Awaitable[Answer]]
+Handler = Callable[[Call], HttpResponse | Awaitable[HttpResponse]]
 
 
-def json_answer(status: int, content: object = None) -> Answer:
+def json_answer(status: int, content: object = None) -> HttpResponse:
     """Return a JSON answer; its body is an empty object if ``content`` is None."""
-    return Answer(status, b"Content-Type: application/json\r\n", orjson.dumps({} if content is None else content))
+    return HttpResponse(status, b"Content-Type: application/json\r\n", orjson.dumps({} if content is None else content))
 
 
-def error_answer(status: int, error: MeshError) -> Answer:
+def error_answer(status: int, error: MeshError) -> HttpResponse:
     """Return an answer that describes an error."""
     return json_answer(status, {"Error": {"Code": error.code, "Field": error.field, "Text": error.text}})
 
 
-class ControlApi(Desk):
+class ControlApi(RequestHandler):
     """Serves the calls of one listener."""
 
     def __init__(self, descriptors: Descriptors, host: Host, router: Router[Handler]) -> None:
         super().__init__(descriptors)
         self.host, self.router = host, router
-        self.whole_only = True
+        self.requires_complete_body = True
         self.last_number = 0
         self.tasks: dict[str, asyncio.Task[None]] = {}
         """By call number: the calls whose handlers are still running."""
@@ -69,7 +69,7 @@
         match = self.router.find(method, target)
         if match.handler is None:
             raise Rejected(405 if match.is_known_path else 404)
-        assert isinstance(body, bytes)  # as `whole_only` is set
+        assert isinstance(body, bytes)  # as `requires_complete_body` is set
         headers_by_name: dict[str, str] = {}
         for name, value in headers:
             headers_by_name.setdefault(name.decode("latin-1").lower(), value.decode("latin-1"))
@@ -77,7 +77,7 @@
         call = Call(match.path_parameters, headers_by_name, body)
         return IncomingRequest(str(self.last_number), 0, 0, "", 0.0, 0.0, False, (match.handler, call))
 
-    def take(self, incoming: IncomingRequest, on_answer: Callable[[FinalAnswer | Answer], None]) -> None:
+    def take(self, incoming: IncomingRequest, on_answer: Callable[[FinalAnswer | HttpResponse], None]) -> None:
         """Handle a call, immediately or in a task."""
         handler, call = incoming.payload
         try:
@@ -85,13 +85,13 @@
         except Exception as error:
             on_answer(failure_answer(error))
             return
-        if isinstance(result, Answer):
+        if isinstance(result, HttpResponse):
             on_answer(result)
         else:
             self.tasks[incoming.id] = asyncio.ensure_future(self.answer_later(incoming.id, result, on_answer))
 
     async def answer_later(
-        self, call_number: str, result: Awaitable[Answer], on_answer: Callable[[FinalAnswer | Answer], None]
+        self, call_number: str, result: Awaitable[HttpResponse], on_answer: Callable[[FinalAnswer | HttpResponse], None]
     ) -> None:
         """Answer a call once its handler has completed."""
         try:
@@ -101,7 +101,7 @@
         finally:
             self.tasks.pop(call_number, None)
 
-    def abandon(self, request_id: str) -> None:
+    def on_client_disconnected(self, request_id: str) -> None:
         """Do nothing when the caller has disconnected: the call is still completed."""
 
     def replies(self, incoming: IncomingRequest) -> ReplyCounts:
@@ -113,7 +113,7 @@
         return self.host.unread(sock)
 
 
-def failure_answer(error: Exception) -> Answer:
+def failure_answer(error: Exception) -> HttpResponse:
     """Return 400 for an invalid call; other exceptions are internal errors, logged and answered with 500."""
     if isinstance(error, MeshError):
         return error_answer(400, error)
--- a/zinclever/mesh/dataplane/egress.py
+++ b/zinclever/mesh/dataplane/egress.py
@@ -11,9 +11,9 @@
 from ...core.protocol import FinalAnswer, IncomingRequest, Refused, Served
 from ...http1.bodies import Body
 from ...http1.clients import READ_FOR
-from ...http1.connection import OWN_HEADERS, Headers, end_to_end
-from ...http1.desk import Desk
-from ...http1.heads import NUMBER, Answer
+from ...http1.connection import NON_FORWARDED_HEADERS, Headers, end_to_end
+from ...http1.desk import RequestHandler
+from ...http1.heads import NUMBER, HttpResponse
 from ..configuration.active import ActiveConfiguration
 from ..configuration.document import Configuration, Route
 from .attempt_count import AttemptCount
@@ -23,8 +23,8 @@
 from .retry_detector import RetryDetector
 from .service_clients import ServiceClients
 
-HOP_HEADERS = OWN_HEADERS | {b"x-deadline-ms", b"x-expected-endpoint", b"x-caller-service"}
-RESPONSE_HOP_HEADERS = OWN_HEADERS
+HOP_HEADERS = NON_FORWARDED_HEADERS | {b"x-deadline-ms", b"x-expected-endpoint", b"x-caller-service"}
+RESPONSE_HOP_HEADERS = NON_FORWARDED_HEADERS
 MAX_CLIENT_WAIT = 3600.0  # s; upper limit of the timeout that a client states
 MIN_WAIT = 0.001  # s
 CLIENT_TIMEOUT_SLACK = 0.5  # s added to the timeouts of the configuration
@@ -33,7 +33,7 @@
 MIN_RETRY_AFTER = 0.02  # s
 MAX_REQUEST_ID_LENGTH = 256
 BODILESS_METHODS = ("GET", "HEAD")
-NO_CONFIGURATION = Answer(503, b"Retry-After: 0.2\r\n")
+NO_CONFIGURATION = HttpResponse(503, b"Retry-After: 0.2\r\n")
 
 
 class RequestHeaders(NamedTuple):
@@ -44,7 +44,7 @@
     timeout_ms: bytes
 
 
-class Egress(Desk):
+class Egress(RequestHandler):
     """Serves the requests of this machine's clients and of its endpoint."""
 
     def __init__(
@@ -73,7 +73,7 @@
         self.caller_header = b"X-Caller-Service: %b\r\n" % service.encode("latin-1")
         self.is_running = is_running
         self.is_running_retry = is_running_retry
-        self.whole_only = True
+        self.requires_complete_body = True
         self.is_refusing = False
         """This process is shutting down: new requests are refused, as they would be cut off."""
         self.last_number = 0
@@ -90,10 +90,10 @@
     def configure(self, configuration: Configuration, memory: int) -> None:
         """Apply the configuration's limits to clients, as far as ``memory`` bytes permit."""
         self.retry_detector.keep_only(configuration.routes)
-        self.read_for = max(READ_FOR, configuration.header_timeout + CLIENT_TIMEOUT_SLACK)
-        self.idle_for = max(CLIENT_TIMEOUT_SLACK, configuration.idle_timeout)
-        self.most_upload = int(min(configuration.max_body_bytes, MAX_MEMORY_SHARE * memory))
-        self.room.limit = int(max(self.most_upload, MAX_MEMORY_SHARE * memory))
+        self.read_timeout = max(READ_FOR, configuration.header_timeout + CLIENT_TIMEOUT_SLACK)
+        self.max_idle_time = max(CLIENT_TIMEOUT_SLACK, configuration.idle_timeout)
+        self.max_body_size = int(min(configuration.max_body_bytes, MAX_MEMORY_SHARE * memory))
+        self.room.limit = int(max(self.max_body_size, MAX_MEMORY_SHARE * memory))
 
     # --- requests ---
 
@@ -102,7 +102,7 @@
 
         A request that can't be forwarded already carries its answer.
         """
-        assert isinstance(body, bytes)  # as `whole_only` is set
+        assert isinstance(body, bytes)  # as `requires_complete_body` is set
         request_headers = read_headers(headers)
         self.last_number += 1
         number = str(self.last_number)
@@ -113,9 +113,9 @@
         route = configuration.find_route(host, target.partition("?")[0])
         if route is None:
             self.counts["unknown"] += 1
-            return already_answered(number, Answer(404))
+            return already_answered(number, HttpResponse(404))
         if not request_headers.request_id or len(request_headers.request_id) > MAX_REQUEST_ID_LENGTH:
-            return already_answered(number, Answer(400))
+            return already_answered(number, HttpResponse(400))
         now = self.loop.time()
         client_wait, time_used = MAX_CLIENT_WAIT, 0.0
         if request_headers.timeout_ms and NUMBER.fullmatch(request_headers.timeout_ms):
@@ -171,10 +171,10 @@
         credits[chosen] -= 1.0
         return chosen
 
-    def take(self, incoming: IncomingRequest, on_answer: Callable[[FinalAnswer | Answer], None]) -> None:
+    def take(self, incoming: IncomingRequest, on_answer: Callable[[FinalAnswer | HttpResponse], None]) -> None:
         """Send a request to its service; ``on_answer`` is called with the answer to the client."""
         request = incoming.payload
-        if isinstance(request, Answer):
+        if isinstance(request, HttpResponse):
             on_answer(request)
             return
         client = self.service_clients.to(request.service)
@@ -187,7 +187,7 @@
 
         client.dispatcher.take(incoming, on_final)
 
-    def abandon(self, request_id: str) -> None:
+    def on_client_disconnected(self, request_id: str) -> None:
         """Stop processing a request whose client has disconnected."""
         request = self.open_requests.pop(request_id, None)
         if request is not None:
@@ -196,7 +196,7 @@
 
     # --- answers ---
 
-    def answer_for(self, request: OutboundRequest, final: FinalAnswer) -> Answer:
+    def answer_for(self, request: OutboundRequest, final: FinalAnswer) -> HttpResponse:
         """Return the client's answer for a final answer; errors are added to the failure log."""
         answer = self.make_answer(request, final)
         if answer.status >= 500:
@@ -205,7 +205,7 @@
             self.failure_log.add(request.id, failure)
         return answer
 
-    def make_answer(self, request: OutboundRequest, final: FinalAnswer) -> Answer:
+    def make_answer(self, request: OutboundRequest, final: FinalAnswer) -> HttpResponse:
         """Return the endpoint's answer, 503 if the request has certainly not run, else 502."""
         if isinstance(final, Served):
             self.counts["served"] += 1
@@ -214,9 +214,9 @@
             self.counts["refused"] += 1
             self.counts["untried"] += not request.attempts_made
             retry_after = max(MIN_RETRY_AFTER, final.retry_after / 1000.0, self.retry_after(request))
-            return Answer(503, b"Retry-After: %.3f\r\n" % retry_after)
+            return HttpResponse(503, b"Retry-After: %.3f\r\n" % retry_after)
         self.counts["failed"] += 1
-        return forwarded_answer(final.reply) if final.reply is not None else Answer(502)
+        return forwarded_answer(final.reply) if final.reply is not None else HttpResponse(502)
 
     def retry_after(self, request: OutboundRequest) -> float:
         """Return the time in s after which a request that has not run may be retried.
@@ -251,11 +251,11 @@
     return RequestHeaders(host, request_id, timeout_ms)
 
 
-def forwarded_answer(reply: EndpointReply) -> Answer:
+def forwarded_answer(reply: EndpointReply) -> HttpResponse:
     """Return an endpoint's answer with end-to-end headers only, for the client."""
-    return Answer(reply.status, end_to_end(reply.headers, RESPONSE_HOP_HEADERS), reply.body)
+    return HttpResponse(reply.status, end_to_end(reply.headers, RESPONSE_HOP_HEADERS), reply.body)
 
 
-def already_answered(number: str, answer: Answer) -> IncomingRequest:
+def already_answered(number: str, answer: HttpResponse) -> IncomingRequest:
     """Return a request that is not forwarded, with its answer as the payload."""
     return IncomingRequest(number, 0, 0, "", 0.0, 0.0, False, answer)
--- a/zinclever/mesh/dataplane/ingress.py
+++ b/zinclever/mesh/dataplane/ingress.py
@@ -122,7 +122,7 @@
     def __init__(self, host: Host, descriptors: Descriptors) -> None:
         self.loop = asyncio.get_running_loop()
         self.pools: ExclusivePools[ClientConnection] = ExclusivePools(
-            partial(dial, host, most_body=MAX_ANSWER_BYTES, stall=READ_TIMEOUT), descriptors
+            partial(dial, host, max_buffered_body=MAX_ANSWER_BYTES, stall=READ_TIMEOUT), descriptors
         )
         connections = ConnectionLimiter(host.random())
         connections.configure(interface.Shares(), 1, 0, 0)
--- a/zinclever/mesh/model/explore.py
+++ b/zinclever/mesh/model/explore.py
@@ -19,7 +19,7 @@
 from ..consensus.replica import Replica
 from ..transport.mesh_pb2 import ConsensusMessage, LogEntry, Voter
 from .explored_state import Budget, State
-from .histories import Call, Told, linearizable
+from .histories import Call, Told, is_linearizable
 from .members import text_of, version_of
 
 ELECTION_STAGGER = 0.9  # s that pass in a turn: whoever doesn't receive from the leader tries to act
@@ -35,15 +35,19 @@
 class Start(Enum):
     """What has happened before the exploration begins."""
 
-    ASKED = "the leader has been asked for two changes on one version"
+    TWO_CHANGES = "the leader has been asked for two changes on one version"
     REPLACED = "the leader stands still; another was elected, and a version acknowledged that the first doesn't know"
-    BEHIND = "a version was acknowledged that one member lacks and the next has only accepted; the leader stands still"
+    LAGGING_MEMBER = (
+        "a version was acknowledged that one member lacks and the next has only accepted; the leader stands still"
+    )
 
 
 class Explorer:
     """Explores from three voters with a leader and what has happened to them before."""
 
-    def __init__(self, kind: type[Replica] = Replica, budget: Budget | None = None, start: Start = Start.ASKED) -> None:
+    def __init__(
+        self, kind: type[Replica] = Replica, budget: Budget | None = None, start: Start = Start.TWO_CHANGES
+    ) -> None:
         self.kind = kind
         voters = [Voter(disk=f"d{n}", name=f"m{n}", ip=f"10.0.0.{n}", port=1) for n in range(3)]
         self.voters = voters
@@ -62,9 +66,9 @@
         orders[0].change_role(ReplicaRole.LEADER, 10.0)
         self.start = state
         prepare: dict[Start, Callable[[State], None]] = {
-            Start.ASKED: self.prepare_asked,
+            Start.TWO_CHANGES: self.prepare_asked,
             Start.REPLACED: self.prepare_replaced,
-            Start.BEHIND: self.prepare_behind,
+            Start.LAGGING_MEMBER: self.prepare_behind,
         }
         prepare[start](state)
 
@@ -136,9 +140,9 @@
             yield from self.moves_of_member(state, n)
             if state.orders[n].role is ReplicaRole.LEADER and n not in state.off:
                 yield from self.moves_of_operators(state, n)
-        if state.budget.turns:
+        if state.budget.time_steps:
             made = state.copy()
-            made.budget.turns -= 1
+            made.budget.time_steps -= 1
             self.turn(made)
             yield made
 
@@ -155,9 +159,9 @@
                 del made.post[n]
                 made.budget.losses -= 1
                 yield made
-            if state.budget.doubles:
+            if state.budget.duplicates:
                 made = state.copy()
-                made.budget.doubles -= 1
+                made.budget.duplicates -= 1
                 self.receive(made, to, data)
                 yield made
 
@@ -266,7 +270,9 @@
         return len(state.history) - 1
 
     def answer(self, state: State, reply: Reply) -> None:
-        told = {200: Told.DONE, 404: Told.DONE, 412: Told.STALE, 400: Told.NOT_ABOVE}.get(reply.status, Told.UNCLEAR)
+        told = {200: Told.DONE, 404: Told.DONE, 412: Told.STALE, 400: Told.GENERATION_TOO_LOW}.get(
+            reply.status, Told.INDETERMINATE
+        )
         state.instant += 1
         call = replace(state.history[reply.call_id], ended=state.instant, told=told)
         if call.kind == "get" and reply.status == 200:
@@ -313,7 +319,7 @@
 
     def check(self, state: State) -> None:
         if state.history not in self.judged:
-            self.judged[state.history] = linearizable(state.history)
+            self.judged[state.history] = is_linearizable(state.history)
         if not self.judged[state.history]:
             raise Broken(f"no order of the calls explains what they were told: {state.history}")
         self.check_durable(state)
--- a/zinclever/mesh/model/explore_voters.py
+++ b/zinclever/mesh/model/explore_voters.py
@@ -36,12 +36,12 @@
     """What has happened before the exploration begins."""
 
     FOLLOWER_LEAVES = "a version is acknowledged, a follower has asked to leave, and another version was ordered"
-    LET_GO = "a version is acknowledged, and a follower that asked to leave was let go and has not ended yet"
+    LEAVE_GRANTED = "a version is acknowledged, and a follower that asked to leave was let go and has not ended yet"
     LEADER_LEAVES = "a version is acknowledged, another was ordered, and the leader has handed over to leave"
     REPLACEMENT = "a machine is destroyed, its successor has the state, and the change of the voters is proposed"
     REPLACED = "a machine is destroyed, its successor is a voter, and the entry after that is being committed"
-    PLANNED = "a fourth voter has joined, and the one that it replaces has asked to leave"
-    UNHEARD = "a machine is destroyed, and a learner that has nothing yet stands by"
+    PLANNED_REPLACEMENT = "a fourth voter has joined, and the one that it replaces has asked to leave"
+    LEARNER_WAITS = "a machine is destroyed, and a learner that has nothing yet stands by"
 
 
 class VoterExplorer(Explorer):
@@ -64,12 +64,12 @@
         self.add_standby(state)
         prepare = {
             VoterStart.FOLLOWER_LEAVES: self.prepare_follower_leaves,
-            VoterStart.LET_GO: self.prepare_let_go,
+            VoterStart.LEAVE_GRANTED: self.prepare_let_go,
             VoterStart.LEADER_LEAVES: self.prepare_leader_leaves,
             VoterStart.REPLACEMENT: self.prepare_replacement,
             VoterStart.REPLACED: self.prepare_replaced_voter,
-            VoterStart.PLANNED: self.prepare_planned,
-            VoterStart.UNHEARD: self.prepare_unheard,
+            VoterStart.PLANNED_REPLACEMENT: self.prepare_planned,
+            VoterStart.LEARNER_WAITS: self.prepare_unheard,
         }
         prepare[start](state)
 
--- a/zinclever/mesh/model/explored_state.py
+++ b/zinclever/mesh/model/explored_state.py
@@ -17,11 +17,11 @@
 class Budget:
     """What may still happen."""
 
-    turns: int = 2
+    time_steps: int = 2
     crashes: int = 1
     wipes: int = 0
     losses: int = 1
-    doubles: int = 0
+    duplicates: int = 0
     pauses: int = 0
     changes: int = 0
     reads: int = 0
--- a/zinclever/mesh/model/field.py
+++ b/zinclever/mesh/model/field.py
@@ -21,7 +21,7 @@
         self.speaks = 3
         self.now = 0.0
         self.loss = loss
-        self.doubles = 0.0
+        self.duplicates = 0.0
         self.gossips: dict[str, Gossip] = {}
         self.cut: set[tuple[str, str]] = set()
         self.frozen: dict[str, list[tuple[bytes, Address]]] = {}
@@ -82,7 +82,7 @@
             to = names.get(address)
             if to is None or (name, to) in self.cut:
                 continue
-            for _ in range(2 if self.rng.random() < self.doubles else 1):
+            for _ in range(2 if self.rng.random() < self.duplicates else 1):
                 if self.rng.random() >= self.loss:
                     at = self.now + 0.002 + 0.01 * self.rng.random()
                     heapq.heappush(self.agenda, (at, next(self.order), to, data, self.address(name)))
@@ -105,17 +105,17 @@
         self.gossips[name].broadcast(self.now, record)
         self.flush(name)
 
-    def knowing(self, record: Record) -> int:
+    def count_holders(self, record: Record) -> int:
         return sum(
             (r := s.records.get(record.kind, record.id)) is not None
             and (r.incarnation, r.seq, r.rank) == (record.incarnation, record.seq, record.rank)
             for s in self.gossips.values()
         )
 
-    def until_all_know(self, record: Record, most: float = 10.0) -> float:
+    def time_to_reach_all(self, record: Record, most: float = 10.0) -> float:
         """s until everybody knows a piece of news."""
         began = self.now
-        while self.knowing(record) < len(self.gossips):
+        while self.count_holders(record) < len(self.gossips):
             self.run(0.02)
             if self.now - began > most:
                 return float("inf")
--- a/zinclever/mesh/model/histories.py
+++ b/zinclever/mesh/model/histories.py
@@ -22,8 +22,8 @@
 
     DONE = "200"
     STALE = "412: another version is current"
-    NOT_ABOVE = "400: the number is not above the current one"
-    UNCLEAR = "no clear answer"
+    GENERATION_TOO_LOW = "400: the number is not above the current one"
+    INDETERMINATE = "no clear answer"
 
 
 @dataclass(slots=True, unsafe_hash=True)
@@ -36,7 +36,7 @@
     kind: str
     generation: int
     base: int = 0
-    told: Told = Told.UNCLEAR
+    told: Told = Told.INDETERMINATE
     variant: int = 0
 
 
@@ -66,12 +66,12 @@
     taken: frozenset[Change]
 
 
-def linearizable(history: Sequence[Call], first: int = 0) -> bool:
+def is_linearizable(history: Sequence[Call], first: int = 0) -> bool:
     """Whether some order of the calls that keeps to their instants explains all answers; ``first``: the version that
     was in force before. Undecided where there are too many orders."""
     calls = [c for c in history if c.kind == "put" or c.told is Told.DONE]
-    ends = [math.inf if c.told is Told.UNCLEAR else c.ended for c in calls]
-    owed = sum(1 << n for n, c in enumerate(calls) if c.told is not Told.UNCLEAR)
+    ends = [math.inf if c.told is Told.INDETERMINATE else c.ended for c in calls]
+    owed = sum(1 << n for n, c in enumerate(calls) if c.told is not Told.INDETERMINATE)
     tried: set[State] = set()
     stack = [State(0, Version(first), frozenset())]
     while stack:
@@ -106,7 +106,7 @@
         return state if call.told is Told.DONE else None
     if call.told is Told.STALE:
         return state if call.base != current else None
-    if call.told is Told.NOT_ABOVE:
+    if call.told is Told.GENERATION_TOO_LOW:
         return state if call.base == current and call.generation <= current else None
     if call.base != current or call.generation <= current:
         return None  # without a clear answer it need have no turn
--- a/zinclever/mesh/model/members.py
+++ b/zinclever/mesh/model/members.py
@@ -66,8 +66,8 @@
         self.cut: set[tuple[str, str]] = set()
         self.full: set[str] = set()
         """Machines whose disk_ids take nothing."""
-        self.loss = self.doubles = 0.0
-        self.answer_loss = 0.0
+        self.loss = self.duplicates = 0.0
+        self.reply_loss = 0.0
         """The chance that the answer to an operator's call is lost."""
         self.delay = 0.002
         self.synced = 0.8
@@ -240,7 +240,7 @@
         if act.to.disk == m.disk.name:
             self.post.append((self.now, m.ip, m.ip, message))
             return
-        for _ in range(2 if self.rng.random() < self.doubles else 1):
+        for _ in range(2 if self.rng.random() < self.duplicates else 1):
             if self.rng.random() >= self.loss:
                 at = self.now + self.delay * (1 + 3 * self.rng.random() * self.rng.random())
                 self.post.append((at, m.ip, act.to.ip, message))
@@ -284,7 +284,7 @@
         """Whether the member at an address answers a read within 2 s."""
         call = self.get(ip)
         until = self.now + 2.0
-        while call is not None and call.told is Told.UNCLEAR and call.ended > self.now < until:
+        while call is not None and call.told is Told.INDETERMINATE and call.ended > self.now < until:
             self.run(0.01)
         return call is not None and call.told is Told.DONE
 
@@ -292,7 +292,7 @@
         call = self.asked.pop(act.call_id, None)
         if call is None:
             return
-        if self.answer_loss and self.rng.random() < self.answer_loss:
+        if self.reply_loss and self.rng.random() < self.reply_loss:
             return
         call.ended = self.now
         if call.kind == "get":
@@ -304,7 +304,7 @@
             self.acked[call.generation] = text_of(call.generation, call.variant)
             self.winners.setdefault(call.base, set()).add(call.generation)
         elif act.status in (400, 412):
-            call.told = Told.STALE if act.status == 412 else Told.NOT_ABOVE
+            call.told = Told.STALE if act.status == 412 else Told.GENERATION_TOO_LOW
             self.refused.append((call.base, call.generation))
 
     # --- what must hold ---
@@ -318,7 +318,7 @@
         known = self.committed.setdefault(entry.index, text)
         assert known == text, f"two entries are committed under number {entry.index}"
 
-    def one_winner(self) -> None:
+    def assert_one_change_per_base(self) -> None:
         for base, generations in self.winners.items():
             assert len(generations) == 1, f"on version {base} these were acknowledged: {generations}"
 
@@ -327,7 +327,7 @@
         found_cluster = [m.replica.committed for m in self.machines.values() if m.replica is not None]
         return max(found_cluster, key=lambda c: c.index)
 
-    def nothing_lost(self) -> None:
+    def assert_acknowledged_kept(self) -> None:
         newest = self.newest()
         if self.acked:
             assert newest.generation >= max(self.acked), (
@@ -338,8 +338,8 @@
         """No troubles from here on: everything comes together."""
         self.cut.clear()
         self.full.clear()
-        self.loss = self.doubles = 0.0
-        self.answer_loss = 0.0
+        self.loss = self.duplicates = 0.0
+        self.reply_loss = 0.0
         for ip, m in self.machines.items():
             if m.replica is None:
                 self.start(ip)
--- a/zinclever/mesh/model/slow_links.py
+++ b/zinclever/mesh/model/slow_links.py
@@ -47,7 +47,7 @@
     return b'{"Generation":%d,"Routes":{%b}}' % (generation, b",".join(routes))
 
 
-class SlowWorld(World):
+class SlowLinkWorld(World):
     """``exchange`` False: texts go whole in their messages, as in the version before."""
 
     def __init__(
@@ -59,7 +59,7 @@
         """When a link has sent what was put on it."""
         self.queued = 0.0
         """The longest span in s for which a message waited for those before it on its link."""
-        self.heartbeat_late = 0.0
+        self.max_heartbeat_delay = 0.0
         """The longest span in s between a leader's saying something small and its arrival."""
         self.snapshots = 0
         """Messages that brought a committed entry to a member that lacked it."""
@@ -106,7 +106,7 @@
         self.sent_bytes[link] = self.sent_bytes.get(link, 0) + size
         self.queued = max(self.queued, begins - self.now)
         if message.kind == MessageKind.HEARTBEAT and not message.HasField("committed"):
-            self.heartbeat_late = max(self.heartbeat_late, self.free_at[link] - self.now)
+            self.max_heartbeat_delay = max(self.max_heartbeat_delay, self.free_at[link] - self.now)
         self.snapshots += message.kind == MessageKind.HEARTBEAT and message.HasField("committed")
         self.post.append((self.free_at[link] + self.delay, sender, send.to.ip, message))
 
@@ -190,7 +190,7 @@
         self.replica(ip).read(self.now, self.calls)
         self.carry_out(self.machines[ip])
 
-    def until_caught_up(self, ip: str, storm: int = 0, kind: int = 0, most: float = 60.0) -> float:
+    def run_until_caught_up(self, ip: str, storm: int = 0, kind: int = 0, most: float = 60.0) -> float:
         """Run until a member has committed what the leader had a second before, or ``most`` s have gone; the s it
         took. ``storm``: bytes of the configuration that operators go on changing meanwhile, twice a second."""
         began, changed_at = self.now, self.now
--- a/zinclever/mesh/roles/endpoint_api.py
+++ b/zinclever/mesh/roles/endpoint_api.py
@@ -6,7 +6,7 @@
 import logging
 
 from ...core.protocol import read_address
-from ...http1.heads import Answer
+from ...http1.heads import HttpResponse
 from ..control_api.listener import Call, error_answer, json_answer
 from ..errors import MeshError
 from ..membership.receipt_quorum import ReceiptQuorum
@@ -52,7 +52,7 @@
             return ReceiptQuorum(control_nodes, required, "", frozenset())
         return ReceiptQuorum(control_nodes, required, endpoint_sidecar, frozenset(recipients))
 
-    async def acknowledge(self, record: Record) -> Answer:
+    async def acknowledge(self, record: Record) -> HttpResponse:
         """Answer 200 once enough other processes hold the record of a draining or departed endpoint.
 
         Otherwise the answer is 503, and the caller goes on to another process. A record that was confirmed before is
@@ -111,7 +111,7 @@
         self.node = node
         self.announcer = announcer
 
-    async def on_heartbeat(self, call: Call) -> Answer:
+    async def on_heartbeat(self, call: Call) -> HttpResponse:
         """Handle a heartbeat; a drain is acknowledged once enough other processes hold it."""
         record = parse_heartbeat(call)
         known = self.node.gossip.records.get(RecordKind.ENDPOINT, record.id)
@@ -124,7 +124,7 @@
             self.node.broadcast(record)
         return json_answer(200)
 
-    async def on_departure(self, call: Call) -> Answer:
+    async def on_departure(self, call: Call) -> HttpResponse:
         """Handle a departure, acknowledged once enough other processes hold it."""
         endpoint = call.path_parameters[0]
         known = self.node.gossip.records.get(RecordKind.ENDPOINT, endpoint)
--- a/zinclever/mesh/roles/local_endpoint.py
+++ b/zinclever/mesh/roles/local_endpoint.py
@@ -6,7 +6,7 @@
 import math
 from collections.abc import Awaitable
 
-from ...http1.heads import Answer
+from ...http1.heads import HttpResponse
 from ..control_api.listener import Call, json_answer
 from ..dataplane.ingress import Ingress
 from ..membership.records import DEPARTED_SEQ, EndpointPhase, RecordKind
@@ -48,7 +48,7 @@
 
     # --- heartbeats and departures ---
 
-    def on_heartbeat(self, call: Call) -> Answer | Awaitable[Answer]:
+    def on_heartbeat(self, call: Call) -> HttpResponse | Awaitable[HttpResponse]:
         """Handle a heartbeat; a drain is acknowledged once enough other processes hold it."""
         record = parse_heartbeat(call)
         known = self.node.gossip.records.get(RecordKind.ENDPOINT, record.id)
@@ -91,7 +91,7 @@
                 log.info("endpoint draining", extra={"code": "ENDPOINT_DRAINS", "endpoint": endpoint})
             self.ingress.close()
 
-    async def on_departure(self, call: Call) -> Answer:
+    async def on_departure(self, call: Call) -> HttpResponse:
         """Handle a departure, acknowledged once enough other processes hold it."""
         endpoint = call.path_parameters[0]
         if endpoint == self.ingress.endpoint:
--- a/zinclever/mesh/roles/operator_calls.py
+++ b/zinclever/mesh/roles/operator_calls.py
@@ -17,7 +17,7 @@
 
 import orjson
 
-from ...http1.heads import Answer
+from ...http1.heads import HttpResponse
 from ..configuration.document import Configuration, parse
 from ..consensus.client_calls import call_timeout
 from ..consensus.messages import ReplicaRole, Reply
@@ -162,7 +162,7 @@
 
     # --- HTTP handlers ---
 
-    async def on_replace(self, call: Call) -> Answer:
+    async def on_replace(self, call: Call) -> HttpResponse:
         """Replace the configuration."""
         base = call.headers.get("x-base-version", "")
         if not base.isascii() or not base.isdecimal() or len(base) > MAX_VERSION_DIGITS:
@@ -188,19 +188,19 @@
             return await self.loop.run_in_executor(None, parse, text)
         return parse(text)
 
-    async def on_read(self, call: Call) -> Answer:
+    async def on_read(self, call: Call) -> HttpResponse:
         """Return the active configuration."""
         status, text = await self.answer(ControlCall(kind=GET))
         if status == 200:
-            return Answer(200, b"Content-Type: application/json\r\n", text)
+            return HttpResponse(200, b"Content-Type: application/json\r\n", text)
         if status == 307:
             return redirect_to_leader(text, READ_PATH)
         return error_answer(status, MeshError("CONFIG_UNKNOWN", text.decode("utf-8", "replace")))
 
 
-def redirect_to_leader(address: bytes, path: str) -> Answer:
+def redirect_to_leader(address: bytes, path: str) -> HttpResponse:
     """Return the redirection of a caller to the leader."""
-    return Answer(307, b"Location: http://%b%b\r\n" % (address, path.encode()), b"")
+    return HttpResponse(307, b"Location: http://%b%b\r\n" % (address, path.encode()), b"")
 
 
 async def forward(node: Node, voter: Voter, call: ControlCall, timeout: float) -> CallAnswer:
--- a/zinclever/mesh/roles/sidecar.py
+++ b/zinclever/mesh/roles/sidecar.py
@@ -10,8 +10,8 @@
 
 from ... import interface
 from ...core.protocol import Entry
-from ...http1.desk import Desk
-from ...http1.heads import Answer
+from ...http1.desk import RequestHandler
+from ...http1.heads import HttpResponse
 from ..configuration.document import Configuration
 from ..control_api.listener import Call, ControlApi, Handler, json_answer
 from ..control_api.router import Router
@@ -69,7 +69,7 @@
             self.ingress.is_running_retry,
         )
         self.forward_server = ForwardServer(self.ingress, self.memory, lambda: self.egress.is_refusing)
-        self.listeners: list[tuple[Desk, str]] = [(self.egress, "Egress")]
+        self.listeners: list[tuple[RequestHandler, str]] = [(self.egress, "Egress")]
         """With the purpose of the address that each listens on."""
         self.servers: list[asyncio.Server] = []
         self.is_stopping = False
@@ -121,7 +121,7 @@
             and any(client.dispatcher.ready for client in self.clients.clients.values())
         )
 
-    def on_ready(self, call: Call) -> Answer:
+    def on_ready(self, call: Call) -> HttpResponse:
         """Answer 200 if this sidecar is ready, else 503."""
         ready = self.ready()
         if ready is not self.logged_readiness:
--- a/zinclever/mesh/roles/status_api.py
+++ b/zinclever/mesh/roles/status_api.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from ...http1.heads import Answer
+from ...http1.heads import HttpResponse
 from ..consensus.replica import Replica
 from ..consensus.replica_store import ReplicaStore
 from ..control_api.listener import Call, error_answer, json_answer
@@ -27,19 +27,19 @@
     def __init__(self, node: Node, replica: Replica, store: ReplicaStore, transport: ReplicaTransport) -> None:
         self.node, self.replica, self.store, self.transport = node, replica, store, transport
 
-    def on_who(self, call: Call) -> Answer:
+    def on_who(self, call: Call) -> HttpResponse:
         """Return all nodes, their state, and who declared it."""
         records = self.node.gossip.records.of_kind(RecordKind.NODE)
         nodes = sorted((describe_node(record) for record in records), key=lambda node: str(node["Name"]))
         return json_answer(200, {"By": self.node.name, "Nodes": nodes})
 
-    def on_endpoints(self, call: Call) -> Answer:
+    def on_endpoints(self, call: Call) -> HttpResponse:
         """Return all endpoints, their phase and their sidecar."""
         records = self.node.gossip.records.of_kind(RecordKind.ENDPOINT)
         endpoints = sorted((describe_endpoint(record) for record in records), key=lambda endpoint: str(endpoint["Id"]))
         return json_answer(200, {"By": self.node.name, "Endpoints": endpoints})
 
-    def on_view(self, call: Call) -> Answer:
+    def on_view(self, call: Call) -> HttpResponse:
         """Return the voters, the leader, and the committed version."""
         replica = self.replica
         return json_answer(
@@ -58,7 +58,7 @@
             },
         )
 
-    async def on_explain(self, call: Call) -> Answer:
+    async def on_explain(self, call: Call) -> HttpResponse:
         """Return why a request failed: all sidecars are asked, as any of them may have handled it."""
         members = self.node.gossip.members
         infos = [members.node_info(name) for name in members.others()]
--- a/zinclever/rig/cli.py
+++ b/zinclever/rig/cli.py
@@ -9,9 +9,9 @@
 import click
 
 from ..sim import dayfile
-from ..sim.cli import EXIT_BREACH, EXIT_WRONG, read_day, show
+from ..sim.cli import EXIT_BREACH, EXIT_INVALID_INPUT, read_day, show
 from ..sim.days import KINDS, draw
-from ..sim.hunting import Cutter, drawn, hunt, size
+from ..sim.hunting import DayMinimizer, drawn, hunt, size
 from . import hunting
 from .processes import PROGRAM, die_with_parent
 from .run import play
@@ -57,7 +57,7 @@
     except (OSError, RigError) as wrong:
         for line in str(wrong).splitlines():
             click.echo(f"{what}: {line}", err=True)
-        raise SystemExit(EXIT_WRONG) from wrong
+        raise SystemExit(EXIT_INVALID_INPUT) from wrong
     show(found, as_json)
 
 
@@ -119,7 +119,7 @@
     if not found:
         raise click.ClickException(f"{file}: no rule was broken in {times} runs")
     rule = found[0].partition(":")[0]
-    least = Cutter(hunting.breaks(rule, times, command), tries).cut_world(day)
+    least = DayMinimizer(hunting.breaks(rule, times, command), tries).minimize_environment(day)
     click.echo(dayfile.write(least), nl=False)
     parts = f"{size(least)} troubles, {least.sidecars} sidecars, {least.endpoints} endpoints, {least.seconds:g} s"
     click.echo(f"{rule}: {parts}", err=True)
--- a/zinclever/rig/clock.py
+++ b/zinclever/rig/clock.py
@@ -13,7 +13,7 @@
 log = logging.getLogger(__name__)
 
 
-class Due:
+class ScheduledCall:
     """What is to happen, until it has happened or has been called off."""
 
     __slots__ = ("handle",)
@@ -38,11 +38,11 @@
     def now(self) -> int:
         return time.monotonic_ns() - self.began
 
-    def at(self, when: int, act: Callable[..., object], /, *args: Any) -> Due:
+    def at(self, when: int, act: Callable[..., object], /, *args: Any) -> ScheduledCall:
         return self.after(when - self.now, act, *args)
 
-    def after(self, span: int, act: Callable[..., object], /, *args: Any) -> Due:
-        return Due(self.loop.call_later(max(0.0, span / NS), self.happen, act, args))
+    def after(self, span: int, act: Callable[..., object], /, *args: Any) -> ScheduledCall:
+        return ScheduledCall(self.loop.call_later(max(0.0, span / NS), self.happen, act, args))
 
     def happen(self, act: Callable[..., object], args: tuple[Any, ...]) -> None:
         try:
--- a/zinclever/rig/hunting.py
+++ b/zinclever/rig/hunting.py
@@ -5,7 +5,7 @@
 import tempfile
 from pathlib import Path
 
-from ..sim.hunting import Fails, Found
+from ..sim.hunting import DayResult, FailurePredicate
 from ..sim.model import Day
 from .processes import PROGRAM
 from .run import play
@@ -31,16 +31,16 @@
 """Those whose troubles processes and kernels have a part in."""
 
 
-def play_one(day: Day, command: str = PROGRAM) -> Found:
+def play_one(day: Day, command: str = PROGRAM) -> DayResult:
     """A day; what couldn't be played is told as ``failed``."""
     with tempfile.TemporaryDirectory(prefix="rig-") as folder:
         try:
-            return Found(day, play(day, Path(folder), command))
+            return DayResult(day, play(day, Path(folder), command))
         except RigError as wrong:
-            return Found(day, {"failed": str(wrong), "breaches": [], "goal": 0.0})
+            return DayResult(day, {"failed": str(wrong), "breaches": [], "goal": 0.0})
 
 
-def breaks(rule: str, times: int, command: str = PROGRAM) -> Fails:
+def breaks(rule: str, times: int, command: str = PROGRAM) -> FailurePredicate:
     """Whether a day has a breach whose text begins so, in one of so many runs."""
 
     def fails(day: Day) -> bool:
--- a/zinclever/rig/sidecars.py
+++ b/zinclever/rig/sidecars.py
@@ -30,7 +30,7 @@
         self.folder = folder
         folder.mkdir(parents=True)
         self.loop = None
-        self.most_descriptors = 0
+        self.peak_descriptors = 0
         self.stopped = False
         """It is expected to end."""
 
@@ -41,9 +41,9 @@
     def start(self) -> None:
         if self.loop is not None:
             return
-        self.starts += 1
-        self.remember()
-        self.write(f"{self.world.day.seed}/{self.name}/{self.starts}")
+        self.start_count += 1
+        self.log_known_servers()
+        self.write(f"{self.world.day.seed}/{self.name}/{self.start_count}")
         environ = {name: os.environ[name] for name in KEPT if name in os.environ}
         environ |= {"LB_CONFIG": str(self.folder / "config.json"), "TMPDIR": str(self.folder), "LB_NAME": self.name}
         gate: Gate | None = self.world.gate
@@ -54,7 +54,7 @@
     def write(self, seed: str) -> None:
         path = self.folder / "config.json"
         new = path.with_suffix(".new")
-        new.write_bytes(self.configuration(self.world.text_seed(seed)))
+        new.write_bytes(self.configuration(self.world.seed_from_text(seed)))
         new.rename(path)
 
     def discovery(self) -> str:
@@ -75,7 +75,7 @@
 
     def kill(self) -> None:
         if self.loop is not None:
-            self.killed_at = self.world.ms()
+            self.killed_at = self.world.now_ms()
             self.loop.kill()
             self.loop = None
 
@@ -91,15 +91,15 @@
 
     def pause(self) -> None:
         if self.loop is not None:
-            self.paused_at = self.world.ms()
+            self.paused_at = self.world.now_ms()
             self.loop.signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        self.resumed_at = self.world.ms()
+        self.resumed_at = self.world.now_ms()
         if self.loop is not None:
             self.loop.signal(signal.SIGCONT)
 
     def descriptors(self) -> int:
         if self.loop is not None:
-            self.most_descriptors = max(self.most_descriptors, self.loop.descriptors())
-        return self.most_descriptors
+            self.peak_descriptors = max(self.peak_descriptors, self.loop.descriptors())
+        return self.peak_descriptors
--- a/zinclever/rig/world.py
+++ b/zinclever/rig/world.py
@@ -14,7 +14,7 @@
 
 from ..sim.figures import summary
 from ..sim.model import Day
-from ..sim.scene import AFTER, Nets, Scene, text_seed
+from ..sim.scene import CLIENT_RETRY_PERIOD, AddressPlan, BaseWorld, seed_from_text
 from ..simnet.network import Machine
 from ..simnet.network import Path as Way
 from ..simnet.scheduler import NS
@@ -52,7 +52,7 @@
     raise RigError("every part of the loopback network is taken by another run")
 
 
-class World(Scene):
+class World(BaseWorld):
     """One run. Nothing of it is left when :meth:`play` returns, whatever happened."""
 
     network: RealNetwork
@@ -70,10 +70,10 @@
         super().__init__(
             day,
             clock,
-            RealNetwork(text_seed(f"{day.seed}/network"), path),
-            Nets(f"{first}.0.1", f"{first}.64.1", f"{first}.128.1", MOST_SERVERS),
+            RealNetwork(seed_from_text(f"{day.seed}/network"), path),
+            AddressPlan(f"{first}.0.1", f"{first}.64.1", f"{first}.128.1", MOST_SERVERS),
         )
-        self.log.clock = self.ms
+        self.log.clock = self.now_ms
         self.callers = {s.name: s.machine for s in self.sidecars}
         self.ready_s = 0.0
         """s that it took all sidecars to be healthy."""
@@ -87,7 +87,7 @@
     def new_sidecar(self, machine: Machine, number: int) -> RealSidecar:
         return RealSidecar(self, machine, number, self.folder / machine.name)
 
-    def as_told(self, line: dict[str, Any], caller: str) -> dict[str, Any]:
+    def localize_entry(self, line: dict[str, Any], caller: str) -> dict[str, Any]:
         source = self.callers[caller]
         host, _, port = line["dial"].partition(":")
         at = self.network.link(source, self.network.machines[host], int(port)).address
@@ -148,9 +148,9 @@
         await self.until(end)
         self.over = True
         longest = max(kind.deadline_ms for kind in self.day.classes) / 1000.0
-        await self.until(end + round(AFTER * NS))
+        await self.until(end + round(CLIENT_RETRY_PERIOD * NS))
         self.closing = True
-        await self.until(end + round((AFTER + longest) * NS), self.quiet)
+        await self.until(end + round((CLIENT_RETRY_PERIOD + longest) * NS), self.quiet)
 
     async def until(self, when: int, over: Callable[[], bool] | None = None) -> None:
         """Let time pass to an instant, or until nothing is left to wait for."""
--- a/zinclever/sim/applications.py
+++ b/zinclever/sim/applications.py
@@ -15,7 +15,7 @@
 from .model import RequestKind
 
 if TYPE_CHECKING:
-    from .scene import Scene
+    from .scene import BaseWorld
     from .sidecars import Sidecar
 
 MS = NS // 1000
@@ -66,7 +66,7 @@
 class Application:
     """The client process that runs next to one sidecar."""
 
-    def __init__(self, world: Scene, sidecar: Sidecar, weight: float) -> None:
+    def __init__(self, world: BaseWorld, sidecar: Sidecar, weight: float) -> None:
         self.world, self.sidecar, self.weight = world, sidecar, weight
         self.name = sidecar.name
         self.rng = Random(f"{world.day.seed}/application/{self.name}")
@@ -219,7 +219,7 @@
         )
         self.timeout_ms = timeout_ms
         if not is_resend:
-            self.sent_at = world.ms()
+            self.sent_at = world.now_ms()
             world.log.asked.append(
                 Asked(
                     self.sent_at,
@@ -241,7 +241,7 @@
         """
         self.timer = None
         if self.application.sidecar.paused_since(self.sent_at):
-            self.application.world.log.left.append(Left(self.application.world.ms(), self.name))
+            self.application.world.log.left.append(Left(self.application.world.now_ms(), self.name))
         request, self.request = self.request, None
         self.transport.abort()
         if request is not None:
@@ -276,13 +276,13 @@
             self.timer.cancel()
         status = self.parser.get_status_code()
         world = self.application.world
-        if world.ms() > self.sent_at + self.timeout_ms and self.application.sidecar.paused_since(self.sent_at):
-            world.log.left.append(Left(world.ms(), self.name))  # the client had already given up
+        if world.now_ms() > self.sent_at + self.timeout_ms and self.application.sidecar.paused_since(self.sent_at):
+            world.log.left.append(Left(world.now_ms(), self.name))  # the client had already given up
             self.application.on_failure(request)
             self.transport.abort()
             return
         outcome: Kind = "served" if status == 200 else "refused" if status in (429, 503) else "failed"
-        world.log.answered.append(Answered(world.ms(), self.name, outcome, self.body.decode("latin-1")))
+        world.log.answered.append(Answered(world.now_ms(), self.name, outcome, self.body.decode("latin-1")))
         world.counts.answers[outcome] += 1
         if self.server_closes:
             self.transport.close()
@@ -293,7 +293,7 @@
     def log_extra_answer(self) -> None:
         """Log data after the final answer as a second answer, which the auditor reports as a breach."""
         if self.name:
-            self.application.world.log.answered.append(Answered(self.application.world.ms(), self.name, "served"))
+            self.application.world.log.answered.append(Answered(self.application.world.now_ms(), self.name, "served"))
 
     def connection_lost(self, exc: Exception | None) -> None:
         application = self.application
@@ -308,7 +308,7 @@
         world = application.world
         if application.sidecar.killed_since(self.sent_at):
             # A killed sidecar cannot answer; the client retries if a repeat has no effect.
-            world.log.left.append(Left(world.ms(), self.name))
+            world.log.left.append(Left(world.now_ms(), self.name))
             application.on_failure(request)
         elif self.reused and exc is None and not self.is_resend:
             # The sidecar closed the idle connection while this request was on its way to it.
--- a/zinclever/sim/cli.py
+++ b/zinclever/sim/cli.py
@@ -20,7 +20,7 @@
 from .model import Day
 from .world import World
 
-EXIT_WRONG = 2
+EXIT_INVALID_INPUT = 2
 """What was asked for can't be done: a file that holds no day."""
 EXIT_BREACH = 1
 """A day on which a rule was broken, or a sidecar failed."""
@@ -90,7 +90,7 @@
     except (OSError, dayfile.DayError) as error:
         for line in str(error).splitlines():
             click.echo(f"{path}: {line}", err=True)
-        raise SystemExit(EXIT_WRONG) from error
+        raise SystemExit(EXIT_INVALID_INPUT) from error
 
 
 @sim.command()
@@ -174,7 +174,7 @@
     if not breaches:
         raise click.ClickException(f"{file}: no rule is broken on this day")
     rule = breaches[0].partition(":")[0]
-    smallest = hunting.Cutter(hunting.breaches_rule(rule), tries).minimize(original)
+    smallest = hunting.DayMinimizer(hunting.breaches_rule(rule), tries).minimize(original)
     click.echo(dayfile.write(smallest), nl=False)
     parts = f"{hunting.size(smallest)} events, {smallest.sidecars} sidecars, {smallest.endpoints} endpoints"
     click.echo(f"{rule}: {parts}", err=True)
--- a/zinclever/sim/core.py
+++ b/zinclever/sim/core.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from ..simnet.scheduler import NS
-from .ground import Clock, Due
+from .ground import Clock, ScheduledCall
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
         self.scheduler, self.speed, self.warming = scheduler, speed, warming
         self.jobs: deque[Job] = deque()
         self.current_job: Job | None = None
-        self.completion: Due | None = None
+        self.completion: ScheduledCall | None = None
         self.total_work = 0.0
         """Work of all jobs started so far, in seconds at speed 1."""
 
--- a/zinclever/sim/days.py
+++ b/zinclever/sim/days.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable, Sequence
 from random import Random
 
-from .model import PAGE_SERVERS, READER_REQUESTS, Day, Trouble
+from .model import PAGE_SERVERS, READER_REQUESTS, Day, FaultEvent
 
 DEFAULT_LOAD = 0.62  # of the fleet's capacity that is asked for where no rate is given
 CACHE_SAVING = 0.15  # of the work, that key caches spare on an ordinary day
 
-FaultGenerator = Callable[[Random, float], Sequence[Trouble]]
+FaultGenerator = Callable[[Random, float], Sequence[FaultEvent]]
 """From a generator and the length of the day in s: its troubles."""
 
 
@@ -24,20 +24,20 @@
     return uniform(rng, 0.15 * seconds, 0.3 * seconds)
 
 
-def calm(rng: Random, seconds: float) -> Sequence[Trouble]:
+def calm(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """Nothing goes wrong."""
     return ()
 
 
-def silent(rng: Random, seconds: float) -> Sequence[Trouble]:
+def silent(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """Up to 17 % of the servers take requests and answer none for 7 to 23 s."""
-    return [Trouble("silent", start_time(rng, seconds), uniform(rng, 7.2, 23.0), uniform(rng, 0.1, 0.17))]
+    return [FaultEvent("silent", start_time(rng, seconds), uniform(rng, 7.2, 23.0), uniform(rng, 0.1, 0.17))]
 
 
-def late(rng: Random, seconds: float) -> Sequence[Trouble]:
+def late(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """Load reports come 0.5 to 5 s later than usual."""
     return [
-        Trouble(
+        FaultEvent(
             "late_reports",
             start_time(rng, seconds),
             uniform(rng, 11.0, 26.0),
@@ -46,10 +46,10 @@
     ]
 
 
-def keys(rng: Random, seconds: float) -> Sequence[Trouble]:
+def keys(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """One to three keys draw 4 to 25 % of all traffic."""
     return [
-        Trouble(
+        FaultEvent(
             "hot_keys",
             start_time(rng, seconds),
             uniform(rng, 5.3, 19.0),
@@ -59,10 +59,10 @@
     ]
 
 
-def hot(rng: Random, seconds: float) -> Sequence[Trouble]:
+def hot(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """One or a few sidecars carry 5 to 20 % of all traffic."""
     return [
-        Trouble(
+        FaultEvent(
             "hot_sidecars",
             start_time(rng, seconds),
             uniform(rng, 10.0, 24.0),
@@ -72,15 +72,15 @@
     ]
 
 
-def single(rng: Random, seconds: float) -> Sequence[Trouble]:
+def single(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """One sidecar at 100 times the others."""
-    return [Trouble("hot_sidecars", start_time(rng, seconds), 0.5 * seconds, count=1, factor=100.0)]
+    return [FaultEvent("hot_sidecars", start_time(rng, seconds), 0.5 * seconds, count=1, factor=100.0)]
 
 
-def shrink(rng: Random, seconds: float) -> Sequence[Trouble]:
+def shrink(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """Traffic falls and the fleet shrinks to 36 to 59 % of its size within 11 to 24 s."""
     return [
-        Trouble(
+        FaultEvent(
             "shrink",
             start_time(rng, seconds),
             uniform(rng, 11.0, 24.0),
@@ -90,65 +90,70 @@
     ]
 
 
-def collapse(rng: Random, seconds: float) -> Sequence[Trouble]:
+def collapse(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """The fleet shrinks to 36 % within 11 s and grows again, while the traffic stays."""
     start = start_time(rng, seconds)
-    return [Trouble("shrink", start, 11.0, 0.36), Trouble("grow", start + 18.0, 6.0, count=-1)]
+    return [FaultEvent("shrink", start, 11.0, 0.36), FaultEvent("grow", start + 18.0, 6.0, count=-1)]
 
 
-def release(rng: Random, seconds: float) -> Sequence[Trouble]:
+def release(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """Friday evening: a popular series has a new chapter."""
     start, duration = start_time(rng, seconds), uniform(rng, 10.0, 20.0)
     return [
-        Trouble("spike", start, duration, factor=uniform(rng, 1.5, 2.2)),
-        Trouble("hot_keys", start, duration, uniform(rng, 0.1, 0.25), count=rng.randint(1, 3)),
+        FaultEvent("spike", start, duration, factor=uniform(rng, 1.5, 2.2)),
+        FaultEvent("hot_keys", start, duration, uniform(rng, 0.1, 0.25), count=rng.randint(1, 3)),
     ]
 
 
-def update(rng: Random, seconds: float) -> Sequence[Trouble]:
+def update(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """An app update restarts every sidecar within a second."""
-    return [Trouble("restart", start_time(rng, seconds), 1.0, 1.0)]
+    return [FaultEvent("restart", start_time(rng, seconds), 1.0, 1.0)]
 
 
-def killed(rng: Random, seconds: float) -> Sequence[Trouble]:
+def killed(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """Every sidecar is killed without warning, within a second."""
-    return [Trouble("kill", start_time(rng, seconds), 1.0, 1.0)]
+    return [FaultEvent("kill", start_time(rng, seconds), 1.0, 1.0)]
 
 
-def rolling(rng: Random, seconds: float) -> Sequence[Trouble]:
+def rolling(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """Sidecars are restarted one after another, and some are told to read their file again."""
-    return [Trouble("restart", 0.1 * seconds, 0.6 * seconds, 0.6), Trouble("reload", 0.1 * seconds, 0.6 * seconds, 0.4)]
+    return [
+        FaultEvent("restart", 0.1 * seconds, 0.6 * seconds, 0.6),
+        FaultEvent("reload", 0.1 * seconds, 0.6 * seconds, 0.4),
+    ]
 
 
-def datacentre(rng: Random, seconds: float) -> Sequence[Trouble]:
+def datacentre(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """A data centre is lost, and comes back cold."""
-    return [Trouble("zone_lost", start_time(rng, seconds), uniform(rng, 10.0, 16.0), zone=rng.choice(("rvk", "kef")))]
+    return [
+        FaultEvent("zone_lost", start_time(rng, seconds), uniform(rng, 10.0, 16.0), zone=rng.choice(("rvk", "kef")))
+    ]
 
 
-def cut(rng: Random, seconds: float) -> Sequence[Trouble]:
+def cut(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """The path between the data centres is cut while the list is late."""
     start, duration = start_time(rng, seconds), uniform(rng, 6.0, 14.0)
-    return [Trouble("partition", start, duration), Trouble("discovery_crowded", start, duration, factor=0.3)]
+    return [FaultEvent("partition", start, duration), FaultEvent("discovery_crowded", start, duration, factor=0.3)]
 
 
-def oneway(rng: Random, seconds: float) -> Sequence[Trouble]:
+def oneway(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """Nothing gets out of one data centre, while all gets in."""
-    return [Trouble("one_way", start_time(rng, seconds), uniform(rng, 3.0, 8.0), zone=rng.choice(("rvk", "kef")))]
+    return [FaultEvent("one_way", start_time(rng, seconds), uniform(rng, 3.0, 8.0), zone=rng.choice(("rvk", "kef")))]
 
 
-def paused(rng: Random, seconds: float) -> Sequence[Trouble]:
+def paused(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """Some sidecars stand still for a while, and go on while servers are replaced."""
     start = start_time(rng, seconds)
     return [
-        Trouble("pause", start, uniform(rng, 0.5, 6.0), uniform(rng, 0.2, 0.5)),
-        Trouble("waves", start + 0.2, 3.0, 0.3, count=1),
+        FaultEvent("pause", start, uniform(rng, 0.5, 6.0), uniform(rng, 0.2, 0.5)),
+        FaultEvent("waves", start + 0.2, 3.0, 0.3, count=1),
     ]
 
 
-def slow(rng: Random, seconds: float) -> Sequence[Trouble]:
+def slow(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """A few servers are a hundred times slower, not dead."""
     return [
-        Trouble(
+        FaultEvent(
             "slow",
             start_time(rng, seconds),
             uniform(rng, 5.0, 10.0),
@@ -158,68 +163,68 @@
     ]
 
 
-def flapping(rng: Random, seconds: float) -> Sequence[Trouble]:
+def flapping(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """Discovery goes down and comes back again and again, while servers are replaced."""
     start = start_time(rng, seconds)
     return [
-        Trouble("flapping", start, 0.5 * seconds, factor=uniform(rng, 0.5, 2.0)),
-        Trouble("waves", start, 0.4 * seconds, 0.3, count=1),
+        FaultEvent("flapping", start, 0.5 * seconds, factor=uniform(rng, 0.5, 2.0)),
+        FaultEvent("waves", start, 0.4 * seconds, 0.3, count=1),
     ]
 
 
-def loops(rng: Random, seconds: float) -> Sequence[Trouble]:
+def loops(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """One sidecar dies every three seconds."""
-    return [Trouble("restart_loop", start_time(rng, seconds), 0.6 * seconds, count=1, factor=3.0)]
+    return [FaultEvent("restart_loop", start_time(rng, seconds), 0.6 * seconds, count=1, factor=3.0)]
 
 
-def power(rng: Random, seconds: float) -> Sequence[Trouble]:
+def power(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """All machines are off for some seconds."""
-    return [Trouble("power", start_time(rng, seconds), uniform(rng, 1.0, 4.0))]
+    return [FaultEvent("power", start_time(rng, seconds), uniform(rng, 1.0, 4.0))]
 
 
-def waves(rng: Random, seconds: float) -> Sequence[Trouble]:
+def waves(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """Servers are replaced by new ones, a few at a time."""
-    return [Trouble("waves", start_time(rng, seconds), 0.5 * seconds, 1.0, count=rng.randint(2, 4))]
+    return [FaultEvent("waves", start_time(rng, seconds), 0.5 * seconds, 1.0, count=rng.randint(2, 4))]
 
 
-def herd(rng: Random, seconds: float) -> Sequence[Trouble]:
+def herd(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """The whole fleet is replaced by cold servers within 9 s."""
-    return [Trouble("waves", start_time(rng, seconds), 9.0, 1.0, count=rng.randint(3, 6))]
+    return [FaultEvent("waves", start_time(rng, seconds), 9.0, 1.0, count=rng.randint(3, 6))]
 
 
-def directory(rng: Random, seconds: float) -> Sequence[Trouble]:
+def directory(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """Discovery is down for a while, then crowded, while some servers go."""
     start, duration = start_time(rng, seconds), uniform(rng, 8.0, 14.0)
     return [
-        Trouble("discovery_down", start, duration),
-        Trouble("vanish", start + 1.0, 20.0, 0.1),
-        Trouble("discovery_crowded", start + duration, 10.0, factor=0.25),
+        FaultEvent("discovery_down", start, duration),
+        FaultEvent("vanish", start + 1.0, 20.0, 0.1),
+        FaultEvent("discovery_crowded", start + duration, 10.0, factor=0.25),
     ]
 
 
-def vanish(rng: Random, seconds: float) -> Sequence[Trouble]:
+def vanish(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """Machines vanish without a word and come back cold."""
-    return [Trouble("vanish", start_time(rng, seconds), uniform(rng, 6.0, 15.0), uniform(rng, 0.1, 0.25))]
+    return [FaultEvent("vanish", start_time(rng, seconds), uniform(rng, 6.0, 15.0), uniform(rng, 0.1, 0.25))]
 
 
-def faults(rng: Random, seconds: float) -> Sequence[Trouble]:
+def faults(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """Answers go wrong in every way that stand-ins know."""
-    return [Trouble("faults", start_time(rng, seconds), uniform(rng, 10.0, 25.0), uniform(rng, 0.05, 0.15))]
+    return [FaultEvent("faults", start_time(rng, seconds), uniform(rng, 10.0, 25.0), uniform(rng, 0.05, 0.15))]
 
 
-def soak(rng: Random, seconds: float) -> Sequence[Trouble]:
+def soak(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """A long day on which servers are replaced and sidecars reload all the time."""
-    events: list[Trouble] = []
+    events: list[FaultEvent] = []
     for start in range(5, max(6, round(seconds)), 60):
         events += [
-            Trouble("waves", float(start), 20.0, 0.1, count=1),
-            Trouble("reload", start + 25.0, 10.0, 0.1),
-            Trouble("restart", start + 30.0, 10.0, 0.02),
+            FaultEvent("waves", float(start), 20.0, 0.1, count=1),
+            FaultEvent("reload", start + 25.0, 10.0, 0.1),
+            FaultEvent("restart", start + 30.0, 10.0, 0.02),
         ]
     return [t for t in events if t.at_s < 0.9 * seconds]
 
 
-def mixed(rng: Random, seconds: float) -> Sequence[Trouble]:
+def mixed(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """Two or three troubles at once."""
     kinds = [silent, late, keys, hot, shrink, release, rolling, cut, waves, vanish, faults, directory, killed]
     return [t for kind in rng.sample(kinds, rng.randint(2, 3)) for t in kind(rng, seconds)]
@@ -272,7 +277,7 @@
     """A day of a kind. KeyError for a kind that there is not."""
     rng = Random(f"{kind}/{seed}")
     troubles = tuple(
-        t if t.count >= 0 else Trouble(t.kind, t.at_s, t.for_s, count=round(0.64 * endpoints))
+        t if t.count >= 0 else FaultEvent(t.kind, t.at_s, t.for_s, count=round(0.64 * endpoints))
         for t in KINDS[kind](rng, seconds)
     )
     return Day(
--- a/zinclever/sim/figures.py
+++ b/zinclever/sim/figures.py
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:
     from .applications import ClientRequest
-    from .scene import Scene
+    from .scene import BaseWorld
 
 WORST_WINDOW_SECONDS = 10  # s: the worst stretch of a day is looked for in windows of so long
 BASELINE_SECONDS = 4  # s of a day, from the first that counts, before any trouble begins
@@ -25,7 +25,7 @@
 class FleetCounters:
     """By second of the world where a second matters."""
 
-    world: Scene
+    world: BaseWorld
     handshakes: Counter[tuple[int, str]] = field(default_factory=Counter)
     sent: Counter[tuple[int, str]] = field(default_factory=Counter)
     discovery_calls: Counter[int] = field(default_factory=Counter)
@@ -56,7 +56,7 @@
 class ServiceMetrics:
     """Service by second, and by class: worth asked for, and worth answered within its aim."""
 
-    def __init__(self, world: Scene) -> None:
+    def __init__(self, world: BaseWorld) -> None:
         self.world = world
         self.requests_by_second: Counter[tuple[int, str]] = Counter()
         self.in_time_by_second: Counter[tuple[int, str]] = Counter()
@@ -147,7 +147,7 @@
         return min(self.in_time_share(first, first + WORST_WINDOW_SECONDS) for first in range(IGNORED_SECONDS, last))
 
 
-def summary(world: Scene, breaches: list[Any]) -> dict[str, Any]:
+def summary(world: BaseWorld, breaches: list[Any]) -> dict[str, Any]:
     """One object for a day, ready to be printed as JSON."""
     day, counts, figures = world.day, world.counts, world.figures
     seconds = round(day.seconds)
--- a/zinclever/sim/ground.py
+++ b/zinclever/sim/ground.py
@@ -10,7 +10,7 @@
 from typing import Any, Protocol
 
 
-class Due(Protocol):
+class ScheduledCall(Protocol):
     """A callback that is scheduled for some instant."""
 
     def call_off(self) -> None:
@@ -26,11 +26,11 @@
         """The current instant."""
         ...
 
-    def at(self, when: int, callback: Callable[..., object], /, *args: Any) -> Due:
+    def at(self, when: int, callback: Callable[..., object], /, *args: Any) -> ScheduledCall:
         """Schedule a callback for the instant ``when``."""
         ...
 
-    def after(self, delay: int, callback: Callable[..., object], /, *args: Any) -> Due:
+    def after(self, delay: int, callback: Callable[..., object], /, *args: Any) -> ScheduledCall:
         """Schedule a callback for ``delay`` ns from now."""
         ...
 
--- a/zinclever/sim/hunting.py
+++ b/zinclever/sim/hunting.py
@@ -13,20 +13,20 @@
 from .model import Day
 from .world import World
 
-Fails = Callable[[Day], bool]
+FailurePredicate = Callable[[Day], bool]
 MIN_SECONDS = 4.0  # of a day that is cut down
 DEFAULT_MAX_TRIALS = 300  # days that are played at most to cut one down
 
 
-class Found(NamedTuple):
+class DayResult(NamedTuple):
     """A day that was played, and what came of it."""
 
     day: Day
     figures: dict[str, Any]
 
 
-def play(day: Day) -> Found:
-    return Found(day, World(day).play())
+def play(day: Day) -> DayResult:
+    return DayResult(day, World(day).play())
 
 
 def drawn(kinds: Sequence[str], first: int, sidecars: int, endpoints: int, seconds: float) -> Iterator[Day]:
@@ -40,9 +40,9 @@
     days: Iterable[Day],
     budget: float,
     jobs: int = 1,
-    play: Callable[[Day], Found] = play,
+    play: Callable[[Day], DayResult] = play,
     prepare: Callable[[], object] | None = None,
-) -> Iterator[Found]:
+) -> Iterator[DayResult]:
     """Play days for so many s of wall time, on so many cores; each as it is over, in their order. ``prepare`` is called
     first in each of the processes that play."""
     deadline, days = time.monotonic() + budget, iter(days)
@@ -83,10 +83,10 @@
     return sorted({c for c in (1, count // 4, count // 2, count - 1) if 0 < c < count})
 
 
-class Cutter:
+class DayMinimizer:
     """Plays smaller days until none of them fails any more, or a bound is reached."""
 
-    def __init__(self, fails: Fails, max_trials: int = DEFAULT_MAX_TRIALS) -> None:
+    def __init__(self, fails: FailurePredicate, max_trials: int = DEFAULT_MAX_TRIALS) -> None:
         self.fails, self.remaining_trials = fails, max_trials
 
     def still_fails(self, day: Day) -> bool:
@@ -95,9 +95,9 @@
 
     def minimize(self, day: Day) -> Day:
         """The least day found that fails as this one does."""
-        return self.minimize_requests(self.cut_world(day))
+        return self.minimize_requests(self.minimize_environment(day))
 
-    def cut_world(self, day: Day) -> Day:
+    def minimize_environment(self, day: Day) -> Day:
         """With fewer troubles, machines, seconds and requests a second, but for those that are left out one by one."""
         while self.remaining_trials > 0:
             smaller = next((d for d in reductions(day) if self.remaining_trials > 0 and self.still_fails(d)), None)
@@ -137,6 +137,6 @@
     return len(day.only) + len(day.troubles)
 
 
-def breaches_rule(rule: str) -> Fails:
+def breaches_rule(rule: str) -> FailurePredicate:
     """Whether a day has a breach whose text begins so."""
     return lambda day: any(b.startswith(rule) for b in World(day).play()["breaches"])
--- a/zinclever/sim/listing.py
+++ b/zinclever/sim/listing.py
@@ -16,7 +16,7 @@
 
 if TYPE_CHECKING:
     from .pages import PageServer
-    from .scene import Scene
+    from .scene import BaseWorld
 
 PORT = 8500
 MS = NS // 1000
@@ -28,7 +28,7 @@
 class DiscoveryServer:
     """The list, its versions and who watches it."""
 
-    def __init__(self, world: Scene, machine: Machine) -> None:
+    def __init__(self, world: BaseWorld, machine: Machine) -> None:
         self.world, self.machine, self.settings = world, machine, world.day.listing
         self.rng = Random(f"{world.day.seed}/listing")
         self.loop = world.process(machine)
@@ -190,9 +190,9 @@
             return
         listing = self.listing
         new = listing.changes_since(self.since)
-        entries = [self.world.as_told(line, self.caller) for _, line in new.values()]
+        entries = [self.world.localize_entry(line, self.caller) for _, line in new.values()]
         body = orjson.dumps({"seq": listing.version, "whole": self.since is None, "hosts": entries})
         self.world.counts.count_discovery_entries(len(new))
         self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-        now = self.world.ms()
+        now = self.world.now_ms()
         self.world.log.told += [Told(now, name, health, self.caller) for name, (health, _) in new.items()]
--- a/zinclever/sim/model.py
+++ b/zinclever/sim/model.py
@@ -140,7 +140,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class FaultEvent:
     """Something that goes wrong, or is done, from an instant on."""
 
     kind: str
@@ -171,7 +171,7 @@
     rules: RuleLimits = field(default_factory=RuleLimits)
     sidecar: SidecarSettings = field(default_factory=SidecarSettings)
     zones: ZoneSettings = field(default_factory=ZoneSettings)
-    troubles: tuple[Trouble, ...] = ()
+    troubles: tuple[FaultEvent, ...] = ()
     only: tuple[int, ...] = ()
     """Which first tries are made, by their numbers in the order in which they are drawn; none named: all."""
 
--- a/zinclever/sim/pages.py
+++ b/zinclever/sim/pages.py
@@ -21,7 +21,7 @@
 from .model import ServerKind
 
 if TYPE_CHECKING:
-    from .scene import Scene
+    from .scene import BaseWorld
 
 PORT = 8080
 MS = NS // 1000
@@ -38,7 +38,7 @@
 class PageServer:
     """One server, from its start to its end; a process that comes after it on the same machine is another one."""
 
-    def __init__(self, world: Scene, machine: Machine, kind: ServerKind, cell: int, cold: bool) -> None:
+    def __init__(self, world: BaseWorld, machine: Machine, kind: ServerKind, cell: int, cold: bool) -> None:
         self.world, self.machine, self.kind, self.cell = world, machine, kind, cell
         self.name = machine.name
         self.rng = Random(f"{world.day.seed}/server/{self.name}")
@@ -64,7 +64,7 @@
         self.reporting = 0
         if cold:
             # The capacity is told to the auditor as work: s of it in a second.
-            world.log.started.append(Started(world.ms(), self.name, speed))
+            world.log.started.append(Started(world.now_ms(), self.name, speed))
 
     async def listen(self) -> None:
         server = await self.loop.create_server(lambda: ServerConnection(self), self.machine.address, PORT, backlog=1024)
@@ -129,7 +129,7 @@
         world.log.received.append(
             Received(
                 request.first_byte_at,
-                world.ms(),
+                world.now_ms(),
                 request.id,
                 self.name,
                 self.dedup_group(request),
@@ -291,7 +291,7 @@
 
     def data_received(self, data: bytes) -> None:
         if self.incoming is None and self.request is None:
-            self.incoming = Request(self, self.server.world.ms())
+            self.incoming = Request(self, self.server.world.now_ms())
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
--- a/zinclever/sim/scene.py
+++ b/zinclever/sim/scene.py
@@ -30,7 +30,7 @@
 
 MS = NS // 1000
 START = 3 * NS  # ns at which the day begins: the sidecars are up by then
-AFTER = 3.0  # s after its day in which clients still try again
+CLIENT_RETRY_PERIOD = 3.0  # s after its day in which clients still try again
 MAX_ATTEMPTS = 6
 ANSWER_SLACK_MS = 60.0  # ms that an answer, or a send, may be late: the rules' 50 and what a segment takes
 REDELIVERY_MS = (
@@ -39,7 +39,7 @@
 BUSY_SIDECAR_INTERVAL = 20  # one in so many sidecars is a busy one
 
 
-class Nets(NamedTuple):
+class AddressPlan(NamedTuple):
     """The first addresses of each kind of machine."""
 
     sidecars: str
@@ -48,13 +48,13 @@
     max_servers: int
 
 
-NETS = Nets("10.1.0.1", "10.2.0.1", "10.3.0.1", 60_000)
+NETS = AddressPlan("10.1.0.1", "10.2.0.1", "10.3.0.1", 60_000)
 
 
-class Scene:
+class BaseWorld:
     """Everything of one day but the sidecars' processes, and what time is."""
 
-    def __init__(self, day: Day, clock: Clock, network: Network, nets: Nets = NETS) -> None:
+    def __init__(self, day: Day, clock: Clock, network: Network, nets: AddressPlan = NETS) -> None:
         self.day = day
         self.scheduler = clock
         self.start = START
@@ -65,7 +65,7 @@
         for source, target in itertools.combinations(zones.names, 2):
             self.network.between(source, target, Path(zones.cross_ms / 1000.0, zones.jitter))
         self.rng = Random(f"{day.seed}/world")
-        self.log = Log(self.ms)
+        self.log = Log(self.now_ms)
         self.counts, self.figures = FleetCounters(self), ServiceMetrics(self)
         self.execution_numbers = itertools.count(1)
         self.selected_requests = frozenset(day.only)
@@ -100,7 +100,7 @@
         """ns"""
         return self.scheduler.now
 
-    def ms(self) -> float:
+    def now_ms(self) -> float:
         return self.scheduler.now / MS
 
     def unix_ms(self) -> float:
@@ -112,8 +112,8 @@
     def next_execution_number(self) -> int:
         return next(self.execution_numbers)
 
-    def text_seed(self, text: str) -> int:
-        return text_seed(text)
+    def seed_from_text(self, text: str) -> int:
+        return seed_from_text(text)
 
     def next_request_number(self) -> int:
         """The number of a first try: from 1, over all applications."""
@@ -138,7 +138,7 @@
     def new_sidecar(self, machine: Machine, number: int) -> Sidecar:
         raise NotImplementedError
 
-    def as_told(self, line: dict[str, Any], caller: str) -> dict[str, Any]:
+    def localize_entry(self, line: dict[str, Any], caller: str) -> dict[str, Any]:
         """A line of the list as one caller gets it: an address may differ from one sidecar to the next."""
         return line
 
@@ -275,6 +275,6 @@
         return adjusted
 
 
-def text_seed(text: str) -> int:
+def seed_from_text(text: str) -> int:
     """A seed of 64 bits, the same on every machine."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest())
--- a/zinclever/sim/sidecars.py
+++ b/zinclever/sim/sidecars.py
@@ -17,7 +17,7 @@
 from ..standins.log import Told
 
 if TYPE_CHECKING:
-    from .scene import Scene
+    from .scene import BaseWorld
 
 PORT = 8080
 CONFIG = "/config.json"
@@ -31,11 +31,11 @@
     """What is its process, as long as there is one."""
     crosses = RESET_DELAY_MS
 
-    def __init__(self, world: Scene, machine: Machine, number: int) -> None:
+    def __init__(self, world: BaseWorld, machine: Machine, number: int) -> None:
         self.world, self.machine, self.number = world, machine, number
         self.name = machine.name
         self.address = machine.address, PORT
-        self.starts = 0
+        self.start_count = 0
         self.killed_at = self.paused_at = self.resumed_at = -1.0
 
     def start(self) -> None:
@@ -72,16 +72,16 @@
             self.kill()
         self.start()
 
-    def remember(self) -> None:
+    def log_known_servers(self) -> None:
         """What a new process remembers has been told, too: a server may have come back since the last heard of it."""
         world = self.world
         if world.day.sidecar.known:
-            world.log.told += [Told(world.ms(), name, "ready", self.name) for name in world.listing.ready_names()]
+            world.log.told += [Told(world.now_ms(), name, "ready", self.name) for name in world.listing.ready_names()]
 
     def configuration(self, seed: int, **overrides: object) -> bytes:
         world = self.world
         known_servers = world.listing.snapshot() if world.day.sidecar.known else {"hosts": []}
-        known_servers["hosts"] = [world.as_told(line, self.name) for line in known_servers["hosts"]]
+        known_servers["hosts"] = [world.localize_entry(line, self.name) for line in known_servers["hosts"]]
         config: Mapping[str, object] = {
             "name": self.name,
             "listen": f"{self.machine.address}:{PORT}",
@@ -110,13 +110,13 @@
 class SimulatedSidecar(Sidecar):
     """A process in simulated time."""
 
-    def __init__(self, world: Scene, machine: Machine, number: int) -> None:
+    def __init__(self, world: BaseWorld, machine: Machine, number: int) -> None:
         super().__init__(world, machine, number)
         self.disk = Disk()
         self.loop: Loop | None = None
         self.task: asyncio.Task[None] | None = None
         self.host: SimulatedHost | None = None
-        self.most_descriptors = 0
+        self.peak_descriptors = 0
         self.callbacks = 0
         self.cpu_used_ns = 0
         """ns of its core, of processes that have ended."""
@@ -125,14 +125,14 @@
         if self.loop is not None:
             return
         world = self.world
-        self.starts += 1
+        self.start_count += 1
         settings = world.day.sidecar
         cost = Cost(settings.callback_us / 1e6, settings.byte_ns / 1e9, settings.core_share)
         loop = Loop(self.machine, cost, settings.sockets)
-        seed = f"{world.day.seed}/{self.name}/{self.starts}"
-        self.remember()
-        self.disk.files[CONFIG] = self.configuration(world.text_seed(seed))
-        host = SimulatedHost(loop, world.text_seed(seed + "/host"), {"LB_CONFIG": CONFIG}, self.disk)
+        seed = f"{world.day.seed}/{self.name}/{self.start_count}"
+        self.log_known_servers()
+        self.disk.files[CONFIG] = self.configuration(world.seed_from_text(seed))
+        host = SimulatedHost(loop, world.seed_from_text(seed + "/host"), {"LB_CONFIG": CONFIG}, self.disk)
         self.loop, self.host = loop, host
         self.task = loop.create_task(self.run(host))
         self.task.add_done_callback(lambda task: self.on_exit(loop, task))
@@ -150,7 +150,7 @@
         self.record_exit(loop)
 
     def record_exit(self, loop: Loop) -> None:
-        self.most_descriptors = max(self.most_descriptors, loop.descriptors.most)
+        self.peak_descriptors = max(self.peak_descriptors, loop.descriptors.most)
         self.callbacks += loop.callbacks
         self.cpu_used_ns += loop.used
         loop.die()
@@ -158,12 +158,12 @@
             self.loop = self.task = None
 
     def descriptors(self) -> int:
-        return max(self.most_descriptors, self.loop.descriptors.most if self.loop is not None else 0)
+        return max(self.peak_descriptors, self.loop.descriptors.most if self.loop is not None else 0)
 
     # --- what is done to it ---
 
     def kill(self) -> None:
-        self.killed_at = self.world.ms()
+        self.killed_at = self.world.now_ms()
         if self.loop is not None:
             self.record_exit(self.loop)
 
@@ -173,15 +173,15 @@
 
     def reload(self, **overrides: object) -> None:
         if self.loop is not None:
-            self.disk.files[CONFIG] = self.configuration(self.world.text_seed(f"{self.name}/reload"), **overrides)
+            self.disk.files[CONFIG] = self.configuration(self.world.seed_from_text(f"{self.name}/reload"), **overrides)
             self.loop.signal(signal.SIGHUP)
 
     def pause(self) -> None:
         if self.loop is not None:
-            self.paused_at = self.world.ms()
+            self.paused_at = self.world.now_ms()
             self.loop.freeze()
 
     def resume(self) -> None:
-        self.resumed_at = self.world.ms()
+        self.resumed_at = self.world.now_ms()
         if self.loop is not None:
             self.loop.thaw()
--- a/zinclever/sim/troubles.py
+++ b/zinclever/sim/troubles.py
@@ -1,4 +1,4 @@
-"""What goes wrong on a day, carried out: each kind of :class:`~zinclever.sim.model.Trouble` has its method here."""
+"""What goes wrong on a day, carried out: each kind of :class:`~zinclever.sim.model.FaultEvent` has its method here."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 from ..simnet.scheduler import NS
 from ..standins.faults import Fault
-from .model import Trouble
+from .model import FaultEvent
 from .pages import PageServer, no_fault
 
 if TYPE_CHECKING:
     from .applications import Application
-    from .scene import Scene
+    from .scene import BaseWorld
     from .sidecars import Sidecar
 
 DRAIN_DURATION = 4.0  # s from a server's draining to its end
@@ -67,7 +67,7 @@
 class FaultInjector:
     """Those of one day. Who is befallen is drawn from the day's seed."""
 
-    def __init__(self, world: Scene) -> None:
+    def __init__(self, world: BaseWorld) -> None:
         self.world = world
 
     def plan(self, start: int) -> None:
@@ -79,26 +79,26 @@
     def after(self, seconds: float, callback: Callable[..., object], *args: object) -> None:
         self.world.scheduler.after(round(seconds * NS), callback, *args)
 
-    def pick_servers(self, event: Trouble, rng: Random) -> list[PageServer]:
+    def pick_servers(self, event: FaultEvent, rng: Random) -> list[PageServer]:
         """The servers that it befalls."""
         ready = [s for s in self.world.ready_servers() if event.zone in ("", s.machine.zone)]
         return rng.sample(ready, round(event.share * len(ready)))
 
     # --- servers ---
 
-    def silent(self, event: Trouble, rng: Random) -> None:
+    def silent(self, event: FaultEvent, rng: Random) -> None:
         """A share of the servers takes requests and answers none."""
         for server in self.pick_servers(event, rng):
             server.silent = True
             self.after(event.for_s, setattr, server, "silent", False)
 
-    def slow(self, event: Trouble, rng: Random) -> None:
+    def slow(self, event: FaultEvent, rng: Random) -> None:
         """A share of the servers does its work ``factor`` times as slowly, but lives."""
         for server in self.pick_servers(event, rng):
             server.core.speed /= event.factor
             self.after(event.for_s, setattr, server.core, "speed", server.core.speed * event.factor)
 
-    def faults(self, event: Trouble, rng: Random) -> None:
+    def faults(self, event: FaultEvent, rng: Random) -> None:
         """A share of all requests to servers goes wrong, in one of the ways that stand-ins know."""
         kinds = [fault for fault in Fault if fault is not Fault.NONE]
 
@@ -109,12 +109,12 @@
             server.plan = plan
             self.after(event.for_s, setattr, server, "plan", no_fault)
 
-    def vanish(self, event: Trouble, rng: Random) -> None:
+    def vanish(self, event: FaultEvent, rng: Random) -> None:
         """Machines say nothing; they come back with a server that has just started."""
         for server in self.pick_servers(event, rng):
             self.take_down(server, event.for_s)
 
-    def zone_lost(self, event: Trouble, rng: Random) -> None:
+    def zone_lost(self, event: FaultEvent, rng: Random) -> None:
         """All servers of a zone vanish and come back cold."""
         for server in self.world.ready_servers():
             if server.machine.zone == event.zone:
@@ -123,7 +123,7 @@
     def take_down(self, server: PageServer, duration: float) -> None:
         listing = self.world.listing
         server.machine.vanish()
-        self.world.cuts.append(NetworkCut("", server.name, self.world.ms(), 1000.0 * duration))
+        self.world.cuts.append(NetworkCut("", server.name, self.world.now_ms(), 1000.0 * duration))
         notice = listing.settings.silent_notice_s
         if duration > notice:
             listing.schedule_change(server, "gone", notice)
@@ -142,7 +142,7 @@
         listing = self.world.listing
         return listing.rng.uniform(*listing.settings.add_s)
 
-    def shrink(self, event: Trouble, rng: Random) -> None:
+    def shrink(self, event: FaultEvent, rng: Random) -> None:
         """The fleet shrinks to a share of its size within a time; the traffic by ``factor`` with it."""
         ready = self.world.ready_servers()
         leaving = rng.sample(ready, len(ready) - round(event.share * len(ready)))
@@ -169,7 +169,7 @@
         listing = self.world.listing
         listing.schedule_change(server, "gone", listing.rng.uniform(*listing.settings.notice_s))
 
-    def grow(self, event: Trouble, rng: Random) -> None:
+    def grow(self, event: FaultEvent, rng: Random) -> None:
         """So many new servers start within a time."""
         for _ in range(event.count):
             self.after(rng.random() * event.for_s, self.begin, rng.randrange(len(self.world.day.zones.names)))
@@ -183,7 +183,7 @@
         server = world.new_server(world.day.zones.names[zone], world.draw_kind(), cells, True)
         world.listing.schedule_change(server, "ready", self.discovery_delay())
 
-    def waves(self, event: Trouble, rng: Random) -> None:
+    def waves(self, event: FaultEvent, rng: Random) -> None:
         """A share of the fleet is replaced by new servers, in waves of ``count``, within a time."""
         leaving = self.pick_servers(event, rng)
         waves = max(1, -(-len(leaving) // max(1, event.count)))
@@ -194,18 +194,18 @@
 
     # --- reports, keys, load ---
 
-    def late_reports(self, event: Trouble, rng: Random) -> None:
+    def late_reports(self, event: FaultEvent, rng: Random) -> None:
         """Load reports come ``factor`` ms later."""
         self.world.report_delay_ms = event.factor
         self.after(event.for_s, setattr, self.world, "report_delay_ms", 0.0)
 
-    def hot_keys(self, event: Trouble, rng: Random) -> None:
+    def hot_keys(self, event: FaultEvent, rng: Random) -> None:
         """A few keys draw a share of all traffic."""
         keys = self.world.keys
         keys.hot_names, keys.hot_share = rng.sample(keys.names, event.count), event.share
         self.after(event.for_s, setattr, keys, "hot_share", 0.0)
 
-    def hot_sidecars(self, event: Trouble, rng: Random) -> None:
+    def hot_sidecars(self, event: FaultEvent, rng: Random) -> None:
         """A few applications carry a share of all traffic, or each so many times the mean."""
         world = self.world
         hot = rng.sample(world.applications, event.count)
@@ -228,7 +228,7 @@
         for application in self.world.applications:
             application.go()
 
-    def spike(self, event: Trouble, rng: Random) -> None:
+    def spike(self, event: FaultEvent, rng: Random) -> None:
         """``factor`` times the traffic."""
         self.world.rate_factor = event.factor
         self.reschedule_arrivals()
@@ -240,11 +240,11 @@
 
     # --- sidecars ---
 
-    def pick_sidecars(self, event: Trouble, rng: Random) -> list[Sidecar]:
+    def pick_sidecars(self, event: FaultEvent, rng: Random) -> list[Sidecar]:
         sidecars = self.world.sidecars
         return rng.sample(sidecars, round((event.share or 1.0) * len(sidecars)))
 
-    def restart(self, event: Trouble, rng: Random) -> None:
+    def restart(self, event: FaultEvent, rng: Random) -> None:
         """Planned, one after another within a time: SIGTERM, and a new process after it."""
         sidecars = self.pick_sidecars(event, rng)
         for number, sidecar in enumerate(sidecars):
@@ -257,20 +257,20 @@
         self.after(RESTART_DELAY, sidecar.restart, sidecar.loop)
         self.after(RESTART_DELAY + CLIENTS_RESUME_DELAY, application.go)
 
-    def kill(self, event: Trouble, rng: Random) -> None:
+    def kill(self, event: FaultEvent, rng: Random) -> None:
         """Killed without warning within a time, and started again."""
         for sidecar in self.pick_sidecars(event, rng):
             offset = rng.random() * event.for_s
             self.after(offset, sidecar.kill)
             self.after(offset + KILL_DOWNTIME, sidecar.start)
 
-    def pause(self, event: Trouble, rng: Random) -> None:
+    def pause(self, event: FaultEvent, rng: Random) -> None:
         """Processes stand still, and go on as if no time had passed."""
         for sidecar in self.pick_sidecars(event, rng):
             sidecar.pause()
             self.after(event.for_s, sidecar.resume)
 
-    def restart_loop(self, event: Trouble, rng: Random) -> None:
+    def restart_loop(self, event: FaultEvent, rng: Random) -> None:
         """``count`` sidecars die every ``factor`` s, and are started again at once."""
         for sidecar in rng.sample(list(self.world.sidecars), event.count):
             offset = 0.0
@@ -279,7 +279,7 @@
                 self.after(offset + LOOP_RESTART_DELAY, sidecar.start)
                 offset += event.factor
 
-    def power(self, event: Trouble, rng: Random) -> None:
+    def power(self, event: FaultEvent, rng: Random) -> None:
         """Every machine is off for a while: all servers come back cold, all sidecars anew, discovery with them."""
         self.discovery_down(event, rng)
         for server in self.world.ready_servers():
@@ -288,14 +288,14 @@
             sidecar.kill()
             self.after(event.for_s, sidecar.start)
 
-    def reload(self, event: Trouble, rng: Random) -> None:
+    def reload(self, event: FaultEvent, rng: Random) -> None:
         """SIGHUP, within a time; the file says the same."""
         for sidecar in self.pick_sidecars(event, rng):
             self.after(rng.random() * event.for_s, sidecar.reload)
 
     # --- the network, discovery ---
 
-    def partition(self, event: Trouble, rng: Random) -> None:
+    def partition(self, event: FaultEvent, rng: Random) -> None:
         """Nothing gets from any zone to any other."""
         names = self.world.day.zones.names
         for source in names:
@@ -304,11 +304,11 @@
                     self.cut(source, target, event.for_s)
 
     def cut(self, source: str, target: str, duration: float) -> None:
-        self.world.cuts.append(NetworkCut(source, target, self.world.ms(), 1000.0 * duration))
+        self.world.cuts.append(NetworkCut(source, target, self.world.now_ms(), 1000.0 * duration))
         self.world.network.cut(source, target)
         self.after(duration, self.world.network.heal, source, target)
 
-    def one_way(self, event: Trouble, rng: Random) -> None:
+    def one_way(self, event: FaultEvent, rng: Random) -> None:
         """Nothing gets out of a zone, while all gets in; of the first one where none is named."""
         names = self.world.day.zones.names
         source = event.zone or names[0]
@@ -316,7 +316,7 @@
             if target != source:
                 self.cut(source, target, event.for_s)
 
-    def flapping(self, event: Trouble, rng: Random) -> None:
+    def flapping(self, event: FaultEvent, rng: Random) -> None:
         """Discovery goes down and comes back, each for ``factor`` s."""
         offset = 0.0
         while offset + event.factor <= event.for_s:
@@ -324,11 +324,11 @@
             self.after(offset + event.factor, self.world.listing.come_back)
             offset += 2.0 * event.factor
 
-    def discovery_down(self, event: Trouble, rng: Random) -> None:
+    def discovery_down(self, event: FaultEvent, rng: Random) -> None:
         self.world.listing.go_down()
         self.after(event.for_s, self.world.listing.come_back)
 
-    def discovery_crowded(self, event: Trouble, rng: Random) -> None:
+    def discovery_crowded(self, event: FaultEvent, rng: Random) -> None:
         """Others call it: it has ``factor`` of its capacity left."""
         listing = self.world.listing
         before = listing.settings
--- a/zinclever/sim/world.py
+++ b/zinclever/sim/world.py
@@ -8,11 +8,11 @@
 
 from ..simnet.loop import Loop
 from ..simnet.network import Machine, Network, Path
-from ..simnet.scheduler import NS, Choose, Scheduler
+from ..simnet.scheduler import NS, Scheduler, TieBreaker
 from ..simnet.trace import Trace
 from .figures import summary
 from .model import Day
-from .scene import AFTER, START, Scene, text_seed
+from .scene import CLIENT_RETRY_PERIOD, START, BaseWorld, seed_from_text
 from .sidecars import SimulatedSidecar
 
 START_SPREAD = 1.5  # s within which the sidecars come up
@@ -20,19 +20,21 @@
 __all__ = ["START", "World"]
 
 
-class World(Scene):
+class World(BaseWorld):
     """Nothing outside of it is read, so that a seed says all."""
 
     scheduler: Scheduler
     sidecars: Sequence[SimulatedSidecar]
 
     def __init__(
-        self, day: Day, trace: Trace | None = None, permute: int | None = None, choose: Choose | None = None
+        self, day: Day, trace: Trace | None = None, permute: int | None = None, choose: TieBreaker | None = None
     ) -> None:
         """``permute``, ``choose``: the order of events of one instant."""
         scheduler = Scheduler(permute, choose)
         path = Path(day.zones.same_ms / 1000.0, day.zones.jitter)
-        network = Network(scheduler, text_seed(f"{day.seed}/network"), path, trace if trace is not None else Trace())
+        network = Network(
+            scheduler, seed_from_text(f"{day.seed}/network"), path, trace if trace is not None else Trace()
+        )
         super().__init__(day, scheduler, network)
 
     def process(self, machine: Machine) -> Loop:
@@ -59,9 +61,9 @@
         self.scheduler.run(end)
         self.over = True
         longest = max(kind.deadline_ms for kind in self.day.classes) / 1000.0
-        self.scheduler.run(end + round(AFTER * NS))
+        self.scheduler.run(end + round(CLIENT_RETRY_PERIOD * NS))
         self.closing = True
-        self.scheduler.run(end + round((AFTER + longest) * NS))
+        self.scheduler.run(end + round((CLIENT_RETRY_PERIOD + longest) * NS))
         found = summary(self, self.judge())
         self.end()
         return found
--- a/zinclever/simnet/host.py
+++ b/zinclever/simnet/host.py
@@ -32,13 +32,13 @@
         self.loop, self.rng = loop, Random(seed)
         self.environ: Mapping[str, str] = environ or {}
         self.disk = disk or Disk()
-        self.set_off = 0
+        self.clock_offset_ns = 0
         """ns by which the machine's clock is wrong."""
         self.handed_over: dict[int, Listener] = {}
         """Descriptors that the process found open."""
 
     def time_ns(self) -> int:
-        return EPOCH + self.loop.local() + self.set_off
+        return EPOCH + self.loop.local() + self.clock_offset_ns
 
     def monotonic_ns(self) -> int:
         return self.loop.local()
--- a/zinclever/simnet/scheduler.py
+++ b/zinclever/simnet/scheduler.py
@@ -31,7 +31,7 @@
 
 
 #: Which of so many events of one instant comes next.
-Choose = Callable[[int], int]
+TieBreaker = Callable[[int], int]
 
 
 class Scheduler:
@@ -43,7 +43,7 @@
 
     __slots__ = ("choose", "due", "now", "permuted", "ran", "serial")
 
-    def __init__(self, permute: int | None = None, choose: Choose | None = None) -> None:
+    def __init__(self, permute: int | None = None, choose: TieBreaker | None = None) -> None:
         """``permute``: a seed for the order within one instant."""
         self.now = 0
         """ns"""
@@ -90,7 +90,7 @@
         if act is not None:
             act(*args)
 
-    def chosen(self, when: int, choose: Choose) -> Event:
+    def chosen(self, when: int, choose: TieBreaker) -> Event:
         """One of the events of this instant; the others stay due."""
         tied = []
         while self.next_at() == when:
