--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -185,12 +185,12 @@
 @pytest.mark.parametrize(
     ("old", "new", "told"),
     [
-        ('kind = "silent"\nat_s', 'kind = "silence"\nat_s', "'silence' is no trouble"),
+        ('kind = "silent"\nat_s', 'kind = "silence"\nat_s', "'silence' is not a kind of fault"),
         ("endpoints = 4", "endpoint = 4", "did you mean endpoints"),
         ("endpoints = 4", 'endpoints = "six"', "takes a whole number"),
-        ("endpoints = 4", "endpoints = 0", "takes a sidecar, an endpoint"),
+        ("endpoints = 4", "endpoints = 0", "needs at least one sidecar and one endpoint"),
         ("version = 1", "version = 9", "reads 1"),
-        ("seconds = 20.0", "seconds = 0.1", "begins after the day"),
+        ("seconds = 20.0", "seconds = 0.1", "begins after the end of the day"),
         ("seconds = 20.0", "seconds = ", "line 4"),
         ("jitter = 0.25", "jitter = 1.25", "jitter"),
         ("speed = [\n    1.4,\n    1.8,\n]", "speed = [1.4, -1]", "speed"),
--- a/zinclever/sim/applications.py
+++ b/zinclever/sim/applications.py
@@ -214,7 +214,8 @@
         key_header = f"Idempotency-Key: {request.idempotency_key}\r\n" if kind.repeat == "deduplicated" else ""
         head = (
             f"{'GET' if idempotent else 'POST'} /{kind.name}/p HTTP/1.1\r\nHost: backend.local\r\nReq-Id: {name}\r\n"
-            f"Cookie: key={request.key}\r\nReq-Deadline: {timeout_ms / 1000.0:.3f}\r\nReq-Cost: {request.work * 1e6:.0f}\r\n"
+            f"Cookie: key={request.key}\r\nReq-Deadline: {timeout_ms / 1000.0:.3f}\r\n"
+            f"Req-Cost: {request.work * 1e6:.0f}\r\n"
             f"{key_header}{'' if idempotent else f'Content-Length: {len(BODY)}' + chr(13) + chr(10)}\r\n"
         )
         self.timeout_ms = timeout_ms
--- a/zinclever/sim/cli.py
+++ b/zinclever/sim/cli.py
@@ -1,4 +1,4 @@
-"""``python -m zinclever sim``: days of a whole fleet in simulated time."""
+"""The ``python -m zinclever sim`` commands: simulate days of a whole fleet."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 from .world import World
 
 EXIT_INVALID_INPUT = 2
-"""What was asked for can't be done: a file that holds no day."""
+"""Exit code for an unreadable or invalid day file."""
 EXIT_BREACH = 1
-"""A day on which a rule was broken, or a sidecar failed."""
+"""Exit code for a day on which a rule was broken or a sidecar crashed."""
 
 
 SCALE_OPTIONS = (
@@ -34,10 +34,12 @@
 
 
 def scale_options(command: Any) -> Any:
+    """Add the options for the size and length of a day to a command."""
     return with_options(command, SCALE_OPTIONS)
 
 
 def with_options(command: Any, options: Sequence[Any]) -> Any:
+    """Apply option decorators so that ``--help`` lists them in the given order."""
     for option in reversed(options):
         command = option(command)
     return command
@@ -45,13 +47,14 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def sim() -> None:
-    """Days of a whole fleet in simulated time: the unchanged program, hundreds of times, on one clock."""
+    """Simulate a whole fleet: hundreds of instances of the unmodified program on one simulated clock."""
     logging.basicConfig(level=logging.CRITICAL)
-    # Processes that are killed leave their tasks in the middle, which is what killing means.
+    # Killed processes leave unfinished coroutines, which Python warns about.
     warnings.simplefilter("ignore", RuntimeWarning)
 
 
 def list_kinds(context: click.Context, option: click.Parameter, value: bool) -> None:
+    """Callback of ``--list``: print each kind of day with its description, then exit."""
     if value and not context.resilient_parsing:
         for name, kind in KINDS.items():
             click.echo(f"{name:<12}{(kind.__doc__ or '').splitlines()[0]}")
@@ -60,17 +63,19 @@
 
 @sim.command()
 @click.argument("kind", type=click.Choice(list(KINDS)))
-@click.option("--list", is_flag=True, is_eager=True, expose_value=False, callback=list_kinds, help="Name the kinds.")
+@click.option(
+    "--list", is_flag=True, is_eager=True, expose_value=False, callback=list_kinds, help="List the kinds of days."
+)
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 @scale_options
 @click.option(
     "--rate",
     type=click.FloatRange(0.0, min_open=True),
-    help="First tries a second of all. [default: 62 % of what the endpoints can do]",
+    help="Requests per second of all clients, without retries. [default: 62 % of the endpoints' capacity]",
 )
 @click.option("--json", "as_json", is_flag=True, help="One JSON object.")
 def day(kind: str, seed: int, sidecars: int, endpoints: int, seconds: float, rate: float | None, as_json: bool) -> None:
-    """Play one day; exit code 1 where a rule was broken."""
+    """Simulate one day; exit with code 1 if a rule was broken."""
     show(play(draw(kind, seed, sidecars, endpoints, seconds, rate or 0.0)), as_json)
 
 
@@ -79,12 +84,12 @@
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 @scale_options
 def draw_day(kind: str, seed: int, sidecars: int, endpoints: int, seconds: float) -> None:
-    """Print a day as a file, to be changed and replayed."""
+    """Print a generated day as a file that can be edited and replayed."""
     click.echo(dayfile.write(draw(kind, seed, sidecars, endpoints, seconds)), nl=False)
 
 
 def read_day(path: Path) -> Day:
-    """Exit code 2 with the lines that are wrong."""
+    """Read a day file. Print all errors and exit with code 2 if it is invalid."""
     try:
         return dayfile.read(path.read_bytes())
     except (OSError, dayfile.DayError) as error:
@@ -95,11 +100,11 @@
 
 @sim.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--trace", type=click.File("w"), help="Write what went over the network, a line each.")
-@click.option("--permute", type=int, help="A seed for the order of events of one instant.")
+@click.option("--trace", type=click.File("w"), help="Write a line for each network segment.")
+@click.option("--permute", type=int, help="Seed for the order of simultaneous events.")
 @click.option("--json", "as_json", is_flag=True, help="One JSON object.")
 def replay(file: Path, trace: TextIO | None, permute: int | None, as_json: bool) -> None:
-    """Play the day of a file; the same file gives the same trace."""
+    """Simulate the day of a file; the same file always gives the same trace."""
     write = (lambda line: trace.write(line + "\n")) if trace is not None else None
     show(World(read_day(file), Trace(write), permute).play(), as_json)
 
@@ -110,7 +115,7 @@
         type=click.IntRange(1, 10_000),
         default=200,
         show_default=True,
-        help="What many do together shows from some two hundred on.",
+        help="Effects of many sidecars acting together appear from about 200 on.",
     ),
     click.option("--endpoints", type=click.IntRange(1, 2_000), default=30, show_default=True),
     SCALE_OPTIONS[2],
@@ -118,15 +123,16 @@
 
 
 def hunt_options(command: Any) -> Any:
+    """Add the options for the size and length of hunted days to a command."""
     return with_options(command, HUNT_OPTIONS)
 
 
 @sim.command()
-@click.option("--kind", "kinds", type=click.Choice(list(KINDS)), multiple=True, help="Only these. [default: all]")
-@click.option("--first", type=click.IntRange(0), default=1, show_default=True, help="Seed to begin with.")
-@click.option("--budget", type=click.FloatRange(1.0), default=60.0, show_default=True, help="s of wall time.")
+@click.option("--kind", "kinds", type=click.Choice(list(KINDS)), multiple=True, help="Kind to draw. [default: all]")
+@click.option("--first", type=click.IntRange(0), default=1, show_default=True, help="First seed.")
+@click.option("--budget", type=click.FloatRange(1.0), default=60.0, show_default=True, help="Wall time in seconds.")
 @click.option("--jobs", type=click.IntRange(1, 256), default=os.cpu_count() or 1, show_default=True)
-@click.option("--below", type=click.FloatRange(0.0, 1.0), default=0.0, help="Keep days whose goal is lower, too.")
+@click.option("--below", type=click.FloatRange(0.0, 1.0), default=0.0, help="Also keep days whose goal is lower.")
 @click.option("--into", type=click.Path(path_type=Path), default=Path("found"), show_default=True)
 @hunt_options
 def hunt(
@@ -140,7 +146,7 @@
     endpoints: int,
     seconds: float,
 ) -> None:
-    """Draw and play days on all cores; keep those with a breach or a low figure."""
+    """Simulate random days on all cores; keep those with a breach or a low goal."""
     ordinary = [name for name in KINDS if name != "soak"]
     days = hunting.drawn(kinds or ordinary, first, sidecars, endpoints, seconds)
     played = kept = broken = 0
@@ -168,7 +174,7 @@
     help="Days played at most.",
 )
 def shrink(file: Path, tries: int) -> None:
-    """Cut a day that breaks a rule down to few sidecars, requests and troubles; print it as a file."""
+    """Minimize a day that breaks a rule to few sidecars, requests and faults; print it as a file."""
     original = read_day(file)
     breaches = World(original).play()["breaches"]
     if not breaches:
@@ -183,10 +189,12 @@
 @sim.command()
 @click.option("--fault", "faults", type=click.Choice(list(exploring.FAULTS)), multiple=True, help="[default: all]")
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
-@click.option("--steps", type=click.IntRange(1), default=20, show_default=True, help="Of each fault at most.")
-@click.option("--orders", type=click.IntRange(1), default=40, show_default=True, help="Of each step at most.")
+@click.option(
+    "--steps", type=click.IntRange(1), default=20, show_default=True, help="Maximum injection points per fault."
+)
+@click.option("--orders", type=click.IntRange(1), default=40, show_default=True, help="Maximum event orders per step.")
 def explore(faults: tuple[str, ...], seed: int, steps: int, orders: int) -> None:
-    """Play a small world in many orders of its events, with one fault at any step."""
+    """Run a small fleet in many orders of its simultaneous events, with one fault at each step."""
     result = exploring.explore(list(faults or exploring.FAULTS), seed, steps, orders)
     for breach in result.breaches:
         click.echo(breach)
@@ -197,7 +205,7 @@
 
 
 def play(spec: Day) -> dict[str, Any]:
-    """The figures of a day; on standard error, what it took to play it."""
+    """Simulate a day and return its summary; print the CPU time that it took to standard error."""
     started = time.process_time()
     result = World(spec).play()
     print(f"played in {time.process_time() - started:.1f} s of a core", file=sys.stderr)
@@ -205,6 +213,7 @@
 
 
 def show(result: dict[str, Any], as_json: bool) -> None:
+    """Print a day's summary; exit with code 1 if a rule was broken."""
     if as_json:
         click.echo(orjson.dumps(result))
     else:
--- a/zinclever/sim/dayfile.py
+++ b/zinclever/sim/dayfile.py
@@ -1,6 +1,6 @@
-"""A day as a TOML file: written whole, and read back with every fault told by key, line and reason.
+"""Reads and writes a day as a TOML file; errors are reported with key, line and reason.
 
-The keys are made from :mod:`~zinclever.sim.model`, and held against it by the code that checks configurations.
+The schema is derived from :mod:`~zinclever.sim.model` and checked by the same code as the program's configuration.
 """
 
 from __future__ import annotations
@@ -29,24 +29,27 @@
     "honour",
     "saving",
     "rate",
-)  # ends of the names of what lies between 0 and 1
-NOT_FRACTIONS = ("rate",)  # but for the rate of a whole day
+)
+"""Last words of the names of fields whose values lie between 0 and 1."""
+NOT_FRACTIONS = ("rate",)
+"""Fields of ``Day`` that are exempt from that rule: its rate is in requests per second."""
 
 
 class DayError(Exception):
-    """The file holds no day: one line for each thing that is wrong."""
+    """The file does not describe a valid day. The message has one line per error."""
 
 
-# --- the model as keys ---
+# --- the schema ---
 
 
-def table_keys(kind: type) -> tuple[Key, ...]:
-    """The keys of a table that holds such an object."""
-    hints = typing.get_type_hints(kind)
-    return tuple(key_for_field(field, hints[field.name], kind) for field in dataclasses.fields(kind))
+def table_keys(cls: type) -> tuple[Key, ...]:
+    """Return the schema of the table for a dataclass of the model."""
+    hints = typing.get_type_hints(cls)
+    return tuple(key_for_field(field, hints[field.name], cls) for field in dataclasses.fields(cls))
 
 
 def key_for_field(field: dataclasses.Field[Any], hint: Any, owner: type) -> Key:
+    """Return the schema entry for one dataclass field, from its type, name and default."""
     name = field.name
     default: Any = field.default if field.default is not dataclasses.MISSING else None
     required = default is None and field.default_factory is dataclasses.MISSING
@@ -77,9 +80,9 @@
     )
 
 
-def build(kind: type, clean: dict[str, Any]) -> Any:
-    """The object of a table that has passed."""
-    hints = typing.get_type_hints(kind)
+def build(cls: type, clean: dict[str, Any]) -> Any:
+    """Construct a model object from a table that matches the schema."""
+    hints = typing.get_type_hints(cls)
     arguments: dict[str, Any] = {}
     for name, value in clean.items():
         hint = hints[name]
@@ -91,69 +94,83 @@
             arguments[name] = tuple(float(v) if get_args(hint)[0] is float else v for v in value)
         else:
             arguments[name] = float(value) if hint is float else value
-    return kind(**arguments)
+    return cls(**arguments)
 
 
-# --- what the parts of a day must be to one another ---
+# --- constraints between fields ---
 
 
 def check_relations(day: Day) -> Iterator[Finding]:
+    """Yield each violated constraint between the fields of a day."""
+
     def finding(path: Path, reason: str) -> Finding:
         return Finding("ZC114", path, reason)
 
     if not day.sidecars or not day.endpoints or not 0.0 < day.seconds <= 36_000.0:
-        yield finding(("seconds",), "a day takes a sidecar, an endpoint and 36,000 s at most")
+        yield finding(("seconds",), "a day needs at least one sidecar and one endpoint, and lasts at most 36,000 s")
     if not day.classes or sum(k.share for k in day.classes) <= 0.0:
-        yield finding(("classes",), "a day takes requests of a class at least, with a share")
+        yield finding(("classes",), "a day needs at least one request class with a share above 0")
     if len({k.name for k in day.classes}) < len(day.classes):
-        yield finding(("classes",), "two classes have one name")
+        yield finding(("classes",), "two classes have the same name")
     if not day.zones.names:
-        yield finding(("zones", "names"), "a day takes a zone")
+        yield finding(("zones", "names"), "a day needs at least one zone")
     kinds = day.servers.kinds
     if not kinds or sum(k.share for k in kinds) <= 0.0:
-        yield finding(("servers", "kinds"), "a day takes servers of a kind at least, with a share")
+        yield finding(("servers", "kinds"), "a day needs at least one kind of server with a share above 0")
     for number, kind in enumerate(kinds):
         if len(kind.speed) != 2 or not 0.0 < kind.speed[0] <= kind.speed[1]:
-            yield finding(("servers", "kinds", number, "speed"), "a speed is a range above 0: [least, most]")
+            yield finding(
+                ("servers", "kinds", number, "speed"), "a speed is a range of positive numbers: [least, most]"
+            )
         if not kind.cold_share or not kind.slots:
-            yield finding(("servers", "kinds", number), "a server has a slot, and some speed when it starts")
-    for number, trouble in enumerate(day.troubles):
-        at: Path = ("troubles", number)
-        if trouble.kind not in FAULT_KINDS:
-            yield finding((*at, "kind"), f"{trouble.kind!r} is no trouble; known: {', '.join(sorted(FAULT_KINDS))}")
-        elif trouble.at_s > day.seconds:
-            yield finding((*at, "at_s"), f"it begins after the day of {day.seconds:g} s")
-        elif trouble.zone and trouble.zone not in day.zones.names:
-            yield finding((*at, "zone"), f"{trouble.zone!r} is no zone of this day")
+            yield finding(("servers", "kinds", number), "a server needs at least one slot and a cold_share above 0")
+    for number, event in enumerate(day.troubles):
+        location: Path = ("troubles", number)
+        if event.kind not in FAULT_KINDS:
+            yield finding(
+                (*location, "kind"),
+                f"{event.kind!r} is not a kind of fault; known kinds: {', '.join(sorted(FAULT_KINDS))}",
+            )
+        elif event.at_s > day.seconds:
+            yield finding(
+                (*location, "at_s"), f"the fault begins after the end of the day, which lasts {day.seconds:g} s"
+            )
+        elif event.zone and event.zone not in day.zones.names:
+            yield finding((*location, "zone"), f"{event.zone!r} is not a zone of this day")
 
 
 def read(data: bytes) -> Day:
-    """The day that a file holds. DayError where it holds none, with every reason."""
-    values, found = parse_toml(data)
+    """Parse a day file.
+
+    Raises:
+        DayError: The file is invalid; the message lists all errors.
+    """
+    values, findings = parse_toml(data)
     if values is None:
-        raise DayError("\n".join(f"line {f.at[0] if f.at else 1}: {f.reason}" for f in found))
+        raise DayError("\n".join(f"line {f.at[0] if f.at else 1}: {f.reason}" for f in findings))
     version = values.pop("version", VERSION)
     if version != VERSION:
         raise DayError(f"version: this program reads {VERSION}, not {version!r}")
-    clean, found = shape(values, table_keys(Day))
-    day = build(Day, clean) if not found else None
+    clean, findings = shape(values, table_keys(Day))
+    day = build(Day, clean) if not findings else None
     if day is not None:
-        found = list(check_relations(day))
-    if day is None or found:
+        findings = list(check_relations(day))
+    if day is None or findings:
         positions = Positions(data, "operator")
-        messages = [f"{f.key}: {f.reason}{f'; {f.instead}' if f.instead else ''}" for f in found]
+        messages = [f"{f.key}: {f.reason}{f'; {f.instead}' if f.instead else ''}" for f in findings]
         raise DayError(
-            "\n".join(f"line {positions.place(f)[0]}: {text}" for f, text in zip(found, messages, strict=True))
+            "\n".join(f"line {positions.place(f)[0]}: {text}" for f, text in zip(findings, messages, strict=True))
         )
     return day  # type: ignore[no-any-return]
 
 
 def write(day: Day) -> bytes:
-    """A file that :func:`read` makes the same day of."""
+    """Return the day as TOML; :func:`read` restores an equal day from it."""
     return tomli_w.dumps({"version": VERSION, **to_plain(day)}).encode()
 
 
 def to_plain(value: Any) -> Any:
+    """Convert dataclasses to dictionaries and tuples to lists, recursively."""
     if dataclasses.is_dataclass(value):
         return {f.name: to_plain(getattr(value, f.name)) for f in dataclasses.fields(value)}
     return [to_plain(v) for v in value] if isinstance(value, tuple) else value
--- a/zinclever/sim/days.py
+++ b/zinclever/sim/days.py
@@ -1,4 +1,4 @@
-"""The kinds of days, each drawn from a seed: what goes wrong, when, for how long and for whom."""
+"""The kinds of days: each is a generator that draws the injected faults of a day from a seed."""
 
 from __future__ import annotations
 
@@ -7,35 +7,35 @@
 
 from .model import PAGE_SERVERS, READER_REQUESTS, Day, FaultEvent
 
-DEFAULT_LOAD = 0.62  # of the fleet's capacity that is asked for where no rate is given
-CACHE_SAVING = 0.15  # of the work, that key caches spare on an ordinary day
+DEFAULT_LOAD = 0.62  # fraction of the fleet's capacity that is requested if no rate is given
+CACHE_SAVING = 0.15  # fraction of the work that the servers' key caches save on an ordinary day
 
 FaultGenerator = Callable[[Random, float], Sequence[FaultEvent]]
-"""From a generator and the length of the day in s: its troubles."""
+"""Takes a random generator and the length of the day in seconds; returns the faults to inject."""
 
 
 def uniform(rng: Random, least: float, most: float) -> float:
-    """Rounded, so that a day reads well as a file."""
+    """Return a uniform random number, rounded so that day files stay readable."""
     return round(rng.uniform(least, most), 2)
 
 
 def start_time(rng: Random, seconds: float) -> float:
-    """When a trouble begins: early enough for its end to be seen."""
+    """Draw the start of a fault in seconds, early enough for the recovery to fall within the day."""
     return uniform(rng, 0.15 * seconds, 0.3 * seconds)
 
 
 def calm(rng: Random, seconds: float) -> Sequence[FaultEvent]:
-    """Nothing goes wrong."""
+    """No faults."""
     return ()
 
 
 def silent(rng: Random, seconds: float) -> Sequence[FaultEvent]:
-    """Up to 17 % of the servers take requests and answer none for 7 to 23 s."""
+    """Up to 17 % of the servers accept requests but do not answer for 7 to 23 s."""
     return [FaultEvent("silent", start_time(rng, seconds), uniform(rng, 7.2, 23.0), uniform(rng, 0.1, 0.17))]
 
 
 def late(rng: Random, seconds: float) -> Sequence[FaultEvent]:
-    """Load reports come 0.5 to 5 s later than usual."""
+    """Load reports are delayed by an additional 0.5 to 5 s."""
     return [
         FaultEvent(
             "late_reports",
@@ -47,7 +47,7 @@
 
 
 def keys(rng: Random, seconds: float) -> Sequence[FaultEvent]:
-    """One to three keys draw 4 to 25 % of all traffic."""
+    """One to three keys receive 4 to 25 % of all traffic."""
     return [
         FaultEvent(
             "hot_keys",
@@ -73,12 +73,12 @@
 
 
 def single(rng: Random, seconds: float) -> Sequence[FaultEvent]:
-    """One sidecar at 100 times the others."""
+    """One sidecar carries 100 times the traffic of each of the others."""
     return [FaultEvent("hot_sidecars", start_time(rng, seconds), 0.5 * seconds, count=1, factor=100.0)]
 
 
 def shrink(rng: Random, seconds: float) -> Sequence[FaultEvent]:
-    """Traffic falls and the fleet shrinks to 36 to 59 % of its size within 11 to 24 s."""
+    """Traffic is halved and the fleet shrinks to 36 to 59 % of its size within 11 to 24 s."""
     return [
         FaultEvent(
             "shrink",
@@ -91,13 +91,13 @@
 
 
 def collapse(rng: Random, seconds: float) -> Sequence[FaultEvent]:
-    """The fleet shrinks to 36 % within 11 s and grows again, while the traffic stays."""
+    """The fleet shrinks to 36 % within 11 s and grows again, at constant traffic."""
     start = start_time(rng, seconds)
     return [FaultEvent("shrink", start, 11.0, 0.36), FaultEvent("grow", start + 18.0, 6.0, count=-1)]
 
 
 def release(rng: Random, seconds: float) -> Sequence[FaultEvent]:
-    """Friday evening: a popular series has a new chapter."""
+    """A popular release: more traffic, concentrated on a few hot keys."""
     start, duration = start_time(rng, seconds), uniform(rng, 10.0, 20.0)
     return [
         FaultEvent("spike", start, duration, factor=uniform(rng, 1.5, 2.2)),
@@ -106,17 +106,17 @@
 
 
 def update(rng: Random, seconds: float) -> Sequence[FaultEvent]:
-    """An app update restarts every sidecar within a second."""
+    """Every sidecar is restarted within a second."""
     return [FaultEvent("restart", start_time(rng, seconds), 1.0, 1.0)]
 
 
 def killed(rng: Random, seconds: float) -> Sequence[FaultEvent]:
-    """Every sidecar is killed without warning, within a second."""
+    """Every sidecar is killed with SIGKILL within a second."""
     return [FaultEvent("kill", start_time(rng, seconds), 1.0, 1.0)]
 
 
 def rolling(rng: Random, seconds: float) -> Sequence[FaultEvent]:
-    """Sidecars are restarted one after another, and some are told to read their file again."""
+    """A rolling restart of the sidecars, while others reload their configuration."""
     return [
         FaultEvent("restart", 0.1 * seconds, 0.6 * seconds, 0.6),
         FaultEvent("reload", 0.1 * seconds, 0.6 * seconds, 0.4),
@@ -124,25 +124,25 @@
 
 
 def datacentre(rng: Random, seconds: float) -> Sequence[FaultEvent]:
-    """A data centre is lost, and comes back cold."""
+    """A zone's servers vanish and come back cold."""
     return [
         FaultEvent("zone_lost", start_time(rng, seconds), uniform(rng, 10.0, 16.0), zone=rng.choice(("rvk", "kef")))
     ]
 
 
 def cut(rng: Random, seconds: float) -> Sequence[FaultEvent]:
-    """The path between the data centres is cut while the list is late."""
+    """The network between the zones is partitioned while discovery is overloaded."""
     start, duration = start_time(rng, seconds), uniform(rng, 6.0, 14.0)
     return [FaultEvent("partition", start, duration), FaultEvent("discovery_crowded", start, duration, factor=0.3)]
 
 
 def oneway(rng: Random, seconds: float) -> Sequence[FaultEvent]:
-    """Nothing gets out of one data centre, while all gets in."""
+    """One-way partition: traffic enters one zone, but none leaves it."""
     return [FaultEvent("one_way", start_time(rng, seconds), uniform(rng, 3.0, 8.0), zone=rng.choice(("rvk", "kef")))]
 
 
 def paused(rng: Random, seconds: float) -> Sequence[FaultEvent]:
-    """Some sidecars stand still for a while, and go on while servers are replaced."""
+    """Some sidecar processes are paused while servers are being replaced, then resumed."""
     start = start_time(rng, seconds)
     return [
         FaultEvent("pause", start, uniform(rng, 0.5, 6.0), uniform(rng, 0.2, 0.5)),
@@ -151,7 +151,7 @@
 
 
 def slow(rng: Random, seconds: float) -> Sequence[FaultEvent]:
-    """A few servers are a hundred times slower, not dead."""
+    """A few servers run at a hundredth of their speed."""
     return [
         FaultEvent(
             "slow",
@@ -164,7 +164,7 @@
 
 
 def flapping(rng: Random, seconds: float) -> Sequence[FaultEvent]:
-    """Discovery goes down and comes back again and again, while servers are replaced."""
+    """Discovery repeatedly fails and recovers while servers are being replaced."""
     start = start_time(rng, seconds)
     return [
         FaultEvent("flapping", start, 0.5 * seconds, factor=uniform(rng, 0.5, 2.0)),
@@ -173,17 +173,17 @@
 
 
 def loops(rng: Random, seconds: float) -> Sequence[FaultEvent]:
-    """One sidecar dies every three seconds."""
+    """One sidecar is in a crash loop: it dies every three seconds."""
     return [FaultEvent("restart_loop", start_time(rng, seconds), 0.6 * seconds, count=1, factor=3.0)]
 
 
 def power(rng: Random, seconds: float) -> Sequence[FaultEvent]:
-    """All machines are off for some seconds."""
+    """All machines lose power for 1 to 4 s."""
     return [FaultEvent("power", start_time(rng, seconds), uniform(rng, 1.0, 4.0))]
 
 
 def waves(rng: Random, seconds: float) -> Sequence[FaultEvent]:
-    """Servers are replaced by new ones, a few at a time."""
+    """All servers are replaced by new ones, a few at a time."""
     return [FaultEvent("waves", start_time(rng, seconds), 0.5 * seconds, 1.0, count=rng.randint(2, 4))]
 
 
@@ -193,7 +193,7 @@
 
 
 def directory(rng: Random, seconds: float) -> Sequence[FaultEvent]:
-    """Discovery is down for a while, then crowded, while some servers go."""
+    """Discovery is down for a while, then overloaded, while some servers vanish."""
     start, duration = start_time(rng, seconds), uniform(rng, 8.0, 14.0)
     return [
         FaultEvent("discovery_down", start, duration),
@@ -203,17 +203,17 @@
 
 
 def vanish(rng: Random, seconds: float) -> Sequence[FaultEvent]:
-    """Machines vanish without a word and come back cold."""
+    """Machines vanish without closing their connections, and come back cold."""
     return [FaultEvent("vanish", start_time(rng, seconds), uniform(rng, 6.0, 15.0), uniform(rng, 0.1, 0.25))]
 
 
 def faults(rng: Random, seconds: float) -> Sequence[FaultEvent]:
-    """Answers go wrong in every way that stand-ins know."""
+    """Servers fail requests in every way that :class:`~zinclever.standins.faults.Fault` lists."""
     return [FaultEvent("faults", start_time(rng, seconds), uniform(rng, 10.0, 25.0), uniform(rng, 0.05, 0.15))]
 
 
 def soak(rng: Random, seconds: float) -> Sequence[FaultEvent]:
-    """A long day on which servers are replaced and sidecars reload all the time."""
+    """Soak test: servers are replaced and sidecars reload and restart throughout the day."""
     events: list[FaultEvent] = []
     for start in range(5, max(6, round(seconds)), 60):
         events += [
@@ -225,14 +225,14 @@
 
 
 def mixed(rng: Random, seconds: float) -> Sequence[FaultEvent]:
-    """Two or three troubles at once."""
+    """Two or three of the other kinds at once."""
     kinds = [silent, late, keys, hot, shrink, release, rolling, cut, waves, vanish, faults, directory, killed]
     return [t for kind in rng.sample(kinds, rng.randint(2, 3)) for t in kind(rng, seconds)]
 
 
 KINDS: dict[str, FaultGenerator] = {
-    draw.__name__: draw
-    for draw in (
+    generator.__name__: generator
+    for generator in (
         calm,
         silent,
         late,
@@ -265,7 +265,7 @@
 
 
 def capacity(endpoints: int) -> float:
-    """Requests a second that so many warm page servers can do."""
+    """Return the requests per second that ``endpoints`` warm servers can process."""
     speed = sum(k.share * (k.speed[0] + k.speed[1]) / 2 for k in PAGE_SERVERS.kinds) / sum(
         k.share for k in PAGE_SERVERS.kinds
     )
@@ -274,7 +274,11 @@
 
 
 def draw(kind: str, seed: int, sidecars: int, endpoints: int, seconds: float, rate: float = 0.0) -> Day:
-    """A day of a kind. KeyError for a kind that there is not."""
+    """Generate a day of the given kind.
+
+    Raises:
+        KeyError: The kind does not exist.
+    """
     rng = Random(f"{kind}/{seed}")
     troubles = tuple(
         t if t.count >= 0 else FaultEvent(t.kind, t.at_s, t.for_s, count=round(0.64 * endpoints))
--- a/zinclever/sim/exploring.py
+++ b/zinclever/sim/exploring.py
@@ -1,7 +1,8 @@
-"""A small world in every order of its events: 2 sidecars, 2 servers, 3 requests, one fault at any step.
+"""Explores the orders of simultaneous events in a small fleet: 2 sidecars, 2 servers, 3 requests, one fault.
 
-As a model checker would, but by playing the program anew for each order: what a run did at each choice is kept, and the
-next run takes the last choice that has another way left. A bound keeps it finite; what was left is said.
+A stateless model checker: each order is a new run from the start. The choices of a run are recorded, and the next run
+repeats them up to the last choice that has an untried option (depth-first search). The number of runs is bounded; the
+result says whether the search was complete.
 """
 
 from __future__ import annotations
@@ -16,59 +17,60 @@
 from .model import ClientSettings, Day, ZoneSettings
 from .world import START, World
 
-MAX_DURATION = 9.0  # s from the requests on until all is over: the longest deadline and the clients' retries
-FAULT_INTERVAL = 3  # events between two instants at which the fault is tried
+MAX_DURATION = 9.0  # s of simulated time after the requests: covers the longest deadline and the clients' retries
+FAULT_INTERVAL = 3  # events between two injection points
 InjectFault = Callable[[World], object]
+"""Injects one fault into the running simulation."""
 
 
 def kill(world: World) -> None:
-    """A sidecar dies without warning."""
+    """Kill a sidecar without warning."""
     world.sidecars[0].kill()
 
 
 def terminate(world: World) -> None:
-    """A sidecar is asked to end."""
+    """Send SIGTERM to a sidecar."""
     world.sidecars[0].terminate()
 
 
-def end_at(world: World) -> None:
-    """A server dies: its connections are reset."""
+def end(world: World) -> None:
+    """End a server process, which resets its connections."""
     world.servers["s0"].end()
 
 
 def vanish(world: World) -> None:
-    """A server's machine says nothing more."""
+    """Take a server's machine off the network without closing its connections."""
     world.servers["s0"].machine.vanish()
 
 
 def drain(world: World) -> None:
-    """A server drains, and discovery tells it at its next step."""
+    """Drain a server; discovery publishes it in its next update."""
     world.listing.schedule_change(world.servers["s0"], "draining", 0.001)
 
 
 def cut(world: World) -> None:
-    """Nothing gets from one data centre to the other; the way back is open."""
+    """Drop all traffic from the first zone to the second; the opposite direction still works."""
     world.network.cut(*world.day.zones.names[:2])
 
 
-FAULTS: dict[str, InjectFault] = {f.__name__: f for f in (kill, terminate, end_at, vanish, drain, cut)}
+FAULTS: dict[str, InjectFault] = {f.__name__: f for f in (kill, terminate, end, vanish, drain, cut)}
 
 
 class ExplorationResult(NamedTuple):
-    """What came of it."""
+    """The outcome of :func:`explore`."""
 
     orders: int
-    """How many were played."""
+    """Number of event orders that were run."""
     ties: int
-    """Choices among events of one instant, in all of them."""
+    """Number of choices between simultaneous events, over all orders."""
     complete: bool
-    """Every order of every step was played; else a bound was reached."""
+    """True if every order of every step was run, False if a bound was reached."""
     breaches: list[str]
-    """Each with its fault, step and choices."""
+    """Each rule that was broken, with the fault, step and choices."""
 
 
 class Chooser:
-    """Takes the choices that it is told, then the first of each; keeps how many ways there were."""
+    """Resolves ties: takes the options in ``prefix``, then always the first; records the number of options."""
 
     def __init__(self, prefix: list[int]) -> None:
         self.prefix = prefix
@@ -80,7 +82,7 @@
         return self.prefix[index] if index < len(self.prefix) else 0
 
     def next_prefix(self) -> list[int] | None:
-        """The choices of the next order; None where this was the last."""
+        """Return the prefix of the next order in depth-first search, or None if this order was the last."""
         choices = [*self.prefix[: len(self.option_counts)], *[0] * (len(self.option_counts) - len(self.prefix))]
         for index in range(len(self.option_counts) - 1, -1, -1):
             if choices[index] + 1 < self.option_counts[index]:
@@ -89,13 +91,23 @@
 
 
 def small_day(seed: int) -> Day:
-    """Without jitter, so that much happens at one instant."""
+    """Return a day for the exploration, without jitter so that many events are simultaneous."""
     day = draw("calm", seed, 2, 2, 1.0, rate=1e-6)
     return replace(day, zones=replace(ZoneSettings(), jitter=0.0), applications=replace(ClientSettings(), busy=1.0))
 
 
 def play_order(day: Day, fault: InjectFault, step: int, chooser: Chooser) -> tuple[World, int]:
-    """One order: the world after it, and how many events it took."""
+    """Run one order of events.
+
+    Args:
+        day: The fleet to simulate; its own arrivals are replaced by one request of each class.
+        fault: Injects the fault.
+        step: Number of events after which the fault is injected.
+        chooser: Resolves ties between simultaneous events.
+
+    Returns:
+        The simulation after the run and its number of events.
+    """
     world = World(day)
     world.begin()
     scheduler = world.scheduler
@@ -107,14 +119,14 @@
     events_before, end_at = scheduler.ran, START + round(MAX_DURATION * NS)
     while (when := scheduler.next_at()) is not None and when <= end_at:
         if scheduler.ran - events_before == step:
-            fault(world)  # which may call off what was next
+            fault(world)  # may cancel the next event
             when = scheduler.next_at() or end_at
         scheduler.run_one(when)
     return world, scheduler.ran - events_before
 
 
 def enumerate_orders(day: Day, fault: InjectFault, step: int) -> Iterator[tuple[World, int, Chooser]]:
-    """All orders of one step, one after another."""
+    """Run all orders for one injection point, each when it is requested."""
     prefix: list[int] | None = []
     while prefix is not None:
         chooser = Chooser(prefix)
@@ -124,12 +136,12 @@
 
 
 def format_choices(chooser: Chooser) -> str:
-    """The choices that were not the first way, as place=way."""
+    """Return the choices other than the first option, as ``index=option``."""
     return " ".join(f"{index}={option}" for index, option in enumerate(chooser.prefix) if option) or "first order"
 
 
 def explore(names: list[str], seed: int, max_steps: int, max_orders: int) -> ExplorationResult:
-    """Each fault at each ``STEP``-th event, in up to ``most_orders`` orders each."""
+    """Inject each named fault at every ``FAULT_INTERVAL``-th event, in up to ``max_orders`` orders each."""
     order_count = ties = 0
     complete = True
     breaches: list[str] = []
@@ -145,7 +157,7 @@
                     complete = complete and chooser.next_prefix() is None
                     break
             if last_event <= step:
-                break  # the requests were over before: later faults change nothing
+                break  # all requests had ended before the fault: later injection points change nothing
         else:
             complete = False
     return ExplorationResult(order_count, ties, complete, breaches)
--- a/zinclever/sim/figures.py
+++ b/zinclever/sim/figures.py
@@ -1,4 +1,4 @@
-"""What came of a day: service as its clients saw it, and what servers and discovery were sent."""
+"""Metrics of a day: the service that clients received, and the traffic that servers and discovery received."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
     from .applications import ClientRequest
     from .scene import BaseWorld
 
-WORST_WINDOW_SECONDS = 10  # s: the worst stretch of a day is looked for in windows of so long
-BASELINE_SECONDS = 4  # s of a day, from the first that counts, before any trouble begins
-CAPACITY_THRESHOLD = 0.9  # of the capacity before: it has returned
-SERVICE_THRESHOLD = 0.95  # of the service before: it is back
-STABLE_SECONDS = 3  # s for which it has to be
-IGNORED_SECONDS = 1  # s of a day that don't count: nobody has learnt anything yet
+WORST_WINDOW_SECONDS = 10  # length of the window in which the worst service is searched
+BASELINE_SECONDS = 4  # seconds after the ignored ones that give the baseline; faults begin later
+CAPACITY_THRESHOLD = 0.9  # fraction of the baseline capacity from which on capacity counts as restored
+SERVICE_THRESHOLD = 0.95  # fraction of the baseline service from which on service counts as recovered
+STABLE_SECONDS = 3  # seconds for which service has to stay above that threshold
+IGNORED_SECONDS = 1  # seconds at the start of a day that are not counted: the sidecars have no measurements yet
 
 
 @dataclass(slots=True)
 class FleetCounters:
-    """By second of the world where a second matters."""
+    """Counts of events in the fleet; those with an ``int`` key are per second of simulated time."""
 
     world: BaseWorld
     handshakes: Counter[tuple[int, str]] = field(default_factory=Counter)
@@ -38,39 +38,47 @@
     crashes: list[str] = field(default_factory=list)
 
     def second(self) -> int:
+        """Return the current second of the simulation's clock."""
         return self.world.now() // NS
 
     def count_handshake(self, server: str) -> None:
+        """Count a connection attempt at a server."""
         self.handshakes[self.second(), server] += 1
 
     def count_request(self, server: str) -> None:
+        """Count a request that a server received."""
         self.sent[self.second(), server] += 1
 
     def count_discovery_call(self) -> None:
+        """Count a call that discovery received."""
         self.discovery_calls[self.second()] += 1
 
     def count_discovery_entries(self, count: int) -> None:
+        """Count the entries that discovery sent in an answer."""
         self.discovery_lines[self.second()] += count
 
 
 class ServiceMetrics:
-    """Service by second, and by class: worth asked for, and worth answered within its aim."""
+    """Service per second and request class: the worth of all requests, and of those answered within their aim.
+
+    The worth of a request is the worth of its class times its work.
+    """
 
     def __init__(self, world: BaseWorld) -> None:
         self.world = world
         self.requests_by_second: Counter[tuple[int, str]] = Counter()
         self.in_time_by_second: Counter[tuple[int, str]] = Counter()
-        """By second in which its first try began, and class; counted in requests."""
+        """Requests by class and by the second in which their first try was sent."""
         self.worth_by_second: dict[tuple[int, str], float] = {}
         self.in_time_worth_by_second: dict[tuple[int, str], float] = {}
         self.first_tries = self.served = 0
         self.capacity: Counter[int] = Counter()
-        """By second: work in ns that the servers could do which are there, cold ones at what they can."""
+        """Work in ns that the available servers can do in each second; cold servers count at their reduced speed."""
         self.work: Counter[tuple[int, str]] = Counter()
-        """By second and class: work in ns that was asked for."""
+        """Requested work in ns, by second and class."""
 
     def sample(self) -> None:
-        """Once a second of the day: what the servers can do."""
+        """Record the servers' present capacity; repeats itself every second of the day."""
         second = self.world.day_second(self.world.now())
         self.capacity[second] = round(
             sum(s.core.current_speed() for s in self.world.servers.values() if s.is_serving()) * NS
@@ -79,6 +87,7 @@
             self.world.scheduler.after(NS, self.sample)
 
     def on_request_started(self, request: ClientRequest) -> None:
+        """Count a new request."""
         key = self.world.day_second(request.started_at), request.kind.name
         self.first_tries += 1
         self.requests_by_second[key] += 1
@@ -86,6 +95,7 @@
         self.work[key] += round(request.work * NS)
 
     def on_request_finished(self, request: ClientRequest, served: bool) -> None:
+        """Count the end of a request, and whether it was answered within its aim."""
         self.served += served
         if served and self.world.now() - request.started_at <= request.kind.aim_ms * NS / 1000:
             key = self.world.day_second(request.started_at), request.kind.name
@@ -95,14 +105,23 @@
             )
 
     def in_time_share(self, first: int, last: int, name: str = "") -> float:
-        """Of the worth asked for in these seconds, what was answered in time."""
+        """Return the fraction of the requested worth that was answered in time.
+
+        Args:
+            first: First second of the day.
+            last: End of the range, exclusive.
+            name: The request class; all classes if empty.
+        """
         keys = [key for key in self.worth_by_second if first <= key[0] < last and name in ("", key[1])]
         total_worth = sum(self.worth_by_second[key] for key in keys)
         return sum(self.in_time_worth_by_second.get(key, 0.0) for key in keys) / total_worth if total_worth else 1.0
 
     def worth_upper_bound(self, first: int, last: int) -> float:
-        """The most of the worth that any balancer could have had answered: each second's capacity goes to what is worth
-        most for its work. An estimate: key caches spare what they do on an ordinary day, and nothing is put off."""
+        """Estimate the highest fraction of the requested worth that any balancer could serve in these seconds.
+
+        The capacity of each second goes to the classes with the highest worth per unit of work. The estimate assumes
+        the usual savings of the key caches and that no work is deferred to a later second.
+        """
         kinds = sorted(self.world.day.classes, key=lambda kind: -kind.worth)
         requested = achieved = 0.0
         for second in range(first, last):
@@ -116,10 +135,12 @@
         return achieved / requested if requested else 1.0
 
     def recovery_seconds(self, seconds: int) -> int:
-        """s from the return of capacity until service is back at 0.95 of what it was before.
+        """Return the seconds from the restoration of capacity until service is back at 0.95 of its baseline.
+
+        Capacity counts as restored after the last second in which it was below 0.9 of its baseline mean.
 
-        Capacity is back after the last second in which it was under 0.9 of its mean at first. 0 where it never went, -1
-        where service isn't back by the end of the day.
+        Returns:
+            0 if capacity never fell below that, -1 if service has not recovered by the end of the day.
         """
         before = [self.capacity[s] for s in range(IGNORED_SECONDS, IGNORED_SECONDS + BASELINE_SECONDS)]
         baseline = sum(before) / len(before)
@@ -133,7 +154,7 @@
         return -1
 
     def in_time_ratio(self, seconds: int) -> float:
-        """Of the requests, from the first second on, those answered in time."""
+        """Return the fraction of requests that were answered in time, after the ignored first seconds."""
         requested = sum(
             count for (second, _), count in self.requests_by_second.items() if IGNORED_SECONDS <= second < seconds
         )
@@ -143,12 +164,13 @@
         return in_time / requested if requested else 1.0
 
     def worst_window(self, seconds: int) -> float:
+        """Return the lowest in-time share of any window of ``WORST_WINDOW_SECONDS``."""
         last = max(IGNORED_SECONDS + 1, seconds - WORST_WINDOW_SECONDS + 1)
         return min(self.in_time_share(first, first + WORST_WINDOW_SECONDS) for first in range(IGNORED_SECONDS, last))
 
 
 def summary(world: BaseWorld, breaches: list[Any]) -> dict[str, Any]:
-    """One object for a day, ready to be printed as JSON."""
+    """Return the results of a day as an object that can be serialized to JSON."""
     day, counts, figures = world.day, world.counts, world.figures
     seconds = round(day.seconds)
     names = [kind.name for kind in day.classes]
--- a/zinclever/sim/hunting.py
+++ b/zinclever/sim/hunting.py
@@ -1,4 +1,4 @@
-"""Looks for days on which a rule is broken or service is low, and cuts such a day down to what matters."""
+"""Searches random days for broken rules or poor service, and minimizes a day that fails."""
 
 from __future__ import annotations
 
@@ -14,23 +14,25 @@
 from .world import World
 
 FailurePredicate = Callable[[Day], bool]
-MIN_SECONDS = 4.0  # of a day that is cut down
-DEFAULT_MAX_TRIALS = 300  # days that are played at most to cut one down
+"""Runs a day and returns whether it fails."""
+MIN_SECONDS = 4.0  # minimum length of a minimized day
+DEFAULT_MAX_TRIALS = 300  # maximum number of runs to minimize a day
 
 
 class DayResult(NamedTuple):
-    """A day that was played, and what came of it."""
+    """A day and the summary of its run."""
 
     day: Day
     figures: dict[str, Any]
 
 
 def play(day: Day) -> DayResult:
+    """Simulate a day."""
     return DayResult(day, World(day).play())
 
 
 def drawn(kinds: Sequence[str], first: int, sidecars: int, endpoints: int, seconds: float) -> Iterator[Day]:
-    """Days of each kind in turn, from a seed on."""
+    """Yield days endlessly: for each seed from ``first`` on, one of each kind."""
     for seed in itertools.count(first):
         for kind in kinds:
             yield draw(kind, seed, sidecars, endpoints, seconds)
@@ -43,8 +45,15 @@
     play: Callable[[Day], DayResult] = play,
     prepare: Callable[[], object] | None = None,
 ) -> Iterator[DayResult]:
-    """Play days for so many s of wall time, on so many cores; each as it is over, in their order. ``prepare`` is called
-    first in each of the processes that play."""
+    """Run days until the time budget is used up, and yield the results in the order of the days.
+
+    Args:
+        days: The days to run.
+        budget: Wall time in seconds after which no further day is started.
+        jobs: Number of worker processes; 1 runs the days in this process.
+        play: Runs one day.
+        prepare: Called once in each worker process before its first day.
+    """
     deadline, days = time.monotonic() + budget, iter(days)
     if jobs == 1:
         for day in days:
@@ -60,11 +69,11 @@
                 pending += [pool.submit(play, day) for day in itertools.islice(days, 1)]
 
 
-# --- cutting down ---
+# --- minimization ---
 
 
 def reductions(day: Day) -> Iterator[Day]:
-    """Days that have less of something, the boldest cuts first."""
+    """Yield smaller variants of a day: fewer faults, sidecars, endpoints or seconds, or a lower rate."""
     for number in range(len(day.troubles)):
         yield replace(day, troubles=day.troubles[:number] + day.troubles[number + 1 :])
     for sidecars in smaller_counts(day.sidecars):
@@ -80,25 +89,27 @@
 
 
 def smaller_counts(count: int) -> list[int]:
+    """Return the smaller counts to try in place of ``count``, in ascending order."""
     return sorted({c for c in (1, count // 4, count // 2, count - 1) if 0 < c < count})
 
 
 class DayMinimizer:
-    """Plays smaller days until none of them fails any more, or a bound is reached."""
+    """Reduces a failing day until no smaller variant fails or the maximum number of runs is reached."""
 
     def __init__(self, fails: FailurePredicate, max_trials: int = DEFAULT_MAX_TRIALS) -> None:
         self.fails, self.remaining_trials = fails, max_trials
 
     def still_fails(self, day: Day) -> bool:
+        """Run a variant of the day, which uses up one trial."""
         self.remaining_trials -= 1
         return self.fails(day)
 
     def minimize(self, day: Day) -> Day:
-        """The least day found that fails as this one does."""
+        """Return the smallest variant found that fails in the same way."""
         return self.minimize_requests(self.minimize_environment(day))
 
     def minimize_environment(self, day: Day) -> Day:
-        """With fewer troubles, machines, seconds and requests a second, but for those that are left out one by one."""
+        """Reduce faults, machines, seconds and the request rate; single requests are not removed."""
         while self.remaining_trials > 0:
             smaller = next((d for d in reductions(day) if self.remaining_trials > 0 and self.still_fails(d)), None)
             if smaller is None:
@@ -107,7 +118,7 @@
         return day
 
     def minimize_requests(self, day: Day) -> Day:
-        """Fewer first tries: halves, quarters and so on are left out as long as it still fails (delta debugging)."""
+        """Remove requests by delta debugging: leave out halves, quarters and so on as long as the day still fails."""
         kept = list(day.only) or list(range(1, 1 + count_requests(day)))
         parts = 2
         while len(kept) > 1 and self.remaining_trials > 0:
@@ -126,17 +137,17 @@
 
 
 def count_requests(day: Day) -> int:
-    """How many first tries are drawn on a day."""
+    """Return the number of requests on a day, without retries."""
     world = World(day)
     world.play()
     return world.request_count
 
 
 def size(day: Day) -> int:
-    """What a day consists of, once it is cut down: first tries and troubles."""
+    """Return the size of a minimized day: its number of requests and faults."""
     return len(day.only) + len(day.troubles)
 
 
 def breaches_rule(rule: str) -> FailurePredicate:
-    """Whether a day has a breach whose text begins so."""
+    """Return a predicate that is true for a day with a breach whose text starts with ``rule``."""
     return lambda day: any(b.startswith(rule) for b in World(day).play()["breaches"])
--- a/zinclever/sim/listing.py
+++ b/zinclever/sim/listing.py
@@ -1,4 +1,4 @@
-"""Discovery: one service for all sidecars. Learns late, tells changes in steps, works through calls in turn."""
+"""Service discovery for all sidecars: learns of changes late, publishes them in batches and answers calls in order."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 MS = NS // 1000
 Health = Literal["ready", "draining", "gone"]
 HEALTH_NAMES: dict[Health, str] = {"ready": "in_service", "draining": "terminating", "gone": "terminated"}
-MAX_WATCH_MS = 60_000.0  # ms that a watch waits, as the protocol has it
+MAX_WATCH_MS = 60_000.0  # longest wait of a watch call in the discovery protocol
 
 
 class DiscoveryServer:
-    """The list, its versions and who watches it."""
+    """The discovery service: the versioned server list and the calls that watch it."""
 
     def __init__(self, world: BaseWorld, machine: Machine) -> None:
         self.world, self.machine, self.settings = world, machine, world.day.listing
@@ -34,22 +34,23 @@
         self.loop = world.process(machine)
         self.version = 0
         self.entries: dict[str, tuple[int, Health, dict[str, Any]]] = {}
-        """By name: the version of the latest change, what it was, the line."""
+        """By server name: the version of the latest change, the health and the entry as sent."""
         self.pending: dict[str, tuple[Health, dict[str, Any]]] = {}
-        """What the next step will tell."""
+        """Changes that the next step publishes, by server name."""
         self.step_scheduled = False
         self.watching: dict[DiscoveryConnection, None] = {}
         self.busy_until = 0
-        """ns when it is through with the calls that have come."""
+        """Instant in ns at which all calls received so far have been processed."""
         self.down = False
 
     async def listen(self) -> None:
+        """Accept connections on the discovery port."""
         await self.loop.create_server(lambda: DiscoveryConnection(self), self.machine.address, PORT, backlog=4096)
 
-    # --- what it learns ---
+    # --- changes of the list ---
 
     def schedule_change(self, server: PageServer, health: Health, after: float) -> None:
-        """It knows of a change after so many s."""
+        """Let discovery learn of a server's new health after ``after`` seconds; at once if 0."""
         line = {
             "host": server.name,
             "dial": f"{server.machine.address}:8080",
@@ -66,6 +67,7 @@
             self.world.scheduler.after(round(after * NS), self.queue_change, server.name, health, line)
 
     def queue_change(self, name: str, health: Health, line: dict[str, Any]) -> None:
+        """Add a change to the next step; steps are at multiples of the publishing interval."""
         self.pending[name] = health, line
         if not self.step_scheduled:
             self.step_scheduled = True
@@ -73,7 +75,7 @@
             self.world.scheduler.at((self.world.now() // step_ns + 1) * step_ns, self.publish_step)
 
     def publish_step(self) -> None:
-        """All that has come since the last one makes a new version."""
+        """Publish the pending changes and answer all watching calls."""
         self.step_scheduled = False
         pending, self.pending = self.pending, {}
         for name, (health, line) in pending.items():
@@ -83,11 +85,12 @@
             connection.schedule_answer()
 
     def record_change(self, name: str, health: Health, line: dict[str, Any]) -> None:
+        """Store a change under the next version."""
         self.version += 1
         self.entries[name] = self.version, health, line
 
     def changes_since(self, since: int | None) -> dict[str, tuple[Health, dict[str, Any]]]:
-        """What has changed since a version, or all there is."""
+        """Return the changes after a version; for None, all servers that are not gone."""
         return {
             name: (health, line)
             for name, (version, health, line) in self.entries.items()
@@ -95,23 +98,24 @@
         }
 
     def ready_names(self) -> list[str]:
-        """The servers that are ready as far as it knows."""
+        """Return the names of the servers that discovery lists as ready."""
         return [name for name, (health, _) in self.changes_since(None).items() if health == "ready"]
 
     def snapshot(self) -> dict[str, Any]:
-        """As a sidecar that has just started may know it."""
+        """Return the full list, as a starting sidecar gets it in its configuration."""
         return {"seq": self.version, "whole": True, "hosts": [line for _, line in self.changes_since(None).values()]}
 
-    # --- its own troubles ---
+    # --- faults of discovery itself ---
 
     def go_down(self) -> None:
-        """Watches end, calls fail."""
+        """Stop the service: all connections are reset and new ones refused."""
         self.down = True
         self.watching.clear()
         self.loop.die()
         self.machine.listeners.clear()
 
     def come_back(self) -> None:
+        """Start the service again, with the list as it was."""
         self.down = False
         self.loop = self.world.process(self.machine)
         self.loop.create_task(self.listen())
@@ -119,7 +123,7 @@
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """A connection of a sidecar: one call at a time."""
+    """A sidecar's HTTP connection to discovery, with one call at a time."""
 
     transport: asyncio.Transport
 
@@ -140,6 +144,7 @@
         self.stop_watching()
 
     def stop_watching(self) -> None:
+        """End the watch, if the current call is one."""
         self.listing.watching.pop(self, None)
         if self.timer is not None:
             self.timer.cancel()
@@ -168,7 +173,7 @@
             self.schedule_answer()
 
     def schedule_answer(self) -> None:
-        """It is to be answered, in its turn."""
+        """Answer the current call after the calls before it; fail it if the queue is longer than the timeout."""
         self.stop_watching()
         listing, now = self.listing, self.world.now()
         settings = listing.settings
@@ -181,11 +186,13 @@
         listing.loop.call_later((listing.busy_until - now) / NS, self.send_answer)
 
     def send_failure(self) -> None:
+        """Answer 503: discovery is overloaded."""
         self.world.counts.discovery_failures += 1
         if not self.transport.is_closing():
             self.transport.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 
     def send_answer(self) -> None:
+        """Send the changes since the caller's version."""
         if self.transport.is_closing():
             return
         listing = self.listing
--- a/zinclever/sim/sidecars.py
+++ b/zinclever/sim/sidecars.py
@@ -1,4 +1,4 @@
-"""Sidecars: the unchanged program, each in a process of its own on a simulated machine."""
+"""Sidecars of the fleet: instances of the unmodified program, each in its own process on its own machine."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 PORT = 8080
 CONFIG = "/config.json"
-RESET_DELAY_MS = 1.0  # ms that a reset takes to the application beside
+RESET_DELAY_MS = 1.0  # time that a TCP reset takes to reach the local application
 
 
 class Sidecar:
-    """One name and address; processes come and go."""
+    """A sidecar with a fixed name and address; its process may end and be started again."""
 
     loop: object | None
-    """What is its process, as long as there is one."""
+    """The running process, or None."""
     crosses = RESET_DELAY_MS
 
     def __init__(self, world: BaseWorld, machine: Machine, number: int) -> None:
@@ -39,46 +39,55 @@
         self.killed_at = self.paused_at = self.resumed_at = -1.0
 
     def start(self) -> None:
-        """A new process, unless one is there: two troubles may befall one sidecar."""
+        """Start a process, unless one is running: two faults may affect the same sidecar."""
         raise NotImplementedError
 
     def kill(self) -> None:
-        """Without warning."""
+        """End the process at once, as SIGKILL does."""
         raise NotImplementedError
 
     def terminate(self) -> None:
-        """The platform asks it to end."""
+        """Ask the process to shut down, as SIGTERM does."""
         raise NotImplementedError
 
     def reload(self, **overrides: object) -> None:
-        """Its file is written anew, and it is told."""
+        """Rewrite the configuration file and signal the process to reload it.
+
+        Args:
+            overrides: Keys of the configuration to replace.
+        """
         raise NotImplementedError
 
     def pause(self) -> None:
-        """Nothing of it runs until :meth:`resume`; it won't know that time has passed."""
+        """Stop the process, as SIGSTOP does, until :meth:`resume`."""
         raise NotImplementedError
 
     def resume(self) -> None:
+        """Continue a paused process."""
         raise NotImplementedError
 
     def descriptors(self) -> int:
-        """The most that were ever open at once in one process."""
+        """Return the highest number of descriptors that were open at once in any process of this sidecar."""
         raise NotImplementedError
 
     def restart(self, old: object | None) -> None:
-        """A planned restart is over: what the old process still held is lost with it."""
+        """Finish a planned restart: kill ``old`` if it has not shut down by now, which counts as a crash."""
         if self.loop is not None and self.loop is old:
-            self.world.counts.crashes.append(f"{self.name}: still there when it was to be restarted")
+            self.world.counts.crashes.append(f"{self.name}: had not shut down when it was to be restarted")
             self.kill()
         self.start()
 
     def log_known_servers(self) -> None:
-        """What a new process remembers has been told, too: a server may have come back since the last heard of it."""
+        """Log the servers in a new process's configuration as announced to it.
+
+        For the auditor this ends an earlier drain of a server that has come back since.
+        """
         world = self.world
         if world.day.sidecar.known:
             world.log.told += [Told(world.now_ms(), name, "ready", self.name) for name in world.listing.ready_names()]
 
     def configuration(self, seed: int, **overrides: object) -> bytes:
+        """Return the sidecar's configuration file as JSON."""
         world = self.world
         known_servers = world.listing.snapshot() if world.day.sidecar.known else {"hosts": []}
         known_servers["hosts"] = [world.localize_entry(line, self.name) for line in known_servers["hosts"]]
@@ -94,21 +103,21 @@
         return orjson.dumps({**config, **overrides})
 
     def discovery(self) -> str:
-        """Where it finds discovery."""
+        """Return the address of discovery as host:port."""
         return f"{self.world.listing.machine.address}:8500"
 
     def killed_since(self, instant: float) -> bool:
-        """Whether its process was killed at or after an instant, in ms, or just before: the reset is then on its way,
-        and nobody has taken what crosses it."""
+        """Return whether the process was killed after an instant in ms, or so shortly before it that the reset had not
+        reached the application: a request sent meanwhile was never received."""
         return self.killed_at >= instant - self.crosses
 
     def paused_since(self, instant: float) -> bool:
-        """Whether it stood still at an instant, in ms, or later."""
+        """Return whether the process was paused at an instant in ms, or later."""
         return self.paused_at >= 0.0 and (self.resumed_at < self.paused_at or self.resumed_at >= instant)
 
 
 class SimulatedSidecar(Sidecar):
-    """A process in simulated time."""
+    """A sidecar whose process runs in simulated time."""
 
     def __init__(self, world: BaseWorld, machine: Machine, number: int) -> None:
         super().__init__(world, machine, number)
@@ -119,7 +128,7 @@
         self.peak_descriptors = 0
         self.callbacks = 0
         self.cpu_used_ns = 0
-        """ns of its core, of processes that have ended."""
+        """CPU time of the processes that have ended."""
 
     def start(self) -> None:
         if self.loop is not None:
@@ -138,18 +147,19 @@
         self.task.add_done_callback(lambda task: self.on_exit(loop, task))
 
     async def run(self, host: SimulatedHost) -> None:
-        """What ``python -m zinclever`` does."""
+        """Run the program as ``python -m zinclever`` does."""
         config, operator = read(host.environ, host.read_file)
         await serve(config, operator, host)
 
     def on_exit(self, loop: Loop, task: asyncio.Task[None]) -> None:
-        """The process has ended by itself: in order, or because it failed."""
+        """Handle the end of the process: a clean shutdown, or a crash, which is recorded."""
         if task.cancelled() or task.exception() is not None:
             reason = task.exception() if not task.cancelled() else "cancelled"
             self.world.counts.crashes.append(f"{self.name}: {reason}")
         self.record_exit(loop)
 
     def record_exit(self, loop: Loop) -> None:
+        """Add the counters of an ended process to the sidecar's and release its event loop."""
         self.peak_descriptors = max(self.peak_descriptors, loop.descriptors.most)
         self.callbacks += loop.callbacks
         self.cpu_used_ns += loop.used
@@ -160,7 +170,7 @@
     def descriptors(self) -> int:
         return max(self.peak_descriptors, self.loop.descriptors.most if self.loop is not None else 0)
 
-    # --- what is done to it ---
+    # --- faults and operations ---
 
     def kill(self) -> None:
         self.killed_at = self.world.now_ms()
