--- a/zinclever/sim/applications.py
+++ b/zinclever/sim/applications.py
@@ -192,6 +192,7 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Store the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def send(self, request: ClientRequest, name: str, is_resend: bool = False) -> None:
@@ -249,6 +250,7 @@
             self.application.on_failure(request)
 
     def data_received(self, data: bytes) -> None:
+        """Parse a part of an answer; data without a request in flight is an error."""
         if self.request is None:
             self.log_extra_answer()
             self.transport.abort()
@@ -259,6 +261,7 @@
             self.transport.abort()
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Evaluate ``Retry-After`` and ``Connection``."""
         lower_name = name.lower()
         if lower_name == b"retry-after":
             self.retry_after_ms = 1000.0 * float(value)
@@ -266,9 +269,11 @@
             self.server_closes = True
 
     def on_body(self, body: bytes) -> None:
+        """Collect a part of the body."""
         self.body += body
 
     def on_message_complete(self) -> None:
+        """Log the answer and pass its result to the application."""
         request, self.request = self.request, None
         if request is None:
             self.log_extra_answer()
@@ -297,6 +302,7 @@
             self.application.world.log.answered.append(Answered(self.application.world.now_ms(), self.name, "served"))
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Fail the request in flight, or send it again if the sidecar closed the idle connection before reading it."""
         application = self.application
         if self in application.idle:
             application.idle.remove(self)
--- a/zinclever/sim/exploring.py
+++ b/zinclever/sim/exploring.py
@@ -77,6 +77,7 @@
         self.option_counts: list[int] = []
 
     def __call__(self, count: int) -> int:
+        """Choose one of ``count`` simultaneous events."""
         index = len(self.option_counts)
         self.option_counts.append(count)
         return self.prefix[index] if index < len(self.prefix) else 0
--- a/zinclever/sim/listing.py
+++ b/zinclever/sim/listing.py
@@ -51,7 +51,7 @@
 
     def schedule_change(self, server: PageServer, health: Health, after: float) -> None:
         """Let discovery learn of a server's new health after ``after`` seconds; at once if 0."""
-        line = {
+        entry = {
             "host": server.name,
             "dial": f"{server.machine.address}:8080",
             "site": server.machine.zone,
@@ -62,13 +62,13 @@
             "born_ms": round(server.started_at_ms),
         }
         if after <= 0.0:
-            self.record_change(server.name, health, line)
+            self.record_change(server.name, health, entry)
         else:
-            self.world.scheduler.after(round(after * NS), self.queue_change, server.name, health, line)
+            self.world.scheduler.after(round(after * NS), self.queue_change, server.name, health, entry)
 
-    def queue_change(self, name: str, health: Health, line: dict[str, Any]) -> None:
+    def queue_change(self, name: str, health: Health, entry: dict[str, Any]) -> None:
         """Add a change to the next step; steps are at multiples of the publishing interval."""
-        self.pending[name] = health, line
+        self.pending[name] = health, entry
         if not self.step_scheduled:
             self.step_scheduled = True
             step_ns = round(self.settings.period_ms * MS)
@@ -78,22 +78,22 @@
         """Publish the pending changes and answer all watching calls."""
         self.step_scheduled = False
         pending, self.pending = self.pending, {}
-        for name, (health, line) in pending.items():
-            self.record_change(name, health, line)
+        for name, (health, entry) in pending.items():
+            self.record_change(name, health, entry)
         watching, self.watching = self.watching, {}
         for connection in watching:
             connection.schedule_answer()
 
-    def record_change(self, name: str, health: Health, line: dict[str, Any]) -> None:
+    def record_change(self, name: str, health: Health, entry: dict[str, Any]) -> None:
         """Store a change under the next version."""
         self.version += 1
-        self.entries[name] = self.version, health, line
+        self.entries[name] = self.version, health, entry
 
     def changes_since(self, since: int | None) -> dict[str, tuple[Health, dict[str, Any]]]:
         """Return the changes after a version; for None, all servers that are not gone."""
         return {
-            name: (health, line)
-            for name, (version, health, line) in self.entries.items()
+            name: (health, entry)
+            for name, (version, health, entry) in self.entries.items()
             if (version > since if since is not None else health != "gone")
         }
 
@@ -103,7 +103,7 @@
 
     def snapshot(self) -> dict[str, Any]:
         """Return the full list, as a starting sidecar gets it in its configuration."""
-        return {"seq": self.version, "whole": True, "hosts": [line for _, line in self.changes_since(None).values()]}
+        return {"seq": self.version, "whole": True, "hosts": [entry for _, entry in self.changes_since(None).values()]}
 
     # --- faults of discovery itself ---
 
@@ -136,10 +136,12 @@
         self.caller = ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Store the transport and look up the caller's name."""
         self.transport = cast(asyncio.Transport, transport)
         self.caller = self.world.machine_names.get(transport.get_extra_info("peername")[0], "")
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """End the watch of a closed connection."""
         self.parser = None
         self.stop_watching()
 
@@ -151,6 +153,7 @@
             self.timer = None
 
     def data_received(self, data: bytes) -> None:
+        """Parse a part of a call."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
@@ -158,9 +161,11 @@
             self.transport.abort()
 
     def on_url(self, url: bytes) -> None:
+        """Collect a part of the call's URL."""
         self.url += url
 
     def on_message_complete(self) -> None:
+        """Answer the call, or let it watch until the list changes or its wait time is over."""
         query = parse_qs(urlsplit(self.url.decode()).query)
         self.url = b""
         self.world.counts.count_discovery_call()
@@ -197,7 +202,7 @@
             return
         listing = self.listing
         new = listing.changes_since(self.since)
-        entries = [self.world.localize_entry(line, self.caller) for _, line in new.values()]
+        entries = [self.world.localize_entry(entry, self.caller) for _, entry in new.values()]
         body = orjson.dumps({"seq": listing.version, "whole": self.since is None, "hosts": entries})
         self.world.counts.count_discovery_entries(len(new))
         self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
--- a/zinclever/sim/pages.py
+++ b/zinclever/sim/pages.py
@@ -1,6 +1,6 @@
-"""Page servers: HTTP/1.1 on a simulated machine, with cores, slots, a queue, cold starts, caches, faults of all kinds.
+"""The upstream HTTP/1.1 servers: processor, concurrency limit, queue, cold start, key cache and injected faults.
 
-The vocabulary of faults is that of the stand-ins on real sockets: :class:`~zinclever.standins.faults.Fault`.
+The faults are those of the test servers on real sockets: :class:`~zinclever.standins.faults.Fault`.
 """
 
 from __future__ import annotations
@@ -26,17 +26,18 @@
 PORT = 8080
 MS = NS // 1000
 FaultPlan = Callable[[Random], Fault]
+"""Draws the fault of one request."""
 REASONS = {200: b"OK", 500: b"Internal Server Error", 503: b"Service Unavailable"}
 MALFORMED_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nxxxx"
 
 
 def no_fault(rng: Random) -> Fault:
-    """Nothing goes wrong of itself."""
+    """The default fault plan: no request fails."""
     return Fault.NONE
 
 
 class PageServer:
-    """One server, from its start to its end; a process that comes after it on the same machine is another one."""
+    """One server process; a process that is started later on the same machine is another instance."""
 
     def __init__(self, world: BaseWorld, machine: Machine, kind: ServerKind, cell: int, cold: bool) -> None:
         self.world, self.machine, self.kind, self.cell = world, machine, kind, cell
@@ -48,7 +49,7 @@
         warming = WarmUp(world.now(), kind.cold_share, round(kind.cold_s * NS)) if cold else None
         self.core = ProcessorCore(world.scheduler, speed, warming)
         self.recent_keys: OrderedDict[str, int] = OrderedDict()
-        """Those met lately, and until when they are remembered, in ns."""
+        """The key cache: recently requested keys and the instants in ns at which they expire."""
         self.connections: dict[ServerConnection, None] = {}
         self.busy_slots = 0
         self.queued: deque[Request] = deque()
@@ -56,32 +57,34 @@
         self.overloaded = self.silent = False
         self.plan: FaultPlan = no_fault
         self.recent_work: deque[tuple[int, float]] = deque()
-        """Instants, and work, of what a cold server has been sent within the window of the rule."""
+        """While cold: instant in ns and work of each request received within the window of the overload rule."""
         self.recent_work_total = 0.0
         self.reported_queue, self.next_report_at = 0, -1
         self.pending_reports: deque[tuple[int, int]] = deque()
-        """Load reports that are not out yet: from when on, in ns, and the queue."""
+        """Load reports that are not visible yet: the instant in ns from which they are sent, and the queue length."""
         self.reporting = 0
         if cold:
-            # The capacity is told to the auditor as work: s of it in a second.
+            # The auditor's capacity is in seconds of work per second, as the work of requests is in seconds.
             world.log.started.append(Started(world.now_ms(), self.name, speed))
 
     async def listen(self) -> None:
+        """Accept connections on the server's port."""
         server = await self.loop.create_server(lambda: ServerConnection(self), self.machine.address, PORT, backlog=1024)
         server.listener.admits = self.admits
 
     def admits(self) -> Literal["yes", "refused", "silent"]:
+        """Decide on a new connection; beyond the connection limit, SYN packets are dropped."""
         self.world.counts.count_handshake(self.name)
         return "yes" if len(self.connections) < self.world.day.servers.connections else "silent"
 
     def is_serving(self) -> bool:
-        """Whether what it can do is of use to new requests."""
+        """Return whether the server can answer new requests."""
         return self.health == "ready" and not self.loop.dead and self.machine.up and not self.silent
 
-    # --- its life ---
+    # --- end of the process ---
 
     def end(self) -> None:
-        """The process is no more: its connections are reset, new ones refused."""
+        """End the process: its connections are reset and new ones refused."""
         self.health = "gone"
         self.core.stop()
         self.queued.clear()
@@ -89,7 +92,7 @@
         self.machine.listeners.clear()
 
     def crash_from_overload(self) -> None:
-        """Pushed over while cold: it stays down."""
+        """Crash because of overload while cold; the server is not restarted."""
         self.overloaded = True
         self.world.counts.overloaded_servers.append(self.name)
         self.end()
@@ -97,7 +100,7 @@
     # --- requests ---
 
     def record_work(self, work: float) -> None:
-        """A cold server is sent work: more than a multiple of what it can do, for long enough, pushes it over."""
+        """Count work sent to a cold server; it crashes if it gets a multiple of its capacity over the rule's window."""
         warming = self.core.warming
         now = self.world.now()
         if warming is None or now >= warming.started_at + warming.duration:
@@ -112,11 +115,11 @@
             self.crash_from_overload()
 
     def receive(self, request: Request) -> None:
-        """A whole request has come."""
+        """Handle a complete request: choose its fault, log it, then start, queue or reject it."""
         world = self.world
         fault = Fault.NONE
         if self.plan is not no_fault:
-            # Of its own seed: what befalls a request stays when others are left out of the day.
+            # Each request has its own seed, so its fault stays the same if others are removed from the day.
             fault = self.plan(Random(f"{world.day.seed}/fault/{request.id}/{self.name}"))
         if self.silent and fault is Fault.NONE:
             fault = Fault.SILENCE
@@ -154,23 +157,24 @@
             self.queued.append(request)
 
     def dedup_group(self, request: Request) -> str:
-        """What the auditor compares of a keyed request's endpoints: the group that drops its repeats."""
+        """Return the group of servers that discards duplicates of the request; the auditor compares it."""
         return f"{self.machine.zone}/{self.cell}" if request.group == "cell" else self.machine.zone
 
     def start_request(self, request: Request) -> None:
-        """It gets a slot: it waits on others, then for the processor."""
+        """Give the request a slot; it first waits for the server's dependencies, then for the processor."""
         self.busy_slots += 1
         request.has_slot = True
         io_time = self.rng.expovariate(1.0) * request.io_time
         request.io_wait = self.world.scheduler.after(round(io_time * NS), self.start_processing, request)
 
     def start_processing(self, request: Request) -> None:
+        """Queue the request's work at the processor."""
         request.io_wait = None
         work = request.work * (1.0 - self.cache_saving(request.key))
         request.job = self.core.add(work, lambda: self.finish(request))
 
     def cache_saving(self, key: str) -> float:
-        """The share of the work that the cache spares."""
+        """Return the fraction of the work that the cache saves, and add the key to the cache."""
         if not key:
             return 0.0
         settings, now = self.world.day.servers, self.world.now()
@@ -181,6 +185,7 @@
         return settings.key_saving if is_cached else 0.0
 
     def finish(self, request: Request) -> None:
+        """Answer a processed request, or fail in the way of its fault."""
         self.release_slot(request)
         execution_id = request.execution_id.encode()
         connection = request.connection
@@ -197,14 +202,14 @@
             )
 
     def release_slot(self, request: Request) -> None:
-        """Its slot goes to the next that waits."""
+        """Free the request's slot and start queued requests."""
         request.has_slot = False
         self.busy_slots -= 1
         while self.queued and self.busy_slots < self.kind.slots:
             self.start_request(self.queued.popleft())
 
     def cancel(self, request: Request) -> None:
-        """Whoever asked has gone: work on it stops."""
+        """Stop work on a request whose client has disconnected."""
         if request.io_wait is not None:
             request.io_wait.call_off()
             request.io_wait = None
@@ -216,7 +221,7 @@
             self.queued.remove(request)
 
     def reported_load(self) -> int:
-        """The queue, as of some time ago."""
+        """Return the queue length in the current load report, which is updated periodically and sent with a delay."""
         settings, now = self.world.day.servers, self.world.now()
         delay = round((settings.report_delay_ms + self.world.report_delay_ms) * MS)
         if now >= self.next_report_at:
@@ -228,7 +233,7 @@
 
 
 class Request:
-    """One that is coming in, or has come, on a connection."""
+    """A request that is being received or processed on a connection."""
 
     __slots__ = (
         "connection",
@@ -257,7 +262,7 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """One request at a time, as sidecars send them."""
+    """A server-side connection with at most one request in flight; sidecars do not pipeline requests."""
 
     transport: asyncio.Transport
 
@@ -270,6 +275,7 @@
         self.idle_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Charge the handshake to the processor and compute the instant from which the connection can be used."""
         self.transport = cast(asyncio.Transport, transport)
         server = self.server
         server.connections[self] = None
@@ -277,11 +283,12 @@
         if settings.handshake_ms:
             server.core.add(settings.handshake_ms / 1000.0, on_handshake_done)
         network = server.machine.network
-        way = network.way(server.machine, network.machines[transport.get_extra_info("peername")[0]])
-        self.usable_from = server.world.now() + round(2 * settings.handshake_trips * way.latency * NS)
+        path = network.way(server.machine, network.machines[transport.get_extra_info("peername")[0]])
+        self.usable_from = server.world.now() + round(2 * settings.handshake_trips * path.latency * NS)
         self.start_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Cancel the request in flight."""
         self.server.connections.pop(self, None)
         self.parser = None
         if self.idle_timer is not None:
@@ -290,6 +297,7 @@
             self.server.cancel(self.request)
 
     def data_received(self, data: bytes) -> None:
+        """Parse a part of a request."""
         if self.incoming is None and self.request is None:
             self.incoming = Request(self, self.server.world.now_ms())
         try:
@@ -299,12 +307,14 @@
             self.transport.abort()
 
     def on_url(self, url: bytes) -> None:
+        """Look up the request's class by the first part of the path."""
         if self.incoming is not None:
             request_kind = self.server.world.classes.get(url.decode().lstrip("/").partition("/")[0])
             if request_kind is not None:
                 self.incoming.io_time, self.incoming.group = request_kind.io_ms / 1000.0, request_kind.group
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Read the request's identifier, work and key."""
         request, lower_name = self.incoming, name.lower()
         if request is None:
             return
@@ -316,6 +326,7 @@
             request.key = value.decode().removeprefix("key=")
 
     def on_message_complete(self) -> None:
+        """Pass the request to the server, once the handshake is over."""
         request, self.incoming = self.incoming, None
         if request is None:
             self.server.world.counts.malformed += 1
@@ -333,11 +344,12 @@
             self.server.receive(request)
 
     def receive(self, request: Request) -> None:
-        """The handshake is over. Who has gone meanwhile has sent nothing."""
+        """Pass on a request that had to wait for the handshake, unless the client has disconnected."""
         if self.request is request and not self.transport.is_closing():
             self.server.receive(request)
 
     def answer(self, request: Request, status: int, body: bytes, headers: bytes = b"", trailing: bytes = b"") -> None:
+        """Write a response with a load report; ``trailing`` is sent after its body, as a fault."""
         if self.request is not request or self.transport.is_closing():
             return
         self.request = None
@@ -348,13 +360,14 @@
         self.start_idle_timer()
 
     def start_idle_timer(self) -> None:
-        """Idle from now on."""
+        """Start the idle timeout."""
         self.idle_timer = self.server.loop.call_later(self.server.world.day.servers.idle_s, self.close_if_idle)
 
     def close_if_idle(self) -> None:
+        """Close the connection unless a request is in flight."""
         if self.request is None:
             self.transport.close()
 
 
 def on_handshake_done() -> None:
-    """A handshake is over."""
+    """Do nothing: the processing time of a handshake has no effect other than to occupy the processor."""
--- a/zinclever/sim/scene.py
+++ b/zinclever/sim/scene.py
@@ -1,6 +1,6 @@
-"""A day's scene: its machines and servers, its applications, its troubles, and the judgement of what happened.
+"""The environment of a day: machines, servers, clients, fault injection and the audit of the result.
 
-Whether processes and time are simulated or real is for those who build on it.
+Subclasses of :class:`BaseWorld` supply the clock, the network and the sidecar processes, simulated or real.
 """
 
 from __future__ import annotations
@@ -29,18 +29,18 @@
 from .troubles import FaultInjector, NetworkCut
 
 MS = NS // 1000
-START = 3 * NS  # ns at which the day begins: the sidecars are up by then
-CLIENT_RETRY_PERIOD = 3.0  # s after its day in which clients still try again
+START = 3 * NS  # beginning of the day on the simulation's clock; all sidecars have started by then
+CLIENT_RETRY_PERIOD = 3.0  # s after the end of the day during which clients still retry
 MAX_ATTEMPTS = 6
-ANSWER_SLACK_MS = 60.0  # ms that an answer, or a send, may be late: the rules' 50 and what a segment takes
-REDELIVERY_MS = (
-    4000.0  # ms after a cut of some seconds within which what it held has come: TCP's tries double from 0.2 s
-)
-BUSY_SIDECAR_INTERVAL = 20  # one in so many sidecars is a busy one
+ANSWER_SLACK_MS = 60.0  # tolerated lateness: 50 ms that the rules allow, plus the network latency
+# Time after a cut of a few seconds until TCP has retransmitted the data that it held back; the retransmission timeout
+# doubles from 0.2 s.
+REDELIVERY_MS = 4000.0
+BUSY_SIDECAR_INTERVAL = 20  # every twentieth sidecar is a busy one
 
 
 class AddressPlan(NamedTuple):
-    """The first addresses of each kind of machine."""
+    """The first address of each kind of machine, and the maximum number of servers."""
 
     sidecars: str
     servers: str
@@ -48,17 +48,22 @@
     max_servers: int
 
 
-NETS = AddressPlan("10.1.0.1", "10.2.0.1", "10.3.0.1", 60_000)
+SIMULATED_ADDRESSES = AddressPlan("10.1.0.1", "10.2.0.1", "10.3.0.1", 60_000)
 
 
 class BaseWorld:
-    """Everything of one day but the sidecars' processes, and what time is."""
+    """Base class of an environment in which a day is run.
 
-    def __init__(self, day: Day, clock: Clock, network: Network, nets: AddressPlan = NETS) -> None:
+    Subclasses supply the clock, the processes and the sidecars.
+    """
+
+    def __init__(
+        self, day: Day, clock: Clock, network: Network, address_plan: AddressPlan = SIMULATED_ADDRESSES
+    ) -> None:
         self.day = day
         self.scheduler = clock
         self.start = START
-        """ns at which the day begins."""
+        """Beginning of the day, in ns."""
         self.network = network
         self.trace: Trace = network.trace
         zones = day.zones
@@ -71,85 +76,94 @@
         self.selected_requests = frozenset(day.only)
         self.cuts: list[NetworkCut] = []
         self.request_count = 0
-        """First tries drawn so far."""
+        """Number of requests drawn so far, without retries."""
         self.classes = {kind.name: kind for kind in day.classes}
         self.cumulative_class_shares = list(itertools.accumulate(kind.share for kind in day.classes))
         self.machine_names: dict[str, str] = {}
-        """Of the machines, by address."""
+        """Machine names by address."""
         self.over = False
-        """No new requests."""
+        """The day is over: clients start no new requests."""
         self.closing = False
-        """No new tries of those that there are: what is still out gets its answer before the world ends."""
+        """Clients send no more retries; requests in flight still get their answers."""
         self.rate_factor = 1.0
-        """Of the rate of requests."""
+        """Factor on the day's request rate."""
         self.report_delay_ms = 0.0
         self.keys = KeyPopularity(day.applications.keys, day.applications.zipf, f"{day.seed}/keys")
-        self.listing = DiscoveryServer(self, self.network.machine("discovery", nets.discovery, zones.names[0]))
-        self.server_addresses = iter(addresses(nets.servers, nets.max_servers))
+        self.listing = DiscoveryServer(self, self.network.machine("discovery", address_plan.discovery, zones.names[0]))
+        self.server_addresses = iter(addresses(address_plan.servers, address_plan.max_servers))
         self.servers: dict[str, PageServer] = {}
-        """By name; those that are gone among them."""
+        """All servers by name, including those that are gone."""
         self.create_servers()
-        self.sidecars: Sequence[Sidecar] = list(self.create_sidecars(nets.sidecars))
+        self.sidecars: Sequence[Sidecar] = list(self.create_sidecars(address_plan.sidecars))
         self.applications = [Application(self, s, self.draw_weight(n)) for n, s in enumerate(self.sidecars)]
         self.total_weight = sum(a.weight for a in self.applications)
         self.troubles = FaultInjector(self)
 
-    # --- time and draws ---
+    # --- time and random draws ---
 
     def now(self) -> int:
-        """ns"""
+        """Return the current instant in ns."""
         return self.scheduler.now
 
     def now_ms(self) -> float:
+        """Return the current instant in ms."""
         return self.scheduler.now / MS
 
     def unix_ms(self) -> float:
+        """Return the current Unix time in ms."""
         return float((EPOCH + self.scheduler.now) // MS)
 
-    def day_second(self, at: int) -> int:
-        return (at - self.start) // NS
+    def day_second(self, instant: int) -> int:
+        """Return the second of the day for an instant in ns."""
+        return (instant - self.start) // NS
 
     def next_execution_number(self) -> int:
+        """Return a number that identifies one execution of a request."""
         return next(self.execution_numbers)
 
     def seed_from_text(self, text: str) -> int:
+        """Return a 64-bit seed, the same on every machine."""
         return seed_from_text(text)
 
     def next_request_number(self) -> int:
-        """The number of a first try: from 1, over all applications."""
+        """Return the number of a new request; numbers start at 1 and are unique over all applications."""
         self.request_count += 1
         return self.request_count
 
     def request_rate(self) -> float:
+        """Return the current rate of requests per second of all applications, without retries."""
         return self.day.rate * self.rate_factor
 
     def draw_class(self, rng: Random) -> RequestKind:
+        """Return a random request class according to the classes' shares."""
         cumulative_shares = self.cumulative_class_shares
         return self.day.classes[
             bisect(cumulative_shares, rng.random() * cumulative_shares[-1], 0, len(cumulative_shares) - 1)
         ]
 
-    # --- what it stands on ---
+    # --- supplied by subclasses ---
 
     def process(self, machine: Machine) -> Process:
-        """A process on a machine: a server, an application, discovery."""
+        """Create a process on a machine, for a server, an application or discovery."""
         raise NotImplementedError
 
     def new_sidecar(self, machine: Machine, number: int) -> Sidecar:
+        """Create a sidecar; it is not started."""
         raise NotImplementedError
 
-    def localize_entry(self, line: dict[str, Any], caller: str) -> dict[str, Any]:
-        """A line of the list as one caller gets it: an address may differ from one sidecar to the next."""
-        return line
+    def localize_entry(self, entry: dict[str, Any], caller: str) -> dict[str, Any]:
+        """Return a discovery entry as one sidecar gets it; subclasses may replace the address."""
+        return entry
 
-    # --- who is there ---
+    # --- servers and sidecars ---
 
     def zone_for(self, number: int) -> str:
+        """Return the zone of the n-th server; servers are distributed round-robin."""
         names = self.day.zones.names
         return names[number % len(names)]
 
     def new_server(self, zone: str, kind: ServerKind, cell: int, cold: bool) -> PageServer:
-        """A server on a machine of its own; who wants it heard of tells discovery."""
+        """Start a server on a new machine; the caller announces it to discovery."""
         machine = self.network.machine(f"s{len(self.servers)}", next(self.server_addresses), zone)
         self.machine_names[machine.address] = machine.name
         server = self.servers[machine.name] = PageServer(self, machine, kind, cell, cold)
@@ -157,6 +171,7 @@
         return server
 
     def create_servers(self) -> None:
+        """Start the initial servers, warm and known to discovery."""
         settings = self.day.servers
         zones = len(self.day.zones.names)
         for number in range(self.day.endpoints):
@@ -165,6 +180,7 @@
             self.listing.schedule_change(server, "ready", 0.0)
 
     def draw_kind(self) -> ServerKind:
+        """Return a random kind of server according to the kinds' shares."""
         kinds = self.day.servers.kinds
         cumulative_shares = list(itertools.accumulate(kind.share for kind in kinds))
         return kinds[
@@ -172,6 +188,7 @@
         ]
 
     def create_sidecars(self, first_address: str) -> Iterator[Sidecar]:
+        """Create the sidecars, each on its own machine in a random zone."""
         zones = self.day.zones
         for number, address in enumerate(addresses(first_address, self.day.sidecars)):
             in_first = self.rng.random() < zones.skew
@@ -182,16 +199,17 @@
             yield self.new_sidecar(machine, number)
 
     def draw_weight(self, number: int) -> float:
-        """How busy a sidecar's application is: most are quiet, some are not."""
+        """Return the relative load of a sidecar's application: one in twenty is busy."""
         return self.day.applications.busy if number % BUSY_SIDECAR_INTERVAL == 0 else 0.5 + self.rng.random()
 
     def ready_servers(self) -> list[PageServer]:
+        """Return the servers that are ready and whose machines are reachable."""
         return [s for s in self.servers.values() if s.health == "ready" and s.machine.up]
 
-    # --- what a sidecar is told ---
+    # --- configuration of the sidecars ---
 
     def settings(self, sidecar: Sidecar) -> dict[str, Any]:
-        """The settings object, under the platform's names."""
+        """Return the settings in a sidecar's configuration, under the platform's key names."""
         day = self.day
         kinds = day.servers.kinds
         return {
@@ -237,14 +255,14 @@
             "family-info": {"warm-keys": True},
         }
 
-    # --- what came of it ---
+    # --- audit ---
 
     def slack(self) -> float:
-        """ms that an answer, or a send, may be late."""
+        """Return the time in ms by which an answer or a send may be late."""
         return ANSWER_SLACK_MS
 
     def judge(self) -> list[Breach]:
-        """Every breach of the four rules, by the shared auditor; a server that fell is one of the fourth."""
+        """Audit the log and return all breaches of the rules; a server that crashed from overload breaches rule 4."""
         rules = self.day.rules
         terms = Terms(
             slack=self.slack(),
@@ -253,28 +271,32 @@
             overload_for=rules.fall_ms,
             cold_for=0.0,
         )
-        overloads = [Breach(4, name, "pushed over while cold") for name in self.counts.overloaded_servers]
+        overloads = [Breach(4, name, "overloaded while cold") for name in self.counts.overloaded_servers]
         return [*audit(self.log_adjusted_for_cuts(), terms), *overloads]
 
     def log_adjusted_for_cuts(self) -> Log:
-        """The log with what a cut has held back dated to when it may have been sent, which no peer has seen."""
+        """Return the log with earlier arrival times for requests that a network cut may have delayed.
+
+        A request that arrives during a cut, or within ``REDELIVERY_MS`` after it, may have been sent before the cut, so
+        it is dated to the cut's start.
+        """
         if not self.cuts:
             return self.log
         zones = {m.name: m.zone for m in self.network.machines.values()}
         adjusted = replace(self.log, received=[])
         for r in self.log.received:
             ends = {r.via, zones.get(r.via, ""), ""}, {r.endpoint, zones.get(r.endpoint, "")}
-            since = [
+            cut_starts = [
                 c.started_at
                 for c in self.cuts
                 if c.source in ends[0]
                 and c.target in ends[1]
                 and c.started_at <= r.first <= c.started_at + c.duration + REDELIVERY_MS
             ]
-            adjusted.received.append(r._replace(first=min([r.first, *since])))
+            adjusted.received.append(r._replace(first=min([r.first, *cut_starts])))
         return adjusted
 
 
 def seed_from_text(text: str) -> int:
-    """A seed of 64 bits, the same on every machine."""
+    """Return a 64-bit seed derived from a text, the same on every machine."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest())
--- a/zinclever/sim/sidecars.py
+++ b/zinclever/sim/sidecars.py
@@ -131,6 +131,7 @@
         """CPU time of the processes that have ended."""
 
     def start(self) -> None:
+        """Start a process with a new configuration file and seed."""
         if self.loop is not None:
             return
         world = self.world
@@ -168,30 +169,36 @@
             self.loop = self.task = None
 
     def descriptors(self) -> int:
+        """Return the highest number of descriptors that were open at once."""
         return max(self.peak_descriptors, self.loop.descriptors.most if self.loop is not None else 0)
 
     # --- faults and operations ---
 
     def kill(self) -> None:
+        """Kill the process."""
         self.killed_at = self.world.now_ms()
         if self.loop is not None:
             self.record_exit(self.loop)
 
     def terminate(self) -> None:
+        """Send SIGTERM."""
         if self.loop is not None:
             self.loop.signal(signal.SIGTERM)
 
     def reload(self, **overrides: object) -> None:
+        """Rewrite the configuration file and send SIGHUP."""
         if self.loop is not None:
             self.disk.files[CONFIG] = self.configuration(self.world.seed_from_text(f"{self.name}/reload"), **overrides)
             self.loop.signal(signal.SIGHUP)
 
     def pause(self) -> None:
+        """Freeze the process's event loop."""
         if self.loop is not None:
             self.paused_at = self.world.now_ms()
             self.loop.freeze()
 
     def resume(self) -> None:
+        """Thaw the process's event loop."""
         self.resumed_at = self.world.now_ms()
         if self.loop is not None:
             self.loop.thaw()
--- a/zinclever/sim/world.py
+++ b/zinclever/sim/world.py
@@ -1,4 +1,4 @@
-"""A day in simulated time: the unchanged program on a simulated clock and network."""
+"""Runs a day in simulated time: the unmodified program on a simulated clock and network."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from .scene import CLIENT_RETRY_PERIOD, START, BaseWorld, seed_from_text
 from .sidecars import SimulatedSidecar
 
-START_SPREAD = 1.5  # s within which the sidecars come up
+START_SPREAD = 1.5  # s within which all sidecars are started
 
 __all__ = ["START", "World"]
 
 
 class World(BaseWorld):
-    """Nothing outside of it is read, so that a seed says all."""
+    """A simulated environment. It reads no external state, so the same day and seed always give the same run."""
 
     scheduler: Scheduler
     sidecars: Sequence[SimulatedSidecar]
@@ -29,7 +29,14 @@
     def __init__(
         self, day: Day, trace: Trace | None = None, permute: int | None = None, choose: TieBreaker | None = None
     ) -> None:
-        """``permute``, ``choose``: the order of events of one instant."""
+        """Create the environment of a day.
+
+        Args:
+            day: The day to run.
+            trace: Receives a line for each network segment.
+            permute: Seed for a random order of simultaneous events.
+            choose: Decides the order of simultaneous events.
+        """
         scheduler = Scheduler(permute, choose)
         path = Path(day.zones.same_ms / 1000.0, day.zones.jitter)
         network = Network(
@@ -38,20 +45,22 @@
         super().__init__(day, scheduler, network)
 
     def process(self, machine: Machine) -> Loop:
+        """Create a simulated process."""
         return Loop(machine)
 
     def new_sidecar(self, machine: Machine, number: int) -> SimulatedSidecar:
+        """Create a sidecar in simulated time."""
         return SimulatedSidecar(self, machine, number)
 
     def begin(self) -> None:
-        """Discovery and the sidecars come up, before the day's :data:`START`."""
+        """Start discovery and schedule the start of the sidecars before :data:`START`."""
         self.listing.loop.create_task(self.listing.listen())
         rng = Random(f"{self.day.seed}/start")
         for sidecar in self.sidecars:
             self.scheduler.at(round(rng.random() * START_SPREAD * NS), sidecar.start)
 
     def play(self) -> dict[str, Any]:
-        """The whole day; its figures."""
+        """Run the whole day and return its summary."""
         self.begin()
         for application in self.applications:
             self.scheduler.at(START, application.go)
@@ -64,12 +73,12 @@
         self.scheduler.run(end + round(CLIENT_RETRY_PERIOD * NS))
         self.closing = True
         self.scheduler.run(end + round((CLIENT_RETRY_PERIOD + longest) * NS))
-        found = summary(self, self.judge())
+        result = summary(self, self.judge())
         self.end()
-        return found
+        return result
 
     def end(self) -> None:
-        """Every process ends, with whatever is still waited for in it."""
+        """Kill all processes, including their pending tasks."""
         loops = [s.loop for s in self.servers.values()] + [a.loop for a in self.applications]
         for loop in (self.listing.loop, *loops):
             loop.die()
