--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -1,4 +1,4 @@
-"""Days of a fleet in simulated time: the same seed gives the same day; what is broken is found and cut down."""
+"""Simulation of a fleet: runs are deterministic, no rule is broken, and injected defects are found and minimized."""
 
 from __future__ import annotations
 
@@ -29,50 +29,54 @@
 from zinclever.simnet.trace import Trace
 
 ROOT = Path(__file__).parent.parent
-SMALL = {"sidecars": 4, "endpoints": 4, "seconds": 20.0}
+SMALL_FLEET = {"sidecars": 4, "endpoints": 4, "seconds": 20.0}
 
 
-def small(kind: str, seed: int = 1) -> Day:
-    return draw(kind, seed, **SMALL)  # type: ignore[arg-type]
+def small_day(kind: str, seed: int = 1) -> Day:
+    return draw(kind, seed, **SMALL_FLEET)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_no_day_breaks_a_rule(kind: str) -> None:
-    """A day on which nothing happened would prove nothing."""
-    found = World(small(kind)).play()
-    assert found["breaches"] == [] and found["fallen"] == 0 and found["malformed"] == 0, found
-    least = 0.2 if kind == "power" else 0.4  # all machines are off for a part of that one, and cold for the rest
-    assert found["answers"]["served"] > 200 and found["served_in_time"] > least, found
+def test_no_rule_is_broken_on_any_kind_of_day(kind: str) -> None:
+    """The minimum numbers of answers guard against runs in which hardly anything happened."""
+    result = World(small_day(kind)).play()
+    assert result["breaches"] == [] and result["fallen"] == 0 and result["malformed"] == 0, result
+    min_share = 0.2 if kind == "power" else 0.4  # after the power failure all servers are cold
+    assert result["answers"]["served"] > 200 and result["served_in_time"] > min_share, result
 
 
 @pytest.mark.parametrize("kind", ["faults", "rolling", "killed", "mixed"])
-def test_another_order_within_an_instant_breaks_no_rule(kind: str) -> None:
-    calm = replace(small(kind), zones=replace(small(kind).zones, jitter=0.0))
+def test_no_rule_is_broken_under_other_orders_of_simultaneous_events(kind: str) -> None:
+    calm = replace(small_day(kind), zones=replace(small_day(kind).zones, jitter=0.0))
     for permute in range(3):
         assert World(calm, permute=permute).play()["breaches"] == []
 
 
-def test_a_day_is_the_same_whoever_plays_it() -> None:
-    """In another process, with another hash seed; from its file; on several cores at once."""
-    day = small("mixed", 4)
-    lines: list[str] = []
-    here = World(day, Trace(lines.append)).play()
+def test_run_is_deterministic_across_processes_hash_seeds_and_files() -> None:
+    """The trace is the same in another process, with another hash seed, from a day file and in worker processes."""
+    day = small_day("mixed", 4)
+    trace_lines: list[str] = []
+    expected = World(day, Trace(trace_lines.append)).play()
     command = [sys.executable, "-m", "zinclever", "sim", "day", "mixed", "--seed", "4", "--json"]
-    command += [f"--{name}={value:g}" for name, value in SMALL.items() if isinstance(value, float | int)]
+    command += [f"--{name}={value:g}" for name, value in SMALL_FLEET.items() if isinstance(value, float | int)]
     for seed in ("1", "2"):
         env = os.environ | {"PYTHONHASHSEED": seed, "ZINCLEVER_NATIVE": "text"}
-        told = subprocess.run(command, cwd=ROOT, env=env, capture_output=True, check=True, timeout=100).stdout
-        assert orjson.loads(told) == here
-    assert len(lines) == here["segments"] > 1000
-    assert World(dayfile.read(dayfile.write(day))).play()["trace"] == here["trace"]
-    others = hunting.hunt([day, small("mixed", 5), day], 1e9, jobs=2)
-    assert [found.figures["trace"] == here["trace"] for found in others] == [True, False, True]
+        output = subprocess.run(command, cwd=ROOT, env=env, capture_output=True, check=True, timeout=100).stdout
+        assert orjson.loads(output) == expected
+    assert len(trace_lines) == expected["segments"] > 1000
+    assert World(dayfile.read(dayfile.write(day))).play()["trace"] == expected["trace"]
+    results = hunting.hunt([day, small_day("mixed", 5), day], 1e9, jobs=2)
+    assert [result.figures["trace"] == expected["trace"] for result in results] == [True, False, True]
 
 
-def test_the_command_line() -> None:
-    def run(*words: str) -> subprocess.CompletedProcess[str]:
+def test_command_line() -> None:
+    def run(*arguments: str) -> subprocess.CompletedProcess[str]:
         return subprocess.run(
-            [sys.executable, "-m", "zinclever", "sim", *words], cwd=ROOT, capture_output=True, text=True, timeout=100
+            [sys.executable, "-m", "zinclever", "sim", *arguments],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            timeout=100,
         )
 
     assert [line.split()[0] for line in run("day", "--list").stdout.splitlines()] == list(KINDS)
@@ -80,110 +84,109 @@
     assert run("replay", "/no/such/day").returncode == 2
 
 
-# --- breaches put in on purpose ---
+# --- injected defects ---
 
 
-def heavy(day: Day) -> Day:
+def with_heavy_requests(day: Day) -> Day:
     classes = tuple(replace(k, work_ms=6.0 * k.work_ms) for k in day.classes)
     return replace(day, classes=classes, rate=day.rate / 6.0)
 
 
-def resent(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A tip goes again after an attempt that may have run."""
+def resends_after_failure(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Make the balancer resend a request after an attempt that may have been executed."""
     handle = Balancer.handle
 
-    def wrong(self: Balancer, now: float, event: interface.Event) -> list[interface.Action]:
+    def resend_after_error(self: Balancer, now: float, event: interface.Event) -> list[interface.Action]:
         actions = handle(self, now, event)
         if isinstance(event, interface.AttemptEnded) and event.outcome == "error" and not event.complete:
-            again = interface.Send(event.request, event.endpoint, now + 1000.0)
+            resend = interface.Send(event.request, event.endpoint, now + 1000.0)
             return [
-                again,
+                resend,
                 *[a for a in actions if not isinstance(a, interface.Fail | interface.Send | interface.Refuse)],
             ]
         return actions
 
-    monkeypatch.setattr(Balancer, "handle", wrong)
+    monkeypatch.setattr(Balancer, "handle", resend_after_error)
 
 
-def drained(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The module isn't told of drains."""
-    tell = dispatcher.Dispatcher.tell
+def ignores_drains(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Hide drains from the balancer: draining endpoints are listed as ready."""
+    apply_update = dispatcher.Dispatcher.tell
 
-    def wrong(self: dispatcher.Dispatcher, kind: interface.ListKind, entries: Any) -> None:
+    def hide_drains(self: dispatcher.Dispatcher, kind: interface.ListKind, entries: Any) -> None:
         kept = [(x._replace(phase="ready") if x.phase == "draining" else x, at) for x, at in entries]
-        tell(self, kind, kept)
+        apply_update(self, kind, kept)
 
-    monkeypatch.setattr(dispatcher.Dispatcher, "tell", wrong)
+    monkeypatch.setattr(dispatcher.Dispatcher, "tell", hide_drains)
 
 
-def lost(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Some refusals are never written."""
+def drops_refusals(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Never write some refusals, so that clients get no answer."""
     monkeypatch.setattr(dispatcher.Dispatcher, "fail", lambda self, action: None)
     monkeypatch.setattr(dispatcher.Dispatcher, "give_up", lambda self, request: None)
 
 
-def pushed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A new endpoint is taken for one that has been there for long."""
-    tell = dispatcher.Dispatcher.tell
+def treats_cold_as_warm(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Hide the start time of endpoints, so that cold ones get full load."""
+    apply_update = dispatcher.Dispatcher.tell
 
-    def wrong(self: dispatcher.Dispatcher, kind: interface.ListKind, entries: Any) -> None:
-        tell(self, kind, [(x._replace(started_at=0.0), at) for x, at in entries])
+    def hide_start_times(self: dispatcher.Dispatcher, kind: interface.ListKind, entries: Any) -> None:
+        apply_update(self, kind, [(x._replace(started_at=0.0), at) for x, at in entries])
 
-    monkeypatch.setattr(dispatcher.Dispatcher, "tell", wrong)
+    monkeypatch.setattr(dispatcher.Dispatcher, "tell", hide_start_times)
 
 
-def refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What failed is told as refused: a repeat is said to be harmless."""
+def reports_failures_as_refusals(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Answer failures as refusals, so that clients retry requests that may have been executed."""
     monkeypatch.setattr(dispatcher.Dispatcher, "fail", lambda self, action: self.finish(action.request, Refused()))
 
 
-BROKEN = [
-    (resent, "rule 2", "faults"),
-    (drained, "rule 3", "waves"),
-    (lost, "rule 1", "silent"),
-    (refused, "rule 2", "faults"),
-    (pushed, "rule 4", "herd"),
+DEFECTS = [
+    (resends_after_failure, "rule 2", "faults"),
+    (ignores_drains, "rule 3", "waves"),
+    (drops_refusals, "rule 1", "silent"),
+    (reports_failures_as_refusals, "rule 2", "faults"),
+    (treats_cold_as_warm, "rule 4", "herd"),
 ]
 
 
-@pytest.mark.parametrize(("breaks", "rule", "kind"), BROKEN, ids=[b[0].__name__ for b in BROKEN])
-def test_a_breach_is_found_and_cut_down(
-    monkeypatch: pytest.MonkeyPatch, breaks: Callable[[pytest.MonkeyPatch], None], rule: str, kind: str
+@pytest.mark.parametrize(("inject_defect", "rule", "kind"), DEFECTS, ids=[d[0].__name__ for d in DEFECTS])
+def test_hunt_finds_and_minimizes_a_breach(
+    monkeypatch: pytest.MonkeyPatch, inject_defect: Callable[[pytest.MonkeyPatch], None], rule: str, kind: str
 ) -> None:
-    breaks(monkeypatch)
-    # Requests are heavy, so that few of them push a server over.
-    days: Iterator[Day] = (heavy(day) for day in hunting.drawn([kind], 1, 4, 4, 20.0))
-    played = hunting.hunt(islice(days, 40), 1e9)
-    found = next(f for f in played if any(b.startswith(rule) for b in f.figures["breaches"]))
-    least = hunting.DayMinimizer(hunting.breaches_rule(rule), 120).minimize(found.day)
-    assert hunting.breaches_rule(rule)(least)
-    assert hunting.size(least) < 20 and least.sidecars <= 3, least
+    inject_defect(monkeypatch)
+    # With heavy requests, few of them suffice to overload a server.
+    days: Iterator[Day] = (with_heavy_requests(day) for day in hunting.drawn([kind], 1, 4, 4, 20.0))
+    results = hunting.hunt(islice(days, 40), 1e9)
+    result = next(f for f in results if any(b.startswith(rule) for b in f.figures["breaches"]))
+    smallest = hunting.DayMinimizer(hunting.breaches_rule(rule), 120).minimize(result.day)
+    assert hunting.breaches_rule(rule)(smallest)
+    assert hunting.size(smallest) < 20 and smallest.sidecars <= 3, smallest
 
 
-def test_a_small_world_in_many_orders() -> None:
-    """Each fault at each third event. Found so: a request that crosses the reset of a sidecar that was killed was taken
-    for one that had been lost."""
-    found = exploring.explore(list(exploring.FAULTS), 1, 40, 4)
-    assert found.breaches == [] and found.orders > 300 and found.ties > found.orders, found
+def test_exploration_of_event_orders_finds_no_breach() -> None:
+    """Guards against counting a request that crosses the reset of a killed sidecar as lost."""
+    result = exploring.explore(list(exploring.FAULTS), 1, 40, 4)
+    assert result.breaches == [] and result.orders > 300 and result.ties > result.orders, result
 
 
-def test_exploring_finds_what_is_broken(monkeypatch: pytest.MonkeyPatch) -> None:
-    lost(monkeypatch)
+def test_exploration_finds_an_injected_defect(monkeypatch: pytest.MonkeyPatch) -> None:
+    drops_refusals(monkeypatch)
     assert exploring.explore(["vanish", "end"], 1, 40, 1).breaches
 
 
-# --- days as files ---
+# --- day files ---
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.sampled_from(list(KINDS)), st.integers(0, 2**62), st.integers(1, 500), st.integers(1, 99))
-def test_a_day_comes_back_from_its_file(kind: str, seed: int, sidecars: int, endpoints: int) -> None:
+def test_day_file_round_trip(kind: str, seed: int, sidecars: int, endpoints: int) -> None:
     day = draw(kind, seed, sidecars, endpoints, 50.0)
     assert dayfile.read(dayfile.write(day)) == day
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "told"),
+    ("old", "new", "message"),
     [
         ('kind = "silent"\nat_s', 'kind = "silence"\nat_s', "'silence' is not a kind of fault"),
         ("endpoints = 4", "endpoint = 4", "did you mean endpoints"),
@@ -197,47 +200,46 @@
         ("speed = [\n    1.4,\n    1.8,\n]", "speed = [1.8, 1.4]", "[least, most]"),
     ],
 )
-def test_a_file_that_holds_no_day(old: str, new: str, told: str) -> None:
-    text = dayfile.write(small("silent")).decode()
+def test_invalid_day_file_is_rejected(old: str, new: str, message: str) -> None:
+    text = dayfile.write(small_day("silent")).decode()
     assert old in text
-    with pytest.raises(dayfile.DayError) as wrong:
+    with pytest.raises(dayfile.DayError) as error:
         dayfile.read(text.replace(old, new, 1).encode())
-    assert told in str(wrong.value) and ("line" in str(wrong.value) or "version" in told or "reads" in told)
+    assert message in str(error.value) and ("line" in str(error.value) or "version" in message or "reads" in message)
 
 
-def test_a_clock_set_back_changes_nothing() -> None:
-    """The program reads Unix time once."""
+def test_setting_the_clock_back_has_no_effect() -> None:
+    """The program reads the Unix time only once, at its start."""
 
-    def played(back: bool) -> str:
-        world = World(small("calm"))
+    def run_trace(set_clock_back: bool) -> str:
+        world = World(small_day("calm"))
 
         def set_back(sidecar: Sidecar) -> None:
             assert sidecar.host is not None
             sidecar.host.clock_offset_ns = -3600 * 10**9
 
-        if back:
+        if set_clock_back:
             for sidecar in world.sidecars:
                 world.scheduler.at(10 * 10**9, set_back, sidecar)
         return str(world.play()["trace"])
 
-    assert played(False) == played(True)
+    assert run_trace(False) == run_trace(True)
 
 
-def test_a_crowd_beyond_the_descriptors_is_refused_and_not_lost() -> None:
-    """Found by a day on which one sidecar carried most of the traffic: connections beyond the share were ended,
-    and with them the requests that were on their way."""
+def test_requests_beyond_the_descriptor_limit_are_refused() -> None:
+    """Guards against closing surplus client connections together with the requests in flight on them."""
     day = draw("single", 1, 40, 30, 20.0, 430.0)
-    found = World(replace(day, sidecar=replace(day.sidecar, sockets=128))).play()
-    assert found["breaches"] == [] and found["answers"]["refused"] > 100
-    assert found["descriptors_most"] <= 128
+    result = World(replace(day, sidecar=replace(day.sidecar, sockets=128))).play()
+    assert result["breaches"] == [] and result["answers"]["refused"] > 100
+    assert result["descriptors_most"] <= 128
 
 
 @pytest.mark.parametrize("seed", [2, 3, 6])
-def test_what_resumes_sends_nothing_that_was_given_up_and_serves_at_once(seed: int) -> None:
-    """Found on processes: it sent on what clients had given up, then refused for seconds what it could serve."""
-    played = World(draw("paused", seed, 8, 6, 14.0))
-    found = played.play()
-    assert found["breaches"] == [], found
-    paused = {s.name: s.resumed_at for s in played.sidecars if s.resumed_at >= 0.0}
-    after = [a for a in played.log.answered if a.at > paused.get(a.request.split(".")[0], math.inf) + 500.0]
-    assert sum(a.kind == "refused" for a in after) < 0.2 * len(after), found
+def test_resumed_sidecar_drops_expired_requests_and_serves_at_once(seed: int) -> None:
+    """Guards against a resumed sidecar that sends requests whose clients have given up, or refuses new ones for seconds."""
+    world = World(draw("paused", seed, 8, 6, 14.0))
+    result = world.play()
+    assert result["breaches"] == [], result
+    paused = {s.name: s.resumed_at for s in world.sidecars if s.resumed_at >= 0.0}
+    after = [a for a in world.log.answered if a.at > paused.get(a.request.split(".")[0], math.inf) + 500.0]
+    assert sum(a.kind == "refused" for a in after) < 0.2 * len(after), result
