--- a/tests/test_collapse.py
+++ b/tests/test_collapse.py
@@ -54,7 +54,7 @@
     ],
 )
 def test_service_recovers_from_a_collapse(kind: str, change: Change, min_share: float) -> None:
-    """``min_share`` is relative to the worth that any balancer could have served in time."""
+    """``min_share`` is relative to the highest value that any balancer could have served in time."""
     result = World(change(draw(kind, 2, **FLEET))).play()
     assert result["breaches"] == [] and result["fallen"] == 0, result
     assert result["worth_in_time"] > min_share * result["bound"], result
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -236,7 +236,7 @@
 
 @pytest.mark.parametrize("seed", [2, 3, 6])
 def test_resumed_sidecar_drops_expired_requests_and_serves_at_once(seed: int) -> None:
-    """Guards against a resumed sidecar that sends requests whose clients have given up, or refuses new ones for seconds."""
+    """Guards against a resumed sidecar that sends expired requests, or refuses new ones for seconds."""
     world = World(draw("paused", seed, 8, 6, 14.0))
     result = world.play()
     assert result["breaches"] == [], result
--- a/zinclever/sim/cli.py
+++ b/zinclever/sim/cli.py
@@ -73,7 +73,7 @@
     type=click.FloatRange(0.0, min_open=True),
     help="Requests per second of all clients, without retries. [default: 62 % of the endpoints' capacity]",
 )
-@click.option("--json", "as_json", is_flag=True, help="One JSON object.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def day(kind: str, seed: int, sidecars: int, endpoints: int, seconds: float, rate: float | None, as_json: bool) -> None:
     """Simulate one day; exit with code 1 if a rule was broken."""
     show(play(draw(kind, seed, sidecars, endpoints, seconds, rate or 0.0)), as_json)
@@ -102,7 +102,7 @@
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--trace", type=click.File("w"), help="Write a line for each network segment.")
 @click.option("--permute", type=int, help="Seed for the order of simultaneous events.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def replay(file: Path, trace: TextIO | None, permute: int | None, as_json: bool) -> None:
     """Simulate the day of a file; the same file always gives the same trace."""
     write = (lambda line: trace.write(line + "\n")) if trace is not None else None
@@ -171,7 +171,7 @@
     type=click.IntRange(1),
     default=hunting.DEFAULT_MAX_TRIALS,
     show_default=True,
-    help="Days played at most.",
+    help="Maximum number of days to run.",
 )
 def shrink(file: Path, tries: int) -> None:
     """Minimize a day that breaks a rule to few sidecars, requests and faults; print it as a file."""
@@ -198,7 +198,7 @@
     result = exploring.explore(list(faults or exploring.FAULTS), seed, steps, orders)
     for breach in result.breaches:
         click.echo(breach)
-    coverage = "all there are" if result.complete else "a bound was reached"
+    coverage = "all orders" if result.complete else "limit reached"
     click.echo(f"{result.orders} orders ({coverage}), {result.ties} choices, {len(result.breaches)} breaches")
     if result.breaches:
         raise SystemExit(EXIT_BREACH)
--- a/zinclever/sim/dayfile.py
+++ b/zinclever/sim/dayfile.py
@@ -22,14 +22,7 @@
 
 VERSION = 1
 MAX_VALUE = 1e9
-FRACTION_SUFFIXES = (
-    "share",
-    "skew",
-    "jitter",
-    "honour",
-    "saving",
-    "rate",
-)
+FRACTION_SUFFIXES = ("share", "skew", "jitter", "honour", "saving", "rate")
 """Last words of the names of fields whose values lie between 0 and 1."""
 NOT_FRACTIONS = ("rate",)
 """Fields of ``Day`` that are exempt from that rule: its rate is in requests per second."""
--- a/zinclever/sim/days.py
+++ b/zinclever/sim/days.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 from random import Random
 
-from .model import PAGE_SERVERS, READER_REQUESTS, Day, FaultEvent
+from .model import READER_REQUESTS, UPSTREAM_SERVERS, Day, FaultEvent
 
 DEFAULT_LOAD = 0.62  # fraction of the fleet's capacity that is requested if no rate is given
 CACHE_SAVING = 0.15  # fraction of the work that the servers' key caches save on an ordinary day
@@ -14,9 +14,9 @@
 """Takes a random generator and the length of the day in seconds; returns the faults to inject."""
 
 
-def uniform(rng: Random, least: float, most: float) -> float:
+def uniform(rng: Random, low: float, high: float) -> float:
     """Return a uniform random number, rounded so that day files stay readable."""
-    return round(rng.uniform(least, most), 2)
+    return round(rng.uniform(low, high), 2)
 
 
 def start_time(rng: Random, seconds: float) -> float:
@@ -38,10 +38,7 @@
     """Load reports are delayed by an additional 0.5 to 5 s."""
     return [
         FaultEvent(
-            "late_reports",
-            start_time(rng, seconds),
-            uniform(rng, 11.0, 26.0),
-            factor=uniform(rng, 540.0, 5000.0),
+            "late_reports", start_time(rng, seconds), uniform(rng, 11.0, 26.0), factor=uniform(rng, 540.0, 5000.0)
         )
     ]
 
@@ -80,13 +77,7 @@
 def shrink(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """Traffic is halved and the fleet shrinks to 36 to 59 % of its size within 11 to 24 s."""
     return [
-        FaultEvent(
-            "shrink",
-            start_time(rng, seconds),
-            uniform(rng, 11.0, 24.0),
-            uniform(rng, 0.36, 0.59),
-            factor=0.5,
-        )
+        FaultEvent("shrink", start_time(rng, seconds), uniform(rng, 11.0, 24.0), uniform(rng, 0.36, 0.59), factor=0.5)
     ]
 
 
@@ -152,15 +143,7 @@
 
 def slow(rng: Random, seconds: float) -> Sequence[FaultEvent]:
     """A few servers run at a hundredth of their speed."""
-    return [
-        FaultEvent(
-            "slow",
-            start_time(rng, seconds),
-            uniform(rng, 5.0, 10.0),
-            uniform(rng, 0.1, 0.2),
-            factor=100.0,
-        )
-    ]
+    return [FaultEvent("slow", start_time(rng, seconds), uniform(rng, 5.0, 10.0), uniform(rng, 0.1, 0.2), factor=100.0)]
 
 
 def flapping(rng: Random, seconds: float) -> Sequence[FaultEvent]:
@@ -266,8 +249,8 @@
 
 def capacity(endpoints: int) -> float:
     """Return the requests per second that ``endpoints`` warm servers can process."""
-    speed = sum(k.share * (k.speed[0] + k.speed[1]) / 2 for k in PAGE_SERVERS.kinds) / sum(
-        k.share for k in PAGE_SERVERS.kinds
+    speed = sum(k.share * (k.speed[0] + k.speed[1]) / 2 for k in UPSTREAM_SERVERS.kinds) / sum(
+        k.share for k in UPSTREAM_SERVERS.kinds
     )
     work = sum(k.share * k.work_ms for k in READER_REQUESTS) / sum(k.share for k in READER_REQUESTS) / 1000.0
     return endpoints * speed / (work * (1.0 - CACHE_SAVING))
@@ -292,6 +275,6 @@
         endpoints,
         rate or round(DEFAULT_LOAD * capacity(endpoints), 1),
         READER_REQUESTS,
-        PAGE_SERVERS,
+        UPSTREAM_SERVERS,
         troubles=troubles,
     )
--- a/zinclever/sim/exploring.py
+++ b/zinclever/sim/exploring.py
@@ -49,7 +49,7 @@
 
 
 def cut(world: World) -> None:
-    """Drop all traffic from the first zone to the second; the opposite direction still works."""
+    """Cut the network from the first zone to the second; the opposite direction still works."""
     world.network.cut(*world.day.zones.names[:2])
 
 
@@ -69,7 +69,7 @@
     """Each rule that was broken, with the fault, step and choices."""
 
 
-class Chooser:
+class ReplayTieBreaker:
     """Resolves ties: takes the options in ``prefix``, then always the first; records the number of options."""
 
     def __init__(self, prefix: list[int]) -> None:
@@ -97,14 +97,14 @@
     return replace(day, zones=replace(ZoneSettings(), jitter=0.0), applications=replace(ClientSettings(), busy=1.0))
 
 
-def play_order(day: Day, fault: InjectFault, step: int, chooser: Chooser) -> tuple[World, int]:
+def play_order(day: Day, fault: InjectFault, step: int, tie_breaker: ReplayTieBreaker) -> tuple[World, int]:
     """Run one order of events.
 
     Args:
         day: The fleet to simulate; its own arrivals are replaced by one request of each class.
         fault: Injects the fault.
         step: Number of events after which the fault is injected.
-        chooser: Resolves ties between simultaneous events.
+        tie_breaker: Resolves ties between simultaneous events.
 
     Returns:
         The simulation after the run and its number of events.
@@ -113,7 +113,7 @@
     world.begin()
     scheduler = world.scheduler
     scheduler.run(START)
-    scheduler.choose = chooser
+    scheduler.choose = tie_breaker
     for number, kind in enumerate(day.classes[:3], 1):
         request = ClientRequest(number, kind, "k", f"{number:032x}", kind.work_ms / 1000.0, world.now())
         scheduler.at(START, world.applications[number % 2].send_try, request)
@@ -126,19 +126,19 @@
     return world, scheduler.ran - events_before
 
 
-def enumerate_orders(day: Day, fault: InjectFault, step: int) -> Iterator[tuple[World, int, Chooser]]:
+def enumerate_orders(day: Day, fault: InjectFault, step: int) -> Iterator[tuple[World, int, ReplayTieBreaker]]:
     """Run all orders for one injection point, each when it is requested."""
     prefix: list[int] | None = []
     while prefix is not None:
-        chooser = Chooser(prefix)
-        world, events = play_order(day, fault, step, chooser)
-        yield world, events, chooser
-        prefix = chooser.next_prefix()
+        tie_breaker = ReplayTieBreaker(prefix)
+        world, events = play_order(day, fault, step, tie_breaker)
+        yield world, events, tie_breaker
+        prefix = tie_breaker.next_prefix()
 
 
-def format_choices(chooser: Chooser) -> str:
+def format_choices(tie_breaker: ReplayTieBreaker) -> str:
     """Return the choices other than the first option, as ``index=option``."""
-    return " ".join(f"{index}={option}" for index, option in enumerate(chooser.prefix) if option) or "first order"
+    return " ".join(f"{index}={option}" for index, option in enumerate(tie_breaker.prefix) if option) or "first order"
 
 
 def explore(names: list[str], seed: int, max_steps: int, max_orders: int) -> ExplorationResult:
@@ -149,13 +149,15 @@
     day, last_event = small_day(seed), 0
     for name in names:
         for step in range(0, max_steps * FAULT_INTERVAL, FAULT_INTERVAL):
-            for number, (world, events, chooser) in enumerate(enumerate_orders(day, FAULTS[name], step), 1):
-                order_count, ties = order_count + 1, ties + len(chooser.option_counts)
-                breaches += [f"{name} at {step}, {format_choices(chooser)}: {b.about}: {b.what}" for b in world.judge()]
+            for number, (world, events, tie_breaker) in enumerate(enumerate_orders(day, FAULTS[name], step), 1):
+                order_count, ties = order_count + 1, ties + len(tie_breaker.option_counts)
+                breaches += [
+                    f"{name} at {step}, {format_choices(tie_breaker)}: {b.about}: {b.what}" for b in world.judge()
+                ]
                 world.end()
                 last_event = events
                 if number == max_orders:
-                    complete = complete and chooser.next_prefix() is None
+                    complete = complete and tie_breaker.next_prefix() is None
                     break
             if last_event <= step:
                 break  # all requests had ended before the fault: later injection points change nothing
--- a/zinclever/sim/figures.py
+++ b/zinclever/sim/figures.py
@@ -59,9 +59,9 @@
 
 
 class ServiceMetrics:
-    """Service per second and request class: the worth of all requests, and of those answered within their aim.
+    """Service per second and request class: the value of all requests, and of those answered in time.
 
-    The worth of a request is the worth of its class times its work.
+    The value of a request is its class's ``worth`` times its work; an answer is in time within the class's ``aim_ms``.
     """
 
     def __init__(self, world: BaseWorld) -> None:
@@ -69,8 +69,8 @@
         self.requests_by_second: Counter[tuple[int, str]] = Counter()
         self.in_time_by_second: Counter[tuple[int, str]] = Counter()
         """Requests by class and by the second in which their first try was sent."""
-        self.worth_by_second: dict[tuple[int, str], float] = {}
-        self.in_time_worth_by_second: dict[tuple[int, str], float] = {}
+        self.value_by_second: dict[tuple[int, str], float] = {}
+        self.in_time_value_by_second: dict[tuple[int, str], float] = {}
         self.first_tries = self.served = 0
         self.capacity: Counter[int] = Counter()
         """Work in ns that the available servers can do in each second; cold servers count at their reduced speed."""
@@ -91,35 +91,35 @@
         key = self.world.day_second(request.started_at), request.kind.name
         self.first_tries += 1
         self.requests_by_second[key] += 1
-        self.worth_by_second[key] = self.worth_by_second.get(key, 0.0) + request.kind.worth * request.work
+        self.value_by_second[key] = self.value_by_second.get(key, 0.0) + request.kind.worth * request.work
         self.work[key] += round(request.work * NS)
 
     def on_request_finished(self, request: ClientRequest, served: bool) -> None:
-        """Count the end of a request, and whether it was answered within its aim."""
+        """Count the end of a request, and whether it was answered in time."""
         self.served += served
         if served and self.world.now() - request.started_at <= request.kind.aim_ms * NS / 1000:
             key = self.world.day_second(request.started_at), request.kind.name
             self.in_time_by_second[key] += 1
-            self.in_time_worth_by_second[key] = (
-                self.in_time_worth_by_second.get(key, 0.0) + request.kind.worth * request.work
+            self.in_time_value_by_second[key] = (
+                self.in_time_value_by_second.get(key, 0.0) + request.kind.worth * request.work
             )
 
     def in_time_share(self, first: int, last: int, name: str = "") -> float:
-        """Return the fraction of the requested worth that was answered in time.
+        """Return the fraction of the requested value that was answered in time.
 
         Args:
             first: First second of the day.
             last: End of the range, exclusive.
             name: The request class; all classes if empty.
         """
-        keys = [key for key in self.worth_by_second if first <= key[0] < last and name in ("", key[1])]
-        total_worth = sum(self.worth_by_second[key] for key in keys)
-        return sum(self.in_time_worth_by_second.get(key, 0.0) for key in keys) / total_worth if total_worth else 1.0
+        keys = [key for key in self.value_by_second if first <= key[0] < last and name in ("", key[1])]
+        total_value = sum(self.value_by_second[key] for key in keys)
+        return sum(self.in_time_value_by_second.get(key, 0.0) for key in keys) / total_value if total_value else 1.0
 
-    def worth_upper_bound(self, first: int, last: int) -> float:
-        """Estimate the highest fraction of the requested worth that any balancer could serve in these seconds.
+    def value_upper_bound(self, first: int, last: int) -> float:
+        """Estimate the highest fraction of the requested value that any balancer could serve in these seconds.
 
-        The capacity of each second goes to the classes with the highest worth per unit of work. The estimate assumes
+        The capacity of each second goes to the classes with the highest value per unit of work. The estimate assumes
         the usual savings of the key caches and that no work is deferred to a later second.
         """
         kinds = sorted(self.world.day.classes, key=lambda kind: -kind.worth)
@@ -177,9 +177,9 @@
     by_server = Counter[str]()
     for (_, server), count in counts.handshakes.items():
         by_server[server] += count
-    worth = figures.in_time_share(IGNORED_SECONDS, seconds)
+    value_share = figures.in_time_share(IGNORED_SECONDS, seconds)
     by_class = {name: round(figures.in_time_share(IGNORED_SECONDS, seconds, name), 4) for name in names}
-    worst = figures.worst_window(seconds)
+    worst_share = figures.worst_window(seconds)
     return {
         "kind": day.kind,
         "seed": day.seed,
@@ -191,12 +191,12 @@
         "requests": figures.first_tries,
         "served": figures.served,
         "served_in_time": round(figures.in_time_ratio(seconds), 4),
-        "worth_in_time": round(worth, 4),
-        "worst_10s": round(worst, 4),
+        "worth_in_time": round(value_share, 4),
+        "worst_10s": round(worst_share, 4),
         "by_class": by_class,
-        "bound": round(figures.worth_upper_bound(IGNORED_SECONDS, seconds), 4),
+        "bound": round(figures.value_upper_bound(IGNORED_SECONDS, seconds), 4),
         "recovered_s": figures.recovery_seconds(seconds),
-        "goal": round(0.6 * worth + 0.2 * worst + 0.2 * min(by_class.values()), 4),
+        "goal": round(0.6 * value_share + 0.2 * worst_share + 0.2 * min(by_class.values()), 4),
         "answers": dict(sorted(counts.answers.items())),
         "tries": len(world.log.asked),
         "attempts": len(world.log.received),
--- a/zinclever/sim/hunting.py
+++ b/zinclever/sim/hunting.py
@@ -80,9 +80,9 @@
         yield replace(day, sidecars=sidecars)
     for endpoints in smaller_counts(day.endpoints):
         yield replace(day, endpoints=endpoints)
-    last = max((t.at_s for t in day.troubles), default=0.0)
+    last_start = max((t.at_s for t in day.troubles), default=0.0)
     for seconds in (day.seconds / 2, 0.8 * day.seconds):
-        if seconds >= max(MIN_SECONDS, last):
+        if seconds >= max(MIN_SECONDS, last_start):
             yield replace(day, seconds=round(seconds, 2))
     for rate in (day.rate / 4, day.rate / 2, 0.8 * day.rate):
         yield replace(day, rate=round(rate, 3))
@@ -122,15 +122,15 @@
         kept = list(day.only) or list(range(1, 1 + count_requests(day)))
         parts = 2
         while len(kept) > 1 and self.remaining_trials > 0:
-            size = -(-len(kept) // parts)
-            chunks = [kept[at : at + size] for at in range(0, len(kept), size)]
+            chunk_size = -(-len(kept) // parts)
+            chunks = [kept[start : start + chunk_size] for start in range(0, len(kept), chunk_size)]
             for number in range(len(chunks)):
                 fewer = [n for other, chunk in enumerate(chunks) if other != number for n in chunk]
                 if fewer and self.remaining_trials > 0 and self.still_fails(replace(day, only=tuple(fewer))):
                     kept, parts = fewer, max(2, parts - 1)
                     break
             else:
-                if size == 1:
+                if chunk_size == 1:
                     break
                 parts = min(2 * parts, len(kept))
         return replace(day, only=tuple(kept))
--- a/zinclever/sim/listing.py
+++ b/zinclever/sim/listing.py
@@ -15,7 +15,7 @@
 from ..standins.log import Told
 
 if TYPE_CHECKING:
-    from .pages import PageServer
+    from .pages import UpstreamServer
     from .scene import BaseWorld
 
 PORT = 8500
@@ -49,7 +49,7 @@
 
     # --- changes of the list ---
 
-    def schedule_change(self, server: PageServer, health: Health, after: float) -> None:
+    def schedule_change(self, server: UpstreamServer, health: Health, after: float) -> None:
         """Let discovery learn of a server's new health after ``after`` seconds; at once if 0."""
         entry = {
             "host": server.name,
@@ -114,7 +114,7 @@
         self.loop.die()
         self.machine.listeners.clear()
 
-    def come_back(self) -> None:
+    def restore(self) -> None:
         """Start the service again, with the list as it was."""
         self.down = False
         self.loop = self.world.process(self.machine)
@@ -186,8 +186,8 @@
         if start - now > settings.timeout_ms * MS:
             listing.loop.call_later(settings.timeout_ms / 1000.0, self.send_failure)
             return
-        lines = len(listing.changes_since(self.since)) + settings.call_lines
-        listing.busy_until = start + round(lines / settings.lines_per_s * NS)
+        entry_count = len(listing.changes_since(self.since)) + settings.call_lines
+        listing.busy_until = start + round(entry_count / settings.lines_per_s * NS)
         listing.loop.call_later((listing.busy_until - now) / NS, self.send_answer)
 
     def send_failure(self) -> None:
@@ -201,10 +201,10 @@
         if self.transport.is_closing():
             return
         listing = self.listing
-        new = listing.changes_since(self.since)
-        entries = [self.world.localize_entry(entry, self.caller) for _, entry in new.values()]
+        changes = listing.changes_since(self.since)
+        entries = [self.world.localize_entry(entry, self.caller) for _, entry in changes.values()]
         body = orjson.dumps({"seq": listing.version, "whole": self.since is None, "hosts": entries})
-        self.world.counts.count_discovery_entries(len(new))
+        self.world.counts.count_discovery_entries(len(changes))
         self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
         now = self.world.now_ms()
-        self.world.log.told += [Told(now, name, health, self.caller) for name, (health, _) in new.items()]
+        self.world.log.told += [Told(now, name, health, self.caller) for name, (health, _) in changes.items()]
--- a/zinclever/sim/model.py
+++ b/zinclever/sim/model.py
@@ -184,7 +184,7 @@
     at_s: float
     """Start, from the beginning of the day."""
     for_s: float = 0.0
-    """Duration."""
+    """How long it lasts."""
     share: float = 0.0
     """Fraction of the servers, sidecars or requests that are affected."""
     zone: str = ""
@@ -223,7 +223,7 @@
 )
 """Request classes of the modelled reader application."""
 
-PAGE_SERVERS = ServerSettings(
+UPSTREAM_SERVERS = ServerSettings(
     (
         ServerKind("large", 0.34, (1.4, 1.8), 14, 16, 0.2, 17.0),
         ServerKind("medium", 0.20, (0.85, 1.1), 13, 20, 0.22, 19.0),
--- a/zinclever/sim/pages.py
+++ b/zinclever/sim/pages.py
@@ -36,7 +36,7 @@
     return Fault.NONE
 
 
-class PageServer:
+class UpstreamServer:
     """One server process; a process that is started later on the same machine is another instance."""
 
     def __init__(self, world: BaseWorld, machine: Machine, kind: ServerKind, cell: int, cold: bool) -> None:
@@ -266,7 +266,7 @@
 
     transport: asyncio.Transport
 
-    def __init__(self, server: PageServer) -> None:
+    def __init__(self, server: UpstreamServer) -> None:
         self.server = server
         self.parser: Any = httptools.HttpRequestParser(self)
         self.request: Request | None = None
--- a/zinclever/sim/scene.py
+++ b/zinclever/sim/scene.py
@@ -24,7 +24,7 @@
 from .ground import Clock, Process
 from .listing import DiscoveryServer
 from .model import Day, RequestKind, ServerKind
-from .pages import PageServer
+from .pages import UpstreamServer
 from .sidecars import Sidecar
 from .troubles import FaultInjector, NetworkCut
 
@@ -91,7 +91,7 @@
         self.keys = KeyPopularity(day.applications.keys, day.applications.zipf, f"{day.seed}/keys")
         self.listing = DiscoveryServer(self, self.network.machine("discovery", address_plan.discovery, zones.names[0]))
         self.server_addresses = iter(addresses(address_plan.servers, address_plan.max_servers))
-        self.servers: dict[str, PageServer] = {}
+        self.servers: dict[str, UpstreamServer] = {}
         """All servers by name, including those that are gone."""
         self.create_servers()
         self.sidecars: Sequence[Sidecar] = list(self.create_sidecars(address_plan.sidecars))
@@ -162,11 +162,11 @@
         names = self.day.zones.names
         return names[number % len(names)]
 
-    def new_server(self, zone: str, kind: ServerKind, cell: int, cold: bool) -> PageServer:
+    def new_server(self, zone: str, kind: ServerKind, cell: int, cold: bool) -> UpstreamServer:
         """Start a server on a new machine; the caller announces it to discovery."""
         machine = self.network.machine(f"s{len(self.servers)}", next(self.server_addresses), zone)
         self.machine_names[machine.address] = machine.name
-        server = self.servers[machine.name] = PageServer(self, machine, kind, cell, cold)
+        server = self.servers[machine.name] = UpstreamServer(self, machine, kind, cell, cold)
         server.loop.create_task(server.listen())
         return server
 
@@ -202,7 +202,7 @@
         """Return the relative load of a sidecar's application: one in twenty is busy."""
         return self.day.applications.busy if number % BUSY_SIDECAR_INTERVAL == 0 else 0.5 + self.rng.random()
 
-    def ready_servers(self) -> list[PageServer]:
+    def ready_servers(self) -> list[UpstreamServer]:
         """Return the servers that are ready and whose machines are reachable."""
         return [s for s in self.servers.values() if s.health == "ready" and s.machine.up]
 
--- a/zinclever/sim/sidecars.py
+++ b/zinclever/sim/sidecars.py
@@ -30,6 +30,7 @@
     loop: object | None
     """The running process, or None."""
     crosses = RESET_DELAY_MS
+    """Time in ms from the kill of the process until its application has read the reset."""
 
     def __init__(self, world: BaseWorld, machine: Machine, number: int) -> None:
         self.world, self.machine, self.number = world, machine, number
@@ -90,7 +91,7 @@
         """Return the sidecar's configuration file as JSON."""
         world = self.world
         known_servers = world.listing.snapshot() if world.day.sidecar.known else {"hosts": []}
-        known_servers["hosts"] = [world.localize_entry(line, self.name) for line in known_servers["hosts"]]
+        known_servers["hosts"] = [world.localize_entry(entry, self.name) for entry in known_servers["hosts"]]
         config: Mapping[str, object] = {
             "name": self.name,
             "listen": f"{self.machine.address}:{PORT}",
@@ -107,8 +108,11 @@
         return f"{self.world.listing.machine.address}:8500"
 
     def killed_since(self, instant: float) -> bool:
-        """Return whether the process was killed after an instant in ms, or so shortly before it that the reset had not
-        reached the application: a request sent meanwhile was never received."""
+        """Return whether the process was killed at or after an instant in ms, or just before it.
+
+        A kill counts as just before if its reset had not reached the application yet: a request that was sent at the
+        instant was then never received.
+        """
         return self.killed_at >= instant - self.crosses
 
     def paused_since(self, instant: float) -> bool:
@@ -198,7 +202,7 @@
             self.loop.freeze()
 
     def resume(self) -> None:
-        """Thaw the process's event loop."""
+        """Resume the process's event loop."""
         self.resumed_at = self.world.now_ms()
         if self.loop is not None:
             self.loop.thaw()
--- a/zinclever/sim/troubles.py
+++ b/zinclever/sim/troubles.py
@@ -10,7 +10,7 @@
 from ..simnet.scheduler import NS
 from ..standins.faults import Fault
 from .model import FaultEvent
-from .pages import PageServer, no_fault
+from .pages import UpstreamServer, no_fault
 
 if TYPE_CHECKING:
     from .applications import Application
@@ -84,7 +84,7 @@
         """Schedule a callback."""
         self.world.scheduler.after(round(seconds * NS), callback, *args)
 
-    def pick_servers(self, event: FaultEvent, rng: Random) -> list[PageServer]:
+    def pick_servers(self, event: FaultEvent, rng: Random) -> list[UpstreamServer]:
         """Draw the affected servers."""
         ready = [s for s in self.world.ready_servers() if event.zone in ("", s.machine.zone)]
         return rng.sample(ready, round(event.share * len(ready)))
@@ -125,7 +125,7 @@
             if server.machine.zone == event.zone:
                 self.take_down(server, event.for_s)
 
-    def take_down(self, server: PageServer, duration: float) -> None:
+    def take_down(self, server: UpstreamServer, duration: float) -> None:
         """Take a server's machine off the network for ``duration`` seconds, then reboot it."""
         listing = self.world.listing
         server.machine.vanish()
@@ -135,12 +135,12 @@
             listing.schedule_change(server, "gone", notice)
         self.after(duration, self.reboot, server)
 
-    def reboot(self, server: PageServer) -> None:
+    def reboot(self, server: UpstreamServer) -> None:
         """Bring a machine back with a new server process of the same name."""
         server.end()
         server.machine.come_back()
         world = self.world
-        replacement = world.servers[server.name] = PageServer(world, server.machine, server.kind, server.cell, True)
+        replacement = world.servers[server.name] = UpstreamServer(world, server.machine, server.kind, server.cell, True)
         replacement.loop.create_task(replacement.listen())
         world.listing.schedule_change(replacement, "ready", self.discovery_delay())
 
@@ -159,7 +159,7 @@
             self.world.rate_factor = event.factor
             self.reschedule_arrivals()
 
-    def drain(self, server: PageServer) -> None:
+    def drain(self, server: UpstreamServer) -> None:
         """Start draining a server, and end it some time later."""
         if server.health != "ready":
             return
@@ -169,7 +169,7 @@
         listing.schedule_change(server, "draining", notice)
         self.after(notice + DRAIN_DURATION, self.end, server)
 
-    def end(self, server: PageServer) -> None:
+    def end(self, server: UpstreamServer) -> None:
         """End a server's process; discovery learns of it later."""
         if server.health == "gone":
             return
@@ -335,13 +335,13 @@
         offset = 0.0
         while offset + event.factor <= event.for_s:
             self.after(offset, self.world.listing.go_down)
-            self.after(offset + event.factor, self.world.listing.come_back)
+            self.after(offset + event.factor, self.world.listing.restore)
             offset += 2.0 * event.factor
 
     def discovery_down(self, event: FaultEvent, rng: Random) -> None:
         """Discovery is down."""
         self.world.listing.go_down()
-        self.after(event.for_s, self.world.listing.come_back)
+        self.after(event.for_s, self.world.listing.restore)
 
     def discovery_crowded(self, event: FaultEvent, rng: Random) -> None:
         """Discovery is busy with other callers: ``factor`` of its capacity is left."""
