--- a/zinclever/sim/exploring.py
+++ b/zinclever/sim/exploring.py
@@ -64,7 +64,7 @@
     ties: int
     """Number of choices between simultaneous events, over all orders."""
     complete: bool
-    """True if every order of every step was run, False if a bound was reached."""
+    """True if every order of every step was run, False if a limit was reached."""
     breaches: list[str]
     """Each rule that was broken, with the fault, step and choices."""
 
@@ -101,7 +101,7 @@
     """Run one order of events.
 
     Args:
-        day: The fleet to simulate; its own arrivals are replaced by one request of each class.
+        day: The fleet to simulate; instead of the clients' random arrivals, one request of each class is sent.
         fault: Injects the fault.
         step: Number of events after which the fault is injected.
         tie_breaker: Resolves ties between simultaneous events.
--- a/zinclever/sim/ground.py
+++ b/zinclever/sim/ground.py
@@ -61,5 +61,5 @@
         ...
 
     def die(self) -> None:
-        """Kill the process: cancel its tasks and timers and reset its connections."""
+        """Kill the process: no task or callback runs any more, and its connections are reset."""
         ...
--- a/zinclever/sim/pages.py
+++ b/zinclever/sim/pages.py
@@ -73,7 +73,7 @@
         server.listener.admits = self.admits
 
     def admits(self) -> Literal["yes", "refused", "silent"]:
-        """Decide on a new connection; beyond the connection limit, SYN packets are dropped."""
+        """Decide on a new connection; beyond the connection limit, it gets no answer."""
         self.world.counts.count_handshake(self.name)
         return "yes" if len(self.connections) < self.world.day.servers.connections else "silent"
 
