--- a/tests/test_jsonrpc.py
+++ b/tests/test_jsonrpc.py
@@ -14,7 +14,7 @@
 from zinclever import interface
 from zinclever.jsonrpc import codec, front
 from zinclever.standins import Fault, Log, Step, always, audit, in_turn
-from zinclever.standins.clients import JsonRpcClient, Klass
+from zinclever.standins.clients import ClientRequestClass, JsonRpcClient
 from zinclever.standins.discovery import Discovery
 from zinclever.standins.jsonrpc_endpoint import JsonRpcEndpoint
 
@@ -188,7 +188,7 @@
     async def test() -> None:
         async with service(always(), more='default_class = "tip"') as s:
             c = await s.client()
-            other = Klass("tip", "anything", "at_most_once", 6000.0)
+            other = ClientRequestClass("tip", "anything", "at_most_once", 6000.0)
             assert "result" in await c.call(other)
             told = await answer(c, b'{"jsonrpc":"2.0","method":"rpc.x","id":77777}')
             assert told["error"]["code"] == codec.METHOD_NOT_FOUND
@@ -411,12 +411,12 @@
             await discovery.set(two)
             text = operator(f'discovery = "{discovery.address}"', more='zones = ["a", "b"]')
             async with service(text=text) as s:
-                await discovery.until_told(two)
+                await discovery.wait_until_announced(two)
                 c = await JsonRpcClient(log).connect(s.address)
                 while not (one.requests() and two.requests()):
                     await asyncio.gather(*(c.call(READ) for _ in range(10)))
                 await discovery.set(one, "draining")
-                await discovery.until_told(one)
+                await discovery.wait_until_announced(one)
                 while any(
                     e.phase == "ready"
                     for e in s.made.dispatcher.balancer.endpoint_list.endpoints.values()
@@ -441,7 +441,7 @@
 
 
 @pytest.mark.parametrize("klass", [READ, TIP, UNLOCK])
-def test_copy_of_a_slow_read_and_none_of_a_tip(klass: Klass) -> None:
+def test_copy_of_a_slow_read_and_none_of_a_tip(klass: ClientRequestClass) -> None:
     """A silent endpoint: a copy of the read goes to an unused one after the delay, and the loser's late
     answer is dropped; what is not safe to repeat gets none."""
 
--- a/zinclever/standins/clients.py
+++ b/zinclever/standins/clients.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Klass:
+class ClientRequestClass:
     """A class as its clients know it."""
 
     name: str
@@ -57,14 +57,16 @@
         self.task.cancel()
         await asyncio.gather(self.task, return_exceptions=True)
 
-    def call(self, klass: Klass, key: str = "", id: str | None = None, name: str = "") -> asyncio.Future[Any]:
+    def call(
+        self, klass: ClientRequestClass, key: str = "", id: str | None = None, name: str = ""
+    ) -> asyncio.Future[Any]:
         """Send one call; its future holds the response object."""
         text, future = self.prepare(klass, key, id, name)
         self.writer.write(write(self.framing, text))
         return future
 
     def prepare(
-        self, klass: Klass, key: str = "", id: str | None = None, name: str = ""
+        self, klass: ClientRequestClass, key: str = "", id: str | None = None, name: str = ""
     ) -> tuple[bytes, asyncio.Future[Any]]:
         """A call's text, noted as sent from now on; ``id``: a JSON token."""
         number = next(self._names)
@@ -79,7 +81,7 @@
         )
         return text.encode(), future
 
-    def notify(self, klass: Klass) -> str:
+    def notify(self, klass: ClientRequestClass) -> str:
         """Send a notification; its name."""
         name = f"n{next(self._names)}"
         params = json.dumps({"call": name, "key": name})
@@ -137,7 +139,7 @@
         self.log, self.address = log, address
         self.streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
-    async def call(self, klass: Klass, key: str = "") -> Kind:
+    async def call(self, klass: ClientRequestClass, key: str = "") -> Kind:
         """Send one request and wait for its answer; once more if the connection it went on was ending."""
         name = f"h{next(self._names)}"
         self.log.asked.append(
@@ -154,7 +156,7 @@
         self.log.answered.append(Answered(self.log.clock(), name, kind, body))
         return kind
 
-    async def exchange(self, klass: Klass, name: str, key: str) -> tuple[int, str] | None:
+    async def exchange(self, klass: ClientRequestClass, name: str, key: str) -> tuple[int, str] | None:
         """Status and body, or None where the connection ended without an answer."""
         if self.streams is None:
             host, _, port = self.address.partition(":")
--- a/zinclever/standins/discovery.py
+++ b/zinclever/standins/discovery.py
@@ -59,7 +59,7 @@
             self.hosts[endpoint.name] = self.version, phase, entry
             self.changed.notify_all()
 
-    async def until_told(self, endpoint: Endpoint) -> None:
+    async def wait_until_announced(self, endpoint: Endpoint) -> None:
         """Wait until an endpoint's latest change has been written to some sidecar."""
         version = self.hosts[endpoint.name][0]
         async with self.told:
--- a/zinclever/standins/http_endpoint.py
+++ b/zinclever/standins/http_endpoint.py
@@ -15,7 +15,7 @@
 class HttpEndpoint(Endpoint):
     """One request at a time on a connection, as its plan says."""
 
-    async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while start := await reader.read(1):
             first = self.log.clock()
             head = (start + await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
--- a/zinclever/standins/jsonrpc_endpoint.py
+++ b/zinclever/standins/jsonrpc_endpoint.py
@@ -43,7 +43,7 @@
         """Every text that came, as JSON values."""
         self.raw: list[bytes] = []
 
-    async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while text := await read(self.framing, reader):
             first = self.log.clock()
             try:
