--- a/zinclever/mesh/consensus/replica.py
+++ b/zinclever/mesh/consensus/replica.py
@@ -1,14 +1,14 @@
-"""The replicated log: one replica, as a pure state machine.
+"""One replica of the replicated log, as a state machine without I/O.
 
-What is committed is one value, the configuration in force and the voters, at an index that rises by one with each
-entry. One replica leads, under a term that the others refuse to go below; it proposes the entry after the committed
-one, and that one is committed once enough disks have it (:meth:`.replication.Replication.is_committed`). A replica that
-takes over first asks a majority for what they have, proposes the newest anew under its own term, and goes on from
-there.
+The replicated state is a single value: the current configuration and the voter set. Each log entry contains the whole
+state, at an index that rises by one. The leader proposes the entry after the committed one, in its term; the entry is
+committed once enough disks hold it (:meth:`.replication.Replication.is_committed`). A new leader collects the accepted
+entries of a majority with their votes, proposes the newest again in its own term, and continues from there.
 
-Instants are in s; nothing here depends on the clocks of two machines agreeing. Sources: Viewstamped Replication
-Revisited (Liskov and Cowling, 2012) for changes of the voters and for a replica without its disk; Paxos Made Simple
-(Lamport, 2001) for why the newest by term of a majority is safe; Raft (Ongaro, 2014) for terms and ReadIndex.
+Times are in seconds of the local monotonic clock; clocks of different machines are never compared. Sources: Viewstamped
+Replication Revisited (Liskov and Cowling, 2012) for changes of the voter set and for replicas that have lost their
+disk; Paxos Made Simple (Lamport, 2001) for the safety of continuing from the accepted entry with the newest term; Raft
+(Ongaro, 2014) for terms and ReadIndex.
 """
 
 from __future__ import annotations
@@ -26,19 +26,19 @@
 
 
 class Replica(Election, LeaderCalls):
-    """One replica.
+    """One replica of the log.
 
-    Call :meth:`tick` at least every :data:`.timing.HEARTBEAT_INTERVAL`, :meth:`receive` with each message,
-    :meth:`on_persisted` after each save, and :meth:`read` and :meth:`change` with operators' calls. Afterwards carry
-    out what is in ``actions``.
+    The caller invokes :meth:`tick` at least every :data:`.timing.HEARTBEAT_INTERVAL`, :meth:`receive` for each message,
+    :meth:`on_persisted` after each save, and :meth:`read` and :meth:`change` for client calls. After each of them it
+    carries out the collected ``actions``.
     """
 
     # --- ticks ---
 
     def tick(self, now: float) -> None:
-        """Do what is due in the present role."""
+        """Send heartbeats and handle the timeouts of the current role."""
         self.voter_changes.tick(now)
-        self.notice_stall(now)
+        self.detect_stall(now)
         if now - self.heartbeat_sent_at >= HEARTBEAT_INTERVAL:
             self.heartbeat_sent_at = now
             for voter in self.other_voters():
@@ -46,7 +46,7 @@
                 if self.leaving:
                     self.send(voter, self.message_with_voter(MessageKind.LEAVE))
         if self.role is ReplicaRole.LEARNER:
-            self.found_cluster(now)
+            self.bootstrap_cluster(now)
         elif self.role is ReplicaRole.FOLLOWER:
             self.check_leader(now)
         elif self.role is ReplicaRole.CANDIDATE:
@@ -57,47 +57,47 @@
         self.answer_confirmed()
         self.calls.tick(now)
 
-    def notice_stall(self, now: float) -> None:
-        """After a stall of this process, don't take the leader for silent before its unread heartbeats are read.
+    def detect_stall(self, now: float) -> None:
+        """Extend the election timeout after a stall of this process, as heartbeats of the leader may wait unread.
 
-        Who leads depends on terms alone; this spares a healthy leader an election.
+        This avoids needless elections; safety depends on terms alone.
         """
         if now - self.ticked_at > STALL_THRESHOLD:
             self.leader_last_contact = max(self.leader_last_contact, now - ELECTION_TIMEOUT / 2)
         self.ticked_at = now
 
     def tick_candidate(self, now: float) -> None:
-        """Ask for votes again, or end a round that nobody has won."""
+        """Repeat the vote requests, or give up after :data:`.timing.ELECTION_ROUND`."""
         if now - self.role_since > ELECTION_ROUND:
             self.change_role(ReplicaRole.FOLLOWER, now)
-            self.leader_last_contact = now - ELECTION_TIMEOUT  # the next in order gets its turn, too
-            self.leader = ""  # candidates that took different replicas for the leader agree on the order now
+            self.leader_last_contact = now - ELECTION_TIMEOUT  # so that the next voter in election order can start
+            self.leader = ""  # so that replicas which followed different leaders use the same election order
         elif now - self.votes_requested_at > HEARTBEAT_INTERVAL:
             self.request_votes(now)
 
     def tick_leader(self, now: float) -> None:
-        """Step down without a majority; else resend the proposal, help whoever lags, and propose what is due."""
+        """Step down without contact to a majority; otherwise resend the proposal, or send snapshots and propose."""
         voters = self.committed.voters or self.voters()
-        has_led_for = now - self.role_since
-        if has_led_for > QUORUM_TIMEOUT and not has_majority(voters, self.heard_within(QUORUM_TIMEOUT, now)):
+        time_as_leader = now - self.role_since
+        if time_as_leader > QUORUM_TIMEOUT and not has_majority(voters, self.recently_active(QUORUM_TIMEOUT, now)):
             self.change_role(ReplicaRole.FOLLOWER, now)
             self.leader_last_contact = now
         elif self.proposed is not None:
             self.check_proposal(now, self.proposed)
         else:
             self.send_snapshots(now)
-            self.propose_what_is_due(now)
+            self.propose_next_entry(now)
 
     def check_proposal(self, now: float, entry: LogEntry) -> None:
-        """Finish the proposal if it is committed by now, or send it again."""
-        if self.is_committed(now, entry):  # a voter that left may count again, or be out
+        """Finish the proposal if it is committed by now, or resend it."""
+        if self.is_committed(now, entry):  # the disks that count depend on which replicas are leaving or reachable
             self.finish_proposal(now, entry)
         elif now - self.proposed_at > RESEND_AFTER:
             self.proposed_at = now
             self.send_appends(entry, self.acknowledged_by)
 
-    def propose_what_is_due(self, now: float) -> None:
-        """Propose a change of the voters, an operator's change, or the end of a change of the voters, in this order."""
+    def propose_next_entry(self, now: float) -> None:
+        """Propose the next entry: a change of the voter set, a client's change, or the completion of a voter change."""
         is_settled = not changes_voters(self.committed)
         change = self.next_voter_change(now) if is_settled else None
         if change is not None:
@@ -106,15 +106,15 @@
         if self.calls.queued_changes:
             self.propose_next_change(now)
         if self.proposed is None and not is_settled:
-            # One more entry that needs the new voters alone: until it is on enough disks, a replica that starts and
-            # finds the entry before can't know that it was committed, and would need a majority of the old ones, too.
+            # Another entry with the same voters completes the change. Until it is on enough disks, a restarted replica
+            # can't know that the entry before was committed, and an election also needs a majority of the old voters.
             self.propose(now, self.next_entry(list(self.committed.voters)))
         if self.proposed is None:
             self.replicate_committed(now)
-            self.release_leaving()
+            self.confirm_leaves()
 
     def next_voter_change(self, now: float) -> VoterChange | None:
-        """The change of the voters that is due."""
+        """The next change of the voter set, or None."""
         return self.voter_changes.next_change(
             self.committed, self.own_voter.disk, self.last_contact, now, self.tolerated_failures
         )
@@ -122,12 +122,12 @@
     # --- heartbeats and snapshots ---
 
     def peers(self) -> list[Voter]:
-        """Whom this replica sends to: the other voters, and learners that it knows of."""
+        """The replicas that this one sends messages to: the other voters and the known learners."""
         learners = [learner.voter for learner in self.voter_changes.learners.values()]
         return [*self.other_voters(), *learners]
 
     def heartbeat(self) -> ConsensusMessage:
-        """What this replica has committed; of the leader, also that it leads."""
+        """A heartbeat with this replica's committed index and digest; from the leader also with its term."""
         leads = self.role is ReplicaRole.LEADER
         return ConsensusMessage(
             kind=MessageKind.HEARTBEAT,
@@ -140,46 +140,49 @@
             bootstrap=self.bootstrap and not self.voters(),
         )
 
-    def on_heartbeat(self, now: float, m: ConsensusMessage) -> None:
-        """Record what the sender has committed; from the leader, follow it."""
-        voter = m.voter
-        if m.disk == self.own_voter.disk:
+    def on_heartbeat(self, now: float, message: ConsensusMessage) -> None:
+        """Record what the sender has committed; if it leads, follow it and commit the accepted entry."""
+        voter = message.voter
+        if message.disk == self.own_voter.disk:
             return
-        self.latest_heartbeats[(voter.ip, voter.port)] = m
-        self.reported[m.disk] = ReportedCommit(m.index, m.digest)
-        if m.granted and m.term >= self.vote.term:
-            self.follow_leader(now, m.disk, m.term)
-            if m.HasField("committed"):
-                self.on_snapshot(now, m.committed)
-            elif self.accepted is not None and (m.index, m.term) == (self.accepted.index, self.accepted.term):
+        self.latest_heartbeats[(voter.ip, voter.port)] = message
+        self.reported[message.disk] = ReportedCommit(message.index, message.digest)
+        if message.granted and message.term >= self.vote.term:
+            self.follow_leader(now, message.disk, message.term)
+            if message.HasField("committed"):
+                self.on_snapshot(now, message.committed)
+            elif self.accepted is not None and (message.index, message.term) == (
+                self.accepted.index,
+                self.accepted.term,
+            ):
                 self.commit(now, self.accepted)
-        if self.role is ReplicaRole.LEADER and m.disk not in disk_ids(self.committed.voters):
+        if self.role is ReplicaRole.LEADER and message.disk not in disk_ids(self.committed.voters):
             self.voter_changes.on_heartbeat(now, voter)
 
     def send_snapshots(self, now: float) -> None:
-        """Send the committed entry to voters that lack it for a while, or have another than the majority."""
+        """Send a snapshot to voters that lag behind, or whose committed entry differs from the majority's."""
         own = ReportedCommit(self.committed.index, self.committed_digest)
-        alike = {disk for disk, reported in self.reported.items() if reported == own} | {self.own_voter.disk}
+        matching_disks = {disk for disk, reported in self.reported.items() if reported == own} | {self.own_voter.disk}
         others = self.other_voters()
-        self.lag_monitor.keep_only(set(disk_ids(others)))
+        self.lag_monitor.retain(set(disk_ids(others)))
         for voter in others:
             reported = self.reported.get(voter.disk, ReportedCommit(0, 0))
-            has_other_entry = reported.index == own.index and reported.digest != own.digest
-            if has_other_entry and has_majority(self.committed.voters, alike):
-                is_due = self.lag_monitor.differs(now, voter.disk, reported.index)
+            deviates = reported.index == own.index and reported.digest != own.digest
+            if deviates and has_majority(self.committed.voters, matching_disks):
+                is_due = self.lag_monitor.needs_repair(now, voter.disk, reported.index)
             else:
-                is_due = self.lag_monitor.is_due(now, voter.disk, reported.index, self.committed.index)
+                is_due = self.lag_monitor.needs_snapshot(now, voter.disk, reported.index, self.committed.index)
             if is_due:
                 self.send_snapshot(voter)
 
     def send_snapshot(self, voter: Voter) -> None:
-        """Send the committed entry, which is all the state that there is."""
+        """Send the committed entry, which contains the complete state, with a heartbeat."""
         message = self.heartbeat()
         message.committed.CopyFrom(self.committed)
         self.send(voter, message)
 
     def on_snapshot(self, now: float, entry: LogEntry) -> None:
-        """The leader sends the committed entry: put it in force, and on disk."""
+        """Commit and persist an entry that the leader has committed."""
         differs = entry.index == self.committed.index and digest(entry) != self.committed_digest
         if entry.index <= self.committed.index and not differs:
             return
@@ -190,38 +193,38 @@
         elif differs and last.index == entry.index:
             copy = LogEntry()
             copy.CopyFrom(entry)
-            copy.term = max(entry.term, last.term)  # what was promised under it stays promised
+            copy.term = max(entry.term, last.term)  # never lower the term of an accepted entry
             self.persist(copy, [])
 
     # --- proposals ---
 
-    def on_append_reply(self, now: float, m: ConsensusMessage) -> None:
-        """A replica has accepted an entry, or refuses this leader's term."""
-        if not m.granted and m.round >= self.term and self.role is ReplicaRole.LEADER:
-            self.on_append_refused(now, m)
+    def on_append_reply(self, now: float, message: ConsensusMessage) -> None:
+        """Count an acknowledgement of the proposed entry, or step down after a rejection."""
+        if not message.granted and message.round >= self.term and self.role is ReplicaRole.LEADER:
+            self.on_append_rejected(now, message)
             return
-        if self.role is not ReplicaRole.LEADER or m.term != self.term or not m.granted:
+        if self.role is not ReplicaRole.LEADER or message.term != self.term or not message.granted:
             return
-        self.voter_changes.on_acknowledged(m.disk, m.index)
+        self.voter_changes.on_acknowledged(message.disk, message.index)
         entry = self.proposed
-        if entry is None or m.index != entry.index:
+        if entry is None or message.index != entry.index:
             return
-        self.acknowledged_by.add(m.disk)
+        self.acknowledged_by.add(message.disk)
         if self.is_committed(now, entry):
             self.finish_proposal(now, entry)
 
-    def on_append_refused(self, now: float, m: ConsensusMessage) -> None:
-        """Step down: a replica has promised itself to another leader."""
+    def on_append_rejected(self, now: float, message: ConsensusMessage) -> None:
+        """Step down, because a replica has accepted a higher term or another leader."""
         self.change_role(ReplicaRole.FOLLOWER, now)
-        if m.round > self.vote.term:
-            self.vote = Vote(m.round, "")  # the next try is above it
+        if message.round > self.vote.term:
+            self.vote = Vote(message.round, "")  # the next election uses a higher term
         elif self.is_voter() and not self.leaving:
-            # It stood under the same term and has voted for itself: it follows this one now, and would refuse it for
-            # good. Only a term above can have both.
+            # The sender was a candidate in the same term and voted for itself. It follows this replica now, but would
+            # reject its entries throughout the term. Only a higher term resolves that.
             self.start_election(now)
 
     def finish_proposal(self, now: float, entry: LogEntry) -> None:
-        """The proposed entry is committed."""
+        """Commit the proposed entry and answer the calls that waited for it."""
         self.proposed = None
         change, self.voter_changes.proposed_change = self.voter_changes.proposed_change, None
         if change is not None and changes_voters(entry):
@@ -230,22 +233,22 @@
         self.established_term = self.term
         self.calls.on_committed()
         self.answer_confirmed()
-        self.heartbeat_sent_at = -math.inf  # the others hear of it at once
+        self.heartbeat_sent_at = -math.inf  # announce the commit at once
         if self.role is ReplicaRole.LEADER:
             self.tick(now)
 
-    # --- changes of the voters ---
+    # --- changes of the voter set ---
 
     def replicate_committed(self, now: float) -> None:
-        """Send the committed entry to learners, and while a voter leaves to voters that may lack it.
+        """Send the committed entry to learners and, while a replica is leaving, to voters that may lack it.
 
-        It goes as a proposal, since that is acknowledged once it is durable.
+        It is sent as an append request, which is acknowledged once the entry is durable.
         """
         for voter in self.voter_changes.due_appends(now, self.committed):
-            self.send_append(voter, self.under_own_term(self.committed))
+            self.send_append(voter, self.in_own_term(self.committed))
 
-    def release_leaving(self) -> None:
-        """Let those that leave end, once what is committed is on enough other disks."""
+    def confirm_leaves(self) -> None:
+        """Allow leaving replicas to shut down once enough other disks hold the committed entry."""
         if not self.voter_changes.is_durable_without_leaving(self.committed, self.tolerated_failures):
             return
         for disk in self.voter_changes.leaving_since:
@@ -257,7 +260,7 @@
                 self.send(heartbeat.voter, reply)
 
     def transfer_leadership(self, now: float) -> None:
-        """Give up the lead: the next voter in order stands for election at once."""
+        """Step down and make the next voter in election order start an election at once."""
         if self.role is ReplicaRole.LEADER:
             for voter in self.other_voters():
                 self.send(voter, self.message_with_voter(MessageKind.TRANSFER_LEADERSHIP, self.term))
@@ -265,9 +268,10 @@
             self.leader_last_contact = now
 
     def leave(self, now: float) -> None:
-        """Prepare the end of this replica, which may be for good: it can't know.
+        """Prepare to shut down, possibly for good.
 
-        It gives up the lead and asks the leader, with each heartbeat, to make sure that nothing depends on it.
+        Gives up leadership. A LEAVE message with each heartbeat then makes the leader replicate the committed entry to
+        enough other disks.
         """
         self.leaving = True
         if self.role is ReplicaRole.CANDIDATE:
@@ -275,36 +279,39 @@
         self.transfer_leadership(now)
 
     def can_shut_down(self, now: float) -> bool:
-        """Whether nothing depends on this replica any more, or nobody is there whom waiting would help."""
+        """Whether this replica is no longer needed, or no other voter that stays is reachable."""
         staying = [voter for voter in self.other_voters() if voter.disk not in self.voter_changes.leaving_since]
-        is_anybody_heard = any(
+        is_any_reachable = any(
             now - self.last_contact.get(voter.disk, -math.inf) < ELECTION_TIMEOUT for voter in staying
         )
-        return self.leave_granted or not self.is_voter() or not is_anybody_heard
+        return self.leave_granted or not self.is_voter() or not is_any_reachable
 
-    def on_leave_reply(self, m: ConsensusMessage) -> None:
-        """The leader has made sure that entries up to an index are on enough other disks.
+    def on_leave_reply(self, message: ConsensusMessage) -> None:
+        """Handle the leader's confirmation that enough other disks hold all entries up to an index.
 
-        From now on this replica acknowledges no further one, as nothing would make sure of that.
+        From then on this replica accepts no further entries, since its disk may become unavailable at any moment.
         """
         last = self.last_accepted()
-        if last is None or last.index <= m.index:
+        if last is None or last.index <= message.index:
             self.leave_granted = self.leaving
 
-    # --- founding the cluster ---
+    # --- bootstrap ---
 
-    def found_cluster(self, now: float) -> None:
-        """Propose the first voters, as the first founder, once all founders are there and none knows of a cluster."""
+    def bootstrap_cluster(self, now: float) -> None:
+        """Announce this replica and, if it is the first of the initial members, propose the first voter set.
+
+        It proposes once all initial members have sent a heartbeat and none of them knows of an existing cluster.
+        """
         own_address = (self.own_voter.ip, self.own_voter.port)
         if now - self.heartbeat_sent_at < HEARTBEAT_INTERVAL / 2:
-            for ip, port in dict.fromkeys([*self.founding_addresses, *self.known_addresses]):
+            for ip, port in dict.fromkeys([*self.bootstrap_addresses, *self.known_addresses]):
                 if (ip, port) != own_address:
                     self.send(Voter(ip=ip, port=port), self.heartbeat())
-        if not self.bootstrap or self.voters() or not self.founding_addresses:
+        if not self.bootstrap or self.voters() or not self.bootstrap_addresses:
             return
-        if self.founding_addresses[0] != own_address:
+        if self.bootstrap_addresses[0] != own_address:
             return
-        others = [address for address in self.founding_addresses if address != own_address]
+        others = [address for address in self.bootstrap_addresses if address != own_address]
         heartbeats = [self.latest_heartbeats.get(address) for address in others]
         if not all(h is not None and h.bootstrap for h in heartbeats):
             return
@@ -316,39 +323,42 @@
             self.last_contact[voter.disk] = now
         self.propose(now, LogEntry(term=1, index=1, voters=voters, founding_size=len(voters)))
 
-    # --- messages of others ---
-
-    def receive(self, now: float, m: ConsensusMessage) -> None:
-        """Handle a message of another replica, or of this one to itself."""
-        if m.disk != self.own_voter.disk:
-            self.last_contact[m.disk] = now
-        from_leader = m.disk == self.leader and m.term >= self.vote.term
-        if m.kind == MessageKind.HEARTBEAT:
-            self.on_heartbeat(now, m)
-        elif m.kind == MessageKind.VOTE_REQUEST:
-            self.on_vote_request(now, m)
-        elif m.kind == MessageKind.VOTE_REPLY:
-            self.on_vote_reply(now, m)
-        elif m.kind == MessageKind.APPEND:
-            self.on_append(now, m)
-        elif m.kind == MessageKind.APPEND_REPLY:
-            self.on_append_reply(now, m)
-        elif m.kind == MessageKind.CONFIRM_LEADERSHIP:
-            self.on_confirm_leadership(m)
-        elif m.kind == MessageKind.LEADERSHIP_CONFIRMED:
-            self.on_leadership_confirmed(m)
-        elif m.kind == MessageKind.TRANSFER_LEADERSHIP and from_leader:
-            self.last_contact.pop(m.disk, None)  # it is passed over in the order of voters ...
-            self.leader_last_contact = now - ELECTION_TIMEOUT  # ... and the next one needn't wait for its silence
-        elif m.kind == MessageKind.LEAVE:
-            self.voter_changes.on_leave(now, m.disk)
-        elif m.kind == MessageKind.LEAVE_REPLY and m.granted and from_leader:
-            self.on_leave_reply(m)
-
-    # --- calls of operators ---
+    # --- received messages ---
+
+    def receive(self, now: float, message: ConsensusMessage) -> None:
+        """Handle a message from another replica, or from this one to itself."""
+        if message.disk != self.own_voter.disk:
+            self.last_contact[message.disk] = now
+        from_leader = message.disk == self.leader and message.term >= self.vote.term
+        if message.kind == MessageKind.HEARTBEAT:
+            self.on_heartbeat(now, message)
+        elif message.kind == MessageKind.VOTE_REQUEST:
+            self.on_vote_request(now, message)
+        elif message.kind == MessageKind.VOTE_REPLY:
+            self.on_vote_reply(now, message)
+        elif message.kind == MessageKind.APPEND:
+            self.on_append(now, message)
+        elif message.kind == MessageKind.APPEND_REPLY:
+            self.on_append_reply(now, message)
+        elif message.kind == MessageKind.CONFIRM_LEADERSHIP:
+            self.on_confirm_leadership(message)
+        elif message.kind == MessageKind.LEADERSHIP_CONFIRMED:
+            self.on_leadership_confirmed(message)
+        elif message.kind == MessageKind.TRANSFER_LEADERSHIP and from_leader:
+            self.last_contact.pop(message.disk, None)  # skip the old leader in election order ...
+            self.leader_last_contact = now - ELECTION_TIMEOUT  # ... and don't wait for the election timeout
+        elif message.kind == MessageKind.LEAVE:
+            self.voter_changes.on_leave(now, message.disk)
+        elif message.kind == MessageKind.LEAVE_REPLY and message.granted and from_leader:
+            self.on_leave_reply(message)
+
+    # --- client calls ---
 
     def change(self, now: float, call_id: int, base: int, generation: int, text: bytes, digest: bytes) -> None:
-        """Replace the configuration of generation ``base`` by a checked one. Without the lead the answer is 503."""
+        """Accept a call to replace the configuration of generation ``base`` by a validated one.
+
+        It is answered 503 if this replica is not the leader.
+        """
         if self.role is not ReplicaRole.LEADER:
             self.actions.append(Reply(call_id, 503, NOT_LEADER))
             return
@@ -360,7 +370,7 @@
         self.answer_confirmed()
 
     def propose_next_change(self, now: float) -> None:
-        """Propose the next change that needs an entry."""
+        """Propose the next queued change that needs an entry."""
         call = self.calls.next_change(self.committed)
         if call is not None:
             entry = self.next_entry(list(self.committed.voters))
