--- a/zinclever/sim/hunting.py
+++ b/zinclever/sim/hunting.py
@@ -1,4 +1,4 @@
-"""Looks for days on which a rule is broken or service is low, and cuts such a day down to what matters."""
+"""Searches random days for broken rules or poor service, and minimizes a day that fails."""
 
 from __future__ import annotations
 
@@ -14,23 +14,25 @@
 from .world import World
 
 FailurePredicate = Callable[[Day], bool]
-LEAST_SECONDS = 4.0  # of a day that is cut down
-TRIES = 300  # days that are played at most to cut one down
+"""Runs a day and returns whether it fails."""
+MIN_SECONDS = 4.0  # minimum length of a minimized day
+DEFAULT_MAX_TRIALS = 300  # maximum number of runs to minimize a day
 
 
 class DayResult(NamedTuple):
-    """A day that was played, and what came of it."""
+    """A day and the summary of its run."""
 
     day: Day
     figures: dict[str, Any]
 
 
 def play(day: Day) -> DayResult:
+    """Simulate a day."""
     return DayResult(day, World(day).play())
 
 
 def drawn(kinds: Sequence[str], first: int, sidecars: int, endpoints: int, seconds: float) -> Iterator[Day]:
-    """Days of each kind in turn, from a seed on."""
+    """Yield days endlessly: for each seed from ``first`` on, one of each kind."""
     for seed in itertools.count(first):
         for kind in kinds:
             yield draw(kind, seed, sidecars, endpoints, seconds)
@@ -43,100 +45,109 @@
     play: Callable[[Day], DayResult] = play,
     prepare: Callable[[], object] | None = None,
 ) -> Iterator[DayResult]:
-    """Play days for so many s of wall time, on so many cores; each as it is over, in their order. ``prepare`` is called
-    first in each of the processes that play."""
-    until, days = time.monotonic() + budget, iter(days)
+    """Run days until the time budget is used up, and yield the results in the order of the days.
+
+    Args:
+        days: The days to run.
+        budget: Wall time in seconds after which no further day is started.
+        jobs: Number of worker processes; 1 runs the days in this process.
+        play: Runs one day.
+        prepare: Called once in each worker process before its first day.
+    """
+    deadline, days = time.monotonic() + budget, iter(days)
     if jobs == 1:
         for day in days:
-            if time.monotonic() >= until:
+            if time.monotonic() >= deadline:
                 return
             yield play(day)
         return
     with ProcessPoolExecutor(jobs, initializer=prepare) as pool:
-        waiting = [pool.submit(play, day) for day in itertools.islice(days, 2 * jobs)]
-        while waiting:
-            yield waiting.pop(0).result()
-            if time.monotonic() < until:
-                waiting += [pool.submit(play, day) for day in itertools.islice(days, 1)]
+        pending = [pool.submit(play, day) for day in itertools.islice(days, 2 * jobs)]
+        while pending:
+            yield pending.pop(0).result()
+            if time.monotonic() < deadline:
+                pending += [pool.submit(play, day) for day in itertools.islice(days, 1)]
 
 
-# --- cutting down ---
+# --- minimization ---
 
 
-def smaller(day: Day) -> Iterator[Day]:
-    """Days that have less of something, the boldest cuts first."""
+def reductions(day: Day) -> Iterator[Day]:
+    """Yield smaller variants of a day: fewer faults, sidecars, endpoints or seconds, or a lower rate."""
     for number in range(len(day.troubles)):
         yield replace(day, troubles=day.troubles[:number] + day.troubles[number + 1 :])
-    for sidecars in cuts(day.sidecars):
+    for sidecars in smaller_counts(day.sidecars):
         yield replace(day, sidecars=sidecars)
-    for endpoints in cuts(day.endpoints):
+    for endpoints in smaller_counts(day.endpoints):
         yield replace(day, endpoints=endpoints)
-    last = max((t.at_s for t in day.troubles), default=0.0)
+    last_start = max((t.at_s for t in day.troubles), default=0.0)
     for seconds in (day.seconds / 2, 0.8 * day.seconds):
-        if seconds >= max(LEAST_SECONDS, last):
+        if seconds >= max(MIN_SECONDS, last_start):
             yield replace(day, seconds=round(seconds, 2))
     for rate in (day.rate / 4, day.rate / 2, 0.8 * day.rate):
         yield replace(day, rate=round(rate, 3))
 
 
-def cuts(count: int) -> list[int]:
+def smaller_counts(count: int) -> list[int]:
+    """Return the smaller counts to try in place of ``count``, in ascending order."""
     return sorted({c for c in (1, count // 4, count // 2, count - 1) if 0 < c < count})
 
 
 class DayMinimizer:
-    """Plays smaller days until none of them fails any more, or a bound is reached."""
+    """Reduces a failing day until no smaller variant fails or the maximum number of runs is reached."""
 
-    def __init__(self, fails: FailurePredicate, most: int = TRIES) -> None:
-        self.fails, self.left = fails, most
+    def __init__(self, fails: FailurePredicate, max_trials: int = DEFAULT_MAX_TRIALS) -> None:
+        self.fails, self.remaining_trials = fails, max_trials
 
-    def still(self, day: Day) -> bool:
-        self.left -= 1
+    def still_fails(self, day: Day) -> bool:
+        """Run a variant of the day, which uses up one trial."""
+        self.remaining_trials -= 1
         return self.fails(day)
 
-    def cut(self, day: Day) -> Day:
-        """The least day found that fails as this one does."""
-        return self.cut_requests(self.minimize_environment(day))
+    def minimize(self, day: Day) -> Day:
+        """Return the smallest variant found that fails in the same way."""
+        return self.minimize_requests(self.minimize_environment(day))
 
     def minimize_environment(self, day: Day) -> Day:
-        """With fewer troubles, machines, seconds and requests a second, but for those that are left out one by one."""
-        while self.left > 0:
-            found = next((d for d in smaller(day) if self.left > 0 and self.still(d)), None)
-            if found is None:
+        """Reduce faults, machines, seconds and the request rate; single requests are not removed."""
+        while self.remaining_trials > 0:
+            smaller = next((d for d in reductions(day) if self.remaining_trials > 0 and self.still_fails(d)), None)
+            if smaller is None:
                 break
-            day = found
+            day = smaller
         return day
 
-    def cut_requests(self, day: Day) -> Day:
-        """Fewer first tries: halves, quarters and so on are left out as long as it still fails (delta debugging)."""
-        kept = list(day.only) or list(range(1, 1 + requests(day)))
+    def minimize_requests(self, day: Day) -> Day:
+        """Remove requests by delta debugging: leave out halves, quarters and so on as long as the day still fails."""
+        kept = list(day.only) or list(range(1, 1 + count_requests(day)))
         parts = 2
-        while len(kept) > 1 and self.left > 0:
-            size = -(-len(kept) // parts)
-            chunks = [kept[at : at + size] for at in range(0, len(kept), size)]
+        while len(kept) > 1 and self.remaining_trials > 0:
+            chunk_size = -(-len(kept) // parts)
+            chunks = [kept[start : start + chunk_size] for start in range(0, len(kept), chunk_size)]
             for number in range(len(chunks)):
                 fewer = [n for other, chunk in enumerate(chunks) if other != number for n in chunk]
-                if fewer and self.left > 0 and self.still(replace(day, only=tuple(fewer))):
+                if fewer and self.remaining_trials > 0 and self.still_fails(replace(day, only=tuple(fewer))):
                     kept, parts = fewer, max(2, parts - 1)
                     break
             else:
-                if size == 1:
+                if chunk_size == 1:
                     break
                 parts = min(2 * parts, len(kept))
         return replace(day, only=tuple(kept))
 
 
-def requests(day: Day) -> int:
-    """How many first tries are drawn on a day."""
+def count_requests(day: Day) -> int:
+    """Return the number of requests on a day, without retries."""
     world = World(day)
     world.play()
-    return world.drawn
+    return world.request_count
 
 
 def size(day: Day) -> int:
-    """What a day consists of, once it is cut down: first tries and troubles."""
+    """Return the size of a minimized day: its number of requests and faults."""
     return len(day.only) + len(day.troubles)
 
 
-def breaks(rule: str) -> FailurePredicate:
-    """Whether a day has a breach whose text begins so."""
+def breaches_rule(rule: str) -> FailurePredicate:
+    """Return a predicate that is true for a day with a breach whose text starts with ``rule``."""
     return lambda day: any(b.startswith(rule) for b in World(day).play()["breaches"])
--- a/zinclever/sim/scene.py
+++ b/zinclever/sim/scene.py
@@ -1,6 +1,6 @@
-"""A day's scene: its machines and servers, its applications, its troubles, and the judgement of what happened.
+"""The environment of a day: machines, servers, clients, fault injection and the audit of the result.
 
-Whether processes and time are simulated or real is for those who build on it.
+Subclasses of :class:`BaseWorld` supply the clock, the network and the sidecar processes, simulated or real.
 """
 
 from __future__ import annotations
@@ -19,173 +19,197 @@
 from ..simnet.trace import Trace
 from ..standins.audit import Breach, Terms, audit
 from ..standins.log import Log
-from .applications import Application, Keys
-from .figures import Counts, Figures
+from .applications import Application, KeyPopularity
+from .figures import FleetCounters, ServiceMetrics
 from .ground import Clock, Process
-from .listing import Listing
+from .listing import DiscoveryServer
 from .model import Day, RequestKind, ServerKind
-from .pages import PageServer
+from .pages import UpstreamServer
 from .sidecars import Sidecar
-from .troubles import Cut, Troubles
+from .troubles import FaultInjector, NetworkCut
 
 MS = NS // 1000
-START = 3 * NS  # ns at which the day begins: the sidecars are up by then
-CLIENT_RETRY_PERIOD = 3.0  # s after its day in which clients still try again
-MOST_ATTEMPTS = 6
-SLACK = 60.0  # ms that an answer, or a send, may be late: the rules' 50 and what a segment takes
-REDELIVERED = 4000.0  # ms after a cut of some seconds within which what it held has come: TCP's tries double from 0.2 s
-BUSY_PART = 20  # one in so many sidecars is a busy one
+START = 3 * NS  # beginning of the day on the simulation's clock; all sidecars have started by then
+CLIENT_RETRY_PERIOD = 3.0  # s after the end of the day during which clients still retry
+MAX_ATTEMPTS = 6
+ANSWER_SLACK_MS = 60.0  # tolerated lateness: 50 ms that the rules allow, plus the network latency
+# Time after a cut of a few seconds until TCP has retransmitted the data that it held back; the retransmission timeout
+# doubles from 0.2 s.
+REDELIVERY_MS = 4000.0
+BUSY_SIDECAR_INTERVAL = 20  # every twentieth sidecar is a busy one
 
 
 class AddressPlan(NamedTuple):
-    """The first addresses of each kind of machine."""
+    """The first address of each kind of machine, and the maximum number of servers."""
 
     sidecars: str
     servers: str
     discovery: str
-    most_servers: int
+    max_servers: int
 
 
-NETS = AddressPlan("10.1.0.1", "10.2.0.1", "10.3.0.1", 60_000)
+SIMULATED_ADDRESSES = AddressPlan("10.1.0.1", "10.2.0.1", "10.3.0.1", 60_000)
 
 
 class BaseWorld:
-    """Everything of one day but the sidecars' processes, and what time is."""
+    """Base class of an environment in which a day is run.
 
-    def __init__(self, day: Day, clock: Clock, network: Network, nets: AddressPlan = NETS) -> None:
+    Subclasses supply the clock, the processes and the sidecars.
+    """
+
+    def __init__(
+        self, day: Day, clock: Clock, network: Network, address_plan: AddressPlan = SIMULATED_ADDRESSES
+    ) -> None:
         self.day = day
         self.scheduler = clock
         self.start = START
-        """ns at which the day begins."""
+        """Beginning of the day, in ns."""
         self.network = network
         self.trace: Trace = network.trace
         zones = day.zones
-        for one, other in itertools.combinations(zones.names, 2):
-            self.network.between(one, other, Path(zones.cross_ms / 1000.0, zones.jitter))
+        for source, target in itertools.combinations(zones.names, 2):
+            self.network.between(source, target, Path(zones.cross_ms / 1000.0, zones.jitter))
         self.rng = Random(f"{day.seed}/world")
         self.log = Log(self.now_ms)
-        self.counts, self.figures = Counts(self), Figures(self)
-        self.serials = itertools.count(1)
-        self.only = frozenset(day.only)
-        self.cuts: list[Cut] = []
-        self.drawn = 0
-        """First tries drawn so far."""
+        self.counts, self.figures = FleetCounters(self), ServiceMetrics(self)
+        self.execution_numbers = itertools.count(1)
+        self.selected_requests = frozenset(day.only)
+        self.cuts: list[NetworkCut] = []
+        self.request_count = 0
+        """Number of requests drawn so far, without retries."""
         self.classes = {kind.name: kind for kind in day.classes}
-        self.class_sums = list(itertools.accumulate(kind.share for kind in day.classes))
-        self.names: dict[str, str] = {}
-        """Of the machines, by address."""
+        self.cumulative_class_shares = list(itertools.accumulate(kind.share for kind in day.classes))
+        self.machine_names: dict[str, str] = {}
+        """Machine names by address."""
         self.over = False
-        """No new requests."""
+        """The day is over: clients start no new requests."""
         self.closing = False
-        """No new tries of those that there are: what is still out gets its answer before the world ends."""
-        self.factor = 1.0
-        """Of the rate of requests."""
+        """Clients send no more retries; requests in flight still get their answers."""
+        self.rate_factor = 1.0
+        """Factor on the day's request rate."""
         self.report_delay_ms = 0.0
-        self.keys = Keys(day.applications.keys, day.applications.zipf, f"{day.seed}/keys")
-        self.listing = Listing(self, self.network.machine("discovery", nets.discovery, zones.names[0]))
-        self.server_addresses = iter(addresses(nets.servers, nets.most_servers))
-        self.servers: dict[str, PageServer] = {}
-        """By name; those that are gone among them."""
-        self.make_servers()
-        self.sidecars: Sequence[Sidecar] = list(self.make_sidecars(nets.sidecars))
-        self.applications = [Application(self, s, self.weight(n)) for n, s in enumerate(self.sidecars)]
-        self.weights = sum(a.weight for a in self.applications)
-        self.troubles = Troubles(self)
-
-    # --- time and draws ---
+        self.keys = KeyPopularity(day.applications.keys, day.applications.zipf, f"{day.seed}/keys")
+        self.listing = DiscoveryServer(self, self.network.machine("discovery", address_plan.discovery, zones.names[0]))
+        self.server_addresses = iter(addresses(address_plan.servers, address_plan.max_servers))
+        self.servers: dict[str, UpstreamServer] = {}
+        """All servers by name, including those that are gone."""
+        self.create_servers()
+        self.sidecars: Sequence[Sidecar] = list(self.create_sidecars(address_plan.sidecars))
+        self.applications = [Application(self, s, self.draw_weight(n)) for n, s in enumerate(self.sidecars)]
+        self.total_weight = sum(a.weight for a in self.applications)
+        self.troubles = FaultInjector(self)
+
+    # --- time and random draws ---
 
     def now(self) -> int:
-        """ns"""
+        """Return the current instant in ns."""
         return self.scheduler.now
 
     def now_ms(self) -> float:
+        """Return the current instant in ms."""
         return self.scheduler.now / MS
 
     def unix_ms(self) -> float:
+        """Return the current Unix time in ms."""
         return float((EPOCH + self.scheduler.now) // MS)
 
-    def day_second(self, at: int) -> int:
-        return (at - self.start) // NS
+    def day_second(self, instant: int) -> int:
+        """Return the second of the day for an instant in ns."""
+        return (instant - self.start) // NS
 
-    def serial(self) -> int:
-        return next(self.serials)
+    def next_execution_number(self) -> int:
+        """Return a number that identifies one execution of a request."""
+        return next(self.execution_numbers)
 
     def seed_from_text(self, text: str) -> int:
+        """Return a 64-bit seed, the same on every machine."""
         return seed_from_text(text)
 
-    def next_request(self) -> int:
-        """The number of a first try: from 1, over all applications."""
-        self.drawn += 1
-        return self.drawn
+    def next_request_number(self) -> int:
+        """Return the number of a new request; numbers start at 1 and are unique over all applications."""
+        self.request_count += 1
+        return self.request_count
 
-    def rate_now(self) -> float:
-        return self.day.rate * self.factor
+    def request_rate(self) -> float:
+        """Return the current rate of requests per second of all applications, without retries."""
+        return self.day.rate * self.rate_factor
 
     def draw_class(self, rng: Random) -> RequestKind:
-        sums = self.class_sums
-        return self.day.classes[bisect(sums, rng.random() * sums[-1], 0, len(sums) - 1)]
+        """Return a random request class according to the classes' shares."""
+        cumulative_shares = self.cumulative_class_shares
+        return self.day.classes[
+            bisect(cumulative_shares, rng.random() * cumulative_shares[-1], 0, len(cumulative_shares) - 1)
+        ]
 
-    # --- what it stands on ---
+    # --- supplied by subclasses ---
 
     def process(self, machine: Machine) -> Process:
-        """A process on a machine: a server, an application, discovery."""
+        """Create a process on a machine, for a server, an application or discovery."""
         raise NotImplementedError
 
     def new_sidecar(self, machine: Machine, number: int) -> Sidecar:
+        """Create a sidecar; it is not started."""
         raise NotImplementedError
 
-    def localize_entry(self, line: dict[str, Any], caller: str) -> dict[str, Any]:
-        """A line of the list as one caller gets it: an address may differ from one sidecar to the next."""
-        return line
+    def localize_entry(self, entry: dict[str, Any], caller: str) -> dict[str, Any]:
+        """Return a discovery entry as one sidecar gets it; subclasses may replace the address."""
+        return entry
 
-    # --- who is there ---
+    # --- servers and sidecars ---
 
-    def zone_of(self, number: int) -> str:
+    def zone_for(self, number: int) -> str:
+        """Return the zone of the n-th server; servers are distributed round-robin."""
         names = self.day.zones.names
         return names[number % len(names)]
 
-    def new_server(self, zone: str, kind: ServerKind, cell: int, cold: bool) -> PageServer:
-        """A server on a machine of its own; who wants it heard of tells discovery."""
+    def new_server(self, zone: str, kind: ServerKind, cell: int, cold: bool) -> UpstreamServer:
+        """Start a server on a new machine; the caller announces it to discovery."""
         machine = self.network.machine(f"s{len(self.servers)}", next(self.server_addresses), zone)
-        self.names[machine.address] = machine.name
-        server = self.servers[machine.name] = PageServer(self, machine, kind, cell, cold)
+        self.machine_names[machine.address] = machine.name
+        server = self.servers[machine.name] = UpstreamServer(self, machine, kind, cell, cold)
         server.loop.create_task(server.listen())
         return server
 
-    def make_servers(self) -> None:
-        told = self.day.servers
+    def create_servers(self) -> None:
+        """Start the initial servers, warm and known to discovery."""
+        settings = self.day.servers
         zones = len(self.day.zones.names)
         for number in range(self.day.endpoints):
-            cell = zones * (number // zones // told.cell) + number % zones
-            server = self.new_server(self.zone_of(number), self.draw_kind(), cell, False)
-            self.listing.learn(server, "ready", 0.0)
+            cell = zones * (number // zones // settings.cell) + number % zones
+            server = self.new_server(self.zone_for(number), self.draw_kind(), cell, False)
+            self.listing.schedule_change(server, "ready", 0.0)
 
     def draw_kind(self) -> ServerKind:
+        """Return a random kind of server according to the kinds' shares."""
         kinds = self.day.servers.kinds
-        sums = list(itertools.accumulate(kind.share for kind in kinds))
-        return kinds[bisect(sums, self.rng.random() * sums[-1], 0, len(sums) - 1)]
+        cumulative_shares = list(itertools.accumulate(kind.share for kind in kinds))
+        return kinds[
+            bisect(cumulative_shares, self.rng.random() * cumulative_shares[-1], 0, len(cumulative_shares) - 1)
+        ]
 
-    def make_sidecars(self, first: str) -> Iterator[Sidecar]:
+    def create_sidecars(self, first_address: str) -> Iterator[Sidecar]:
+        """Create the sidecars, each on its own machine in a random zone."""
         zones = self.day.zones
-        for number, address in enumerate(addresses(first, self.day.sidecars)):
+        for number, address in enumerate(addresses(first_address, self.day.sidecars)):
             in_first = self.rng.random() < zones.skew
             half = (len(zones.names) + 1) // 2
             names = zones.names[:half] if in_first or half == len(zones.names) else zones.names[half:]
             machine = self.network.machine(f"n{number}", address, names[number % len(names)])
-            self.names[address] = machine.name
+            self.machine_names[address] = machine.name
             yield self.new_sidecar(machine, number)
 
-    def weight(self, number: int) -> float:
-        """How busy a sidecar's application is: most are quiet, some are not."""
-        return self.day.applications.busy if number % BUSY_PART == 0 else 0.5 + self.rng.random()
+    def draw_weight(self, number: int) -> float:
+        """Return the relative load of a sidecar's application: one in twenty is busy."""
+        return self.day.applications.busy if number % BUSY_SIDECAR_INTERVAL == 0 else 0.5 + self.rng.random()
 
-    def ready_servers(self) -> list[PageServer]:
+    def ready_servers(self) -> list[UpstreamServer]:
+        """Return the servers that are ready and whose machines are reachable."""
         return [s for s in self.servers.values() if s.health == "ready" and s.machine.up]
 
-    # --- what a sidecar is told ---
+    # --- configuration of the sidecars ---
 
     def settings(self, sidecar: Sidecar) -> dict[str, Any]:
-        """The settings object, under the platform's names."""
+        """Return the settings in a sidecar's configuration, under the platform's key names."""
         day = self.day
         kinds = day.servers.kinds
         return {
@@ -195,18 +219,18 @@
             "zones": list(day.zones.names),
             "classes": [
                 {
-                    "name": k.name,
-                    "aim": k.aim_ms,
-                    "deadline": k.deadline_ms,
-                    "value": k.worth,
-                    "repeat": k.repeat,
-                    "group": k.group,
-                    "window": k.window_ms,
+                    "name": kind.name,
+                    "aim": kind.aim_ms,
+                    "deadline": kind.deadline_ms,
+                    "value": kind.worth,
+                    "repeat": kind.repeat,
+                    "group": kind.group,
+                    "window": kind.window_ms,
                 }
-                for k in day.classes
+                for kind in day.classes
             ],
             "limits": {
-                "attempts-cap": MOST_ATTEMPTS,
+                "attempts-cap": MAX_ATTEMPTS,
                 "cancel": True,
                 "second-copies": True,
                 "retry-after": True,
@@ -218,8 +242,8 @@
                 "answer-slack": 50.0,
                 "ask-within": day.rules.ask_within_ms,
                 "stop-sending-within": day.rules.drain_grace_ms,
-                "cold-share": min(k.cold_share for k in kinds),
-                "cold": 1000.0 * max(k.cold_s for k in kinds),
+                "cold-share": min(kind.cold_share for kind in kinds),
+                "cold": 1000.0 * max(kind.cold_s for kind in kinds),
                 "overload-factor": day.rules.fall_multiple,
                 "fall": day.rules.fall_ms,
             },
@@ -231,14 +255,14 @@
             "family-info": {"warm-keys": True},
         }
 
-    # --- what came of it ---
+    # --- audit ---
 
     def slack(self) -> float:
-        """ms that an answer, or a send, may be late."""
-        return SLACK
+        """Return the time in ms by which an answer or a send may be late."""
+        return ANSWER_SLACK_MS
 
     def judge(self) -> list[Breach]:
-        """Every breach of the four rules, by the shared auditor; a server that fell is one of the fourth."""
+        """Audit the log and return all breaches of the rules; a server that crashed from overload breaches rule 4."""
         rules = self.day.rules
         terms = Terms(
             slack=self.slack(),
@@ -247,26 +271,32 @@
             overload_for=rules.fall_ms,
             cold_for=0.0,
         )
-        fallen = [Breach(4, name, "pushed over while cold") for name in self.counts.fallen]
-        return [*audit(self.as_sent(), terms), *fallen]
+        overloads = [Breach(4, name, "overloaded while cold") for name in self.counts.overloaded_servers]
+        return [*audit(self.log_adjusted_for_cuts(), terms), *overloads]
+
+    def log_adjusted_for_cuts(self) -> Log:
+        """Return the log with earlier arrival times for requests that a network cut may have delayed.
 
-    def as_sent(self) -> Log:
-        """The log with what a cut has held back dated to when it may have been sent, which no peer has seen."""
+        A request that arrives during a cut, or within ``REDELIVERY_MS`` after it, may have been sent before the cut, so
+        it is dated to the cut's start.
+        """
         if not self.cuts:
             return self.log
         zones = {m.name: m.zone for m in self.network.machines.values()}
-        held = replace(self.log, received=[])
+        adjusted = replace(self.log, received=[])
         for r in self.log.received:
             ends = {r.via, zones.get(r.via, ""), ""}, {r.endpoint, zones.get(r.endpoint, "")}
-            since = [
-                c.at
+            cut_starts = [
+                c.started_at
                 for c in self.cuts
-                if c.source in ends[0] and c.target in ends[1] and c.at <= r.first <= c.at + c.span + REDELIVERED
+                if c.source in ends[0]
+                and c.target in ends[1]
+                and c.started_at <= r.first <= c.started_at + c.duration + REDELIVERY_MS
             ]
-            held.received.append(r._replace(first=min([r.first, *since])))
-        return held
+            adjusted.received.append(r._replace(first=min([r.first, *cut_starts])))
+        return adjusted
 
 
 def seed_from_text(text: str) -> int:
-    """A seed of 64 bits, the same on every machine."""
+    """Return a 64-bit seed derived from a text, the same on every machine."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest())
