--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -169,7 +169,7 @@
 
 
 def unsafe_sent_again_after_proof(log: Log) -> None:
-    log.received[2] = log.received[2]._replace(ran=False, proved=True, made="")
+    log.received[2] = log.received[2]._replace(ran=False, declined=True, made="")
     again(log, "r2", 5.0)
     log.answered[2] = log.answered[2]._replace(made="r2+5.0")
 
@@ -232,12 +232,12 @@
         doubtful = False
         for step in range(rng.randrange(4)):
             ran = rng.random() < 0.5
-            proved = not ran and rng.random() < 0.5
+            declined = not ran and rng.random() < 0.5
             if doubtful:
                 expected.add(name)
-            doubtful = doubtful or not proved
+            doubtful = doubtful or not declined
             made = f"{name}.{step}" if ran else ""
-            log.received.append(Received(at + step, at + step, name, f"e{step}", "a", ran, proved, made))
+            log.received.append(Received(at + step, at + step, name, f"e{step}", "a", ran, declined, made))
         if rng.random() < 0.5:
             log.answered.append(Answered(at + 40.0, name, "failed"))
         else:
--- a/tests/test_fault_day.py
+++ b/tests/test_fault_day.py
@@ -18,7 +18,7 @@
 
 from zinclever.standins import Log, Terms, audit, seeded
 from zinclever.standins.clients import HttpClient, JsonRpcClient, Klass
-from zinclever.standins.day import MOST_DELAY, SHARES, Day, ask_http, ask_jsonrpc, change
+from zinclever.standins.day import MAX_DELAY, SHARES, Day, ask_http, ask_jsonrpc, change
 from zinclever.standins.discovery import Discovery
 from zinclever.standins.endpoint import Endpoint
 from zinclever.standins.http_endpoint import HttpEndpoint
@@ -71,7 +71,7 @@
         self.discovery = await self.stack.enter_async_context(Discovery(self.log))
         self.endpoints = []
         for n in range(count):
-            plan = seeded(10 * self.seed + n, SHARES, MOST_DELAY)
+            plan = seeded(10 * self.seed + n, SHARES, MAX_DELAY)
             made = self.kind(self.log, plan, "ab"[n % 2])
             self.endpoints.append(await self.stack.enter_async_context(made))
             await self.discovery.set(made)
--- a/zinclever/standins/audit.py
+++ b/zinclever/standins/audit.py
@@ -1,4 +1,4 @@
-"""The four rules, checked on a log. Pure: it reads a log and names every breach."""
+"""Checks the four rules on a recorded log. Pure functions: they read the log and report every violation."""
 
 from __future__ import annotations
 
@@ -11,24 +11,25 @@
 
 
 class Breach(NamedTuple):
-    """One rule broken once."""
+    """One violation of one rule."""
 
     rule: int
-    """1: one final answer in time; 2: no effect twice; 3: drains; 4: cold endpoints."""
+    """1: one final answer in time; 2: no effect twice; 3: draining endpoints; 4: cold endpoints."""
     about: str
-    """The request or the endpoint."""
+    """Name of the request or of the endpoint."""
     what: str
+    """Description of the violation."""
 
 
-ROUNDING = 1e-9  # what a sum of works may be off by
+ROUNDING = 1e-9  # tolerance for rounding errors in a sum of work amounts
 
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """The figures of the rules, in ms."""
+    """Parameters of the rules. Times are in ms."""
 
     slack: float = 250.0
-    """What the machine may take between a write and the reader's noting it."""
+    """Tolerance for the delay between a write and the reader's log entry."""
     drain_grace: float = 1000.0
     cold_share: float = 0.2
     cold_for: float = 10000.0
@@ -37,151 +38,179 @@
 
 
 def audit(log: Log, terms: Terms | None = None) -> list[Breach]:
-    """Every breach of the four rules that the log shows, by rule."""
-    held = terms or Terms()
-    return [*_answers(log, held), *_effects(log, held), *_drains(log, held), *_cold(log, held)]
+    """Returns every violation of the four rules in the log, ordered by rule."""
+    effective_terms = terms or Terms()
+    return [
+        *_final_answer_violations(log, effective_terms),
+        *_effect_violations(log, effective_terms),
+        *_drain_violations(log, effective_terms),
+        *_cold_overloads(log, effective_terms),
+    ]
 
 
 # --- rule 1 ---
 
 
-def _answers(log: Log, terms: Terms) -> Iterator[Breach]:
-    """Each request taken gets one final answer in its time, made for it; nothing goes out for it after."""
+def _final_answer_violations(log: Log, terms: Terms) -> Iterator[Breach]:
+    """Checks that each request gets one final answer, in time and produced for it, and that no attempt follows it."""
     answers: dict[str, list[Answered]] = defaultdict(list)
     for answer in log.answered:
         answers[answer.request].append(answer)
     received = _by_request(log)
-    left = {x.request: x.at for x in log.left}
-    asked = {a.request: a for a in log.asked}
-    for request in answers.keys() - asked.keys():
-        yield Breach(1, request, "answered, but never asked")
-    for request in received.keys() - asked.keys():
-        yield Breach(1, request, "sent to an endpoint, but never asked")
-    for request, ask in asked.items():
-        got = answers[request]
-        if not ask.answered:
-            if got:
-                yield Breach(1, request, "an answer to what is owed none")
+    abandoned_at = {x.request: x.at for x in log.left}
+    sent_by_request = {a.request: a for a in log.asked}
+    for request in answers.keys() - sent_by_request.keys():
+        yield Breach(1, request, "answered, but no client sent it")
+    for request in received.keys() - sent_by_request.keys():
+        yield Breach(1, request, "sent to an endpoint, but no client sent it")
+    for request, sent in sent_by_request.items():
+        final_answers = answers[request]
+        if not sent.answered:
+            if final_answers:
+                yield Breach(1, request, "answered, although it is a notification")
             continue
-        if len(got) > 1:
-            yield Breach(1, request, f"{len(got)} final answers")
-        if not got:
-            if request not in left:
+        if len(final_answers) > 1:
+            yield Breach(1, request, f"{len(final_answers)} final answers")
+        if not final_answers:
+            if request not in abandoned_at:
                 yield Breach(1, request, "no final answer")
-            over = left.get(request)
+            ended_at = abandoned_at.get(request)
         else:
-            over = got[0].at
-            if got[0].at > ask.at + ask.wait + terms.slack:
-                yield Breach(1, request, f"answered {got[0].at - ask.at - ask.wait:.0f} ms late")
-            if got[0].kind == "served" and got[0].made not in {r.made for r in received[request] if r.made}:
-                yield Breach(1, request, "served with what no endpoint made for it")
+            ended_at = final_answers[0].at
+            if final_answers[0].at > sent.at + sent.wait + terms.slack:
+                yield Breach(1, request, f"answered {final_answers[0].at - sent.at - sent.wait:.0f} ms late")
+            if final_answers[0].kind == "served" and final_answers[0].made not in {
+                r.made for r in received[request] if r.made
+            }:
+                yield Breach(1, request, "served with a response that no endpoint produced for it")
         for attempt in received[request]:
-            if over is not None and attempt.first > over + terms.slack:
-                late = attempt.first - over
-                yield Breach(1, request, f"sent to {attempt.endpoint} {late:.0f} ms after its end")
+            if ended_at is not None and attempt.first > ended_at + terms.slack:
+                late = attempt.first - ended_at
+                yield Breach(1, request, f"sent to {attempt.endpoint} {late:.0f} ms after it had ended")
 
 
 # --- rule 2 ---
 
 
-def _effects(log: Log, terms: Terms) -> Iterator[Breach]:
-    """No effect twice, and no refusal of what may have had one."""
+def _effect_violations(log: Log, terms: Terms) -> Iterator[Breach]:
+    """Checks that no request takes effect twice and that none is refused that may have been executed."""
     received = _by_request(log)
     refused = {a.request for a in log.answered if a.kind == "refused"}
-    keyed: dict[str, list[tuple[Asked, Received]]] = defaultdict(list)
-    for ask in log.asked:
-        attempts = received[ask.request]
-        doubtful = [a for a in attempts if not a.proved]
-        if ask.effect == "at_most_once":
-            yield from _unsafe(ask, attempts, doubtful)
-            if ask.request in refused and doubtful:
-                yield Breach(2, ask.request, f"refused, but {doubtful[0].endpoint} may have run it")
-        elif ask.effect == "deduplicated":
-            keyed[ask.key].extend((ask, a) for a in attempts if a.ran)
-            if ask.request in refused and doubtful and ask.group != "all":
-                yield Breach(2, ask.request, "refused, but a repeat may reach another group")
-            yield from _late_copies(ask, doubtful, terms)
-    for key, runs in keyed.items():
-        yield from _keyed(key, runs)
-
-
-def _unsafe(ask: Asked, attempts: list[Received], doubtful: list[Received]) -> Iterator[Breach]:
+    executions_by_key: dict[str, list[tuple[Asked, Received]]] = defaultdict(list)
+    for sent in log.asked:
+        attempts = received[sent.request]
+        possibly_executed = [a for a in attempts if not a.declined]
+        if sent.effect == "at_most_once":
+            yield from _at_most_once_violations(sent, attempts, possibly_executed)
+            if sent.request in refused and possibly_executed:
+                yield Breach(2, sent.request, f"refused, but {possibly_executed[0].endpoint} may have run it")
+        elif sent.effect == "deduplicated":
+            executions_by_key[sent.key].extend((sent, a) for a in attempts if a.ran)
+            if sent.request in refused and possibly_executed and sent.group != "all":
+                yield Breach(
+                    2, sent.request, "refused, but a retry by the client may reach another deduplication group"
+                )
+            yield from _deduplicated_resends(sent, possibly_executed, terms)
+    for key, executions in executions_by_key.items():
+        yield from _deduplicated_effects(key, executions)
+
+
+def _at_most_once_violations(
+    sent: Asked, attempts: list[Received], possibly_executed: list[Received]
+) -> Iterator[Breach]:
+    """Checks that a request is executed once at most and never resent after an attempt that may have run."""
     runs = sum(a.ran for a in attempts)
     if runs > 1:
-        yield Breach(2, ask.request, f"unsafe, and ran {runs} times")
-    if doubtful:
-        later = attempts[attempts.index(doubtful[0]) + 1 :]
+        yield Breach(2, sent.request, f"at most once, but executed {runs} times")
+    if possibly_executed:
+        later = attempts[attempts.index(possibly_executed[0]) + 1 :]
         if later:
-            yield Breach(2, ask.request, f"sent to {later[0].endpoint} again, though it may have run")
+            yield Breach(2, sent.request, f"sent to {later[0].endpoint} again, though it may have run")
 
 
-def _late_copies(ask: Asked, doubtful: list[Received], terms: Terms) -> Iterator[Breach]:
-    """A keyed request goes again inside its group and window only, from the first that may have run."""
-    for again in doubtful[1:]:
-        first = doubtful[0]
-        if again.first > first.at + ask.window + terms.slack:
-            yield Breach(2, ask.request, f"keyed, sent again {again.first - first.at:.0f} ms later")
-        if ask.group == "zone" and again.zone != first.zone:
-            yield Breach(2, ask.request, f"keyed, sent to zone {again.zone} after {first.zone}")
+def _deduplicated_resends(sent: Asked, possibly_executed: list[Received], terms: Terms) -> Iterator[Breach]:
+    """Checks that a deduplicated request is resent within its group and window only.
 
+    The window begins with the first attempt that may have run.
+    """
+    for resent in possibly_executed[1:]:
+        first = possibly_executed[0]
+        if resent.first > first.at + sent.window + terms.slack:
+            yield Breach(2, sent.request, f"deduplicated, resent {resent.first - first.at:.0f} ms later")
+        if sent.group == "zone" and resent.zone != first.zone:
+            yield Breach(2, sent.request, f"deduplicated, sent to zone {resent.zone} after {first.zone}")
 
-def _keyed(key: str, runs: list[tuple[Asked, Received]]) -> Iterator[Breach]:
-    """The same request run twice under one key has one effect only inside the group and the window."""
-    for n, (ask, run) in enumerate(runs):
-        for other, earlier in runs[:n]:
-            if other.request != ask.request:
-                continue  # a client's own repeat: what it may do is its own to know
-            apart = ask.group == "zone" and run.zone != earlier.zone
-            if apart or abs(run.at - earlier.at) > ask.window:
-                yield Breach(2, ask.request, f"key {key}: a second effect on {run.endpoint}")
+
+def _deduplicated_effects(key: str, executions: list[tuple[Asked, Received]]) -> Iterator[Breach]:
+    """Checks that executions of a request under one key stay within its group and window.
+
+    Only there do the endpoints discard the repetition.
+    """
+    for n, (sent, execution) in enumerate(executions):
+        for earlier_request, earlier in executions[:n]:
+            if earlier_request.request != sent.request:
+                continue  # repeated by the client itself, which is responsible for its effect
+            outside_group = sent.group == "zone" and execution.zone != earlier.zone
+            if outside_group or abs(execution.at - earlier.at) > sent.window:
+                yield Breach(2, sent.request, f"key {key}: a second effect on {execution.endpoint}")
 
 
 # --- rules 3 and 4 ---
 
 
-def _drains(log: Log, terms: Terms) -> Iterator[Breach]:
-    """Nothing new to an endpoint later than its grace after it is told to drain or go."""
-    bans: dict[tuple[str, str], list[tuple[float, float]]] = defaultdict(list)
-    for told in log.told:
-        spans = bans[told.to, told.endpoint]
-        open_now = bool(spans) and spans[-1][1] == float("inf")
-        if told.phase == "ready":
-            if open_now:
-                spans[-1] = spans[-1][0], told.at
-        elif not open_now:
-            spans.append((told.at, float("inf")))
+def _drain_violations(log: Log, terms: Terms) -> Iterator[Breach]:
+    """Checks that no attempt starts at an endpoint after the grace period of its drain or removal."""
+    drain_intervals: dict[tuple[str, str], list[tuple[float, float]]] = defaultdict(list)
+    for announcement in log.told:
+        intervals = drain_intervals[announcement.to, announcement.endpoint]
+        is_draining = bool(intervals) and intervals[-1][1] == float("inf")
+        if announcement.phase == "ready":
+            if is_draining:
+                intervals[-1] = intervals[-1][0], announcement.at
+        elif not is_draining:
+            intervals.append((announcement.at, float("inf")))
     for attempt in log.received:
-        for since, until in bans.get((attempt.via, attempt.endpoint), ()):
-            if since + terms.drain_grace + terms.slack < attempt.first < until:
-                late = attempt.first - since
-                yield Breach(3, attempt.endpoint, f"sent {attempt.request} {late:.0f} ms after the telling")
+        for began, ended in drain_intervals.get((attempt.via, attempt.endpoint), ()):
+            if began + terms.drain_grace + terms.slack < attempt.first < ended:
+                late = attempt.first - began
+                yield Breach(
+                    3,
+                    attempt.endpoint,
+                    f"sent {attempt.request} {late:.0f} ms after discovery had announced its drain or removal",
+                )
+
 
+def _cold_overloads(log: Log, terms: Terms) -> Iterator[Breach]:
+    """Checks that no cold endpoint is overloaded.
 
-def _cold(log: Log, terms: Terms) -> Iterator[Breach]:
-    """No cold endpoint gets more than the multiple of its present capacity for as long as pushes it over."""
+    It is when it receives more than ``overload_factor`` times its current capacity over ``overload_for``.
+    """
     for start in log.started:
-        got = sorted(
+        arrivals = sorted(
             (r.at, r.work)
             for r in log.received
             if r.endpoint == start.endpoint and start.at <= r.at < start.at + terms.cold_for
         )
-        begin, sent = 0, 0.0
-        for at, work in got:
-            sent += work
-            while got[begin][0] <= at - terms.overload_for:
-                sent -= got[begin][1]
-                begin += 1
-            warm = min(1.0, (at - start.at) / terms.cold_for)
-            capacity = start.capacity * (terms.cold_share + (1.0 - terms.cold_share) * warm)
-            most = max(1.0, terms.overload_factor * capacity * terms.overload_for / 1000.0)
-            if sent > most + ROUNDING:
-                what = f"{sent:g} requests in {terms.overload_for:.0f} ms; {most:.0f} push it over"
-                yield Breach(4, start.endpoint, what)
+        window_start, load = 0, 0.0
+        for at, work in arrivals:
+            load += work
+            while arrivals[window_start][0] <= at - terms.overload_for:
+                load -= arrivals[window_start][1]
+                window_start += 1
+            warm_fraction = min(1.0, (at - start.at) / terms.cold_for)
+            capacity = start.capacity * (terms.cold_share + (1.0 - terms.cold_share) * warm_fraction)
+            max_load = max(1.0, terms.overload_factor * capacity * terms.overload_for / 1000.0)
+            if load > max_load + ROUNDING:
+                description = (
+                    f"{load:g} requests in {terms.overload_for:.0f} ms; {max_load:.0f} is the most that it can take"
+                )
+                yield Breach(4, start.endpoint, description)
                 break
 
 
 def _by_request(log: Log) -> dict[str, list[Received]]:
-    found: dict[str, list[Received]] = defaultdict(list)
+    """Groups the attempts by request, each group ordered by the time of the first byte."""
+    attempts_by_request: dict[str, list[Received]] = defaultdict(list)
     for attempt in sorted(log.received, key=lambda r: r.first):
-        found[attempt.request].append(attempt)
-    return found
+        attempts_by_request[attempt.request].append(attempt)
+    return attempts_by_request
--- a/zinclever/standins/clients.py
+++ b/zinclever/standins/clients.py
@@ -1,4 +1,4 @@
-"""Clients that note what they asked and were answered."""
+"""Test clients that log the requests they send and the answers they get."""
 
 from __future__ import annotations
 
@@ -17,39 +17,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Klass:
-    """A class as its clients know it."""
+    """A request class from the clients' point of view."""
 
     name: str
     method: str
-    """JSON-RPC: the method of this class."""
+    """JSON-RPC method of this class."""
     effect: Effect
     wait: float
-    """ms"""
+    """How long a client waits for the answer, in ms."""
     window: float = 0.0
     group: Literal["all", "zone"] = "all"
 
 
 class JsonRpcClient:
-    """One connection, many calls at once; each call's ``params.call`` is its name in the log."""
+    """Sends concurrent calls over one connection; ``params.call`` is the name of a call in the log."""
 
     _names = itertools.count(1)
 
     def __init__(self, log: Log, framing: str = "lines") -> None:
         self.log, self.framing = log, framing
         self.waiting: dict[str, tuple[str, asyncio.Future[Any]]] = {}
-        """Calls by their id as written: their name, and their response to come."""
+        """Names and pending responses of the calls in flight, by the JSON token of their id."""
         self.stray: list[Any] = []
-        """What came for no call of ours."""
+        """Messages that contain a response to no call of this client."""
         self.ended = asyncio.Event()
 
     async def connect(self, address: str) -> Self:
+        """Connects to ``address`` (host:port) and starts to read responses."""
         host, _, port = address.partition(":")
         self.reader, self.writer = await asyncio.open_connection(host, int(port), limit=1 << 23)
         self.task = asyncio.ensure_future(self.listen())
         return self
 
     async def close(self) -> None:
-        """Leave, with whatever is unanswered."""
+        """Closes the connection and logs the calls in flight as abandoned."""
         for name, _ in self.waiting.values():
             self.log.left.append(Left(self.log.clock(), name))
         self.waiting.clear()
@@ -58,7 +59,7 @@
         await asyncio.gather(self.task, return_exceptions=True)
 
     def call(self, klass: Klass, key: str = "", id: str | None = None, name: str = "") -> asyncio.Future[Any]:
-        """Send one call; its future holds the response object."""
+        """Sends one call; the future returns the response object."""
         text, future = self.prepare(klass, key, id, name)
         self.writer.write(write(self.framing, text))
         return future
@@ -66,7 +67,11 @@
     def prepare(
         self, klass: Klass, key: str = "", id: str | None = None, name: str = ""
     ) -> tuple[bytes, asyncio.Future[Any]]:
-        """A call's text, noted as sent from now on; ``id``: a JSON token."""
+        """Encodes a call and logs it as sent, without writing it; ``id``: a JSON token.
+
+        Returns:
+            The encoded call, and the future of its response.
+        """
         number = next(self._names)
         name = name or f"c{number}"
         token = id if id is not None else str(number)
@@ -80,7 +85,7 @@
         return text.encode(), future
 
     def notify(self, klass: Klass) -> str:
-        """Send a notification; its name."""
+        """Sends a notification and returns its name in the log."""
         name = f"n{next(self._names)}"
         params = json.dumps({"call": name, "key": name})
         text = f'{{"jsonrpc":"2.0","method":"{klass.method}","params":{params}}}'
@@ -91,35 +96,38 @@
         return name
 
     def raw(self, text: bytes) -> None:
+        """Sends one message without logging it."""
         self.writer.write(write(self.framing, text))
 
     async def listen(self) -> None:
+        """Reads responses until the connection ends; then fails the calls in flight."""
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             while text := await read(self.framing, self.reader):
-                told = json.loads(text, parse_float=lambda token: {"token": token})
-                for one in told if isinstance(told, list) else [told]:
-                    self.take(one, told)
+                message = json.loads(text, parse_float=lambda token: {"token": token})
+                for response in message if isinstance(message, list) else [message]:
+                    self.handle_response(response, message)
         self.ended.set()
         for _, future in self.waiting.values():
             if not future.done():
-                future.set_exception(ConnectionResetError("ended with calls unanswered"))
+                future.set_exception(ConnectionResetError("connection closed with unanswered calls"))
                 future.exception()
 
-    def take(self, one: Any, whole: Any) -> None:
-        id = one["id"]
+    def handle_response(self, response: Any, message: Any) -> None:
+        """Logs a response and completes its call; ``message``: what it came in, a batch or the response itself."""
+        id = response["id"]
         token = id["token"] if isinstance(id, dict) else json.dumps(id)
         if token not in self.waiting:
-            self.stray.append(whole)
+            self.stray.append(message)
             return
         name, future = self.waiting.pop(token)
-        kind, made = read_kind(one)
+        kind, made = read_kind(response)
         self.log.answered.append(Answered(self.log.clock(), name, kind, made))
         if not future.done():
-            future.set_result(one)
+            future.set_result(response)
 
 
 def read_kind(response: Any) -> tuple[Kind, str]:
-    """What a response means to its client."""
+    """Returns the kind of a response, and the identifier of its execution, empty unless it was served."""
     if "result" in response:
         return "served", response["result"]["made"]
     code = response["error"]["code"]
@@ -129,7 +137,7 @@
 
 
 class HttpClient:
-    """One connection, one request at a time."""
+    """Sends one request at a time over one connection."""
 
     _names = itertools.count(1)
 
@@ -138,7 +146,10 @@
         self.streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     async def call(self, klass: Klass, key: str = "") -> Kind:
-        """Send one request and wait for its answer; once more if the connection it went on was ending."""
+        """Sends one request and waits for its answer.
+
+        A request that fails on a reused connection is sent again, since the server may have closed the idle connection.
+        """
         name = f"h{next(self._names)}"
         self.log.asked.append(
             Asked(self.log.clock(), name, klass.effect, klass.wait, key or name, klass.group, klass.window)
@@ -155,17 +166,17 @@
         return kind
 
     async def exchange(self, klass: Klass, name: str, key: str) -> tuple[int, str] | None:
-        """Status and body, or None where the connection ended without an answer."""
+        """Sends a request; returns the status and the body, or None if the connection ended without an answer."""
         if self.streams is None:
             host, _, port = self.address.partition(":")
             self.streams = await asyncio.open_connection(host, int(port))
         reader, writer = self.streams
         method = "GET" if klass.effect == "idempotent" else "POST"
-        keyed = f"Idempotency-Key: {key}\r\n" if klass.effect == "deduplicated" else ""
+        key_header = f"Idempotency-Key: {key}\r\n" if klass.effect == "deduplicated" else ""
         length = "" if method == "GET" else "Content-Length: 0\r\n"
         writer.write(
             f"{method} /{klass.name}/x HTTP/1.1\r\nHost: x\r\nReq-Id: {name}\r\n"
-            f"Req-Deadline: {klass.wait / 1000.0:.3f}\r\n{keyed}{length}\r\n".encode()
+            f"Req-Deadline: {klass.wait / 1000.0:.3f}\r\n{key_header}{length}\r\n".encode()
         )
         try:
             head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
@@ -179,6 +190,7 @@
         return int(head.split()[1]), body
 
     def close(self) -> None:
+        """Closes the connection, if there is one."""
         if self.streams is not None:
             self.streams[1].transport.abort()
             self.streams = None
--- a/zinclever/standins/day.py
+++ b/zinclever/standins/day.py
@@ -1,7 +1,7 @@
-"""A day of faults, drawn from a seed: the same one for every protocol.
+"""A scenario of faults drawn from a seed, the same for every protocol.
 
-Clients ask, endpoints go wrong, one of them drains, goes and comes back cold, and the configuration is read
-again in between. What happened is in the log; :func:`~zinclever.standins.audit.audit` judges it.
+Clients send requests, endpoints fail, one endpoint drains, disappears and returns cold, and the configuration is
+reloaded meanwhile. The log records the run, and :func:`~zinclever.standins.audit.audit` checks it.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from .endpoint import Endpoint
 from .faults import Fault
 
-#: What share of the requests meets each fault.
+#: Share of the requests that each fault applies to.
 SHARES = {
     Fault.SILENCE: 0.02,
     Fault.SWALLOW: 0.02,
@@ -27,16 +27,18 @@
     Fault.ERROR: 0.04,
     Fault.DECLINE: 0.05,
 }
-MOST_DELAY = 0.03  # s that an answer takes
-THINK = 0.03  # s between two requests of a client at the most
-CAPACITY = 400.0  # requests a second that an endpoint is said to carry when warm
-LEAVES = 0.01  # chance that a JSON-RPC client leaves with what it has out
+MAX_DELAY = 0.03  # s until an endpoint answers
+MAX_THINK_TIME = 0.03  # s between two requests of a client
+CAPACITY = 400.0  # requests per second of a warm endpoint, as the auditor assumes it
+DISCONNECT_PROBABILITY = 0.01  # that a JSON-RPC client disconnects with calls in flight, after each step
 
 
 @dataclass(frozen=True, slots=True)
 class Day:
-    """How long each part lasts, in s. ``draining`` outlasts the grace, so that a drain that is not heeded
-    shows."""
+    """Durations of the phases, in s.
+
+    ``draining`` is longer than the grace period, so that the auditor sees a sidecar that ignores the drain.
+    """
 
     calm: float = 1.0
     draining: float = 2.4
@@ -45,7 +47,7 @@
 
 
 async def change(day: Day, discovery: Discovery, endpoints: Sequence[Endpoint], reload: Callable[[], None]) -> None:
-    """The list of endpoints through the day: the first one drains, goes, and comes back cold."""
+    """Changes the endpoint list: the first endpoint drains, disappears and returns cold; reloads in between."""
     first = endpoints[0]
     await asyncio.sleep(day.calm)
     await discovery.set(first, "draining")
@@ -60,33 +62,33 @@
 
 
 async def ask_http(client: HttpClient, classes: Sequence[Klass], rng: Random, over: asyncio.Event) -> None:
-    """One request after another until the day is over."""
+    """Sends one request after another until ``over`` is set."""
     while not over.is_set():
         await client.call(rng.choice(classes))
-        await asyncio.sleep(rng.random() * THINK)
+        await asyncio.sleep(rng.random() * MAX_THINK_TIME)
     client.close()
 
 
 async def ask_jsonrpc(
     client: JsonRpcClient, address: str, classes: Sequence[Klass], rng: Random, over: asyncio.Event
 ) -> None:
-    """Calls, batches and notifications, several at once, until the day is over."""
+    """Sends concurrent calls, batches and notifications until ``over`` is set."""
     await client.connect(address)
-    out: list[asyncio.Future[object]] = []
+    in_flight: list[asyncio.Future[object]] = []
     while not over.is_set():
         kind = rng.random()
         if kind < 0.6:
-            out.append(client.call(rng.choice(classes)))
+            in_flight.append(client.call(rng.choice(classes)))
         elif kind < 0.8:
             calls = [client.prepare(rng.choice(classes)) for _ in range(rng.randrange(1, 5))]
             client.raw(b"[%b]" % b",".join(text for text, _ in calls))
-            out += [future for _, future in calls]
+            in_flight += [future for _, future in calls]
         else:
             client.notify(rng.choice(classes))
-        if rng.random() < LEAVES:
+        if rng.random() < DISCONNECT_PROBABILITY:
             await client.close()
-            out.clear()
+            in_flight.clear()
             await client.connect(address)
-        await asyncio.sleep(rng.random() * THINK)
-    await asyncio.gather(*out)
+        await asyncio.sleep(rng.random() * MAX_THINK_TIME)
+    await asyncio.gather(*in_flight)
     await client.close()
--- a/zinclever/standins/discovery.py
+++ b/zinclever/standins/discovery.py
@@ -1,4 +1,4 @@
-"""The platform's discovery: the whole list, and watches that wait for changes."""
+"""A test double of the platform's discovery service: full endpoint lists, and watches that wait for changes."""
 
 from __future__ import annotations
 
@@ -17,16 +17,17 @@
 
 
 class Discovery:
-    """Tells the list to whoever asks; what it has written to a socket counts as told."""
+    """Serves the endpoint list over HTTP. An entry counts as announced once it is written to a socket."""
 
     def __init__(self, log: Log) -> None:
         self.log = log
         self.version = 0
         self.hosts: dict[str, tuple[int, Phase, dict[str, Any]]] = {}
-        """By name: the version of the latest change, the phase, the entry."""
+        """For each name the version of the latest change, the phase and the list entry."""
         self.changed = asyncio.Condition()
-        self.seen: set[tuple[str, int]] = set()
-        self.told = asyncio.Condition()
+        self.announced_versions: set[tuple[str, int]] = set()
+        """Names and versions of the entries that have been announced."""
+        self.announced = asyncio.Condition()
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def __aenter__(self) -> Self:
@@ -40,12 +41,12 @@
             writer.transport.abort()
 
     async def set(self, endpoint: Endpoint, phase: Phase = "ready", cold: bool = False) -> None:
-        """Change the list. ``cold``: the endpoint has started just now."""
+        """Adds or changes an endpoint in the list; ``cold``: the endpoint has just started."""
         async with self.changed:
             self.version += 1
-            born = time.time() * 1000.0 if cold else 0.0
+            started_at_ms = time.time() * 1000.0 if cold else 0.0
             if not cold and endpoint.name in self.hosts:
-                born = self.hosts[endpoint.name][2]["born_ms"]
+                started_at_ms = self.hosts[endpoint.name][2]["born_ms"]
             entry = {
                 "host": endpoint.name,
                 "dial": endpoint.address,
@@ -54,18 +55,19 @@
                 "block": 0,
                 "health": HEALTH[phase],
                 "share": 1.0,
-                "born_ms": born,
+                "born_ms": started_at_ms,
             }
             self.hosts[endpoint.name] = self.version, phase, entry
             self.changed.notify_all()
 
     async def until_told(self, endpoint: Endpoint) -> None:
-        """Wait until an endpoint's latest change has been written to some sidecar."""
+        """Waits until the latest change of an endpoint has been written to at least one sidecar."""
         version = self.hosts[endpoint.name][0]
-        async with self.told:
-            await self.told.wait_for(lambda: (endpoint.name, version) in self.seen)
+        async with self.announced:
+            await self.announced.wait_for(lambda: (endpoint.name, version) in self.announced_versions)
 
     async def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answers the requests of one connection until it is closed."""
         self.writers.add(writer)
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             while True:
@@ -78,23 +80,25 @@
         self.writers.discard(writer)
         writer.transport.abort()
 
-    async def wait(self, known: int, span: float) -> None:
+    async def wait(self, known: int, timeout: float) -> None:
+        """Waits until the list is newer than version ``known``, at most ``span`` seconds."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(span), self.changed:
+            async with asyncio.timeout(timeout), self.changed:
                 await self.changed.wait_for(lambda: self.version > known)
 
     async def answer(self, writer: asyncio.StreamWriter, known: int | None) -> None:
-        whole = known is None
-        new = {
+        """Writes the entries changed since version ``known``, or the full list where it is None."""
+        is_full_list = known is None
+        changes = {
             name: (version, phase, entry)
             for name, (version, phase, entry) in self.hosts.items()
             if known is None or version > known
         }
-        hosts = [entry for _, phase, entry in new.values() if not (whole and phase == "gone")]
-        body = json.dumps({"seq": self.version, "whole": whole, "hosts": hosts}).encode()
+        hosts = [entry for _, phase, entry in changes.values() if not (is_full_list and phase == "gone")]
+        body = json.dumps({"seq": self.version, "whole": is_full_list, "hosts": hosts}).encode()
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
         at = self.log.clock()
-        self.log.told += [Told(at, name, phase) for name, (_, phase, _) in new.items()]
-        async with self.told:
-            self.seen |= {(name, version) for name, (version, _, _) in new.items()}
-            self.told.notify_all()
+        self.log.told += [Told(at, name, phase) for name, (_, phase, _) in changes.items()]
+        async with self.announced:
+            self.announced_versions |= {(name, version) for name, (version, _, _) in changes.items()}
+            self.announced.notify_all()
--- a/zinclever/standins/endpoint.py
+++ b/zinclever/standins/endpoint.py
@@ -1,4 +1,4 @@
-"""What endpoints of every protocol share: the listener, the log, drains and cold starts."""
+"""Base class of the test endpoints: the listener, the log and cold starts, independent of the protocol."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Endpoint:
-    """A server on a port of its own. Use it as an asynchronous context; it ends with all its connections."""
+    """A server on its own port, used as an asynchronous context manager; leaving it closes all its connections."""
 
     def __init__(self, log: Log, plan: Plan | None = None, zone: str = "a", name: str = "") -> None:
         self.log, self.plan, self.zone = log, plan or always(), zone
@@ -22,9 +22,9 @@
         self.writers: set[asyncio.StreamWriter] = set()
         self.tasks: set[asyncio.Task[None]] = set()
         self.connections = 0
-        """How many were ever accepted."""
+        """Number of connections accepted so far."""
         self.arrived = asyncio.Condition()
-        """Notified with each request that has come."""
+        """Notified whenever a request arrives."""
 
     async def __aenter__(self) -> Self:
         self.server = await asyncio.start_server(self.accept, "127.0.0.1", 0, limit=1 << 21)
@@ -41,18 +41,20 @@
 
     @property
     def address(self) -> str:
+        """The address it listens on, as host:port."""
         return f"127.0.0.1:{self.port}"
 
     @property
     def name(self) -> str:
-        """As discovery lists it."""
+        """The name under which discovery lists it."""
         return self.given_name or self.address
 
     def start_cold(self, capacity: float) -> None:
-        """Note a start from now on: ``capacity`` requests a second when warm."""
+        """Logs a cold start at the present time; ``capacity``: requests per second once the endpoint is warm."""
         self.log.started.append(Started(self.log.clock(), self.name, capacity))
 
     async def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serves one accepted connection and closes it in the end."""
         self.connections += 1
         self.writers.add(writer)
         try:
@@ -63,11 +65,15 @@
             writer.transport.abort()
 
     async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Read requests until the client ends."""
+        """Reads and answers requests until the client closes the connection."""
         raise NotImplementedError
 
     def receive(self, request: str, first: float) -> tuple[Step, str]:
-        """Note a request, and say what is done with it and what its answer bears."""
+        """Logs a request that has arrived.
+
+        Returns:
+            The step with which to handle it, and the identifier of its execution, empty where it is not executed.
+        """
         step = self.plan(request)
         ran = step.fault not in UNDONE
         made = f"{self.name}#{next(_serial)}" if ran else ""
@@ -78,20 +84,21 @@
         return step, made
 
     async def notify(self) -> None:
+        """Wakes up the tasks that wait for requests to arrive."""
         async with self.arrived:
             self.arrived.notify_all()
 
     async def until_received(self, count: int) -> None:
-        """Wait until so many requests have come here."""
+        """Waits until ``count`` requests have arrived."""
         async with self.arrived:
             await self.arrived.wait_for(lambda: len(self.requests()) >= count)
 
     def requests(self) -> list[str]:
-        """The requests that have come here, in order."""
+        """Returns the names of the requests that have arrived, in order."""
         return [r.request for r in self.log.received if r.endpoint == self.name]
 
     def spawn(self, work: object) -> None:
-        """Let something go on until it or the endpoint ends."""
+        """Runs a coroutine in the background until it or the endpoint ends."""
         assert asyncio.iscoroutine(work)
         task: asyncio.Task[None] = asyncio.ensure_future(work)
         self.tasks.add(task)
--- a/zinclever/standins/faults.py
+++ b/zinclever/standins/faults.py
@@ -1,4 +1,4 @@
-"""What an endpoint does with a request, scripted or drawn from a seed."""
+"""Faults that a test endpoint injects into its handling of requests, scripted or drawn from a seed."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Fault(enum.Enum):
-    """The ways in which an endpoint may go wrong."""
+    """Faults of an endpoint. The value describes what it does with the request."""
 
     NONE = "runs it and answers"
     SILENCE = "never runs it and says nothing"
@@ -22,48 +22,52 @@
     DECLINE = "never runs it and says so"
 
 
-#: Faults that leave the request undone.
+#: Faults with which the request is not executed.
 UNDONE = frozenset({Fault.SILENCE, Fault.BREAK_BEFORE, Fault.DECLINE})
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """What is done with one request."""
+    """How one request is handled."""
 
     fault: Fault = Fault.NONE
     delay: float = 0.0
-    """s before the answer, or before whatever stands for it."""
+    """Delay in s before the answer, or before the fault in its place."""
     at_byte: int = 0
-    """Bytes of the answer that go out before the connection breaks."""
+    """Number of bytes of the answer that are sent before the connection is closed."""
 
 
-#: Told of a request, says what is done with it.
+#: Maps the name of a request to the step with which it is handled.
 Plan = Callable[[str], Step]
 
 
 def always(fault: Fault = Fault.NONE, delay: float = 0.0, at_byte: int = 0) -> Plan:
+    """Returns a plan that handles all requests in the same way."""
     step = Step(fault, delay, at_byte)
     return lambda request: step
 
 
 def in_turn(*steps: Step) -> Plan:
-    """One step after another, then the last one for ever."""
-    left = list(steps)
-    return lambda request: left.pop(0) if len(left) > 1 else left[0]
+    """Returns a plan that uses one step per request, in order, and the last step for all further requests."""
+    remaining = list(steps)
+    return lambda request: remaining.pop(0) if len(remaining) > 1 else remaining[0]
 
 
-def seeded(seed: int, shares: Mapping[Fault, float], most_delay: float) -> Plan:
-    """Each request's step drawn from a seed: faults by their shares, the rest served, delays up to a bound.
+def seeded(seed: int, shares: Mapping[Fault, float], max_delay: float) -> Plan:
+    """Returns a plan that draws the step of each request from a seed.
 
-    ``most_delay``: s.
+    Args:
+        seed: Seed of the random numbers.
+        shares: Probability of each fault; all other requests are served.
+        max_delay: Upper bound of the delay, in s.
     """
     rng = Random(seed)
     faults = list(shares)
     weights = [shares[f] for f in faults]
-    calm = 1.0 - sum(weights)
+    fault_free_share = 1.0 - sum(weights)
 
     def plan(request: str) -> Step:
-        fault = rng.choices([Fault.NONE, *faults], [calm, *weights])[0]
-        return Step(fault, rng.random() * most_delay, rng.randrange(40))
+        fault = rng.choices([Fault.NONE, *faults], [fault_free_share, *weights])[0]
+        return Step(fault, rng.random() * max_delay, rng.randrange(40))
 
     return plan
--- a/zinclever/standins/http_endpoint.py
+++ b/zinclever/standins/http_endpoint.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 endpoint of the platform's protocol. ``Req-Id`` names the request."""
+"""An HTTP/1.1 test endpoint for the platform's protocol. The ``Req-Id`` header names the request in the log."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
 
 
 class HttpEndpoint(Endpoint):
-    """One request at a time on a connection, as its plan says."""
+    """Serves one request at a time on a connection, with the faults of its plan."""
 
     async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answers requests until the client or a fault ends the connection."""
         while start := await reader.read(1):
             first = self.log.clock()
             head = (start + await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
@@ -27,21 +28,21 @@
             step, made = self.receive(headers["req-id"], first)
             if step.delay:
                 await asyncio.sleep(step.delay)
-            good = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(made), made.encode())
+            response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(made), made.encode())
             if step.fault in (Fault.SILENCE, Fault.SWALLOW):
-                await reader.read(1)  # until the client gives up
+                await reader.read(1)  # returns when the client closes the connection
                 return
             if step.fault is Fault.BREAK_BEFORE:
                 return
             if step.fault is Fault.BREAK_AT:
-                writer.write(good[: step.at_byte])
+                writer.write(response[: step.at_byte])
                 writer.close()
                 return
-            kinds = {
-                Fault.NONE: good,
+            responses = {
+                Fault.NONE: response,
                 Fault.SPOILT: SPOILT,
-                Fault.BEYOND: good + b"\x00noise",
+                Fault.BEYOND: response + b"\x00noise",
                 Fault.ERROR: ERROR,
                 Fault.DECLINE: DECLINED,
             }
-            writer.write(kinds[step.fault])
+            writer.write(responses[step.fault])
--- a/zinclever/standins/log.py
+++ b/zinclever/standins/log.py
@@ -1,6 +1,6 @@
-"""What clients sent and were answered, what endpoints were sent and ran, and what discovery told.
+"""Records of a test run: client requests and answers, attempts at endpoints, and discovery announcements.
 
-Instants are milliseconds of the machine's monotonic clock, so that several processes may share a log's axis.
+Timestamps are milliseconds of the machine's monotonic clock, so that several processes may share one time axis.
 """
 
 from __future__ import annotations
@@ -15,85 +15,86 @@
 
 
 class Asked(NamedTuple):
-    """A client has written a request's last byte."""
+    """A client wrote the last byte of a request."""
 
     at: float
     request: str
     effect: Effect
     wait: float
-    """How long it waits, in ms."""
+    """How long the client waits for the answer, in ms."""
     key: str = ""
     group: Literal["all", "zone"] = "all"
     window: float = 0.0
     answered: bool = True
-    """It is owed an answer; False for a notification."""
+    """Whether the request must be answered; False for a notification."""
 
 
 class Answered(NamedTuple):
-    """A client has read a final answer's last byte."""
+    """A client read the last byte of a final answer."""
 
     at: float
     request: str
     kind: Kind
     made: str = ""
-    """What tells the execution that made it, where it was served."""
+    """Identifier of the execution that produced the answer; empty unless the request was served."""
 
 
 class Left(NamedTuple):
-    """A client has ended its connection with the request unanswered."""
+    """A client closed its connection before the request was answered."""
 
     at: float
     request: str
 
 
 class Received(NamedTuple):
-    """An endpoint has read a whole request."""
+    """An endpoint read a complete request."""
 
     first: float
-    """When it read the first byte ..."""
+    """When it read the first byte."""
     at: float
-    """... and the last."""
+    """When it read the last byte."""
     request: str
     endpoint: str
     zone: str
     ran: bool
-    """It was carried out."""
-    proved: bool
-    """The endpoint has told, or will tell, that it was not."""
+    """Whether the endpoint executed it."""
+    declined: bool
+    """Whether the endpoint reports to the sender that it did not execute it."""
     made: str = ""
-    """What the answer bears, so that the client's can be told from all others."""
+    """Identifier of the execution, which the answer carries, so that an answer can be matched to its execution."""
     via: str = ""
-    """The sidecar that sent it, where there are several."""
+    """Name of the sidecar that sent it, where there are several."""
     work: float = 1.0
-    """What it asks of the endpoint, in the unit of :attr:`Started.capacity`."""
+    """Load of the request on the endpoint, in the unit of :attr:`Started.capacity`."""
 
 
 class Told(NamedTuple):
-    """Discovery has written an endpoint's phase to the sidecar."""
+    """Discovery wrote an endpoint's phase to a sidecar."""
 
     at: float
     endpoint: str
     phase: Literal["ready", "draining", "gone"]
     to: str = ""
-    """Which sidecar, where there are several."""
+    """Name of the sidecar, where there are several."""
 
 
 class Started(NamedTuple):
-    """An endpoint has started, cold."""
+    """An endpoint started cold."""
 
     at: float
     endpoint: str
     capacity: float
-    """Requests a second when warm, or whatever :attr:`Received.work` counts."""
+    """Requests per second once it is warm, or the unit of :attr:`Received.work` per second."""
 
 
 def now() -> float:
+    """Returns the machine's monotonic clock, in ms."""
     return time.monotonic_ns() / 1e6
 
 
 @dataclass
 class Log:
-    """Everything that happened in one run, each kind in the order of its entries."""
+    """The records of one run, each kind in the order in which they were added."""
 
     clock: Callable[[], float] = now
     asked: list[Asked] = field(default_factory=list)
@@ -104,5 +105,5 @@
     started: list[Started] = field(default_factory=list)
 
     def ran(self, request: str) -> int:
-        """How often a request was carried out."""
+        """Returns how many times a request was executed."""
         return sum(r.ran for r in self.received if r.request == request)
