--- a/benchmarks/instances.py
+++ b/benchmarks/instances.py
@@ -52,7 +52,7 @@
         self.count, self.shares, self.believed, self.rate = instances, shares, told, rate
         listed = [interface.ListedEndpoint(f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:80") for n in range(servers)]
         took = 0.4 * 1000.0 * 2 * servers / (instances * rate)  # 40 % of the servers' capacity is asked for
-        self.world = World(listed, SEED, took=min(80.0, took))
+        self.world = World(listed, SEED, mean_service_time=min(80.0, took))
         self.instances: dict[int, Instance] = {}
 
     def start(self, me: int, rate: float) -> None:
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -38,7 +38,11 @@
         took: float = 50.0,
     ) -> None:
         self.world = World(
-            [interface.ListedEndpoint(n) for n in NAMES], SEED, took=took, backlog=backlog, lines_per_s=lines_per_s
+            [interface.ListedEndpoint(n) for n in NAMES],
+            SEED,
+            mean_service_time=took,
+            backlog=backlog,
+            lines_per_s=lines_per_s,
         )
         self.settings = interface.Settings(
             classes=(READ,),
--- a/zinclever/standins/simulation.py
+++ b/zinclever/standins/simulation.py
@@ -1,7 +1,7 @@
-"""Days of faults for the decision module alone: no sockets, a clock of its own, many days a second.
+"""Fault scenarios for the balancer alone, in simulated time and without sockets.
 
-It plays the ledger's part (one outcome a send, the guard before the deadline) and the endpoints', and writes the
-same log as the stand-ins, which the same auditor judges.
+The simulation stands in for the dispatcher (one outcome per send, an answer just before the deadline) and for the
+endpoints. It writes the same log as the test doubles on sockets, for the same auditor.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from .faults import UNDONE, Fault
 from .log import Answered, Asked, Kind, Log, Received
 
-EARLY = 15.0  # ms before the deadline that the module is told
+DEADLINE_MARGIN = 15.0  # ms by which the deadline given to the balancer is earlier than the client's
 OUTCOMES: Mapping[Fault, interface.Outcome] = {
     Fault.NONE: "served",
     Fault.BEYOND: "served",
@@ -36,11 +36,11 @@
     number: int
     endpoint: str
     sent_at: float
-    over: bool = False
+    ended: bool = False
 
 
 class Simulation:
-    """One balancer, its endpoints and its clients, from a seed."""
+    """One balancer with its endpoints and clients, driven by a seed."""
 
     def __init__(
         self,
@@ -55,49 +55,56 @@
         self.zones = {e.endpoint: (str(e.zone), str(e.cell)) for e in endpoints}
         self.now = 1_000_000.0
         self.log = Log(lambda: self.now)
-        self.due: list[tuple[float, int, Any]] = []
+        self.events: list[tuple[float, int, Any]] = []
         self.serial = itertools.count()
         self.open: dict[str, interface.RequestClass] = {}
         self.classes: dict[str, interface.RequestClass] = {}
         self.attempts: dict[str, list[_Attempt]] = {}
         self.feed(interface.MembershipUpdate("whole", list(endpoints)))
 
-    def at(self, when: float, act: Any) -> None:
-        heapq.heappush(self.due, (when, next(self.serial), act))
+    def at(self, when: float, callback: Any) -> None:
+        """Schedules a callback at ``when``, in ms."""
+        heapq.heappush(self.events, (when, next(self.serial), callback))
 
     def run(self, requests: int, rate: float) -> Log:
-        """So many requests, ``rate`` of them a second; then on until everything has ended."""
+        """Sends ``requests`` requests at a mean rate per second and runs until all events have been handled."""
         when = self.now
         for n in range(requests):
             when += self.rng.expovariate(rate / 1000.0)
             klass = self.rng.randrange(len(self.settings.classes))
             self.at(when, lambda n=n, klass=klass: self.ask(f"r{n}", klass))
-        while self.due:
-            self.now, _, act = heapq.heappop(self.due)
-            act()
+        while self.events:
+            self.now, _, callback = heapq.heappop(self.events)
+            callback()
         return self.log
 
     def ask(self, name: str, klass: int) -> None:
-        told = self.settings.classes[klass]
-        group = told.group if told.group != "cell" else "zone"
-        self.log.asked.append(Asked(self.now, name, told.repeat, told.deadline, name, group, told.window))
-        self.open[name] = self.classes[name] = told
+        """Sends a request of the class with index ``klass``."""
+        request_class = self.settings.classes[klass]
+        group = request_class.group if request_class.group != "cell" else "zone"
+        self.log.asked.append(
+            Asked(self.now, name, request_class.repeat, request_class.deadline, name, group, request_class.window)
+        )
+        self.open[name] = self.classes[name] = request_class
         self.attempts[name] = []
-        self.at(self.now + told.deadline - EARLY / 2, lambda: self.guard(name))
-        self.feed(interface.RequestArrived(name, klass, self.now + told.deadline - EARLY, key=name))
+        self.at(self.now + request_class.deadline - DEADLINE_MARGIN / 2, lambda: self.guard(name))
+        self.feed(interface.RequestArrived(name, klass, self.now + request_class.deadline - DEADLINE_MARGIN, key=name))
 
     def guard(self, name: str) -> None:
+        """Fails a request that is still open shortly before its deadline."""
         if name in self.open:
             self.answer(name, "failed")
             self.feed(interface.RequestClosed(name))
 
     def answer(self, name: str, kind: Kind, made: str = "") -> None:
+        """Logs the final answer of a request, unless it already has one."""
         if self.open.pop(name, None) is not None:
             self.log.answered.append(Answered(self.now, name, kind, made))
 
     # --- actions ---
 
     def feed(self, event: interface.Event) -> None:
+        """Passes an event to the balancer and carries out its actions."""
         for action in self.balancer.handle(self.now, event):
             match action:
                 case interface.Send():
@@ -112,21 +119,22 @@
                     self.at(max(action.at, self.now), lambda token=action.token: self.feed(interface.TimerFired(token)))
 
     def send(self, action: interface.Send) -> None:
-        tried = self.attempts[action.request]
-        attempt = _Attempt(action.request, len(tried), action.endpoint, self.now)
-        tried.append(attempt)
-        if action.request not in self.open or len(tried) > self.settings.limits.max_attempts:
+        """Starts an attempt and draws its fault and its duration."""
+        attempts = self.attempts[action.request]
+        attempt = _Attempt(action.request, len(attempts), action.endpoint, self.now)
+        attempts.append(attempt)
+        if action.request not in self.open or len(attempts) > self.settings.limits.max_attempts:
             self.at(self.now, lambda: self.end(attempt, "not_sent"))
             return
         faults = list(self.shares)
         weights = [self.shares[f] for f in faults]
         fault = self.rng.choices([Fault.NONE, *faults], [1.0 - sum(weights), *weights])[0]
-        took = self.rng.random() * 60.0
+        duration = self.rng.random() * 60.0
         self.at(action.expires_at or self.now, lambda: self.end(attempt, "timeout"))
-        self.at(self.now + took / 2, lambda: self.receive(attempt, fault, took / 2))
+        self.at(self.now + duration / 2, lambda: self.receive(attempt, fault, duration / 2))
 
-    def receive(self, attempt: _Attempt, fault: Fault, left: float) -> None:
-        """It has reached its endpoint, also where it has been given up meanwhile."""
+    def receive(self, attempt: _Attempt, fault: Fault, remaining: float) -> None:
+        """Delivers an attempt to its endpoint, even if the client has given it up meanwhile."""
         ran = fault not in UNDONE
         made = f"{attempt.request}.{attempt.number}" if ran else ""
         klass = self.classes[attempt.request]
@@ -144,12 +152,13 @@
             )
         )
         if (outcome := OUTCOMES.get(fault)) is not None:
-            self.at(self.now + left, lambda: self.end(attempt, outcome, made))
+            self.at(self.now + remaining, lambda: self.end(attempt, outcome, made))
 
     def end(self, attempt: _Attempt, outcome: interface.Outcome, made: str = "") -> None:
-        if attempt.over:
+        """Ends an attempt, unless it has ended, and reports its outcome to the balancer."""
+        if attempt.ended:
             return
-        attempt.over = True
+        attempt.ended = True
         if outcome == "served":
             self.answer(attempt.request, "served", made)
         self.feed(
