--- a/tests/rpc.py
+++ b/tests/rpc.py
@@ -15,13 +15,13 @@
 from zinclever.configuration.operator import build
 from zinclever.core.descriptors import Descriptors
 from zinclever.standins import Log, Plan
-from zinclever.standins.clients import JsonRpcClient, Klass
+from zinclever.standins.clients import ClientRequestClass, JsonRpcClient
 from zinclever.standins.jsonrpc_endpoint import DECLINED, JsonRpcEndpoint, read
 from zinclever.system import System
 
-READ = Klass("read", "page.get", "idempotent", 6000.0)
-TIP = Klass("tip", "tip.send", "at_most_once", 6000.0)
-UNLOCK = Klass("unlock", "unlock.buy", "deduplicated", 6000.0, window=12000.0)
+READ = ClientRequestClass("read", "page.get", "idempotent", 6000.0)
+TIP = ClientRequestClass("tip", "tip.send", "at_most_once", 6000.0)
+UNLOCK = ClientRequestClass("unlock", "unlock.buy", "deduplicated", 6000.0, window=12000.0)
 
 
 def operator(
@@ -143,7 +143,7 @@
         """Reading is suspended until it is set."""
         self.calls: asyncio.Queue[tuple[dict[str, Any], asyncio.StreamWriter]] = asyncio.Queue()
 
-    async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             if self.gate is not None:
                 await self.gate.wait()
--- a/tests/test_configtool.py
+++ b/tests/test_configtool.py
@@ -213,7 +213,7 @@
         return real(descriptor)
 
     monkeypatch.setattr(os, "fstat", fstat)
-    with pytest.raises(reading.Unreadable, match="changes while it is read"):
+    with pytest.raises(reading.UnreadableFileError, match="changes while it is read"):
         reading.read_file(str(path))
 
 
--- a/tests/test_fault_day.py
+++ b/tests/test_fault_day.py
@@ -17,7 +17,7 @@
 from test_program import config
 
 from zinclever.standins import Log, Terms, audit, seeded
-from zinclever.standins.clients import HttpClient, JsonRpcClient, Klass
+from zinclever.standins.clients import ClientRequestClass, HttpClient, JsonRpcClient
 from zinclever.standins.day import MAX_DELAY, SHARES, Day, ask_http, ask_jsonrpc, change
 from zinclever.standins.discovery import Discovery
 from zinclever.standins.endpoint import Endpoint
@@ -28,9 +28,9 @@
 WAIT = 1200.0  # ms
 WINDOW = 2000.0  # ms: as short as the check allows
 CLASSES = [
-    Klass("read", "page.get", "idempotent", WAIT),
-    Klass("unlock", "unlock.buy", "deduplicated", WAIT, window=WINDOW, group="zone"),
-    Klass("tip", "tip.send", "at_most_once", WAIT),
+    ClientRequestClass("read", "page.get", "idempotent", WAIT),
+    ClientRequestClass("unlock", "unlock.buy", "deduplicated", WAIT, window=WINDOW, group="zone"),
+    ClientRequestClass("tip", "tip.send", "at_most_once", WAIT),
 ]
 SETTINGS: dict[str, Any] = {
     "classes": [
@@ -80,7 +80,7 @@
     async def known(self) -> None:
         """Until the sidecar has been told the list."""
         for endpoint in self.endpoints:
-            await self.discovery.until_told(endpoint)
+            await self.discovery.wait_until_announced(endpoint)
 
 
 def judged(side: Side) -> tuple[Sequence[Any], dict[str, int]]:
--- a/tests/test_jsonrpc.py
+++ b/tests/test_jsonrpc.py
@@ -14,7 +14,7 @@
 from zinclever import interface
 from zinclever.jsonrpc import codec, front
 from zinclever.standins import Fault, Log, Step, always, audit, in_turn
-from zinclever.standins.clients import JsonRpcClient, Klass
+from zinclever.standins.clients import ClientRequestClass, JsonRpcClient
 from zinclever.standins.discovery import Discovery
 from zinclever.standins.jsonrpc_endpoint import JsonRpcEndpoint
 
@@ -190,7 +190,7 @@
     async def test() -> None:
         async with service(always(), more='default_class = "tip"') as s:
             c = await s.client()
-            other = Klass("tip", "anything", "at_most_once", 6000.0)
+            other = ClientRequestClass("tip", "anything", "at_most_once", 6000.0)
             assert "result" in await c.call(other)
             response = await send_raw(c, b'{"jsonrpc":"2.0","method":"rpc.x","id":77777}')
             assert response["error"]["code"] == codec.METHOD_NOT_FOUND
@@ -413,12 +413,12 @@
             await discovery.set(second)
             text = operator(f'discovery = "{discovery.address}"', more='zones = ["a", "b"]')
             async with service(text=text) as s:
-                await discovery.until_told(second)
+                await discovery.wait_until_announced(second)
                 c = await JsonRpcClient(log).connect(s.address)
                 while not (first.requests() and second.requests()):
                     await asyncio.gather(*(c.call(READ) for _ in range(10)))
                 await discovery.set(first, "draining")
-                await discovery.until_told(first)
+                await discovery.wait_until_announced(first)
                 while any(
                     e.phase == "ready"
                     for e in s.service.dispatcher.balancer.endpoint_list.endpoints.values()
@@ -443,7 +443,7 @@
 
 
 @pytest.mark.parametrize("klass", [READ, TIP, UNLOCK])
-def test_only_a_safe_slow_call_is_hedged(klass: Klass) -> None:
+def test_only_a_safe_slow_call_is_hedged(klass: ClientRequestClass) -> None:
     """A slow read is copied to an unused endpoint after the hedge delay, and the late response is discarded.
 
     Calls that are not safe to repeat are not copied.
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -8,13 +8,13 @@
 from rpc import operator
 
 from zinclever.configuration.check import check_operator
-from zinclever.configuration.operator import Operator, build
+from zinclever.configuration.operator import OperatorConfig, build
 
 LINE = 'endpoints = ["127.0.0.1:9001", { address = "127.0.0.1:9002", zone = "kef", weight = 0.5 }]'
 GOOD = operator(LINE, group="zone", more='default_class = "tip"\nzone = "kef"')
 
 
-def read(text: str) -> Operator:
+def read(text: str) -> OperatorConfig:
     report = check_operator(text.encode())
     assert not report.errors, report.errors
     return build(report.clean)
--- a/zinclever/assembly.py
+++ b/zinclever/assembly.py
@@ -22,7 +22,7 @@
 from .policy import Balancer
 
 if TYPE_CHECKING:  # imported at runtime only if there is an operator file, to save memory
-    from .configuration.operator import JsonRpcService, Operator
+    from .configuration.operator import JsonRpcService, OperatorConfig
 
 log = logging.getLogger(__name__)
 
@@ -146,7 +146,7 @@
             source.change_address(spec.discovery)
 
 
-def descriptor_limit(config: Config | None, operator: Operator | None) -> int:
+def descriptor_limit(config: Config | None, operator: OperatorConfig | None) -> int:
     """Returns the descriptor limit of the process: the platform's, else the operator file's."""
     if config is not None:
         return config.sockets
@@ -154,7 +154,7 @@
     return operator.sockets
 
 
-def service_specs(operator: Operator | None) -> Mapping[str, JsonRpcService]:
+def service_specs(operator: OperatorConfig | None) -> Mapping[str, JsonRpcService]:
     """Returns the services of the operator file, by name."""
     return operator.services if operator is not None else {}
 
@@ -162,7 +162,7 @@
 class Assembly:
     """All services of the process."""
 
-    def __init__(self, config: Config | None, operator: Operator | None, host: Host) -> None:
+    def __init__(self, config: Config | None, operator: OperatorConfig | None, host: Host) -> None:
         self.descriptors = Descriptors(descriptor_limit(config, operator))
         seed = config.seed if config is not None else host.random().getrandbits(64)
         self.platform = Platform(config, self.descriptors, host) if config is not None else None
@@ -176,7 +176,7 @@
         first = [self.platform.service] if self.platform is not None else []
         return first + [service.service for service in self.json_rpc_services.values()]
 
-    def reconfigure(self, config: Config | None, operator: Operator | None) -> None:
+    def reconfigure(self, config: Config | None, operator: OperatorConfig | None) -> None:
         """Applies a new configuration. Services are added and removed only by a restart."""
         if config is not None and self.platform is not None:
             self.platform.reconfigure(config)
--- a/zinclever/configtool/cli.py
+++ b/zinclever/configtool/cli.py
@@ -10,7 +10,7 @@
 import orjson
 
 from ..configuration.check import Format, Report, check, guess_format
-from ..configuration.reading import Unreadable, read_file
+from ..configuration.reading import UnreadableFileError, read_file
 from . import changes, migration, origins, reference, writing
 from . import report as reports
 
@@ -27,7 +27,7 @@
     """A file's bytes and their check; ends with 2 where there is no text to judge."""
     try:
         data = read_file(path)
-    except Unreadable as wrong:
+    except UnreadableFileError as wrong:
         click.echo(f"zinclever: {wrong}", err=True)
         sys.exit(NOT_READABLE)
     format: Format = guess_format(data) if kind == "auto" else "platform" if kind == "platform" else "operator"
@@ -61,7 +61,7 @@
     for path in files:
         try:
             data = read_file(path)
-        except Unreadable as wrong:
+        except UnreadableFileError as wrong:
             click.echo(f"zinclever: {wrong}", err=True)
             unreadable = True
             continue
--- a/zinclever/configtool/writing.py
+++ b/zinclever/configtool/writing.py
@@ -15,7 +15,7 @@
 
 from ..configuration.check import check_operator
 from ..configuration.model import VERSION
-from ..configuration.reading import Unreadable, read_file
+from ..configuration.reading import UnreadableFileError, read_file
 from ..configuration.relations import IDLE_MB, MARGIN
 from ..core.descriptors import DESCRIPTOR_RESERVE
 from ..core.shared import MOST_CONNECTIONS
@@ -215,7 +215,7 @@
     def read(self, path: str) -> None:
         try:
             values = tomllib.loads(read_file(path).decode())
-        except (Unreadable, UnicodeDecodeError, tomllib.TOMLDecodeError) as wrong:
+        except (UnreadableFileError, UnicodeDecodeError, tomllib.TOMLDecodeError) as wrong:
             raise click.ClickException(f"{path}: {wrong}") from wrong
         for name, value in values.items():
             self.take(path, name, value)
--- a/zinclever/configuration/load.py
+++ b/zinclever/configuration/load.py
@@ -9,10 +9,10 @@
 from .check import Report, check_operator, check_platform
 from .findings import Finding, Path
 from .platform import Config, build
-from .reading import Unreadable, read_file
+from .reading import UnreadableFileError, read_file
 
 if TYPE_CHECKING:
-    from .operator import Operator
+    from .operator import OperatorConfig
 
 PLATFORM, OPERATOR = "LB_CONFIG", "ZINCLEVER_OPERATOR"
 
@@ -24,7 +24,7 @@
     """The program can't start, or go on, with what it was told: one line."""
 
 
-def read(env: Mapping[str, str], files: Files = read_file) -> tuple[Config | None, Operator | None]:
+def read(env: Mapping[str, str], files: Files = read_file) -> tuple[Config | None, OperatorConfig | None]:
     """Both files. The platform's may be left out where there is an operator file.
 
     ConfigError names the file, the key, its line and the reason.
@@ -66,7 +66,7 @@
 def read_bytes(variable: str, path: str, files: Files) -> bytes:
     try:
         return files(path)
-    except Unreadable as wrong:
+    except UnreadableFileError as wrong:
         raise ConfigError(f"{variable}: {wrong}") from wrong
 
 
--- a/zinclever/configuration/operator.py
+++ b/zinclever/configuration/operator.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Operator:
+class OperatorConfig:
     """What the operator file tells."""
 
     services: Mapping[str, JsonRpcService]
@@ -43,11 +43,11 @@
     """For the platform's service, too."""
 
 
-def build(clean: Clean) -> Operator:
+def build(clean: Clean) -> OperatorConfig:
     """From cleaned values without an error."""
     shares = interface.Shares(**clean["shares"])
     services = {name: service(name, told, shares) for name, told in clean["services"].items()}
-    return Operator(services, clean["limits"]["sockets"], shares)
+    return OperatorConfig(services, clean["limits"]["sockets"], shares)
 
 
 def service(name: str, told: Clean, shares: interface.Shares) -> JsonRpcService:
--- a/zinclever/configuration/reading.py
+++ b/zinclever/configuration/reading.py
@@ -18,7 +18,7 @@
 TRIES = 3  # readings of a file that changes meanwhile
 
 
-class Unreadable(Exception):
+class UnreadableFileError(Exception):
     """There is no text to judge: no file, no right to it, or no ordinary file."""
 
 
@@ -32,10 +32,10 @@
         try:
             data = read_once(path)
         except OSError as wrong:
-            raise Unreadable(f"{path}: {wrong.strerror or wrong}") from wrong
+            raise UnreadableFileError(f"{path}: {wrong.strerror or wrong}") from wrong
         if data is not None:
             return data
-    raise Unreadable(f"{path}: it changes while it is read; replace it by a rename")
+    raise UnreadableFileError(f"{path}: it changes while it is read; replace it by a rename")
 
 
 def read_once(path: str) -> bytes | None:
@@ -45,9 +45,9 @@
         before = os.fstat(descriptor)
         if not stat.S_ISREG(before.st_mode):
             kind = "a folder" if stat.S_ISDIR(before.st_mode) else "no ordinary file"
-            raise Unreadable(f"{path}: it is {kind}")
+            raise UnreadableFileError(f"{path}: it is {kind}")
         if before.st_size > MOST_FILE:
-            raise Unreadable(f"{path}: {before.st_size} bytes; a configuration has {MOST_FILE} at most")
+            raise UnreadableFileError(f"{path}: {before.st_size} bytes; a configuration has {MOST_FILE} at most")
         data = file.read(MOST_FILE + 1)
         after = os.fstat(descriptor)
     same = (before.st_size, before.st_mtime_ns) == (after.st_size, after.st_mtime_ns)
--- a/zinclever/core/host.py
+++ b/zinclever/core/host.py
@@ -75,7 +75,7 @@
         """Returns the ms since data was last received on a connection; 0 where the kernel doesn't report it."""
 
     def read_file(self, path: str) -> bytes:
-        """Returns a file's content. Raises :exc:`~zinclever.configuration.reading.Unreadable` unless it is regular."""
+        """Returns a file's content. Raises :exc:`~zinclever.configuration.reading.UnreadableFileError` unless it is regular."""
 
     def inherited(self, descriptor: int) -> Any:
         """Returns the socket of an inherited descriptor. Raises OSError unless it is a listening TCP socket."""
--- a/zinclever/program.py
+++ b/zinclever/program.py
@@ -19,7 +19,7 @@
 from .handover.presence import DETECTION_TIME, POLL_INTERVAL, PresenceMonitor
 
 if TYPE_CHECKING:
-    from .configuration.operator import Operator
+    from .configuration.operator import OperatorConfig
     from .core.host import Host
 
 log = logging.getLogger("zinclever")
@@ -42,7 +42,7 @@
     assembly.reconfigure(config, operator)
 
 
-async def serve(config: Config | None, operator: Operator | None, host: Host) -> None:
+async def serve(config: Config | None, operator: OperatorConfig | None, host: Host) -> None:
     """Serves until SIGTERM or SIGINT, then finishes open requests."""
     loop = asyncio.get_running_loop()
     stopped = asyncio.Event()
--- a/zinclever/simnet/host.py
+++ b/zinclever/simnet/host.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from random import Random
 
-from ..configuration.reading import Unreadable
+from ..configuration.reading import UnreadableFileError
 from ..core.protocol import Address
 from .loop import Loop
 from .scheduler import NS
@@ -57,7 +57,7 @@
 
     def read_file(self, path: str) -> bytes:
         if path not in self.disk.files:
-            raise Unreadable(f"{path}: No such file or directory")
+            raise UnreadableFileError(f"{path}: No such file or directory")
         return self.disk.files[path]
 
     def inherited(self, descriptor: int) -> Listener:
--- a/zinclever/standins/clients.py
+++ b/zinclever/standins/clients.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Klass:
+class ClientRequestClass:
     """A request class from the clients' point of view."""
 
     name: str
@@ -58,14 +58,16 @@
         self.task.cancel()
         await asyncio.gather(self.task, return_exceptions=True)
 
-    def call(self, klass: Klass, key: str = "", id: str | None = None, name: str = "") -> asyncio.Future[Any]:
+    def call(
+        self, klass: ClientRequestClass, key: str = "", id: str | None = None, name: str = ""
+    ) -> asyncio.Future[Any]:
         """Sends one call; the future returns the response object."""
         text, future = self.prepare(klass, key, id, name)
         self.writer.write(write(self.framing, text))
         return future
 
     def prepare(
-        self, klass: Klass, key: str = "", id: str | None = None, name: str = ""
+        self, klass: ClientRequestClass, key: str = "", id: str | None = None, name: str = ""
     ) -> tuple[bytes, asyncio.Future[Any]]:
         """Encodes a call and logs it as sent, without writing it; ``id``: a JSON token.
 
@@ -84,7 +86,7 @@
         )
         return text.encode(), future
 
-    def notify(self, klass: Klass) -> str:
+    def notify(self, klass: ClientRequestClass) -> str:
         """Sends a notification and returns its name in the log."""
         name = f"n{next(self._names)}"
         params = json.dumps({"call": name, "key": name})
@@ -145,7 +147,7 @@
         self.log, self.address = log, address
         self.streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
-    async def call(self, klass: Klass, key: str = "") -> Kind:
+    async def call(self, klass: ClientRequestClass, key: str = "") -> Kind:
         """Sends one request and waits for its answer.
 
         A request that fails on a reused connection is sent again, since the server may have closed the idle connection.
@@ -165,7 +167,7 @@
         self.log.answered.append(Answered(self.log.clock(), name, kind, body))
         return kind
 
-    async def exchange(self, klass: Klass, name: str, key: str) -> tuple[int, str] | None:
+    async def exchange(self, klass: ClientRequestClass, name: str, key: str) -> tuple[int, str] | None:
         """Sends a request; returns the status and the body, or None if the connection ended without an answer."""
         if self.streams is None:
             host, _, port = self.address.partition(":")
--- a/zinclever/standins/day.py
+++ b/zinclever/standins/day.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from .clients import HttpClient, JsonRpcClient, Klass
+from .clients import ClientRequestClass, HttpClient, JsonRpcClient
 from .discovery import Discovery
 from .endpoint import Endpoint
 from .faults import Fault
@@ -61,7 +61,7 @@
     await asyncio.sleep(day.back)
 
 
-async def ask_http(client: HttpClient, classes: Sequence[Klass], rng: Random, over: asyncio.Event) -> None:
+async def ask_http(client: HttpClient, classes: Sequence[ClientRequestClass], rng: Random, over: asyncio.Event) -> None:
     """Sends one request after another until ``over`` is set."""
     while not over.is_set():
         await client.call(rng.choice(classes))
@@ -70,7 +70,7 @@
 
 
 async def ask_jsonrpc(
-    client: JsonRpcClient, address: str, classes: Sequence[Klass], rng: Random, over: asyncio.Event
+    client: JsonRpcClient, address: str, classes: Sequence[ClientRequestClass], rng: Random, over: asyncio.Event
 ) -> None:
     """Sends concurrent calls, batches and notifications until ``over`` is set."""
     await client.connect(address)
--- a/zinclever/standins/discovery.py
+++ b/zinclever/standins/discovery.py
@@ -60,7 +60,7 @@
             self.hosts[endpoint.name] = self.version, phase, entry
             self.changed.notify_all()
 
-    async def until_told(self, endpoint: Endpoint) -> None:
+    async def wait_until_announced(self, endpoint: Endpoint) -> None:
         """Waits until the latest change of an endpoint has been written to at least one sidecar."""
         version = self.hosts[endpoint.name][0]
         async with self.announced:
--- a/zinclever/standins/endpoint.py
+++ b/zinclever/standins/endpoint.py
@@ -59,12 +59,12 @@
         self.writers.add(writer)
         try:
             with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError, asyncio.LimitOverrunError):
-                await self.converse(reader, writer)
+                await self.serve_connection(reader, writer)
         finally:
             self.writers.discard(writer)
             writer.transport.abort()
 
-    async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Reads and answers requests until the client closes the connection."""
         raise NotImplementedError
 
--- a/zinclever/standins/http_endpoint.py
+++ b/zinclever/standins/http_endpoint.py
@@ -15,7 +15,7 @@
 class HttpEndpoint(Endpoint):
     """Serves one request at a time on a connection, with the faults of its plan."""
 
-    async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answers requests until the client or a fault ends the connection."""
         while start := await reader.read(1):
             first = self.log.clock()
--- a/zinclever/standins/jsonrpc_endpoint.py
+++ b/zinclever/standins/jsonrpc_endpoint.py
@@ -51,7 +51,7 @@
         self.raw: list[bytes] = []
         """All messages received, as bytes."""
 
-    async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Handles calls until the client closes the connection."""
         while text := await read(self.framing, reader):
             first = self.log.clock()
