--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -19,7 +19,7 @@
 from loopback import run_real
 
 from zinclever.rig import world
-from zinclever.rig.links import Link, Way
+from zinclever.rig.links import Direction, Link
 from zinclever.rig.processes import ROOT, Gate, Program
 from zinclever.rig.run import play
 from zinclever.rig.world import RigError
@@ -183,7 +183,9 @@
         heard.put_nowait((b"", writer))
 
     server = await asyncio.start_server(listen, "127.0.0.1", 0)
-    link = Link("127.0.0.2", server.sockets[0].getsockname(), Way(latency, 0.0, "a"), Way(latency, 0.0, "b"))
+    link = Link(
+        "127.0.0.2", server.sockets[0].getsockname(), Direction(latency, 0.0, "a"), Direction(latency, 0.0, "b")
+    )
     try:
         yield Pair(link, heard)
     finally:
@@ -233,7 +235,7 @@
         reader, writer = await pair.dial()
         writer.write(b"1")
         _, other = await pair.heard.get()
-        pair.link.set(False, False)
+        pair.link.set_open(False, False)
         for _ in range(100):
             writer.write(b"x" * 1000)
             other.write(b"y")
@@ -242,7 +244,7 @@
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.3):  # the kernel drops what knocks: it would be let in at once
                 await pair.dial()
-        pair.link.set(True, True)
+        pair.link.set_open(True, True)
         got = b""
         while len(got) < 100_000:
             got += (await pair.heard.get())[0]
@@ -257,12 +259,12 @@
         reader, writer = await pair.dial()
         writer.write(b"1")
         _, other = await pair.heard.get()
-        pair.link.set(False, True)
+        pair.link.set_open(False, True)
         writer.write(b"2")
         other.write(b"heard")
         assert await reader.readexactly(5) == b"heard"
         assert pair.heard.empty()
-        pair.link.set(True, True)
+        pair.link.set_open(True, True)
         assert (await pair.heard.get())[0] == b"2"
 
     on_a_link(test)
@@ -270,7 +272,7 @@
 
 def test_a_link_takes_its_time_and_its_rate() -> None:
     async def test(pair: Pair) -> None:
-        pair.link.there.latency, pair.link.there.rate = 0.05, 1e6
+        pair.link.forward.latency, pair.link.forward.rate = 0.05, 1e6
         _, writer = await pair.dial()
         loop = asyncio.get_running_loop()
         began, got = loop.time(), 0
--- a/zinclever/rig/__init__.py
+++ b/zinclever/rig/__init__.py
@@ -1,4 +1,5 @@
-"""Many processes of the program on one machine, with faults between them, and a judge of what peers and clients saw.
+"""Runs scenarios ("days") on real sidecar processes on one machine, with network faults, and audits the result.
 
-The days, servers, applications and figures are those of :mod:`zinclever.sim`; what differs is what they stand on.
+The scenarios, servers, applications and figures are those of :mod:`zinclever.sim`; processes, clock and network are
+real.
 """
--- a/zinclever/rig/cli.py
+++ b/zinclever/rig/cli.py
@@ -1,4 +1,4 @@
-"""``python -m zinclever rig``: days of several processes of the program, with faults between them."""
+"""The command ``python -m zinclever rig``: scenarios on real sidecar processes with faults between them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def rig() -> None:
-    """Days of several processes of the program on this machine, with faults between them, and a judge."""
+    """Runs scenarios on several sidecar processes on this machine, with faults, and audits the result."""
     logging.basicConfig(level=logging.ERROR)
 
 
@@ -33,11 +33,11 @@
 @click.option(
     "--rate",
     type=click.FloatRange(0.0, min_open=True),
-    help="First tries a second of all. [default: 62 % of what the endpoints can do]",
+    help="First attempts per second of all sidecars. [default: 62 % of the endpoints' capacity]",
 )
-@click.option("--command", default=PROGRAM, help="What a machine runs. [default: this program]")
+@click.option("--command", default=PROGRAM, help="Shell command of each sidecar. [default: this program]")
 @click.option("--into", type=click.Path(path_type=Path), help="Keep the machines' directories, with their logs, here.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def run(
     what: str,
     seed: int,
@@ -49,16 +49,16 @@
     into: Path | None,
     as_json: bool,
 ) -> None:
-    """Play one day, WHAT being its kind or its file; exit code 1 where a rule was broken."""
+    """Run one day, WHAT being its kind or its file; the exit code is 1 if a rule was broken."""
     day = draw(what, seed, sidecars, endpoints, seconds, rate or 0.0) if what in KINDS else read_day(Path(what))
     try:
         with tempfile.TemporaryDirectory(prefix="rig-") as name:
-            found = play(day, into or Path(name), command)
-    except (OSError, RigError) as wrong:
-        for line in str(wrong).splitlines():
+            result = play(day, into or Path(name), command)
+    except (OSError, RigError) as error:
+        for line in str(error).splitlines():
             click.echo(f"{what}: {line}", err=True)
-        raise SystemExit(EXIT_INVALID_INPUT) from wrong
-    show(found, as_json)
+        raise SystemExit(EXIT_INVALID_INPUT) from error
+    show(result, as_json)
 
 
 @rig.command(name="hunt")
@@ -67,11 +67,11 @@
     "kinds",
     type=click.Choice(list(KINDS)),
     multiple=True,
-    help="Only these. [default: those that kernels have a part in]",
+    help="Only these kinds. [default: those whose faults involve processes and the kernel]",
 )
-@click.option("--first", type=click.IntRange(0), default=1, show_default=True, help="Seed to begin with.")
-@click.option("--budget", type=click.FloatRange(1.0), default=60.0, show_default=True, help="s of wall time.")
-@click.option("--jobs", type=click.IntRange(1, 64), default=2, show_default=True, help="Runs side by side.")
+@click.option("--first", type=click.IntRange(0), default=1, show_default=True, help="First seed.")
+@click.option("--budget", type=click.FloatRange(1.0), default=60.0, show_default=True, help="Wall time in s.")
+@click.option("--jobs", type=click.IntRange(1, 64), default=2, show_default=True, help="Number of parallel runs.")
 @click.option("--sidecars", type=click.IntRange(1, 1000), default=6, show_default=True)
 @click.option("--endpoints", type=click.IntRange(1, 250), default=6, show_default=True)
 @click.option("--seconds", type=click.FloatRange(1.0, 3600.0), default=10.0, show_default=True)
@@ -86,22 +86,22 @@
     seconds: float,
     into: Path,
 ) -> None:
-    """Draw and play days; keep those with a breach as files."""
+    """Draw and run days; save those with a breach as files."""
     played = broken = failed = 0
     days = drawn(kinds or hunting.KINDS, first, sidecars, endpoints, seconds)
-    for found in hunt(days, budget, jobs, hunting.play_one, die_with_parent):
+    for result in hunt(days, budget, jobs, hunting.play_one, die_with_parent):
         played += 1
-        told = found.figures.get("failed", "")
-        failed += bool(told)
-        broken += bool(found.figures["breaches"])
-        name = f"{found.day.kind}, seed {found.day.seed}"
-        if found.figures["breaches"]:
+        failure = result.figures.get("failed", "")
+        failed += bool(failure)
+        broken += bool(result.figures["breaches"])
+        name = f"{result.day.kind}, seed {result.day.seed}"
+        if result.figures["breaches"]:
             into.mkdir(parents=True, exist_ok=True)
-            path = into / f"rig-{found.day.kind}-{found.day.seed}.toml"
-            path.write_bytes(dayfile.write(found.day))
-            click.echo(f"{path}: {'; '.join(found.figures['breaches'][:3])}")
-        elif told:
-            click.echo(f"{name}: not played: {told.splitlines()[0]}")
+            path = into / f"rig-{result.day.kind}-{result.day.seed}.toml"
+            path.write_bytes(dayfile.write(result.day))
+            click.echo(f"{path}: {'; '.join(result.figures['breaches'][:3])}")
+        elif failure:
+            click.echo(f"{name}: could not be run: {failure.splitlines()[0]}")
     click.echo(f"{played} runs, {broken} with a breach, {failed} that prove nothing")
     if broken or failed:
         raise SystemExit(EXIT_BREACH)
@@ -109,24 +109,27 @@
 
 @rig.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--tries", type=click.IntRange(1), default=20, show_default=True, help="Days played at most.")
-@click.option("--times", type=click.IntRange(1), default=2, show_default=True, help="Runs in which a day may fail.")
-@click.option("--command", default=PROGRAM, help="What a machine runs. [default: this program]")
+@click.option("--tries", type=click.IntRange(1), default=20, show_default=True, help="Maximum number of days to run.")
+@click.option("--times", type=click.IntRange(1), default=2, show_default=True, help="Runs of each day.")
+@click.option("--command", default=PROGRAM, help="Shell command of each sidecar. [default: this program]")
 def shrink(file: Path, tries: int, times: int, command: str) -> None:
-    """Cut a day that breaks a rule down to few machines, troubles and seconds; print it as a file."""
+    """Reduce a day that breaks a rule to few machines, faults and seconds; print it as a file."""
     day = read_day(file)
-    found = [b for _ in range(times) for b in hunting.play_one(day, command).figures["breaches"]]
-    if not found:
+    breaches = [b for _ in range(times) for b in hunting.play_one(day, command).figures["breaches"]]
+    if not breaches:
         raise click.ClickException(f"{file}: no rule was broken in {times} runs")
-    rule = found[0].partition(":")[0]
-    least = DayMinimizer(hunting.breaks(rule, times, command), tries).minimize_environment(day)
-    click.echo(dayfile.write(least), nl=False)
-    parts = f"{size(least)} troubles, {least.sidecars} sidecars, {least.endpoints} endpoints, {least.seconds:g} s"
-    click.echo(f"{rule}: {parts}", err=True)
+    rule = breaches[0].partition(":")[0]
+    minimized = DayMinimizer(hunting.breaks(rule, times, command), tries).minimize_environment(day)
+    click.echo(dayfile.write(minimized), nl=False)
+    description = (
+        f"{size(minimized)} faults, {minimized.sidecars} sidecars, {minimized.endpoints} endpoints, "
+        f"{minimized.seconds:g} s"
+    )
+    click.echo(f"{rule}: {description}", err=True)
 
 
 @rig.command(name="list")
 def list_kinds() -> None:
-    """Name the kinds of days."""
+    """List the kinds of days."""
     for name, kind in KINDS.items():
         click.echo(f"{name:<16}{(kind.__doc__ or '').splitlines()[0]}")
--- a/zinclever/rig/clock.py
+++ b/zinclever/rig/clock.py
@@ -1,4 +1,4 @@
-"""Real time as a scene reads it: ns from an instant of its own, and what happens when."""
+"""The real clock of a run: time in ns since its start, and scheduled calls."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ScheduledCall:
-    """What is to happen, until it has happened or has been called off."""
+    """A scheduled call that can be cancelled."""
 
     __slots__ = ("handle",)
 
@@ -22,31 +22,36 @@
         self.handle = handle
 
     def call_off(self) -> None:
+        """Cancels the call."""
         self.handle.cancel()
 
 
 class RealClock:
-    """A :class:`~zinclever.sim.ground.Clock` on the running loop."""
+    """A :class:`~zinclever.sim.ground.Clock` on the running event loop."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
-        self.began = time.monotonic_ns()
+        self.started_at = time.monotonic_ns()
         self.failures: list[str] = []
-        """What the rig itself did wrong: a run with any proves nothing."""
+        """Errors in scheduled calls. A run with any of them is invalid."""
 
     @property
     def now(self) -> int:
-        return time.monotonic_ns() - self.began
+        """The time since the start, in ns."""
+        return time.monotonic_ns() - self.started_at
 
-    def at(self, when: int, act: Callable[..., object], /, *args: Any) -> ScheduledCall:
-        return self.after(when - self.now, act, *args)
+    def at(self, when: int, callback: Callable[..., object], /, *args: Any) -> ScheduledCall:
+        """Schedules a call at ``when``, in ns since the start."""
+        return self.after(when - self.now, callback, *args)
 
-    def after(self, span: int, act: Callable[..., object], /, *args: Any) -> ScheduledCall:
-        return ScheduledCall(self.loop.call_later(max(0.0, span / NS), self.happen, act, args))
+    def after(self, delay: int, callback: Callable[..., object], /, *args: Any) -> ScheduledCall:
+        """Schedules a call after a delay in ns."""
+        return ScheduledCall(self.loop.call_later(max(0.0, delay / NS), self.run_callback, callback, args))
 
-    def happen(self, act: Callable[..., object], args: tuple[Any, ...]) -> None:
+    def run_callback(self, callback: Callable[..., object], args: tuple[Any, ...]) -> None:
+        """Runs a scheduled call and records an exception as a failure of the run."""
         try:
-            act(*args)
-        except Exception as wrong:
-            log.exception("rig")
-            self.failures.append(f"{type(wrong).__name__}: {wrong}")
+            callback(*args)
+        except Exception as error:
+            log.exception("scheduled call failed")
+            self.failures.append(f"{type(error).__name__}: {error}")
--- a/zinclever/rig/hunting.py
+++ b/zinclever/rig/hunting.py
@@ -1,4 +1,7 @@
-"""Hunting and cutting down on processes: what breaks in one run of a day may not in the next."""
+"""Searches for failing days on real processes and minimizes them.
+
+Runs on real processes are not deterministic: a day that fails in one run may pass in the next.
+"""
 
 from __future__ import annotations
 
@@ -28,20 +31,20 @@
     "faults",
     "mixed",
 )
-"""Those whose troubles processes and kernels have a part in."""
+"""Kinds of days whose faults involve processes and the kernel."""
 
 
 def play_one(day: Day, command: str = PROGRAM) -> DayResult:
-    """A day; what couldn't be played is told as ``failed``."""
+    """Runs a day. Where it could not be run, the figures hold the reason as ``failed``."""
     with tempfile.TemporaryDirectory(prefix="rig-") as folder:
         try:
             return DayResult(day, play(day, Path(folder), command))
-        except RigError as wrong:
-            return DayResult(day, {"failed": str(wrong), "breaches": [], "goal": 0.0})
+        except RigError as error:
+            return DayResult(day, {"failed": str(error), "breaches": [], "goal": 0.0})
 
 
 def breaks(rule: str, times: int, command: str = PROGRAM) -> FailurePredicate:
-    """Whether a day has a breach whose text begins so, in one of so many runs."""
+    """Returns a predicate that runs a day ``times`` times and is true if a breach begins with ``rule`` in any run."""
 
     def fails(day: Day) -> bool:
         return any(b.startswith(rule) for _ in range(times) for b in play_one(day, command).figures["breaches"])
--- a/zinclever/rig/links.py
+++ b/zinclever/rig/links.py
@@ -1,9 +1,10 @@
-"""Relays: every connection between two machines passes one, where the network's faults are.
+"""TCP relays that inject network faults. Every connection between two machines passes through one.
 
-A link has a listener of its own, so that whoever dials it is known, and goes on from the dialling machine's address, so
-that the other side knows it, too. Each direction is open or not, takes its time, and has a rate. What is not open holds
-what comes, and its end, until it is: TCP loses nothing while both ends live. A link that lets nobody in has its queue
-filled by connections of its own, so that the kernel drops what knocks, as it does of a machine that says nothing.
+Each link has its own listener, which identifies the connecting machine, and connects onwards from that machine's
+address, so that the target sees the real source. Each direction can be blocked and has a latency and a rate limit. A
+blocked direction holds data and the end of the stream until it is open again, since TCP loses nothing while both ends
+live. While a link accepts no connections, its own connections fill the listener's queue, so that the kernel drops
+incoming SYNs as if the machine did not respond.
 """
 
 from __future__ import annotations
@@ -17,108 +18,113 @@
 from random import Random
 from typing import cast
 
-HELD = 1 << 20  # bytes that a direction holds before it stops reading, as a window of TCP would
-FILLED = 4  # connections that fill a queue of none: the kernel lets one or two in, whatever is asked of it
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: closing resets
-FINE = 0.0005  # s of delay that is not waited for: below what the loop's timers can tell
+BUFFER_LIMIT = 1 << 20  # bytes that a stream buffers before it stops reading, as a TCP window would
+FILLER_CONNECTIONS = 4  # that fill a queue of length 0: the kernel admits one or two whatever the backlog
+RESET = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0: closing sends a reset
+MIN_DELAY = 0.0005  # s; shorter delays are skipped, since they are below the resolution of the loop's timers
 BACKLOG = 256
 Address = tuple[str, int]
 
 
-class Way:
+class Direction:
     """One direction of a link."""
 
     __slots__ = ("jitter", "latency", "open", "rate", "rng")
 
     def __init__(self, latency: float, jitter: float, seed: str) -> None:
         self.latency, self.jitter = latency, jitter
-        """s, and the share of it by which it varies."""
+        """The mean latency in s, and the share of it by which it varies."""
         self.rate = 0.0
-        """Bytes a second of one connection; 0: no bound."""
+        """Rate limit of each connection, in bytes per second; 0: no limit."""
         self.open = True
         self.rng = Random(seed)
 
     def delay(self) -> float:
-        span = self.latency * (1.0 + self.jitter * (2.0 * self.rng.random() - 1.0))
-        return span if span > FINE else 0.0
+        """Draws the delay of one piece of data, in s."""
+        duration = self.latency * (1.0 + self.jitter * (2.0 * self.rng.random() - 1.0))
+        return duration if duration > MIN_DELAY else 0.0
 
 
 class Stream:
-    """What one side of a connection said and the other has not been told yet, in order; its end is part of it."""
+    """Buffers what one side of a connection has sent until it is due at the other side, including the end."""
 
-    def __init__(self, way: Way, loop: asyncio.AbstractEventLoop) -> None:
-        self.way, self.loop = way, loop
-        self.held: deque[tuple[float, bytes | Ending]] = deque()
-        self.size = 0
-        self.free_at = 0.0
+    def __init__(self, direction: Direction, loop: asyncio.AbstractEventLoop) -> None:
+        self.direction, self.loop = direction, loop
+        self.pending: deque[tuple[float, bytes | EndAction]] = deque()
+        self.buffered_bytes = 0
+        self.rate_limit_free_at = 0.0
         self.timer: asyncio.TimerHandle | None = None
         self.source: asyncio.Transport | None = None
         self.target: asyncio.Transport | None = None
-        self.clogged = False
-        """The target takes no more for now."""
-        self.over = False
-        """The source has said its last: asked to read on, the loop would tell its end again and again."""
+        self.write_paused = False
+        """The target's write buffer is full."""
+        self.source_ended = False
+        """The source has sent its end: if reading went on, the loop would report the end again and again."""
 
-    def put(self, what: bytes | Ending) -> None:
+    def put(self, item: bytes | EndAction) -> None:
+        """Adds data or the end of the stream, to be delivered after the delay of the direction."""
         now = self.loop.time()
-        span = self.way.delay()
-        if self.way.rate and isinstance(what, bytes):
-            self.free_at = max(now, self.free_at) + len(what) / self.way.rate
-            span += self.free_at - now
-        due = max(now + span, self.held[-1][0] if self.held else 0.0)
-        self.held.append((due, what))
-        self.size += len(what) if isinstance(what, bytes) else 0
-        self.flow()
-        self.steer()
-
-    def flow(self) -> None:
-        """Hand on what is due."""
+        delay = self.direction.delay()
+        if self.direction.rate and isinstance(item, bytes):
+            self.rate_limit_free_at = max(now, self.rate_limit_free_at) + len(item) / self.direction.rate
+            delay += self.rate_limit_free_at - now
+        due = max(now + delay, self.pending[-1][0] if self.pending else 0.0)
+        self.pending.append((due, item))
+        self.buffered_bytes += len(item) if isinstance(item, bytes) else 0
+        self.deliver_due()
+        self.update_reading()
+
+    def deliver_due(self) -> None:
+        """Writes to the target what is due, and sets a timer for the rest."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        while self.held and self.way.open and self.target is not None and not self.clogged:
-            due, what = self.held[0]
+        while self.pending and self.direction.open and self.target is not None and not self.write_paused:
+            due, item = self.pending[0]
             now = self.loop.time()
             if due > now:
-                self.timer = self.loop.call_later(due - now, self.wake)
+                self.timer = self.loop.call_later(due - now, self.on_timer)
                 return
-            self.held.popleft()
-            if isinstance(what, bytes):
-                self.size -= len(what)
-                self.target.write(what)
+            self.pending.popleft()
+            if isinstance(item, bytes):
+                self.buffered_bytes -= len(item)
+                self.target.write(item)
             else:
-                what(self.target)
+                item(self.target)
 
-    def wake(self) -> None:
+    def on_timer(self) -> None:
+        """Handles the timer."""
         self.timer = None
-        self.flow()
-        self.steer()
+        self.deliver_due()
+        self.update_reading()
 
-    def steer(self) -> None:
-        """Read on, or not: nothing while it is cut, so that the sender's own buffers fill."""
+    def update_reading(self) -> None:
+        """Pauses or resumes reading. A blocked direction reads nothing, so that the sender's buffers fill."""
         source = self.source
-        if source is None or self.over or source.is_closing():
+        if source is None or self.source_ended or source.is_closing():
             return
-        if self.size > HELD or not self.way.open:
+        if self.buffered_bytes > BUFFER_LIMIT or not self.direction.open:
             source.pause_reading()
         else:
             source.resume_reading()
 
-    def changed(self) -> None:
-        self.flow()
-        self.steer()
+    def update(self) -> None:
+        """Applies a change of the direction or of the transports."""
+        self.deliver_due()
+        self.update_reading()
 
     def stop(self) -> None:
+        """Discards what is buffered."""
         if self.timer is not None:
             self.timer.cancel()
-        self.held.clear()
+        self.pending.clear()
 
 
-Ending = Callable[[asyncio.Transport], None]
+EndAction = Callable[[asyncio.Transport], None]
 
 
 def finish(target: asyncio.Transport) -> None:
-    """The other side has said all that it had to."""
+    """Passes on the end of the stream."""
     if not target.is_closing():
         if target.can_write_eof():
             target.write_eof()
@@ -127,6 +133,7 @@
 
 
 def reset(target: asyncio.Transport) -> None:
+    """Resets a connection."""
     sock = target.get_extra_info("socket")
     if sock is not None and not target.is_closing():
         with contextlib.suppress(OSError):
@@ -134,83 +141,88 @@
     target.abort()
 
 
-class End(asyncio.Protocol):
-    """One of the two sockets of a connection."""
+class RelayProtocol(asyncio.Protocol):
+    """The protocol of one of the two sockets of a connection.
+
+    ``inbound`` buffers what is read from the socket, ``outbound`` what is to be written to it.
+    """
 
     transport: asyncio.Transport
 
-    def __init__(self, connection: Connection, said: Stream, heard: Stream) -> None:
-        self.connection, self.said, self.heard = connection, said, heard
+    def __init__(self, connection: Connection, inbound: Stream, outbound: Stream) -> None:
+        self.connection, self.inbound, self.outbound = connection, inbound, outbound
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         transport = cast(asyncio.Transport, transport)
         self.transport = transport
-        self.said.source = self.heard.target = transport
-        self.heard.changed()
-        self.said.steer()
+        self.inbound.source = self.outbound.target = transport
+        self.outbound.update()
+        self.inbound.update_reading()
 
     def data_received(self, data: bytes) -> None:
-        self.said.put(data)
+        self.inbound.put(data)
 
     def eof_received(self) -> bool:
-        self.said.over = True
-        self.said.put(finish)
+        self.inbound.source_ended = True
+        self.inbound.put(finish)
         return True
 
     def pause_writing(self) -> None:
-        self.heard.clogged = True
+        self.outbound.write_paused = True
 
     def resume_writing(self) -> None:
-        self.heard.clogged = False
-        self.heard.flow()
+        self.outbound.write_paused = False
+        self.outbound.deliver_due()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.heard.target = None
-        if exc is not None or not self.said.over:
-            self.said.put(reset)
+        self.outbound.target = None
+        if exc is not None or not self.inbound.source_ended:
+            self.inbound.put(reset)
         self.connection.ended()
 
 
 class Connection:
-    """Somebody who dialled, and the way on."""
+    """A relayed connection: the accepted socket and the one to the target."""
 
     def __init__(self, link: Link) -> None:
         self.link = link
-        self.there, self.back = Stream(link.there, link.loop), Stream(link.back, link.loop)
-        self.near = End(self, self.there, self.back)
-        self.far = End(self, self.back, self.there)
-        self.left = 2
+        self.forward, self.backward = Stream(link.forward, link.loop), Stream(link.backward, link.loop)
+        self.client_side = RelayProtocol(self, self.forward, self.backward)
+        self.server_side = RelayProtocol(self, self.backward, self.forward)
+        self.open_sockets = 2
 
     async def begin(self, sock: socket.socket) -> None:
+        """Connects to the target; resets the accepted socket if that fails."""
         link = self.link
         link.connections.add(self)
         try:
-            await link.loop.connect_accepted_socket(lambda: self.near, sock)
-            await link.loop.create_connection(lambda: self.far, *link.target, local_addr=(link.source, 0))
+            await link.loop.connect_accepted_socket(lambda: self.client_side, sock)
+            await link.loop.create_connection(lambda: self.server_side, *link.target, local_addr=(link.source, 0))
         except OSError:
-            self.left -= 1
-            self.there.target = None
-            self.back.put(reset)
+            self.open_sockets -= 1
+            self.forward.target = None
+            self.backward.put(reset)
 
     def ended(self) -> None:
-        self.left -= 1
-        if not self.left:
+        """Handles the end of one of the two sockets."""
+        self.open_sockets -= 1
+        if not self.open_sockets:
             self.link.connections.discard(self)
-            self.there.stop()
-            self.back.stop()
+            self.forward.stop()
+            self.backward.stop()
 
     def reset(self) -> None:
-        """Both ends, at once."""
-        for end in (self.near, self.far):
-            if hasattr(end, "transport"):
-                reset(end.transport)
+        """Resets both sockets."""
+        for side in (self.client_side, self.server_side):
+            if hasattr(side, "transport"):
+                reset(side.transport)
 
 
 class Link:
-    """From one machine to an address of another one. Owns its listener and all that comes by it."""
+    """The relay from one machine to an address of another. Owns its listener and all relayed connections."""
 
-    def __init__(self, source: str, target: Address, there: Way, back: Way) -> None:
-        self.source, self.target, self.there, self.back = source, target, there, back
+    def __init__(self, source: str, target: Address, forward: Direction, backward: Direction) -> None:
+        self.source, self.target, self.forward, self.backward = source, target, forward, backward
         self.loop = asyncio.get_running_loop()
         self.connections: set[Connection] = set()
         self.tasks: set[asyncio.Task[None]] = set()
@@ -220,16 +232,18 @@
         self.sock.bind((source, 0))
         self.address: Address = self.sock.getsockname()
         self.sock.listen(BACKLOG)
-        self.accept(True)
+        self.set_accepting(True)
 
-    def accept(self, on: bool) -> None:
+    def set_accepting(self, on: bool) -> None:
+        """Starts or stops accepting connections."""
         if on and not self.accepting:
-            self.loop.add_reader(self.sock.fileno(), self.admit)
+            self.loop.add_reader(self.sock.fileno(), self.accept_pending)
         elif self.accepting and not on:
             self.loop.remove_reader(self.sock.fileno())
         self.accepting = on
 
-    def admit(self) -> None:
+    def accept_pending(self) -> None:
+        """Accepts all pending connections."""
         with contextlib.suppress(BlockingIOError, ConnectionAbortedError):
             while True:
                 sock, _ = self.sock.accept()
@@ -238,45 +252,46 @@
                 self.tasks.add(task)
                 task.add_done_callback(self.tasks.discard)
 
-    def set(self, there: bool, back: bool) -> None:
-        """Which directions are open. No connection comes up unless both are."""
-        if (there, back) == (self.there.open, self.back.open):
+    def set_open(self, forward: bool, backward: bool) -> None:
+        """Opens or blocks the two directions. New connections are accepted only while both are open."""
+        if (forward, backward) == (self.forward.open, self.backward.open):
             return
-        self.there.open, self.back.open = there, back
-        if there and back:
-            self.empty()
+        self.forward.open, self.backward.open = forward, backward
+        if forward and backward:
+            self.empty_queue()
         elif self.accepting:
-            self.fill()
+            self.fill_queue()
         for connection in list(self.connections):
-            connection.there.changed()
-            connection.back.changed()
+            connection.forward.update()
+            connection.backward.update()
 
-    def fill(self) -> None:
-        """From now on whoever dials hears nothing."""
-        self.accept(False)
+    def fill_queue(self) -> None:
+        """Fills the listener's queue, so that connection attempts get no response."""
+        self.set_accepting(False)
         self.sock.listen(0)
-        for _ in range(FILLED):
+        for _ in range(FILLER_CONNECTIONS):
             filler = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
             with contextlib.suppress(BlockingIOError):
                 filler.connect(self.address)
             self.fillers.append(filler)
 
-    def empty(self) -> None:
-        """Whoever dials is heard again; the kernel tells those that are still trying."""
+    def empty_queue(self) -> None:
+        """Empties the listener's queue; pending connection attempts succeed when the kernel retransmits their SYN."""
         for filler in self.fillers:
             filler.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
             filler.close()
         self.fillers.clear()
         self.sock.listen(BACKLOG)
-        self.accept(True)
+        self.set_accepting(True)
 
     def reset(self) -> None:
-        """All connections that there are."""
+        """Resets all connections."""
         for connection in list(self.connections):
             connection.reset()
 
     def close(self) -> None:
-        self.accept(False)
+        """Closes the listener and resets all connections."""
+        self.set_accepting(False)
         for filler in self.fillers:
             filler.close()
         self.sock.close()
--- a/zinclever/rig/processes.py
+++ b/zinclever/rig/processes.py
@@ -1,4 +1,7 @@
-"""Processes of the program on this machine: started held, let go together, stopped, killed; none outlives the rig."""
+"""Sidecar processes on this machine: started at a gate, released together, signalled and killed.
+
+No process outlives the rig.
+"""
 
 from __future__ import annotations
 
@@ -13,35 +16,35 @@
 from pathlib import Path
 
 PROGRAM = f"trap '' HUP; exec {sys.executable} -m zinclever"
-"""What a machine runs unless it is told otherwise, as the deploy file's ``run`` words it."""
+"""Default shell command of a sidecar, the same as ``run`` in the deploy file."""
 ROOT = Path(__file__).parent.parent.parent
-HELD = 9  # the descriptor that a process waits on before it begins
+GATE_DESCRIPTOR = 9  # the descriptor whose end of file a process waits for before it starts
 PR_SET_PDEATHSIG = 1  # prctl(2)
-TAIL = 30  # lines of a log that are told of a process that failed
+LOG_TAIL_LINES = 30  # lines of the log that are reported for a failed process
 _prctl = ctypes.CDLL(None, use_errno=True).prctl
 
 
 def die_with_parent() -> None:
-    """From now on this process is killed when the one that made it ends, however it does."""
+    """Makes the kernel kill the calling process when its parent ends, for whatever reason."""
     _prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 class Gate:
-    """What processes wait at; opened once, for all of them at the same moment."""
+    """Holds back processes at their start until it is opened for all of them at once."""
 
     def __init__(self) -> None:
-        self.inside, self.outside = os.pipe2(os.O_CLOEXEC)
+        self.read_end, self.write_end = os.pipe2(os.O_CLOEXEC)
 
     def open(self) -> None:
-        """Harmless when it is open."""
-        if self.outside >= 0:
-            os.close(self.outside)
-            os.close(self.inside)
-            self.inside = self.outside = -1
+        """Releases all waiting processes. Does nothing if the gate is already open."""
+        if self.write_end >= 0:
+            os.close(self.write_end)
+            os.close(self.read_end)
+            self.read_end = self.write_end = -1
 
 
 class Program:
-    """One process. Owns its pid until :meth:`ended`: no signal is sent to a number that may be another's by then."""
+    """One process. Owns its pid until :meth:`ended`, so that no signal reaches a process that reuses the pid."""
 
     def __init__(
         self,
@@ -53,74 +56,87 @@
         descriptors: int = 0,
         address_space: int = 0,
     ) -> None:
-        """``on_end`` is told the return code, negative for a signal. Limits of 0 are none; ``address_space``: bytes.
-
-        OSError where no process can be had.
+        """Starts the process.
+
+        Args:
+            environ: Environment variables.
+            log: File that standard output and standard error are appended to.
+            gate: Gate that it waits at; None, or an open gate: it starts at once.
+            on_end: Called with the return code, which is negative for a signal.
+            command: Shell command.
+            descriptors: Limit of open descriptors; 0: no limit.
+            address_space: Limit of the address space in bytes; 0: no limit.
+
+        Raises:
+            OSError: The process can't be started.
         """
         self.log, self.on_end = log, on_end
         self.loop = asyncio.get_running_loop()
         self.killed = False
-        held = gate is not None and gate.inside >= 0
+        waits_at_gate = gate is not None and gate.read_end >= 0
         rig = os.getpid()
 
         def prepare() -> None:
             die_with_parent()
-            if os.getppid() != rig:  # it died in between
+            if os.getppid() != rig:  # the rig has ended before prctl(2) took effect
                 os._exit(1)
-            if held and gate is not None:
-                os.dup2(gate.inside, HELD)
+            if waits_at_gate and gate is not None:
+                os.dup2(gate.read_end, GATE_DESCRIPTOR)
             if descriptors:
                 resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
             if address_space:
                 resource.setrlimit(resource.RLIMIT_AS, (address_space, address_space))
 
-        text = f"read _ <&{HELD}; exec {HELD}<&-; {command}" if held else command
-        with log.open("ab") as out:
+        script = f"read _ <&{GATE_DESCRIPTOR}; exec {GATE_DESCRIPTOR}<&-; {command}" if waits_at_gate else command
+        with log.open("ab") as log_file:
             self.popen = subprocess.Popen(
-                ["/bin/sh", "-c", text],
+                ["/bin/sh", "-c", script],
                 cwd=ROOT,
                 env=dict(environ),
                 stdin=subprocess.DEVNULL,
-                stdout=out,
-                stderr=out,
+                stdout=log_file,
+                stderr=log_file,
                 preexec_fn=prepare,
                 start_new_session=True,
-                pass_fds=(HELD,) if held else (),
+                pass_fds=(GATE_DESCRIPTOR,) if waits_at_gate else (),
             )
         self.pidfd = os.pidfd_open(self.popen.pid)
         self.loop.add_reader(self.pidfd, self.ended)
 
     @property
     def pid(self) -> int:
+        """The process id."""
         return self.popen.pid
 
     @property
     def alive(self) -> bool:
+        """Whether the process has not been reaped yet."""
         return self.popen.returncode is None
 
     def signal(self, number: int) -> None:
-        """Nothing happens to one that has ended."""
+        """Sends a signal; does nothing once the process has ended."""
         if self.alive:
             signal.pidfd_send_signal(self.pidfd, number)
 
     def kill(self) -> None:
-        """By the rig: whoever else kills it is somebody's fault."""
+        """Sends SIGKILL and records that the rig did it: a SIGKILL from elsewhere counts as a crash."""
         self.killed = True
         self.signal(signal.SIGKILL)
 
     def ended(self) -> None:
-        code = self.popen.wait()  # it has ended: this waits for nothing
+        """Reaps the process and reports its return code."""
+        code = self.popen.wait()  # returns at once: the process has ended
         self.loop.remove_reader(self.pidfd)
         os.close(self.pidfd)
         self.on_end(code)
 
     def descriptors(self) -> int:
-        """Open now; 0 where that can't be told any more."""
+        """Returns the number of open descriptors; 0 if the process has ended."""
         try:
             return len(os.listdir(f"/proc/{self.pid}/fd"))
         except OSError:
             return 0
 
     def tail(self) -> str:
-        """The end of its log."""
-        return "\n".join(self.log.read_text(errors="replace").splitlines()[-TAIL:])
+        """Returns the last lines of the log."""
+        return "\n".join(self.log.read_text(errors="replace").splitlines()[-LOG_TAIL_LINES:])
--- a/zinclever/rig/run.py
+++ b/zinclever/rig/run.py
@@ -1,4 +1,4 @@
-"""One run of a day, from a program that has no loop yet."""
+"""Runs one day in a new event loop."""
 
 from __future__ import annotations
 
@@ -14,7 +14,16 @@
 
 
 def play(day: Day, folder: Path, command: str = PROGRAM) -> dict[str, Any]:
-    """Play a day; its figures. RigError where it could not be played. ``folder``: for the machines' directories."""
+    """Runs a day and returns its figures.
+
+    Args:
+        day: The day.
+        folder: Where the directories of the machines are made.
+        command: Shell command of each sidecar.
+
+    Raises:
+        RigError: The day could not be run, or the run is invalid.
+    """
 
     async def run() -> dict[str, Any]:
         return await World(day, folder, command).play()
--- a/zinclever/rig/scope.py
+++ b/zinclever/rig/scope.py
@@ -1,4 +1,7 @@
-"""A server, an application or discovery on the rig's own loop: what belongs to one of them ends with it."""
+"""Isolated parts of the rig's own event loop, one for each server, application and discovery service.
+
+Ending a part ends its tasks, servers and connections, as the end of a process would.
+"""
 
 from __future__ import annotations
 
@@ -11,25 +14,29 @@
 Admits = Literal["yes", "refused", "silent"]
 
 
-class Listening:
-    """Who is let in, as the simulated listener has it. What isn't is reset: its kernel has answered."""
+class AdmissionListener:
+    """Decides which connections are accepted, as a simulated listener does.
+
+    The others are reset, since the kernel has already accepted them.
+    """
 
     def __init__(self) -> None:
         self.admits: Callable[[], Admits] = lambda: "yes"
 
 
-class Accepting:
-    """What a scene gets for a server."""
+class RunningServer:
+    """A running server, as :mod:`zinclever.sim` uses it."""
 
-    def __init__(self, server: asyncio.Server, listener: Listening) -> None:
+    def __init__(self, server: asyncio.Server, listener: AdmissionListener) -> None:
         self.server, self.listener = server, listener
 
     def close(self) -> None:
+        """Stops listening."""
         self.server.close()
 
 
 class Scope:
-    """A :class:`~zinclever.sim.ground.Process` within the rig's."""
+    """A :class:`~zinclever.sim.ground.Process` that runs inside the rig's process."""
 
     def __init__(self, machine: Machine) -> None:
         self.machine = machine
@@ -40,41 +47,46 @@
         self.transports: set[asyncio.Transport] = set()
 
     def create_task(self, coro: Coroutine[Any, Any, Any], /) -> asyncio.Task[Any]:
+        """Starts a task that ends with this part."""
         task = self.loop.create_task(coro)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
 
     def call_later(self, delay: float, callback: Callable[..., object], /, *args: Any) -> asyncio.TimerHandle:
+        """Calls back after ``delay`` seconds, unless this part has ended by then."""
         return self.loop.call_later(delay, self.call, callback, args)
 
     def call(self, callback: Callable[..., object], args: tuple[Any, ...]) -> None:
+        """Runs a callback, unless this part has ended."""
         if not self.dead:
             callback(*args)
 
     async def create_server(
         self, protocol_factory: Callable[[], asyncio.BaseProtocol], host: str, port: int, *, backlog: int
-    ) -> Accepting:
-        listener = Listening()
+    ) -> RunningServer:
+        """Starts a server whose listener decides which connections are accepted."""
+        listener = AdmissionListener()
 
         def accepted() -> asyncio.BaseProtocol:
-            return Owned(self, protocol_factory() if listener.admits() == "yes" else None)
+            return ScopedProtocol(self, protocol_factory() if listener.admits() == "yes" else None)
 
         server = await self.loop.create_server(accepted, host, port, backlog=backlog)
         self.servers.append(server)
-        return Accepting(server, listener)
+        return RunningServer(server, listener)
 
     async def create_connection(
         self, protocol_factory: Callable[[], asyncio.BaseProtocol], host: str, port: int
     ) -> tuple[Any, asyncio.BaseProtocol]:
+        """Connects from the address of this part's machine."""
         protocol = protocol_factory()
         transport, _ = await self.loop.create_connection(
-            lambda: Owned(self, protocol), host, port, local_addr=(self.machine.address, 0)
+            lambda: ScopedProtocol(self, protocol), host, port, local_addr=(self.machine.address, 0)
         )
         return transport, protocol
 
     def die(self) -> None:
-        """As a process that is killed: its connections are reset, what it was doing is over."""
+        """Ends this part as a killed process ends: its connections are reset and its tasks cancelled."""
         self.dead = True
         for server in self.servers:
             server.close()
@@ -84,8 +96,8 @@
             transport.abort()
 
 
-class Owned(asyncio.Protocol):
-    """Passes on what happens on a connection; without a protocol the connection is not let in."""
+class ScopedProtocol(asyncio.Protocol):
+    """Passes the events of a connection on to ``inner``; without one the connection is reset."""
 
     transport: asyncio.Transport
 
@@ -96,7 +108,7 @@
         transport = cast(asyncio.Transport, transport)
         self.transport = transport
         if self.inner is None or self.scope.dead or transport.get_extra_info("peername") is None:
-            # Not let in, or gone by now.
+            # Not accepted, or already closed by the peer.
             self.inner = None
             transport.abort()
             return
--- a/zinclever/rig/world.py
+++ b/zinclever/rig/world.py
@@ -1,5 +1,7 @@
-"""A day on real processes: the scene's servers, applications and discovery in the rig, sidecars beside it, relays
-between."""
+"""A day on real processes.
+
+Servers, applications and discovery run in the rig's process, sidecars in processes of their own, with relays between.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +18,7 @@
 from ..sim.model import Day
 from ..sim.scene import CLIENT_RETRY_PERIOD, AddressPlan, BaseWorld, seed_from_text
 from ..simnet.network import Machine
-from ..simnet.network import Path as Way
+from ..simnet.network import Path as NetworkPath
 from ..simnet.scheduler import NS
 from .clock import RealClock
 from .network import RealNetwork
@@ -24,121 +26,144 @@
 from .scope import Scope
 from .sidecars import RealSidecar
 
-COMES_UP = 60.0  # s within which all sidecars are healthy, from when they are let go: far more than any takes
-SAYS = 2.0  # s in which who is healthy says so
-LOOK = 0.02  # s between two looks at whether one is healthy
-BASES = range(16, 250)  # second parts of addresses that a run may have for itself
-MOST_SERVERS = 16_000  # addresses for them: each that starts anew has one
-LOCK_PORT = 10_009  # on the last address of a run's part: held for as long as it lasts
-LATE = 250.0  # ms that a machine with more processes than cores may be late; a breach by design is off by far more
+STARTUP_TIMEOUT = 60.0  # s until all sidecars must be healthy, from the opening of the gate
+HEALTH_TIMEOUT = 2.0  # s for one health check
+POLL_PERIOD = 0.02  # s between two health checks, and between two checks whether the processes have ended
+BASES = range(16, 250)  # second octets of the address blocks 127.x.0.0/16 that a run may claim
+MAX_SERVERS = 16_000  # addresses for servers: every restarted server gets a new one
+LOCK_PORT = 10_009  # bound on the last address of a block while a run uses it
+AUDIT_SLACK = 250.0  # ms; tolerates the scheduling delay where there are more processes than cores
 
 
 class RigError(Exception):
-    """The run could not be made, or proves nothing: the reason, in a few lines."""
+    """The run could not be carried out, or it is invalid. The message gives the reason in a few lines."""
 
 
 def claim() -> tuple[str, socket.socket]:
-    """A part of 127.0.0.0/8 that no other run has, and what holds it."""
+    """Claims a block of 127.0.0.0/8 that no other run uses.
+
+    Returns:
+        The first two octets of the block, and the socket that holds the claim.
+
+    Raises:
+        RigError: All blocks are in use.
+    """
     start = os.getpid()
     for n in range(len(BASES)):
-        first = f"127.{BASES[(start + n) % len(BASES)]}"
-        held = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        block = f"127.{BASES[(start + n) % len(BASES)]}"
+        lock_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
-            held.bind((f"{first}.255.254", LOCK_PORT))
+            lock_socket.bind((f"{block}.255.254", LOCK_PORT))
         except OSError:
-            held.close()
+            lock_socket.close()
             continue
-        return first, held
-    raise RigError("every part of the loopback network is taken by another run")
+        return block, lock_socket
+    raise RigError("every block of the loopback network is taken by another run")
 
 
 class World(BaseWorld):
-    """One run. Nothing of it is left when :meth:`play` returns, whatever happened."""
+    """One run. When :meth:`play` returns or raises, all its processes, sockets and relays have ended."""
 
     network: RealNetwork
     sidecars: Sequence[RealSidecar]
 
     def __init__(self, day: Day, folder: Path, command: str = PROGRAM) -> None:
-        """``folder``: for the directories of machines. RigError where the run can't be had."""
+        """Makes the machines of the day; no process is started yet.
+
+        Args:
+            day: The day.
+            folder: Where the directories of the machines are made.
+            command: Shell command of each sidecar.
+
+        Raises:
+            RigError: No block of loopback addresses is free.
+        """
         self.folder, self.command = folder, command
         self.gate: Gate | None = Gate()
         self.loop = asyncio.get_running_loop()
-        first, self.held = claim()
+        block, self.lock_socket = claim()
         clock = RealClock()
         self.clock = clock
-        path = Way(day.zones.same_ms / 1000.0, day.zones.jitter)
+        path = NetworkPath(day.zones.same_ms / 1000.0, day.zones.jitter)
         super().__init__(
             day,
             clock,
             RealNetwork(seed_from_text(f"{day.seed}/network"), path),
-            AddressPlan(f"{first}.0.1", f"{first}.64.1", f"{first}.128.1", MOST_SERVERS),
+            AddressPlan(f"{block}.0.1", f"{block}.64.1", f"{block}.128.1", MAX_SERVERS),
         )
         self.log.clock = self.now_ms
         self.callers = {s.name: s.machine for s in self.sidecars}
         self.ready_s = 0.0
-        """s that it took all sidecars to be healthy."""
+        """s until all sidecars were healthy."""
 
     def unix_ms(self) -> float:
+        """Returns the wall clock, in ms."""
         return time.time() * 1000.0
 
     def process(self, machine: Machine) -> Scope:
+        """Makes the process of a server, an application or discovery."""
         return Scope(machine)
 
     def new_sidecar(self, machine: Machine, number: int) -> RealSidecar:
+        """Makes a sidecar, which is not started yet."""
         return RealSidecar(self, machine, number, self.folder / machine.name)
 
     def localize_entry(self, line: dict[str, Any], caller: str) -> dict[str, Any]:
+        """Returns a list entry with the address of the relay from the caller to the server."""
         source = self.callers[caller]
         host, _, port = line["dial"].partition(":")
-        at = self.network.link(source, self.network.machines[host], int(port)).address
-        return {**line, "dial": f"{at[0]}:{at[1]}"}
+        relay_address = self.network.link(source, self.network.machines[host], int(port)).address
+        return {**line, "dial": f"{relay_address[0]}:{relay_address[1]}"}
 
     # --- the day ---
 
     async def play(self) -> dict[str, Any]:
-        """The whole day; its figures. RigError where it could not be played."""
+        """Runs the day and returns its figures. Raises RigError if it could not be run or the run is invalid."""
         try:
             await self.begin()
-            await self.through()
-            found = summary(self, self.judge())
-            used = resource.getrusage(resource.RUSAGE_SELF)
-            found |= {
+            await self.run_day()
+            figures = summary(self, self.judge())
+            usage = resource.getrusage(resource.RUSAGE_SELF)
+            figures |= {
                 "ready_s": round(self.ready_s, 2),
-                "rig_cpu_s": round(used.ru_utime + used.ru_stime, 2),
+                "rig_cpu_s": round(usage.ru_utime + usage.ru_stime, 2),
                 "sidecars_cpu_s": round(self.sidecars_cpu(), 2),
             }
         finally:
             await self.end()
         if not self.log.answered:
-            raise RigError("nothing was answered: the run proves nothing")
+            raise RigError("no request was answered: the run proves nothing")
         if self.clock.failures:
             raise RigError("the rig failed: " + "; ".join(self.clock.failures[:3]))
-        return found
+        return figures
 
     async def begin(self) -> None:
-        """Servers, discovery and all sidecars are up; the sidecars were held, and let go together."""
+        """Starts discovery and all sidecars, which leave the gate together, and waits until they are healthy."""
         await self.listing.listen()
         await asyncio.sleep(0)
         for sidecar in self.sidecars:
             sidecar.start()
-        began = self.loop.time()
+        released_at = self.loop.time()
         assert self.gate is not None
         self.gate.open()
         self.gate = None
-        await asyncio.gather(*(self.until_healthy(sidecar, began + COMES_UP) for sidecar in self.sidecars))
-        self.ready_s = self.loop.time() - began
+        await asyncio.gather(*(self.until_healthy(sidecar, released_at + STARTUP_TIMEOUT) for sidecar in self.sidecars))
+        self.ready_s = self.loop.time() - released_at
 
     async def until_healthy(self, sidecar: RealSidecar, until: float) -> None:
+        """Waits until a sidecar is healthy. Raises RigError if a sidecar crashes or the time is up."""
         while not await healthy(sidecar.address):
             if self.counts.crashes:
                 raise RigError(self.counts.crashes[0])
             if self.loop.time() > until:
                 tail = sidecar.loop.tail() if sidecar.loop is not None else ""
-                raise RigError(f"{sidecar.name} did not come up within {COMES_UP:.0f} s; the end of its log:\n{tail}")
-            await asyncio.sleep(LOOK)
+                raise RigError(
+                    f"{sidecar.name} was not healthy within {STARTUP_TIMEOUT:.0f} s; the end of its log:\n{tail}"
+                )
+            await asyncio.sleep(POLL_PERIOD)
 
-    async def through(self) -> None:
-        """From the day's start until its last answers."""
+    async def run_day(self) -> None:
+        """Runs the day from its start until the last answers."""
         self.start = self.now()
         for application in self.applications:
             application.go()
@@ -153,19 +178,20 @@
         await self.until(end + round((CLIENT_RETRY_PERIOD + longest) * NS), self.quiet)
 
     async def until(self, when: int, over: Callable[[], bool] | None = None) -> None:
-        """Let time pass to an instant, or until nothing is left to wait for."""
-        while (left := when - self.now()) > 0 and not (over is not None and over()):
-            await asyncio.sleep(min(left / NS, 0.1))
+        """Waits until an instant, or until ``over`` returns true."""
+        while (remaining := when - self.now()) > 0 and not (over is not None and over()):
+            await asyncio.sleep(min(remaining / NS, 0.1))
 
     def quiet(self) -> bool:
-        """Nobody waits for an answer any more."""
+        """Returns whether no client waits for an answer."""
         return len(self.log.asked) <= len({a.request for a in self.log.answered}) + len(self.log.left)
 
     def slack(self) -> float:
-        return LATE
+        """Returns the tolerance of the auditor, in ms."""
+        return AUDIT_SLACK
 
     def sidecars_cpu(self) -> float:
-        """s of the processes that are there."""
+        """Returns the CPU time of the running sidecar processes, in s."""
         ticks = os.sysconf("SC_CLK_TCK")
         total = 0.0
         for sidecar in self.sidecars:
@@ -175,7 +201,7 @@
         return total
 
     async def end(self) -> None:
-        """Every process and relay ends."""
+        """Ends all processes and relays and releases the address block."""
         if self.gate is not None:
             self.gate.open()
             self.gate = None
@@ -190,19 +216,19 @@
             scope.die()
         self.network.close()
         while any(program.alive for program in programs):
-            await asyncio.sleep(LOOK)
-        self.held.close()
+            await asyncio.sleep(POLL_PERIOD)
+        self.lock_socket.close()
 
 
 async def healthy(address: tuple[str, int]) -> bool:
-    """Whether a sidecar takes requests."""
+    """Returns whether a sidecar passes its health check."""
     try:
-        async with asyncio.timeout(SAYS):
+        async with asyncio.timeout(HEALTH_TIMEOUT):
             reader, writer = await asyncio.open_connection(*address)
             try:
                 writer.write(b"GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
                 return (await reader.readline()).startswith(b"HTTP/1.1 200")
             finally:
                 writer.transport.abort()
-    except OSError:  # a time-out among them
+    except OSError:  # includes TimeoutError
         return False
