--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that are too long for CI. Each prints its figures; the operators' pages quote them."""
+"""Benchmarks that run too long for CI. Each prints its figures; the operators' documentation quotes them."""
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,11 +1,11 @@
-"""Slopes of state, messages, processor time and memory, and what they come to at the size to design for.
+"""Measures how state, messages, CPU time and memory grow with size, and extrapolates to the design size.
 
 PYTHONPATH=.:tests ZINCLEVER_NATIVE=text python -m benchmarks.capacity measure benchmarks/capacity.json
 PYTHONPATH=.:tests ZINCLEVER_NATIVE=text python -m benchmarks.capacity plan benchmarks/capacity.json
 PYTHONPATH=.:tests ZINCLEVER_NATIVE=text python -m benchmarks.capacity page benchmarks/capacity.json
 
-``measure`` takes some minutes of one core, and writes the lines that it has fitted; ``plan`` prints the tables of
-``docs/CAPACITY.md`` from them, ``page`` puts them there.
+``measure`` takes some minutes on one core and writes the fitted lines; ``plan`` prints the tables of
+``docs/CAPACITY.md`` computed from them, and ``page`` writes them into that page.
 """
 
 from __future__ import annotations
@@ -31,9 +31,9 @@
 
 PAGE = Path(__file__).parents[1] / "docs" / "CAPACITY.md"
 SEEDS = (1, 2, 3)
-KNOWN = 1000  # endpoints that hollow processes know besides each other: all ranges of a digest are filled
-NEWS_FOR = 40.0  # s of news at each rate: some thirty pieces of it at the plan's
-LOSS = 0.02  # of datagrams, where what was missed is to be mended
+KNOWN = 1000  # endpoints that simulated processes know besides each other, enough to fill all ranges of a digest
+NEWS_FOR = 40.0  # s of record changes at each rate: about thirty changes at the planned rate
+LOSS = 0.02  # share of datagrams lost, where anti-entropy has to repair the missing records
 IDLE_FOR = 15.0  # s without calls
 CALLS_FOR = 5.0  # s of calls at each rate
 
@@ -42,7 +42,7 @@
 
 
 def drawn(xs: Sequence[float], measure: Callable[[float, int], T]) -> list[tuple[float, T]]:
-    """Measured at each place with each seed."""
+    """Measures at each x with each seed."""
     return [(x, measure(x, seed)) for x, seed in itertools.product(xs, SEEDS)]
 
 
@@ -51,7 +51,7 @@
 
 
 def gossip_lines() -> Lines:
-    """By processes at rest, by news, by deaths, by endpoints known."""
+    """Fits the cost of gossip by processes at rest, by rate of changes, by failed processes and by known endpoints."""
     rest = drawn((15, 50, 100, 300), lambda n, seed: hollow.gossip(int(n), seed, KNOWN))
     news = drawn((0, 0.5, 1, 2, 4), lambda rate, seed: hollow.gossip(50, seed, KNOWN, rate, span=NEWS_FOR))
     deaths = drawn((0, 2, 5, 10), lambda killed, seed: hollow.gossip(100, seed, KNOWN, killed=int(killed)))
@@ -73,21 +73,25 @@
 
 
 def memory_lines() -> Lines:
-    """By endpoint in gossip's records, by endpoint of one service that is called, by service, by route."""
-    made: Lines = {}
+    """Fits memory by endpoint in gossip records, by endpoint of a called service, by called service, by route."""
+    lines: Lines = {}
     for name, make, counts in (
         ("endpoint known", hollow.make_records, (4000, 8000, 16000, 32000)),
-        ("endpoint called", hollow.make_flight, (100, 400, 800, 1600)),
-        ("service called", hollow.make_services, (50, 100, 200, 400)),
+        ("endpoint called", hollow.make_service_client, (100, 400, 800, 1600)),
+        ("service called", hollow.make_service_clients, (50, 100, 200, 400)),
         ("route", hollow.make_active, (1000, 2000, 4000, 8000)),
     ):
         for kind, traced in (("traced", True), ("resident", False)):
-            found = drawn(counts, lambda n, _, make=make, traced=traced: hollow.alone(make, int(n), traced))  # type: ignore[misc]
-            made[f"{kind} bytes by {name}"] = line_of(found, float)
-    return made
+            found = drawn(
+                counts,
+                lambda n, _, make=make, traced=traced: hollow.measure_in_new_process(make, int(n), traced),  # type: ignore[misc]
+            )
+            lines[f"{kind} bytes by {name}"] = line_of(found, float)
+    return lines
 
 
 def configuration_lines() -> Lines:
+    """Fits the sizes of a configuration and the time to activate it, by route."""
     found = drawn((100, 500, 2000, 5000), lambda n, _: hollow.ConfigurationCost(int(n)))
     return {
         "text bytes by route": line_of(found, lambda c: c.text),
@@ -97,7 +101,7 @@
 
 
 def control_lines() -> Lines:
-    """By pairs of replicas at rest, by followers and by size for a change; a disk by size."""
+    """Fits the cost of the replicated log: at rest by pairs of replicas, per change by followers and by size."""
     members = drawn((3, 5, 7, 9), lambda n, seed: hollow.ControlLoad(int(n), seed, 20_000))
     sizes = drawn((0, 20_000, 100_000, 400_000), lambda size, seed: hollow.ControlLoad(5, seed, int(size)))
     disk = drawn((20_000, 400_000, 1_000_000, 4_000_000), lambda size, _: hollow.DiskCost(int(size)))
@@ -117,19 +121,20 @@
 
 @dataclass(frozen=True, slots=True)
 class CallsMeasured:
-    """What real processes took."""
+    """Measurements of real processes."""
 
     found: list[CallLoad]
-    """Over two sidecars, at several rates."""
+    """Calls through two sidecars, at several rates."""
     direct: list[CallLoad]
-    """To the endpoint itself."""
+    """Calls sent directly to the endpoint."""
     memory: list[int]
-    """Bytes of each process before the calls, control first."""
+    """Resident bytes of each process before the calls, control first."""
     idle: list[float]
-    """Of a core: each process before the calls."""
+    """Cores used by each process before the calls, control first."""
 
 
 async def measure_calls() -> CallsMeasured:
+    """Measures calls through real sidecar processes."""
     async with Processes() as processes:
         idle = await processes.idle(IDLE_FOR)
         memory = [resident(p.pid) for p in processes.running]
@@ -141,60 +146,61 @@
 
 
 def call_lines() -> tuple[Lines, dict[str, list[float]]]:
-    """Processor time by calls; and single figures of real processes, by name."""
+    """Fits CPU time by call rate; also returns single figures of real processes, by name."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        made = runner.run(measure_calls())
-    found, direct = made.found, made.direct
+        calls = runner.run(measure_calls())
+    found, direct = calls.found, calls.direct
     assert all(c.served == c.sent for c in found), "a call was not served"
     lines = {
-        "core of the caller's sidecar by calls/s": fit([(c.rate, c.caller) for c in found]),
-        "core of the endpoint's sidecar by calls/s": fit([(c.rate, c.keeper) for c in found]),
+        "core of the caller's sidecar by calls/s": fit([(c.rate, c.caller_sidecar) for c in found]),
+        "core of the endpoint's sidecar by calls/s": fit([(c.rate, c.endpoint_sidecar) for c in found]),
     }
     at_plan = [c for c in found if 150 < c.rate < 300]
     return lines, {
         "ms p50 direct, 200/s": [c.median for c in direct],
-        "ms p99 direct, 200/s": [c.high for c in direct],
+        "ms p99 direct, 200/s": [c.p99 for c in direct],
         "ms p50 over two sidecars, 200/s": [c.median for c in at_plan],
-        "ms p99 over two sidecars, 200/s": [c.high for c in at_plan],
-        "MB resident: control, sidecar, sidecar, 2 endpoints known": [m / 1e6 for m in made.memory],
-        "cores at rest: control, sidecar, sidecar": made.idle,
+        "ms p99 over two sidecars, 200/s": [c.p99 for c in at_plan],
+        "MB resident: control, sidecar, sidecar, 2 endpoints known": [m / 1e6 for m in calls.memory],
+        "cores at rest: control, sidecar, sidecar": calls.idle,
     }
 
 
 def commit() -> str:
-    """The commit that is measured."""
+    """Returns the measured commit."""
     return subprocess.run(["git", "describe", "--always", "--dirty"], capture_output=True, text=True).stdout.strip()
 
 
 def measure(path: Path) -> None:
-    began, load = time.strftime("%Y-%m-%d %H:%M"), os.getloadavg()
+    """Runs all measurements and writes the results to a file."""
+    started, load = time.strftime("%Y-%m-%d %H:%M"), os.getloadavg()
     lines, figures = call_lines()
     for part in (gossip_lines, memory_lines, configuration_lines, control_lines):
         lines |= part()
         print(f"{part.__name__}: done, load {os.getloadavg()[0]:.1f}", file=sys.stderr, flush=True)
-    told = {
+    results = {
         "commit": commit(),
-        "began": began,
+        "began": started,
         "load before": load,
         "load after": os.getloadavg(),
         "figures": figures,
         "lines": {name: asdict(line) for name, line in lines.items()},
     }
-    path.write_text(json.dumps(told, indent=1) + "\n")
+    path.write_text(json.dumps(results, indent=1) + "\n")
 
 
 def plan(path: Path) -> None:
-    """Print all tables."""
-    told = read_measured(path.read_text())
-    print(told.said)
-    for name, table in told.tables.items():
+    """Prints all tables."""
+    measured = read_measured(path.read_text())
+    print(measured.header)
+    for name, table in measured.tables.items():
         print(f"\n{name}\n\n{table}")
 
 
 def page(path: Path) -> None:
-    """Put the tables into the page."""
-    told = read_measured(path.read_text())
-    PAGE.write_text(fill(PAGE.read_text(), told.tables))
+    """Writes the tables into the page."""
+    measured = read_measured(path.read_text())
+    PAGE.write_text(fill(PAGE.read_text(), measured.tables))
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity_plan.py
+++ b/benchmarks/capacity_plan.py
@@ -1,4 +1,4 @@
-"""The arithmetic of ``docs/CAPACITY.md``: measured slopes, carried on to the size to design for. Pure."""
+"""Computes the tables of ``docs/CAPACITY.md``: measured slopes, extrapolated to the design size. Pure functions."""
 
 from __future__ import annotations
 
@@ -12,39 +12,39 @@
 
 DAY = 86_400.0  # s
 
-# --- the size to design for, in the users' words ---
+# --- the design size, as required ---
 
 SIDECARS = ENDPOINTS = 34_000
 SERVICES = 2_500
 CALLS = 7.2e6  # a second
-DEPTH = 24  # of calls
+DEPTH = 24  # of a chain of calls
 REGIONS, ZONES = 4, 16
 CHANGES = 51_000 / DAY  # of the configuration a second
-ENDED = (88 + 2_400) / DAY  # machines a second that fail, or are restarted or replaced
-CORE, MEMORY, BANDWIDTH = 0.03, 32e6, 3000.0  # that control may take of a sidecar's machine: of a core, bytes, bytes/s
-MACHINES = 15  # set aside for control
-ADDED = 0.34  # ms added to a call, for 99 in 100
+ENDED = (88 + 2_400) / DAY  # machines per second that fail, or are restarted or replaced
+CORE, MEMORY, BANDWIDTH = 0.03, 32e6, 3000.0  # control's limits on a sidecar's machine: cores, bytes, bytes/s
+MACHINES = 15  # reserved for control
+ADDED = 0.34  # ms of added latency of a call, 99th percentile
 
-# --- assumptions: the letter doesn't say these ---
+# --- assumptions, not part of the requirements ---
 
-CALLED = 25  # services that the routes of one sidecar's callers reach
+CALLED = 25  # services that the callers of one sidecar reach
 ROUTES = 2 * SERVICES
-PEAK = 10  # times the mean rate of changes, in the worst minute
-NEWS_EACH = 4  # records that one machine's end and successor make: end and start of the process and of the endpoint
+PEAK = 10  # ratio of the rate of changes in the worst minute to the mean
+NEWS_EACH = 4  # record changes per replaced machine: end and start of the process and of the endpoint
 ROUND_TRIP = 0.15  # s between the farthest two regions
 SYNC = 0.005  # s
-RECORD = 130  # bytes on the wire of an endpoint's record: 98 of its own, the rest for its place in the subscription
-DELTA = 60  # bytes on the wire of one route's change beside the route itself
-BEAT, BEAT_BYTES = 1.0, 100  # s between two beats of a sidecar to its aggregator, and bytes of one with its answer
-CHECK, CHECK_BYTES = 10.0, 16  # s between two checks of all subscriptions, and bytes of each one's part
+RECORD = 130  # bytes on the wire of an endpoint's record: 98 for the record, the rest for its position
+DELTA = 60  # bytes on the wire of one route change, without the route itself
+BEAT, BEAT_BYTES = 1.0, 100  # s between heartbeats of a sidecar to its aggregator; bytes of one with its answer
+CHECK, CHECK_BYTES = 10.0, 16  # s between checks of all subscriptions; bytes per subscription
 SUBSCRIPTION = 200  # bytes of memory of one subscription at an aggregator
 RACK = 40  # machines
-DATAGRAM_BYTES = 1100  # of records in one
-REMEMBERED_BYTES = 40  # of an order: its number, its base and its digest
+DATAGRAM_BYTES = 1100  # bytes of records in one datagram
+REMEMBERED_BYTES = 40  # of a remembered change request: its number, base and digest
 
 REPLICAS = 7
 NEWS_RATE = ENDED * NEWS_EACH + CHANGES
-"""Records a second that all are told of today."""
+"""Record changes per second that gossip spreads to all processes today."""
 
 REST, NEWS, KNOWN = "rest bytes/s by processes", "bytes/s by news/s", "bytes/s by endpoints known"
 DATAGRAMS, DATAGRAMS_NEWS = "rest datagrams/s by processes", "datagrams/s by news/s"
@@ -54,46 +54,48 @@
 ROUTE_MEMORY, TEXT, PACKED = "resident bytes by route", "text bytes by route", "packed bytes by route"
 IN_FORCE = "ms to put in force by route"
 CHANGE_SIZE, DISK_SIZE = "bytes a change by size, 5 replicas", "disk bytes a change by size"
-CALLER, KEEPER = "core of the caller's sidecar by calls/s", "core of the endpoint's sidecar by calls/s"
+CALLER, ENDPOINT_SIDECAR = "core of the caller's sidecar by calls/s", "core of the endpoint's sidecar by calls/s"
 
 
-MARKED = re.compile(r"(<!-- table: ([a-z ]+) -->)\n.*?(<!-- end -->)", re.DOTALL)
+TABLE_MARK = re.compile(r"(<!-- table: ([a-z ]+) -->)\n.*?(<!-- end -->)", re.DOTALL)
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One figure of a table."""
+    """One row of a table."""
 
     what: str
     value: float
     unit: str
     how: str
     bound: float = 0.0
-    """What it may be; 0: nothing is said of it."""
+    """Upper limit of the value; 0: no limit."""
     error: float = 0.0
-    """Half of its 95% interval, of the measured slopes alone."""
+    """Half width of the 95% interval, from the measured slopes alone."""
 
     def cells(self) -> tuple[str, ...]:
+        """Returns the texts of the cells."""
         value = figure(self.value) + (f" ± {figure(self.error)}" if self.error else "")
-        held = "" if not self.bound else "yes" if self.value + self.error <= self.bound else "**no**"
-        return self.what, f"{value} {self.unit}", figure(self.bound) if self.bound else "", held, self.how
+        holds = "" if not self.bound else "yes" if self.value + self.error <= self.bound else "**no**"
+        return self.what, f"{value} {self.unit}", figure(self.bound) if self.bound else "", holds, self.how
 
 
 def figure(value: float) -> str:
-    """Three digits, with thousands set apart."""
+    """Formats a value with three significant digits, or as an integer with thousands separators from 100 on."""
     if value == 0:
         return "0"
     return f"{value:,.0f}" if abs(value) >= 100 else f"{value:.3g}"
 
 
 def table(rows: Iterable[Row]) -> str:
+    """Formats rows as a Markdown table."""
     head = ["figure", "at the size", "may be", "holds", "how it is worked out"]
     lines = ["| " + " | ".join(cells) + " |" for cells in (head, ["---"] * len(head), *(r.cells() for r in rows))]
     return "\n".join(lines)
 
 
 def slopes(lines: Mapping[str, Line]) -> str:
-    """The lines as they were measured."""
+    """Formats the measured lines as a table."""
     head = "| line | slope ± 95% | at 0 ± 95% | measured from, to | points |\n| --- | --- | --- | --- | --- |"
     rows = [
         f"| {name} | {m.slope:.4g} ± {m.interval:.2g} | {m.intercept:.4g} ± {m.intercept_interval:.2g} "
@@ -104,7 +106,7 @@
 
 
 def today(m: Mapping[str, Line]) -> list[Row]:
-    """Each sidecar, with the mechanisms that run now."""
+    """Returns the figures of a sidecar with the present mechanisms."""
     text, packed = m[TEXT].at(ROUTES), m[PACKED].at(ROUTES)
     datagrams = m[DATAGRAMS].at(SIDECARS) + m[DATAGRAMS_NEWS].slope * NEWS_RATE
     cost = datagram_cost(m)
@@ -129,11 +131,11 @@
 
 
 def calls(m: Mapping[str, Line], figures: Mapping[str, Sequence[float]]) -> list[Row]:
-    """A call over two sidecars, as it runs now."""
+    """Returns the figures of a call through two sidecars with the present mechanisms."""
     each = CALLS / SIDECARS
-    caller, keeper = m[CALLER], m[KEEPER]
-    error = caller.interval + keeper.interval
-    spent = caller.slope + keeper.slope
+    caller, endpoint_sidecar = m[CALLER], m[ENDPOINT_SIDECAR]
+    error = caller.interval + endpoint_sidecar.interval
+    spent = caller.slope + endpoint_sidecar.slope
 
     def added(quantile: str) -> tuple[float, float]:
         direct, over = figures[f"ms {quantile} direct, 200/s"], figures[f"ms {quantile} over two sidecars, 200/s"]
@@ -151,7 +153,7 @@
 
 
 def control_today(m: Mapping[str, Line]) -> list[Row]:
-    """The group of replicas, and the seeds, with the mechanisms that run now."""
+    """Returns the figures of the replicas and the gossip seeds with the present mechanisms."""
     text = m[TEXT].at(ROUTES)
     followers = REPLICAS - 1
     serial = 1 / (ROUND_TRIP + 2 * SYNC)
@@ -173,7 +175,7 @@
 
 
 def sidecar(m: Mapping[str, Line]) -> list[Row]:
-    """With subscriptions, deltas and an aggregator."""
+    """Returns the figures of a sidecar with subscriptions, deltas and an aggregator."""
     share = CALLED / SERVICES
     endpoints = CALLED * ENDPOINTS / SERVICES
     routes = ROUTES * share
@@ -182,12 +184,12 @@
     beats, checks = BEAT_BYTES / BEAT, CHECK_BYTES * CALLED / CHECK
     news, changes = ENDED * NEWS_EACH * share * RECORD, CHANGES * share * delta
     fixed = routes * m[ROUTE_MEMORY].slope + CALLED * m[SERVICE_MEMORY].slope
-    held = endpoints * m[RECORD_MEMORY].slope + fixed
+    memory = endpoints * m[RECORD_MEMORY].slope + fixed
     rate = 2 / BEAT + 2 / CHECK + PEAK * (CHANGES + ENDED * NEWS_EACH) * share
-    largest = (MEMORY - held) / (m[RECORD_MEMORY].slope + m[CALLED_MEMORY].slope)
+    largest = (MEMORY - memory) / (m[RECORD_MEMORY].slope + m[CALLED_MEMORY].slope)
     return [
         Row("endpoints known", endpoints, "", f"{CALLED} services of {figure(ENDPOINTS / SERVICES)} endpoints"),
-        Row("memory for them and routes", 1e-6 * held, "MB", f"and {figure(routes)} routes", 1e-6 * MEMORY),
+        Row("memory for them and routes", 1e-6 * memory, "MB", f"and {figure(routes)} routes", 1e-6 * MEMORY),
         Row("further endpoints that would fill it", largest, "", "of large services: subsets must begin before"),
         Row("beats and checks", beats + checks, "B/s", "to the aggregator, and back", BANDWIDTH),
         Row(
@@ -204,69 +206,76 @@
 
 
 def datagram_cost(m: Mapping[str, Line]) -> float:
-    """s of processor time of a datagram, as measured with the most processes."""
+    """Returns the CPU time of a datagram in s, measured with the largest number of processes."""
     return 1e-6 * m[DATAGRAM].at(m[DATAGRAM].most_x)
 
 
 def aggregator_memory(m: Mapping[str, Line]) -> float:
-    """Bytes: all endpoints, all routes, the subscriptions of the zone's sidecars."""
+    """Returns the memory of an aggregator in bytes: endpoints, routes and the subscriptions of the zone's sidecars."""
     subscriptions = SIDECARS / ZONES * CALLED * SUBSCRIPTION
     return ENDPOINTS * m[RECORD_MEMORY].slope + subscriptions + ROUTES * m[ROUTE_MEMORY].slope
 
 
 def aggregator_datagrams() -> tuple[float, float]:
-    """A second: beats and checks with their answers, and what goes to subscribers at the mean rates."""
-    here = SIDECARS / ZONES
-    return 2 * here / BEAT + 2 * here / CHECK, (CHANGES + ENDED * NEWS_EACH) * here * CALLED / SERVICES
+    """Returns datagrams per second: heartbeats and checks with their answers, and updates to subscribers on average."""
+    sidecars = SIDECARS / ZONES
+    return 2 * sidecars / BEAT + 2 * sidecars / CHECK, (CHANGES + ENDED * NEWS_EACH) * sidecars * CALLED / SERVICES
 
 
 def aggregator(m: Mapping[str, Line]) -> list[Row]:
-    """One for each zone, with another beside it: all state of the zone's sidecars that control has."""
-    here = SIDECARS / ZONES
+    """Returns the figures of an aggregator, which holds the control state of one zone's sidecars.
+
+    Each zone has one, and a standby.
+    """
+    sidecars = SIDECARS / ZONES
     cost = datagram_cost(m)
-    subscribers = here * CALLED / SERVICES
-    beats, fan = aggregator_datagrams()
+    subscribers = sidecars * CALLED / SERVICES
+    beats, updates = aggregator_datagrams()
     whole = CALLED * ENDPOINTS / SERVICES * RECORD
-    zone_lost = here * -(-CALLED * ENDPOINTS / SERVICES / ZONES * RECORD // DATAGRAM_BYTES)
+    zone_lost = sidecars * -(-CALLED * ENDPOINTS / SERVICES / ZONES * RECORD // DATAGRAM_BYTES)
     return [
-        Row("sidecars", here, "", f"{SIDECARS:,} in {ZONES} zones"),
+        Row("sidecars", sidecars, "", f"{SIDECARS:,} in {ZONES} zones"),
         Row("subscribers of a service here", subscribers, "", f"{CALLED} of {SERVICES:,} services each"),
         Row("memory", 1e-6 * aggregator_memory(m), "MB", "all endpoints, all routes, the zone's subscriptions"),
         Row("beats and checks", beats, "datagrams/s", "with their answers"),
-        Row("changes and news, mean", fan, "datagrams/s", "one to each subscriber"),
-        Row("changes and news, peak", PEAK * fan, "datagrams/s", f"{PEAK} times as many"),
-        Row("processor, mean", (beats + fan) * cost, "cores", f"{figure(1e6 * cost)} us a datagram"),
-        Row("processor, peak", (beats + PEAK * fan) * cost, "cores", "the same"),
-        Row("a change that all need", here * cost, "s of a core", "one datagram to each sidecar of the zone"),
+        Row("changes and news, mean", updates, "datagrams/s", "one to each subscriber"),
+        Row("changes and news, peak", PEAK * updates, "datagrams/s", f"{PEAK} times as many"),
+        Row("processor, mean", (beats + updates) * cost, "cores", f"{figure(1e6 * cost)} us a datagram"),
+        Row("processor, peak", (beats + PEAK * updates) * cost, "cores", "the same"),
+        Row("a change that all need", sidecars * cost, "s of a core", "one datagram to each sidecar of the zone"),
         Row("a rack lost", RACK * subscribers * cost, "s of a core", f"{RACK} endpoints to their subscribers here"),
         Row("another zone lost", zone_lost * cost, "s of a core", "its endpoints, packed for each sidecar here"),
-        Row("all subscribe anew, whole", here * whole * 1e-6, "MB", f"{figure(whole)} B each; by digests far less"),
+        Row("all subscribe anew, whole", sidecars * whole * 1e-6, "MB", f"{figure(whole)} B each; by digests far less"),
     ]
 
 
 def machine(m: Mapping[str, Line]) -> list[Row]:
-    """One of those set aside, at the worst: its region has three of them and one is lost."""
+    """Returns the figures of a control machine in the worst case, when one of three in its region is lost."""
     zones = ZONES // REGIONS
-    left = MACHINES // REGIONS - 1
-    beats, fan = aggregator_datagrams()
-    aggregators = 2 * zones / left
+    remaining_machines = MACHINES // REGIONS - 1
+    beats, updates = aggregator_datagrams()
+    aggregators = 2 * zones / remaining_machines
     replica = REMEMBERED_BYTES * CHANGES * DAY + 3 * m[TEXT].at(ROUTES)
     memory = aggregators * aggregator_memory(m) + relay_memory(m) + replica
-    processor = (zones / left * (beats + PEAK * fan) + zones / left * PEAK * (CHANGES + ENDED)) * datagram_cost(m)
+    processor = (
+        zones / remaining_machines * (beats + PEAK * updates) + zones / remaining_machines * PEAK * (CHANGES + ENDED)
+    ) * datagram_cost(m)
     return [
-        Row("aggregators", aggregators, "", f"{zones} zones and a second one for each, on {left} machines"),
+        Row(
+            "aggregators", aggregators, "", f"{zones} zones and a second one for each, on {remaining_machines} machines"
+        ),
         Row("memory", 1e-6 * memory, "MB", "aggregators, a relay and a replica, beside the programs"),
         Row("processor, peak", processor, "cores", "first aggregators at their peak, the second ones only listen"),
     ]
 
 
 def relay_memory(m: Mapping[str, Line]) -> float:
-    """Bytes: all endpoints and all routes."""
+    """Returns the memory of a relay in bytes: all endpoints and all routes."""
     return ENDPOINTS * m[RECORD_MEMORY].slope + ROUTES * m[ROUTE_MEMORY].slope
 
 
 def relay(m: Mapping[str, Line]) -> list[Row]:
-    """One for each region, with others beside it: between control, the other regions and the zones."""
+    """Returns the figures of a region's relay, which connects control, the other regions and the zones."""
     delta = m[TEXT].slope + DELTA
     zones = ZONES // REGIONS
     news = ENDED * NEWS_EACH * RECORD
@@ -281,7 +290,7 @@
 
 
 def control(m: Mapping[str, Line]) -> list[Row]:
-    """Seven replicas over four regions, a log of deltas in batches, a snapshot now and then."""
+    """Returns the figures of seven replicas in four regions, with batches of deltas and periodic snapshots."""
     delta = m[TEXT].slope + DELTA
     text = m[TEXT].at(ROUTES)
     batch = 0.1
@@ -320,13 +329,13 @@
 
 
 def singles(figures: Mapping[str, Sequence[float]]) -> str:
-    """Figures that are no lines: each run's."""
+    """Formats the single figures of each run as a table."""
     rows = [f"| {name} | {', '.join(f'{v:.3g}' for v in values)} |" for name, values in figures.items()]
     return "\n".join(["| figure | each run |", "| --- | --- |", *rows])
 
 
 def tables(m: Mapping[str, Line], figures: Mapping[str, Sequence[float]]) -> dict[str, str]:
-    """All tables of the page, by the name that stands in its marks."""
+    """Returns all tables, by their names in the page's marks."""
     return {
         "lines": slopes(m),
         "singles": singles(figures),
@@ -343,22 +352,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Measured:
-    """What a run has written."""
+    """The results of one run of ``benchmarks.capacity measure``."""
 
-    said: str
-    """Which sources, when, under what load."""
+    header: str
+    """The measured commit, the time and the load of the machine."""
     tables: dict[str, str]
+    """Markdown tables, by name."""
 
 
 def read_measured(text: str) -> Measured:
-    """The tables that follow from what ``benchmarks.capacity measure`` has written."""
-    told = json.loads(text)
-    lines = {name: Line(**fields) for name, fields in told["lines"].items()}
-    before, after = told["load before"][0], told["load after"][0]
-    said = f"Measured on {told['commit']}, {told['began']}; load of the machine {before:.1f} before, {after:.1f} after."
-    return Measured(said, {"run": said, **tables(lines, told["figures"])})
-
-
-def fill(page: str, made: Mapping[str, str]) -> str:
-    """The page with each table put between its marks. KeyError where a mark names no table."""
-    return MARKED.sub(lambda found: f"{found[1]}\n{made[found[2]]}\n{found[3]}", page)
+    """Computes the tables from the output of ``benchmarks.capacity measure``."""
+    results = json.loads(text)
+    lines = {name: Line(**fields) for name, fields in results["lines"].items()}
+    before, after = results["load before"][0], results["load after"][0]
+    header = (
+        f"Measured on {results['commit']}, {results['began']}; "
+        f"load of the machine {before:.1f} before, {after:.1f} after."
+    )
+    return Measured(header, {"run": header, **tables(lines, results["figures"])})
+
+
+def fill(page: str, tables: Mapping[str, str]) -> str:
+    """Returns the page with each table between its marks. Raises KeyError if a mark names no table."""
+    return TABLE_MARK.sub(lambda found: f"{found[1]}\n{tables[found[2]]}\n{found[3]}", page)
--- a/benchmarks/configtool.py
+++ b/benchmarks/configtool.py
@@ -1,4 +1,4 @@
-"""The configuration tool over 1,000 files of 200 lines in one call: time and peak memory.
+"""Time and peak memory of the configuration tool for 1,000 files of 200 lines in one call.
 
 python -m benchmarks.configtool
 """
@@ -18,6 +18,7 @@
 
 
 def main() -> None:
+    """Checks valid files, then files with a misspelt key."""
     text = render(
         App(
             "x",
@@ -27,8 +28,8 @@
             tips=("tip.send",),
         )
     )
-    more = LINES - text.count("\n")
-    text += "".join(f'"method.{n}" = {{ class = "read" }}\n' for n in range(more))
+    missing_lines = LINES - text.count("\n")
+    text += "".join(f'"method.{n}" = {{ class = "read" }}\n' for n in range(missing_lines))
     broken = text.replace("aim_ms = 1000", "aim_sm = 1000", 1)
     with tempfile.TemporaryDirectory() as folder:
         for kind, content in (("good", text), ("broken", broken)):
@@ -37,15 +38,15 @@
                 path = Path(folder) / f"{kind}{n}.toml"
                 path.write_text(content)
                 paths.append(str(path))
-            began = time.perf_counter()
-            told = subprocess.run(
+            started = time.perf_counter()
+            completed = subprocess.run(
                 [sys.executable, "-m", "zinclever", "config", "check", *paths], capture_output=True, text=True
             )
-            took = time.perf_counter() - began
+            elapsed = time.perf_counter() - started
             peak = resource.getrusage(resource.RUSAGE_CHILDREN).ru_maxrss / 1024.0
             print(
-                f"{FILES} {kind} files of {content.count(chr(10))} lines: {took:.2f} s, peak {peak:.0f} MB, "
-                f"exit code {told.returncode}, {told.stdout.count('error')} errors told"
+                f"{FILES} {kind} files of {content.count(chr(10))} lines: {elapsed:.2f} s, peak {peak:.0f} MB, "
+                f"exit code {completed.returncode}, {completed.stdout.count('error')} errors reported"
             )
 
 
--- a/benchmarks/fitting.py
+++ b/benchmarks/fitting.py
@@ -1,4 +1,4 @@
-"""A straight line through measured points, with the 95% interval of its slope."""
+"""Least-squares lines through measured points, with 95% confidence intervals."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def student(freedom: int) -> float:
-    """The 97.5% quantile of Student's t; infinite where there is no degree of freedom."""
+    """Returns the 97.5% quantile of Student's t distribution; infinite without a degree of freedom."""
     if freedom < 1:
         return math.inf
     return STUDENT[freedom - 1] if freedom <= len(STUDENT) else NORMAL
@@ -29,7 +29,7 @@
 
     slope: float
     interval: float
-    """Half the width of the slope's 95% interval."""
+    """Half the width of the slope's 95% confidence interval."""
     intercept: float
     intercept_interval: float
     points: int
@@ -37,18 +37,18 @@
     most_x: float
 
     def at(self, x: float) -> float:
-        """The line's value at ``x``, also outside of what was measured."""
+        """Returns the value at ``x``, which may lie outside the measured range."""
         return self.intercept + self.slope * x
 
     def error_at(self, x: float) -> float:
-        """An upper bound of the 95% interval's half width at ``x``: both errors added, as if they never cancelled."""
+        """Returns an upper bound of the half width of the 95% interval at ``x``: the sum of both errors."""
         return self.intercept_interval + self.interval * abs(x)
 
 
 def fit(points: Sequence[tuple[float, float]]) -> Line:
-    """The line through points ``(x, y)``. ValueError where fewer than three points or a single x is given."""
+    """Fits a line to points ``(x, y)``. Raises ValueError for fewer than three points or a single x."""
     if len(points) < 3 or len({x for x, _ in points}) < 2:
-        raise ValueError("a line with an error needs three points, at two places")
+        raise ValueError("fitting a line with an error needs at least three points at two different x")
     xs, ys = [x for x, _ in points], [y for _, y in points]
     slope, intercept = statistics.linear_regression(xs, ys)
     middle = statistics.fmean(xs)
--- a/benchmarks/hollow.py
+++ b/benchmarks/hollow.py
@@ -1,7 +1,7 @@
-"""What the mesh's state and messages cost, over hollow processes that share this one, in simulated time.
+"""Measures the cost of the mesh's state and messages with processes simulated in this one, in simulated time.
 
-Each function measures one point; :mod:`benchmarks.capacity` draws the lines. Hollow processes are the gossip, the
-replicas and the records of the program itself, without sockets.
+Each function measures one point; :mod:`benchmarks.capacity` fits the lines. A simulated process runs the real gossip,
+replica and record code without sockets.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from benchmarks.disk import Counted
+from benchmarks.disk import CountingFileSystem
 from zinclever import interface
 from zinclever.core.descriptors import Descriptors
 from zinclever.mesh.configuration.active import ActiveConfiguration
@@ -36,14 +36,14 @@
 from zinclever.mesh.transport.mesh_pb2 import EndpointInfo, Record
 from zinclever.system import System
 
-SETTLES = 20.0  # s until all have met, nobody is young any more and each has heard of each
-SPAN = 10.0  # s that are measured
+SETTLING_TIME = 20.0  # s until all processes know each other and their startup period is over
+SPAN = 10.0  # s of a measurement
 SERVICE_SIZE = 14  # endpoints of a service: 34,000 in 2,500 services
 PAGE = os.sysconf("SC_PAGE_SIZE")
 
 
 def endpoint(n: int, seq: int = 1) -> Record:
-    """An endpoint's record with the fields that a sidecar tells."""
+    """Returns an endpoint record with the fields that a sidecar publishes."""
     info = EndpointInfo(
         service=f"service-{n // SERVICE_SIZE:05d}",
         address=f"10.{n >> 16}.{(n >> 8) & 255}.{n & 255}:8080",
@@ -56,9 +56,9 @@
 
 
 class GossipLoad:
-    """What a mean process and a mean seed spent in a span."""
+    """The mean load of a process and of a seed during a measurement."""
 
-    def __init__(self, field: Field, span: float, processor: float) -> None:
+    def __init__(self, field: Field, span: float, cpu_time: float) -> None:
         seeds = [g for n, g in field.gossips.items() if field.address(n) in field.seeds]
         others = [g for n, g in field.gossips.items() if field.address(n) not in field.seeds]
         self.bytes = sum(g.transmitter.bytes_sent for g in others) / len(others) / span
@@ -66,101 +66,112 @@
         self.seed_bytes = sum(g.transmitter.bytes_sent for g in seeds) / len(seeds) / span
         self.seed_datagrams = sum(g.counters.sent + g.counters.received for g in seeds) / len(seeds) / span
         sent = sum(g.counters.sent for g in field.gossips.values())
-        self.microseconds = 1e6 * processor / max(1, sent)
-        """Processor time per datagram sent and heard, with the process's turns and the field's own part."""
+        self.microseconds = 1e6 * cpu_time / max(1, sent)
+        """CPU time per datagram sent and received, including timers and the simulation itself."""
 
 
 def gossip(
     count: int, seed: int, known: int, news: float = 0.0, killed: int = 0, span: float = SPAN, loss: float = 0.0
 ) -> GossipLoad:
-    """So many processes that know ``known`` endpoints, while ``news`` endpoints a second change somewhere.
-
-    ``killed`` of the processes end without a word as the span begins; ``loss`` is the part of datagrams that is lost.
+    """Measures the gossip of a group of processes.
+
+    Args:
+        count: Number of processes.
+        seed: Seed of the simulation.
+        known: Number of endpoints that all processes know.
+        news: Rate at which endpoint records change, per second.
+        killed: Number of processes that are killed when the measurement begins.
+        span: Length of the measurement, in s.
+        loss: Share of datagrams lost.
     """
     field = Field(count, seed=seed, loss=loss)
-    field.run(SETTLES)
+    field.run(SETTLING_TIME)
     for name in field.names[count - killed :]:
         del field.gossips[name]
-    for held in field.gossips.values():
+    for process in field.gossips.values():
         for n in range(known):
-            held.records.apply(field.now, endpoint(n))
-        held.transmitter.bytes_sent = held.counters.sent = held.counters.received = 0
-    told, until = 0, field.now + span
-    began = time.process_time()
+            process.records.apply(field.now, endpoint(n))
+        process.transmitter.bytes_sent = process.counters.sent = process.counters.received = 0
+    change_count, until = 0, field.now + span
+    started = time.process_time()
     due = field.now + field.rng.expovariate(news) if news else until
     while field.now < until:
         field.run(min(due, until) - field.now)
         if due < until:
-            told += 1
-            changed = endpoint(field.rng.randrange(max(1, known)), seq=1 + told)
+            change_count += 1
+            changed = endpoint(field.rng.randrange(max(1, known)), seq=1 + change_count)
             field.tell(field.rng.choice(list(field.gossips)), changed)
             due += field.rng.expovariate(news)
-    return GossipLoad(field, span, time.process_time() - began)
+    return GossipLoad(field, span, time.process_time() - started)
 
 
-# --- memory: each point in a process of its own ---
+# --- memory: each point is measured in its own process ---
 
 
 def resident() -> int:
-    """Bytes of this process that are in memory."""
+    """Returns the resident memory of this process, in bytes."""
     return int(Path("/proc/self/statm").read_text().split()[1]) * PAGE
 
 
-def grown(make: Callable[[int], object], count: int, traced: bool) -> float:
-    """Bytes that what ``make`` makes takes: what Python has allocated, or (not traced) what the process grew by."""
+def measure_memory(make: Callable[[int], object], count: int, traced: bool) -> float:
+    """Returns the memory of what ``make`` makes, in bytes.
+
+    With ``traced`` it is the memory allocated by Python, otherwise the growth of the process.
+    """
 
     async def on_a_loop() -> float:
-        return grown_here(make, count, traced)
+        return measure_memory_on_loop(make, count, traced)
 
     return asyncio.run(on_a_loop())
 
 
-def grown_here(make: Callable[[int], object], count: int, traced: bool) -> float:
+def measure_memory_on_loop(make: Callable[[int], object], count: int, traced: bool) -> float:
+    """Does the work of :func:`measure_memory` on the running event loop."""
     make(8)
     gc.collect()
     if traced:
         tracemalloc.start()
-        kept = make(count)
+        result = make(count)
         gc.collect()
-        return float(tracemalloc.get_traced_memory()[0]) if kept is not None else 0.0
+        return float(tracemalloc.get_traced_memory()[0]) if result is not None else 0.0
     before = resident()
-    kept = make(count)
+    result = make(count)
     gc.collect()
-    return float(resident() - before) if kept is not None else 0.0
+    return float(resident() - before) if result is not None else 0.0
 
 
-def alone(make: Callable[[int], object], count: int, traced: bool) -> float:
-    """The same in a new process: what an earlier point has freed doesn't hide what this one takes."""
+def measure_in_new_process(make: Callable[[int], object], count: int, traced: bool) -> float:
+    """Does the same in a new process, so that memory freed by an earlier measurement doesn't hide this one's."""
     with multiprocessing.get_context("spawn").Pool(1) as pool:
-        return pool.apply(grown, (make, count, traced))
+        return pool.apply(measure_memory, (make, count, traced))
 
 
 def make_records(count: int) -> RecordStore:
-    """What gossip holds of so many endpoints, each read from a datagram."""
+    """Makes the gossip records of ``count`` endpoints, each decoded from its serialized form."""
     records = RecordStore()
     for n in range(count):
         records.apply(0.0, Record.FromString(endpoint(n).SerializeToString()))
     return records
 
 
-def make_flight(count: int) -> ServiceClient:
-    """The way to one service with so many endpoints, as a sidecar keeps it for its calls."""
+def make_service_client(count: int) -> ServiceClient:
+    """Makes the client of a service with ``count`` endpoints, as a sidecar holds it for its calls."""
     host, descriptors = System(), Descriptors(1000)
     budget = RetryBudget(0.2, 10.0, 0.0)
-    wire = Forwarder(("127.0.0.1", 1), Ingress(host, descriptors), ChannelPool("me").to, budget, {})
-    flight = ServiceClient("service", 0, 10, wire, budget, descriptors, host)
+    forwarder = Forwarder(("127.0.0.1", 1), Ingress(host, descriptors), ChannelPool("me").to, budget, {})
+    client = ServiceClient("service", 0, 10, forwarder, budget, descriptors, host)
     listed = [interface.ListedEndpoint(f"i-{n:08x}", "ready", 9.0, n % 4) for n in range(count)]
-    flight.set_endpoints([(entry, (f"10.0.{n >> 8}.{n & 255}", 7)) for n, entry in enumerate(listed)])
-    return flight
+    client.set_endpoints([(entry, (f"10.0.{n >> 8}.{n & 255}", 7)) for n, entry in enumerate(listed)])
+    return client
 
 
-def make_services(count: int) -> list[ServiceClient]:
-    """The ways to so many services of the usual size."""
-    return [make_flight(SERVICE_SIZE) for _ in range(count)]
+def make_service_clients(count: int) -> list[ServiceClient]:
+    """Makes the clients of ``count`` services of the usual size."""
+    return [make_service_client(SERVICE_SIZE) for _ in range(count)]
 
 
 def make_routes(count: int) -> bytes:
-    """A configuration of so many routes, two to a service, as operators write them."""
+    """Returns the text of a configuration with ``count`` routes, two for each service."""
     services = {f"service-{n:05d}": {"HealthPath": "/health", "MaxConns": 120} for n in range(max(1, count // 2))}
     routes = {
         f"r-{zlib.crc32(b'%d' % n):08x}": {
@@ -179,7 +190,7 @@
 
 
 def make_active(count: int) -> ActiveConfiguration:
-    """A configuration of so many routes in force, packed for others."""
+    """Makes an active configuration with ``count`` routes, including its compressed form."""
     active = ActiveConfiguration()
     active.apply(1, 1, make_routes(count))
     active.compressed()
@@ -187,7 +198,7 @@
 
 
 class ConfigurationCost:
-    """One whole configuration, fetched and put in force."""
+    """Sizes of a configuration and the time to activate it."""
 
     def __init__(self, routes: int) -> None:
         text = make_routes(routes)
@@ -201,7 +212,7 @@
 
 
 class CountedWorld(World):
-    """A world that counts what its replicas say to each other, with configurations of a given size."""
+    """A world that counts the messages between its replicas, with configurations of a given size."""
 
     def __init__(self, seed: int, members: int, size: int) -> None:
         self.size = size
@@ -209,13 +220,14 @@
         super().__init__(seed, members, losses=members // 2)
 
     def send(self, m: Machine, act: Send) -> None:
+        """Counts and sends a message, except from a replica to itself."""
         if act.to.disk != m.disk.name:
             self.messages += 1
             self.bytes += act.message.ByteSize()
         super().send(m, act)
 
     def put_padded(self, ip: str, base: int, generation: int) -> None:
-        """Ask for a configuration of the world's size."""
+        """Requests a change to a configuration of the world's size."""
         replica = self.machines[ip].replica
         assert replica is not None
         self.calls += 1
@@ -225,12 +237,12 @@
 
 
 class ControlLoad:
-    """Of all replicas together: a second at rest, and what each change adds."""
+    """Messages and bytes of all replicas: per second at rest, and in addition for each change."""
 
     def __init__(self, members: int, seed: int, size: int, changes: int = 10) -> None:
         world = CountedWorld(seed, members, size)
         world.run(4.0)
-        self.rest_messages, self.rest_bytes = self.spent(world, 4.0)
+        self.rest_messages, self.rest_bytes = self.measure_rate(world, 4.0)
         (leader,) = world.leaders()
         before_messages, before_bytes, began = world.messages, world.bytes, world.now
         for n in range(1, changes + 1):
@@ -243,19 +255,19 @@
         self.bytes = (world.bytes - before_bytes - span * self.rest_bytes) / changes
 
     @staticmethod
-    def spent(world: CountedWorld, span: float) -> tuple[float, float]:
-        """Messages and bytes a second over so many seconds."""
+    def measure_rate(world: CountedWorld, span: float) -> tuple[float, float]:
+        """Runs the world for ``span`` seconds and returns its messages and bytes per second."""
         messages, total = world.messages, world.bytes
         world.run(span)
         return (world.messages - messages) / span, (world.bytes - total) / span
 
 
 class DiskCost:
-    """Mean of some saves of a state of so many bytes: syncs, bytes written, processor time."""
+    """Mean cost of saving a state of ``size`` bytes: syncs, bytes written and CPU time."""
 
     def __init__(self, size: int, saves: int = 6) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            files = Counted(0.0)
+            files = CountingFileSystem(0.0)
             store = GenerationFile(Path(folder), "entry", files)
             began = time.process_time()
             for n in range(saves):
--- a/benchmarks/mesh.py
+++ b/benchmarks/mesh.py
@@ -1,4 +1,4 @@
-"""How long news and changes take in the mesh, by its size, in simulated time.
+"""Times of gossip, elections and configuration changes in the mesh, by its size, in simulated time.
 
 python -m benchmarks.mesh news 15 50 300
 python -m benchmarks.mesh cut 15 60
@@ -24,78 +24,81 @@
 from zinclever.mesh.model.histories import Told
 from zinclever.mesh.model.members import World
 
-LOSS = 0.02  # of datagrams
+LOSS = 0.02  # share of datagrams lost
 LOSS_STEP = 0.04  # s between two instants at which a second loss is tried
-SETTLES = 6.0  # s of simulated time until all have met
+SETTLING_TIME = 6.0  # s of simulated time until all processes know each other
 EXPLORED_DEPTH = 40  # moves from the start of an exploration
-LIVENESS_EVERY = 10  # states that are explored for one that is tried for whether a leader is elected again
+LIVENESS_EVERY = 10  # one of so many explored states is checked for whether a leader is elected again
 
 
 def spread(values: list[float]) -> str:
+    """Formats the median, the 99th percentile and the maximum."""
     values = sorted(values)
     high = values[int(0.99 * (len(values) - 1))]
     return f"p50 {statistics.median(values):.3f}, p99 {high:.3f}, worst {values[-1]:.3f}"
 
 
 def news(sizes: list[int]) -> None:
-    """Time until all know a drain, and what news costs a sidecar at rest."""
+    """Measures the time until all sidecars know of a drain or a death, and the cost of gossip at rest."""
     for size in sizes:
         field = Field(size, loss=LOSS)
-        field.run(SETTLES)
+        field.run(SETTLING_TIME)
         field.bytes = field.datagrams = 0
         field.run(4.0)
         rest = f"{field.datagrams / size / 4:.1f} datagrams and {field.bytes / size / 4:.0f} bytes a sidecar and second"
         spans = []
         for n in range(20):
-            drain = endpoint(f"e{n}", rank=1)
-            field.tell(field.rng.choice(field.names), drain)
-            spans.append(field.time_to_reach_all(drain))
+            drain_record = endpoint(f"e{n}", rank=1)
+            field.tell(field.rng.choice(field.names), drain_record)
+            spans.append(field.time_to_reach_all(drain_record))
         victim = field.names[-1]
         del field.gossips[victim]
-        began = field.now
-        while any((s.members.state_of(victim) or 0) < 2 for s in field.gossips.values()) and field.now < began + 30.0:
+        started = field.now
+        while any((s.members.state_of(victim) or 0) < 2 for s in field.gossips.values()) and field.now < started + 30.0:
             field.run(0.05)
-        wrongly = sum(d[2] != victim for d in field.deaths)
+        wrong_removals = sum(d[2] != victim for d in field.deaths)
         print(
             f"{size:5d} sidecars: a drain known by all after s: {spread(spans)}; "
-            f"a death after {field.now - began:.1f}; at rest {rest}; wrongly removed {wrongly}",
+            f"a death known after {field.now - started:.1f}; at rest {rest}; removed wrongly {wrong_removals}",
             flush=True,
         )
 
 
 def cut(sizes: list[int]) -> None:
-    """After a cut in two of 30 s: time until both sides agree, and bytes against what differs."""
+    """Measures how long both sides of a partition of 30 s take to agree again, and the bytes that it costs."""
     for size in sizes:
-        for told in (0, 10, 100, 1000):
+        for changed_records in (0, 10, 100, 1000):
             field = Field(size, loss=LOSS)
-            field.run(SETTLES)
+            field.run(SETTLING_TIME)
             left, right = field.names[: size // 2], field.names[size // 2 :]
             field.cut = {(a, b) for a in left for b in right} | {(b, a) for a in left for b in right}
-            for n in range(told):
+            for n in range(changed_records):
                 field.tell(left[n % len(left)], endpoint(f"l{n}"))
                 field.tell(right[n % len(right)], endpoint(f"r{n}"))
             field.run(30.0)
             field.cut.clear()
             field.bytes = 0
-            began = field.now
-            while field.now < began + 30.0:
+            started = field.now
+            while field.now < started + 30.0:
                 field.run(0.1)
                 sums = {tuple(s.records.range_digests) for s in field.gossips.values()}
                 if len(sums) == 1 and all(len(s.members.others()) == size - 1 for s in field.gossips.values()):
                     break
-            spent, span = field.bytes, field.now - began
+            spent, span = field.bytes, field.now - started
             field.bytes = 0
             field.run(span)
             print(
-                f"{size} sidecars, {told} records told on each side: agreed after {span:.1f} s, "
-                f"{(spent - field.bytes) / 1e3:.0f} kB beyond those of as long at rest",
+                f"{size} sidecars, {changed_records} records changed on each side: agreed after {span:.1f} s, "
+                f"{(spent - field.bytes) / 1e3:.0f} kB more than at rest",
                 flush=True,
             )
 
 
 def order(sizes: list[int]) -> None:
-    """Time from a call to its acknowledgement, and without one that acts after a kill. A sync is done in the member's
-    next turn of 1 ms, four times in five."""
+    """Measures the time from a change to its acknowledgement, and the time without a leader after a kill.
+
+    A sync ends in the member's next step of 1 ms with a probability of four fifths.
+    """
     for size in sizes:
         acks: list[float] = []
         gaps: list[float] = []
@@ -104,48 +107,46 @@
             world.run(3.0)
             for n in range(1, 21):
                 (leader,) = world.leaders()
-                began = world.now
+                started = world.now
                 world.put(leader, n - 1, n)
                 while n not in world.acked:
                     world.run(0.001, step=0.001)
-                acks.append(world.now - began)
+                acks.append(world.now - started)
             (leader,) = world.leaders()
             world.kill(leader)
-            began = world.now
+            started = world.now
             while not world.leaders():
                 world.run(0.01)
-            gaps.append(world.now - began)
-        print(
-            f"{size} members: acknowledged after s: {spread(acks)}; without one that acts: {spread(gaps)}", flush=True
-        )
+            gaps.append(world.now - started)
+        print(f"{size} members: acknowledged after s: {spread(acks)}; without a leader: {spread(gaps)}", flush=True)
 
 
-def leaderless(world: World, trouble: str) -> float:
-    """s without a leader that answers a read, after a trouble of the present one."""
+def time_without_leader(world: World, fault: str) -> float:
+    """Applies a fault to the leader; returns the time until another leader answers a read, in s."""
     (leader,) = world.leaders()
-    if trouble == "kill":
+    if fault == "kill":
         world.kill(leader)
-    elif trouble == "freeze":
+    elif fault == "freeze":
         world.pause(leader)
-    elif trouble == "one-way cut":  # it speaks and hears nobody
+    elif fault == "one-way cut":  # it can send, but receives nothing
         world.cut = {(o, leader) for o in world.machines if o != leader}
     else:
         world.terminate(leader, gone=True)
-    began = world.now
-    while world.now < began + 10.0:
+    started = world.now
+    while world.now < started + 10.0:
         others = [ip for ip in world.leaders() if ip != leader]
         if others:
             call = world.get(others[0])
             world.run(0.02, step=0.002)
             if call is not None and call.told is Told.DONE:
-                return call.ended - began
+                return call.ended - started
         else:
             world.run(0.01, step=0.002)
     return math.inf
 
 
 def repair(world: World, kind: str, victim: str) -> None:
-    """Begin to replace a member; what has to be there before has had its time."""
+    """Begins to replace a member; for a planned replacement the new member has already joined."""
     if kind == "disk lost":
         world.wipe(victim)
         world.start(victim)
@@ -158,47 +159,52 @@
         world.terminate(victim, gone=True)
 
 
-def vulnerable(world: World, kind: str, victim: str) -> float:
-    """s from the beginning of a repair to the last instant at which one more lost disk leaves no leader."""
+def vulnerable_period(world: World, kind: str, victim: str) -> float:
+    """Returns the time from the start of a repair until another lost disk can no longer prevent a leader, in s."""
     repair(world, kind, victim)
-    began, last = world.now, 0.0
-    while world.now < began + 4.0:
-        stays = [ip for ip in world.machines if ip != victim and ip not in world.ending and ip != "10.0.1.1"]
+    started, last_failure = world.now, 0.0
+    while world.now < started + 4.0:
+        surviving = [ip for ip in world.machines if ip != victim and ip not in world.ending and ip != "10.0.1.1"]
         trial = copy.deepcopy(world)
-        trial.wipe(trial.rng.choice(stays))
+        trial.wipe(trial.rng.choice(surviving))
         trial.run(2.5)
         leaders = trial.leaders()
         if not leaders or not trial.reads(leaders[0]):
-            last = world.now - began + LOSS_STEP
+            last_failure = world.now - started + LOSS_STEP
         world.run(LOSS_STEP)
-    return last
+    return last_failure
 
 
 def losses(sizes: list[int]) -> None:
-    """Time without a leader after each trouble of it; time until a second loss is survived, after each kind of repair,
-    where the fault model names one loss and the set is as large as that needs, or larger."""
+    """Measures the time without a leader after each fault, and the time until a second loss is survived after repairs.
+
+    The fault model names one loss for the repairs, and the group is at least as large as that requires.
+    """
     for size in sizes:
-        for trouble in ("kill", "freeze", "one-way cut", "leave"):
+        for fault in ("kill", "freeze", "one-way cut", "leave"):
             gaps = []
             for seed in range(20):
                 world = World(seed, size, losses=(size - 1) // 2, founders=3)
                 world.run(4.0 + 0.01 * seed)
-                gaps.append(leaderless(world, trouble))
-            print(f"{size} members: leaderless after a {trouble}, s: {spread(gaps)}", flush=True)
+                gaps.append(time_without_leader(world, fault))
+            print(f"{size} members: leaderless after a {fault}, s: {spread(gaps)}", flush=True)
         for kind in ("disk lost", "replaced", "planned"):
-            for whose in ("the leader", "a follower"):
+            for victim_role in ("the leader", "a follower"):
                 spans = []
                 for seed in range(4):
                     world = World(seed, size, losses=1, founders=3)
                     world.run(4.0)
                     (leader,) = world.leaders()
-                    victim = leader if whose == "the leader" else next(i for i in world.machines if i != leader)
-                    spans.append(vulnerable(world, kind, victim))
-                print(f"{size} members, {kind}, {whose}: a second loss survived after s: {spread(spans)}", flush=True)
+                    victim = leader if victim_role == "the leader" else next(i for i in world.machines if i != leader)
+                    spans.append(vulnerable_period(world, kind, victim))
+                print(
+                    f"{size} members, {kind}, {victim_role}: a second loss survived after s: {spread(spans)}",
+                    flush=True,
+                )
 
 
 def explore(sizes: list[int]) -> None:
-    """Every order of events for three members and two operators, breadth first, to so many states."""
+    """Explores all orders of events for three members and two operators, breadth first, up to each number of states."""
     quiet = Budget(time_steps=0, crashes=0, losses=0)
     cases = {
         "a crash": (Start.TWO_CHANGES, replace(quiet, time_steps=1, crashes=1)),
@@ -213,14 +219,16 @@
         "a member behind takes over": (Start.LAGGING_MEMBER, replace(quiet, changes=1, reads=1)),
         "a member behind takes over, a crash": (Start.LAGGING_MEMBER, replace(quiet, crashes=1, reads=1)),
     }
-    for most in sizes:
+    for max_states in sizes:
         for name, (start, budget) in cases.items():
-            explore_case(name, Explorer(budget=budget, start=start), most)
+            explore_case(name, Explorer(budget=budget, start=start), max_states)
 
 
 def explore_voters(sizes: list[int]) -> None:
-    """Every order of events while voters change, breadth first, to so many states; of the states, one in
-    LIVENESS_EVERY is tried for whether a leader is elected again."""
+    """Explores all orders of events while voters change, breadth first, up to each number of states.
+
+    One state in LIVENESS_EVERY is checked for whether a leader is elected again.
+    """
     quiet = Budget(time_steps=0, crashes=0, losses=0)
     cases = {
         "a follower leaves, a take-over, a change": (
@@ -249,29 +257,29 @@
         ),
         "a learner joins, a member leaves": (VoterStart.LEARNER_WAITS, replace(quiet, waits=2, time_steps=1, leaves=1)),
     }
-    for most in sizes:
+    for max_states in sizes:
         for name, (start, budget) in cases.items():
             explorer = VoterExplorer(budget=budget, start=start, liveness_every=LIVENESS_EVERY)
-            explore_case(name, explorer, most)
+            explore_case(name, explorer, max_states)
             print(f"    a leader was elected again from {explorer.recovered} states", flush=True)
 
 
-def explore_case(name: str, explorer: Explorer, most: int) -> None:
-    """Explore to so many states and print what was found."""
-    began = time.perf_counter()
+def explore_case(name: str, explorer: Explorer, max_states: int) -> None:
+    """Explores up to ``max_states`` states and prints the result."""
+    started = time.perf_counter()
     try:
-        states = explorer.explore(most, EXPLORED_DEPTH)
+        states = explorer.explore(max_states, EXPLORED_DEPTH)
     except Broken as broken:
-        print(f"{name}: BROKEN after {time.perf_counter() - began:.0f} s: {broken}", flush=True)
+        print(f"{name}: BROKEN after {time.perf_counter() - started:.0f} s: {broken}", flush=True)
         return
     print(
-        f"{name}: {states} states and {len(explorer.judged)} histories in {time.perf_counter() - began:.0f} s, "
-        f"{'all of them' if states < most else 'broken off there'}, no invariant broken",
+        f"{name}: {states} states and {len(explorer.judged)} histories in {time.perf_counter() - started:.0f} s, "
+        f"{'all of them' if states < max_states else 'stopped there'}, no invariant broken",
         flush=True,
     )
 
 
-VERBS = {
+COMMANDS = {
     "news": news,
     "cut": cut,
     "order": order,
@@ -281,4 +289,4 @@
 }
 
 if __name__ == "__main__":
-    VERBS[sys.argv[1]]([int(a) for a in sys.argv[2:]])
+    COMMANDS[sys.argv[1]]([int(a) for a in sys.argv[2:]])
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -1,7 +1,8 @@
-"""What a call costs in real processes: ``meshd.py control`` and two sidecars, each a process of its own, on loopback.
+"""Cost of a call through real processes: ``meshd.py control`` and two sidecars on the loopback network.
 
-The client and both endpoints share the measuring process. Calls come at a steady mean rate, whether or not earlier ones
-have been answered (an open loop), at the sidecar of machine 0 for the service of machine 1: each crosses two sidecars.
+The client and both endpoints run in the measuring process. Calls arrive in an open loop, at a mean rate that doesn't
+depend on earlier answers. They go to the sidecar of machine 0 for the service of machine 1, so that each passes through
+two sidecars.
 """
 
 from __future__ import annotations
@@ -23,39 +24,39 @@
 ROOT = Path(__file__).parents[1]
 TICKS = os.sysconf("SC_CLK_TCK")
 PAGE = os.sysconf("SC_PAGE_SIZE")
-CLIENTS = 16  # connections that calls are spread over
+CLIENTS = 16  # connections that carry the calls
 
 
-def processor(pid: int) -> float:
-    """s of processor time that a process has used."""
+def cpu_time(pid: int) -> float:
+    """Returns the CPU time of a process, in s."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS
 
 
 def resident(pid: int) -> int:
-    """Bytes of a process that are in memory."""
+    """Returns the resident memory of a process, in bytes."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE
 
 
 @dataclass(frozen=True, slots=True)
 class CallLoad:
-    """Calls at one rate."""
+    """Results of calls at one rate, in calls per second."""
 
     rate: float
     served: int
     sent: int
-    caller: float
-    """Of a core: the sidecar beside the client."""
-    keeper: float
-    """Of a core: the sidecar beside the endpoint."""
+    caller_sidecar: float
+    """Cores used by the caller's sidecar."""
+    endpoint_sidecar: float
+    """Cores used by the endpoint's sidecar."""
     median: float
-    """ms from a call to its whole answer."""
-    high: float
-    """ms, of 99 in 100."""
+    """Median latency until the complete answer, in ms."""
+    p99: float
+    """99th percentile of the latency, in ms."""
 
 
 async def post(address: str, path: str, body: bytes) -> int:
-    """The status that an order got."""
+    """Sends a POST request and returns the status code."""
     host, _, port = address.partition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     head = f"POST {path} HTTP/1.1\r\nHost: {address}\r\nX-Base-Version: 0\r\nContent-Length: {len(body)}\r\n\r\n"
@@ -66,7 +67,7 @@
 
 
 class Processes:
-    """Owns the processes and the folder, as an asynchronous context."""
+    """Owns the processes and their folder, as an asynchronous context manager."""
 
     def __init__(self) -> None:
         self.control_ip = "127.78.1.1"
@@ -79,8 +80,9 @@
         self.folder = tempfile.TemporaryDirectory()
 
     def launch(self, ip: str, role: str, **more: object) -> None:
+        """Starts a process with the given role; ``more``: additional bootstrap keys."""
         names = ("Egress", "Readiness", "ControlPlane") if role == "sidecar" else ("ControlPlane",)
-        told = {
+        bootstrap = {
             "NodeName": ip,
             "Role": role,
             "Ip": ip,
@@ -97,7 +99,7 @@
             **more,
         }
         path = Path(self.folder.name) / f"{ip}.json"
-        path.write_text(json.dumps(told))
+        path.write_text(json.dumps(bootstrap))
         with open(Path(self.folder.name) / f"{ip}.log", "wb") as log:
             env = {**os.environ, "ZINCLEVER_BOOT": os.fspath(path)}
             self.running.append(
@@ -110,10 +112,12 @@
             await app.start()
             self.launch(ip, "sidecar", AppAddr=app.address, Target=app.service)
         for ip, app in zip(self.ips, self.apps, strict=True):
-            await self.order(f"{ip}:{self.port + 4}", f"/v1/endpoints/{app.id}/heartbeat", app.heartbeat_body())
+            await self.post_until_acknowledged(
+                f"{ip}:{self.port + 4}", f"/v1/endpoints/{app.id}/heartbeat", app.heartbeat_body()
+            )
         text = json.dumps(config(*(a.service for a in self.apps))).encode()
-        await self.order(f"{self.control_ip}:{self.port + 2}", "/v1/config/replace", text)
-        await asyncio.sleep(3.0)  # all are told, and nobody is young any more
+        await self.post_until_acknowledged(f"{self.control_ip}:{self.port + 2}", "/v1/config/replace", text)
+        await asyncio.sleep(3.0)  # until all processes have the configuration and most of the startup period is over
         return self
 
     async def __aexit__(self, *error: object) -> None:
@@ -125,8 +129,8 @@
             await app.stop()
         self.folder.cleanup()
 
-    async def order(self, address: str, path: str, body: bytes) -> None:
-        """Post until it is acknowledged."""
+    async def post_until_acknowledged(self, address: str, path: str, body: bytes) -> None:
+        """Sends a POST request until it is acknowledged."""
         async with asyncio.timeout(15.0):
             while True:
                 try:
@@ -137,44 +141,44 @@
                 await asyncio.sleep(0.1)
 
     async def idle(self, span: float) -> list[float]:
-        """Of a core: each process with no calls, control first."""
-        before = [processor(p.pid) for p in self.running]
+        """Returns the cores used by each process without calls, control first."""
+        before = [cpu_time(p.pid) for p in self.running]
         await asyncio.sleep(span)
-        return [(processor(p.pid) - b) / span for p, b in zip(self.running, before, strict=True)]
+        return [(cpu_time(p.pid) - b) / span for p, b in zip(self.running, before, strict=True)]
 
     async def load(self, rate: float, span: float, seed: int, direct: bool = False) -> CallLoad:
-        """Calls at a mean rate for a span; ``direct``: to the endpoint itself, with no sidecar on the way."""
+        """Sends calls at a mean rate for ``span`` seconds; ``direct``: to the endpoint without a sidecar."""
         address = self.apps[1].address if direct else f"{self.ips[0]}:{self.port + 2}"
         rng = random.Random(seed)
         idle: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Queue()
         host, _, port = address.partition(":")
         for _ in range(CLIENTS):
             idle.put_nowait(await asyncio.open_connection(host, int(port)))
-        spans: list[float] = []
+        latencies: list[float] = []
 
         async def call(n: int) -> None:
             reader, writer = await idle.get()
-            began = time.perf_counter()
+            started = time.perf_counter()
             head = f"GET /service-1/safe/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: {seed}-{rate:g}-{n}\r\n"
             writer.write(f"{head}X-Deadline-Ms: 2000\r\n\r\n".encode())
             start, _, _ = await read_message(reader)
             if start.split()[1] == "200":
-                spans.append(1000 * (time.perf_counter() - began))
+                latencies.append(1000 * (time.perf_counter() - started))
             idle.put_nowait((reader, writer))
 
         pids = [p.pid for p in self.running[1:]]
-        before, began = [processor(p) for p in pids], time.perf_counter()
+        before, started = [cpu_time(p) for p in pids], time.perf_counter()
         calls: list[asyncio.Task[None]] = []
-        due = began
-        while due < began + span:
+        due = started
+        while due < started + span:
             await asyncio.sleep(max(0.0, due - time.perf_counter()))
             calls.append(asyncio.create_task(call(len(calls))))
             due += rng.expovariate(rate)
         await asyncio.gather(*calls)
-        took = time.perf_counter() - began
-        caller, keeper = ((processor(p) - b) / took for p, b in zip(pids, before, strict=True))
+        elapsed = time.perf_counter() - started
+        caller_sidecar, endpoint_sidecar = ((cpu_time(p) - b) / elapsed for p, b in zip(pids, before, strict=True))
         for _ in range(CLIENTS):
             (await idle.get())[1].close()
-        spans.sort()
-        middle, high = spans[len(spans) // 2], spans[int(0.99 * (len(spans) - 1))]
-        return CallLoad(len(calls) / took, len(spans), len(calls), caller, keeper, middle, high)
+        latencies.sort()
+        median, p99 = latencies[len(latencies) // 2], latencies[int(0.99 * (len(latencies) - 1))]
+        return CallLoad(len(calls) / elapsed, len(latencies), len(calls), caller_sidecar, endpoint_sidecar, median, p99)
