--- a/benchmarks/jsonrpc.py
+++ b/benchmarks/jsonrpc.py
@@ -1,11 +1,11 @@
-"""Calls a second, CPU and latency over JSON-RPC beside HTTP and beside no sidecar; memory; growth.
+"""Call rate, CPU time and latency over JSON-RPC and HTTP, with and without a sidecar; memory and its growth.
 
-    python -m benchmarks.jsonrpc rates      # 1, 32 and 256 clients, each way in turn
+    python -m benchmarks.jsonrpc rates      # 1, 32 and 256 clients, all four setups in turn
     python -m benchmarks.jsonrpc held       # 10,000 calls in flight
     python -m benchmarks.jsonrpc growth     # a million calls
-    python -m benchmarks.jsonrpc http DIR   # the HTTP service of this tree beside that of another checkout
+    python -m benchmarks.jsonrpc http DIR   # the HTTP service of this tree compared with another checkout
 
-Endpoints and clients run in processes of their own; the sidecar's CPU and memory are read from /proc.
+Endpoints and clients run in their own processes; the sidecar's CPU time and memory are read from /proc.
 """
 
 from __future__ import annotations
@@ -37,12 +37,13 @@
 
 ROOT = Path(__file__).parent.parent
 TICK = os.sysconf("SC_CLK_TCK")
-RUN_FOR = 3.0  # s of each measurement
+RUN_TIME = 3.0  # s of each measurement
 ROUNDS = 3
-COMPARED = 30  # turns of 1 s for each tree
+COMPARE_ROUNDS = 30  # runs of 1 s for each tree
 
 
 def free_port() -> int:
+    """Returns a port that was free just now."""
     with socket.socket() as s:
         s.bind(("127.0.0.1", 0))
         return int(s.getsockname()[1])
@@ -52,11 +53,13 @@
 
 
 class RpcEcho(asyncio.Protocol):
+    """A JSON-RPC endpoint that answers each call at once."""
+
     def connection_made(self, transport: Any) -> None:
-        self.transport, self.rest = transport, b""
+        self.transport, self.received = transport, b""
 
     def data_received(self, data: bytes) -> None:
-        *texts, self.rest = (self.rest + data).split(b"\n")
+        *texts, self.received = (self.received + data).split(b"\n")
         out = []
         for text in texts:
             id = text[text.rindex(b'"id":') + 5 : -1]
@@ -65,7 +68,7 @@
 
 
 class RpcSilent(RpcEcho):
-    """Holds every call for a second."""
+    """A JSON-RPC endpoint that answers each call after a second."""
 
     def data_received(self, data: bytes) -> None:
         asyncio.get_running_loop().call_later(1.0, super().data_received, data)
@@ -75,17 +78,20 @@
 
 
 class HttpEcho(asyncio.Protocol):
+    """An HTTP endpoint that answers each request at once."""
+
     def connection_made(self, transport: Any) -> None:
-        self.transport, self.rest = transport, b""
+        self.transport, self.received = transport, b""
 
     def data_received(self, data: bytes) -> None:
-        self.rest += data
-        while b"\r\n\r\n" in self.rest:
-            _, _, self.rest = self.rest.partition(b"\r\n\r\n")
+        self.received += data
+        while b"\r\n\r\n" in self.received:
+            _, _, self.received = self.received.partition(b"\r\n\r\n")
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(PAGE), PAGE))
 
 
 def serve(kind: type[asyncio.Protocol], port: int, cpu: int) -> None:
+    """Runs an endpoint on a port, bound to one CPU."""
     os.sched_setaffinity(0, {cpu})
 
     async def main() -> None:
@@ -100,72 +106,79 @@
 
 
 class RpcCaller(asyncio.Protocol):
-    """One call at a time."""
+    """A JSON-RPC client that sends one call at a time until the time ``ends_at``."""
 
-    def __init__(self, over: float, spans: list[float]) -> None:
-        self.over, self.spans, self.count = over, spans, 0
+    def __init__(self, ends_at: float, latencies: list[float]) -> None:
+        self.ends_at, self.latencies, self.count = ends_at, latencies, 0
 
     def connection_made(self, transport: Any) -> None:
-        self.transport, self.rest, self.done = transport, b"", asyncio.Event()
-        self.ask()
+        self.transport, self.received, self.done = transport, b"", asyncio.Event()
+        self.send()
 
-    def ask(self) -> None:
+    def send(self) -> None:
+        """Sends the next call."""
         self.count += 1
-        self.at = time.perf_counter()
+        self.sent_at = time.perf_counter()
         self.transport.write(
             b'{"jsonrpc":"2.0","method":"page.get","params":{"page":%d},"id":%d}\n' % (self.count, self.count)
         )
 
     def data_received(self, data: bytes) -> None:
-        self.rest += data
-        if self.whole():
-            self.next(b'"result"' in self.rest)
-
-    def whole(self) -> bool:
-        return self.rest.endswith(b"\n")
-
-    def next(self, good: bool) -> None:
-        """Note the answer, a refusal as a span below 0, and ask again."""
-        span = time.perf_counter() - self.at
-        self.spans.append(span if good else -span)
-        self.rest = b""
-        if time.perf_counter() < self.over:
-            self.ask()
+        self.received += data
+        if self.is_complete():
+            self.on_answer(b'"result"' in self.received)
+
+    def is_complete(self) -> bool:
+        """Returns whether the answer is complete."""
+        return self.received.endswith(b"\n")
+
+    def on_answer(self, good: bool) -> None:
+        """Records the latency, negative for a refusal, and sends the next call."""
+        span = time.perf_counter() - self.sent_at
+        self.latencies.append(span if good else -span)
+        self.received = b""
+        if time.perf_counter() < self.ends_at:
+            self.send()
         else:
             self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """At the end, or where the sidecar ends it, as it may with a client that it has heard once."""
+        """Ends the client, also where the sidecar closes the connection, as it may after the first request."""
         self.done.set()
 
 
 class HttpCaller(RpcCaller):
-    def ask(self) -> None:
+    """An HTTP client that sends one request at a time."""
+
+    def send(self) -> None:
         self.count += 1
-        self.at = time.perf_counter()
+        self.sent_at = time.perf_counter()
         self.transport.write(
             b"GET /read/%d HTTP/1.1\r\nHost: x\r\nReq-Id: %d-%d\r\nReq-Deadline: 5.0\r\n\r\n"
             % (self.count, id(self), self.count)
         )
 
     def data_received(self, data: bytes) -> None:
-        self.rest += data
-        if self.whole():
-            self.next(self.rest.startswith(b"HTTP/1.1 200"))
+        self.received += data
+        if self.is_complete():
+            self.on_answer(self.received.startswith(b"HTTP/1.1 200"))
 
-    def whole(self) -> bool:
-        head, _, body = self.rest.partition(b"\r\n\r\n")
+    def is_complete(self) -> bool:
+        head, _, body = self.received.partition(b"\r\n\r\n")
         return b"Content-Length: %d" % len(body) in head
 
 
 def ask(kind: type[RpcCaller], port: int, clients: int, cpu: int, span: float, out: Any) -> None:
+    """Runs clients on one CPU for ``span`` seconds and sends their latencies through a pipe."""
     os.sched_setaffinity(0, {cpu})
 
     async def main() -> list[float]:
         loop, spans = asyncio.get_running_loop(), list[float]()
-        over = time.perf_counter() + span
-        made = [(await loop.create_connection(lambda: kind(over, spans), "127.0.0.1", port))[1] for _ in range(clients)]
-        await asyncio.gather(*(m.done.wait() for m in made))
+        ends_at = time.perf_counter() + span
+        protocols = [
+            (await loop.create_connection(lambda: kind(ends_at, spans), "127.0.0.1", port))[1] for _ in range(clients)
+        ]
+        await asyncio.gather(*(m.done.wait() for m in protocols))
         return spans
 
     out.send(uvloop.run(main()))
@@ -175,7 +188,7 @@
 
 
 def operator_text(port: int, ports: list[int]) -> str:
-    """An operator file with one service."""
+    """Returns an operator file with one service."""
     endpoints = ", ".join(f'"127.0.0.1:{p}"' for p in ports)
     return f"""
 version = 1
@@ -195,7 +208,7 @@
 
 @contextlib.contextmanager
 def sidecar(tree: Path, rpc: list[int], http: list[int], cpu: int) -> Iterator[tuple[int, int, int]]:
-    """Its process id, its JSON-RPC port and its HTTP port."""
+    """Runs the sidecar of a checkout; yields its process id, its JSON-RPC port and its HTTP port."""
     rpc_port, http_port = free_port(), free_port()
     with tempfile.TemporaryDirectory() as folder:
         classes = [{"name": "read", "aim": 1000.0, "deadline": 5000.0, "repeat": "idempotent"}]
@@ -254,6 +267,7 @@
 
 
 def wait_for(port: int) -> None:
+    """Waits until a port accepts connections."""
     while True:
         try:
             socket.create_connection(("127.0.0.1", port)).close()
@@ -263,64 +277,67 @@
 
 
 def cpu_of(pid: int) -> float:
-    """s"""
+    """Returns the CPU time of a process, in s."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICK
 
 
 def memory_of(pid: int) -> float:
-    """MB"""
+    """Returns the resident memory of a process, in MB."""
     line = next(x for x in Path(f"/proc/{pid}/status").read_text().splitlines() if x.startswith("VmRSS"))
     return int(line.split()[1]) / 1024.0
 
 
 def descriptors_of(pid: int) -> int:
+    """Returns the number of open descriptors of a process."""
     return len(os.listdir(f"/proc/{pid}/fd"))
 
 
 @contextlib.contextmanager
 def endpoints(kind: type[asyncio.Protocol], cpu: int, count: int = 2) -> Iterator[list[int]]:
+    """Runs endpoints in their own processes; yields their ports."""
     ports = [free_port() for _ in range(count)]
-    made = [multiprocessing.Process(target=serve, args=(kind, p, cpu), daemon=True) for p in ports]
-    for process in made:
+    processes = [multiprocessing.Process(target=serve, args=(kind, p, cpu), daemon=True) for p in ports]
+    for process in processes:
         process.start()
     for port in ports:
         wait_for(port)
     try:
         yield ports
     finally:
-        for process in made:
+        for process in processes:
             process.kill()
             process.join()
 
 
-def measure(kind: type[RpcCaller], port: int, clients: int, cpu: int, span: float = RUN_FOR) -> list[float]:
-    """Spans of all calls of so many s, in s, sorted; those below 0 were refused."""
-    mine, theirs = multiprocessing.Pipe()
-    process = multiprocessing.Process(target=ask, args=(kind, port, clients, cpu, span, theirs))
+def measure(kind: type[RpcCaller], port: int, clients: int, cpu: int, span: float = RUN_TIME) -> list[float]:
+    """Runs clients for ``span`` seconds; returns the sorted latencies in s, negative for refused calls."""
+    receiver, sender = multiprocessing.Pipe()
+    process = multiprocessing.Process(target=ask, args=(kind, port, clients, cpu, span, sender))
     process.start()
-    spans: list[float] = mine.recv()
+    latencies: list[float] = receiver.recv()
     process.join()
-    return sorted(spans)
+    return sorted(latencies)
 
 
-def words(told: list[float], cpu: float) -> str:
-    spans = [s for s in told if s >= 0.0]
-    p50, p99 = (1e3 * spans[int(len(spans) * q)] for q in (0.5, 0.99))
+def format_results(latencies: list[float], cpu: float) -> str:
+    """Formats the results of a measurement of RUN_TIME with ``cpu`` seconds of CPU time."""
+    served = [s for s in latencies if s >= 0.0]
+    p50, p99 = (1e3 * served[int(len(served) * q)] for q in (0.5, 0.99))
     return (
-        f"{len(spans) / RUN_FOR:8.0f} calls/s   CPU {1e6 * cpu / len(spans):5.0f} us a call   "
-        f"p50 {p50:6.2f} ms   p99 {p99:6.2f} ms   refused {len(told) - len(spans)}"
+        f"{len(served) / RUN_TIME:8.0f} calls/s   CPU {1e6 * cpu / len(served):5.0f} us a call   "
+        f"p50 {p50:6.2f} ms   p99 {p99:6.2f} ms   refused {len(latencies) - len(served)}"
     )
 
 
 def rates() -> None:
-    """Every way in turn, so that a slow moment of the machine falls on all."""
+    """Compares all setups, in turn, so that a temporary slowdown of the machine affects all of them."""
     with (
         endpoints(RpcEcho, 6) as rpc,
         endpoints(HttpEcho, 6) as http,
         sidecar(ROOT, rpc, http, 4) as (pid, rpc_port, http_port),
     ):
-        ways: dict[str, tuple[type[RpcCaller], int]] = {
+        setups: dict[str, tuple[type[RpcCaller], int]] = {
             "JSON-RPC, direct": (RpcCaller, rpc[0]),
             "JSON-RPC, sidecar": (RpcCaller, rpc_port),
             "HTTP, direct": (HttpCaller, http[0]),
@@ -329,39 +346,41 @@
         for clients in (1, 32, 256):
             print(f"{clients} clients")
             for n in range(ROUNDS):
-                for name, (kind, port) in ways.items():
+                for name, (kind, port) in setups.items():
                     before = cpu_of(pid)
                     spans = measure(kind, port, clients, 5)
                     if n == ROUNDS - 1:
-                        print(f"  {name:18}{words(spans, cpu_of(pid) - before)}")
+                        print(f"  {name:18}{format_results(spans, cpu_of(pid) - before)}")
 
 
 def compare(other: Path) -> None:
-    """The HTTP service of this tree and of another, in turns that rotate; the other one twice, so that the
-    noise shows."""
+    """Compares the HTTP service of this tree with another one in rotating order.
+
+    The other tree runs twice, which shows the noise of the measurement.
+    """
     trees = {"this": ROOT, "other": other, "other again": other}
     rates: dict[str, list[float]] = {name: [] for name in trees}
-    used: dict[str, list[float]] = {name: [] for name in trees}
+    cpu_times: dict[str, list[float]] = {name: [] for name in trees}
     with endpoints(HttpEcho, 6) as http, contextlib.ExitStack() as stack:
-        made = {name: stack.enter_context(sidecar(tree, [], http, 4)) for name, tree in trees.items()}
+        sidecars = {name: stack.enter_context(sidecar(tree, [], http, 4)) for name, tree in trees.items()}
         names = list(trees)
-        for n in range(COMPARED):
+        for n in range(COMPARE_ROUNDS):
             for name in names[n % 3 :] + names[: n % 3]:
-                pid, _, port = made[name]
+                pid, _, port = sidecars[name]
                 before = cpu_of(pid)
                 spans = measure(HttpCaller, port, 32, 5, 1.0)
                 rates[name].append(len(spans))
-                used[name].append(1e6 * (cpu_of(pid) - before) / len(spans))
+                cpu_times[name].append(1e6 * (cpu_of(pid) - before) / len(spans))
     for name in names:
-        rate, cpu = (statistics.median(x[name]) / statistics.median(x["other"]) for x in (rates, used))
+        rate, cpu = (statistics.median(x[name]) / statistics.median(x["other"]) for x in (rates, cpu_times))
         print(
             f"{name:12} {statistics.median(rates[name]):.0f} requests/s ({rate:.3f} of other), "
-            f"CPU {statistics.median(used[name]):.1f} us a request ({cpu:.3f})"
+            f"CPU {statistics.median(cpu_times[name]):.1f} us a request ({cpu:.3f})"
         )
 
 
 class SendAll(Balancer):
-    """Puts every call on an endpoint in turn: the real one would hold most back."""
+    """Sends every call to the endpoints in turn, without the concurrency limits of the real balancer."""
 
     def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
         if isinstance(event, interface.MembershipUpdate):
@@ -372,21 +391,21 @@
 
 
 def serve_all(port: int, ports: list[int], cpu: int) -> None:
-    """A JSON-RPC service in a process of its own round that balancer."""
+    """Runs a JSON-RPC service with the balancer :class:`SendAll`, bound to one CPU."""
     os.sched_setaffinity(0, {cpu})
 
     async def main() -> None:
-        (told,) = build(check_operator(operator_text(port, ports).encode()).clean).services.values()
-        made = JsonRpc(told, 1, Descriptors(4096), System())
-        made.dispatcher.balancer = SendAll(told.settings, 1)
-        await made.service.listen()
+        (spec,) = build(check_operator(operator_text(port, ports).encode()).clean).services.values()
+        service = JsonRpc(spec, 1, Descriptors(4096), System())
+        service.dispatcher.balancer = SendAll(spec.settings, 1)
+        await service.service.listen()
         await asyncio.Event().wait()
 
     uvloop.run(main())
 
 
 def held() -> None:
-    """10,000 calls in flight at once, from 20 clients on 2 endpoints that hold each for a second."""
+    """Prints memory and descriptors with 10,000 calls in flight, from 20 clients to 2 endpoints that take a second."""
     port = free_port()
     with endpoints(RpcSilent, 6) as rpc:
         process = multiprocessing.get_context("spawn").Process(target=serve_all, args=(port, rpc, 4))
@@ -406,20 +425,21 @@
         process.join()
 
 
-async def one_round(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, pid: int, look: bool) -> None:
+async def one_round(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, pid: int, reports: bool) -> None:
+    """Sends 500 calls on one connection and reads their answers."""
     for n in range(500):
         writer.write(b'{"jsonrpc":"2.0","method":"page.get","params":{"page":%d},"id":%d}\n' % (n, n))
-    if look:
+    if reports:
         await asyncio.sleep(0.8)
         print(f"held: {memory_of(pid):.1f} MB, {descriptors_of(pid)} descriptors")
     for n in range(500):
         assert "result" in json.loads(await reader.readline())
-        if look and n == 0:
+        if reports and n == 0:
             print(f"first answer: {memory_of(pid):.1f} MB")
 
 
 def growth() -> None:
-    """A million calls: memory at each tenth."""
+    """Prints memory and descriptors after every measurement until a million calls are done."""
     with endpoints(RpcEcho, 6) as rpc, endpoints(HttpEcho, 6) as http, sidecar(ROOT, rpc, http, 4) as (pid, port, _):
         calls = 0
         while calls < 1_000_000:
@@ -428,6 +448,7 @@
 
 
 def main() -> None:
+    """Runs the benchmark named on the command line."""
     match sys.argv[1:]:
         case ["rates"]:
             rates()
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -117,7 +117,7 @@
             )
         text = json.dumps(config(*(a.service for a in self.apps))).encode()
         await self.post_until_acknowledged(f"{self.control_ip}:{self.port + 2}", "/v1/config/replace", text)
-        await asyncio.sleep(3.0)  # until all processes have the configuration and most of the startup period is over
+        await asyncio.sleep(3.0)  # until all processes have the configuration and gossip has settled
         return self
 
     async def __aexit__(self, *error: object) -> None:
--- a/benchmarks/simulated.py
+++ b/benchmarks/simulated.py
@@ -1,9 +1,9 @@
-"""What simulated time costs, and what a callback of the real program costs (for ``[sidecar] callback_us`` of a day).
+"""CPU cost of the simulation, and of a callback of the real program (for ``[sidecar] callback_us`` of a day).
 
-python -m benchmarks.simulated             # requests a second of one core, by size of the world
-python -m benchmarks.simulated profile     # whose CPU it is: the program's or the world's
-python -m benchmarks.simulated callback    # CPU of a real sidecar for each callback that the same load makes here
-python -m benchmarks.simulated soak        # an hour: what 4 sidecars hold, and their descriptors, every 10 minutes
+python -m benchmarks.simulated             # simulated requests per second on one core, by size of the world
+python -m benchmarks.simulated profile     # shares of CPU time: program, simulated world, asyncio, libraries
+python -m benchmarks.simulated callback    # CPU time of a real sidecar per callback that the simulation counts
+python -m benchmarks.simulated soak        # one hour: objects and descriptors of 4 sidecars, every 10 minutes
 """
 
 from __future__ import annotations
@@ -35,21 +35,22 @@
 
 
 def speed() -> None:
+    """Prints the speed of the simulation for worlds of several sizes."""
     for sidecars, servers in SIZES:
         world = World(draw("calm", 1, sidecars, servers, SECONDS))
-        began = time.process_time()
-        found = world.play()
-        spent = time.process_time() - began
-        requests = found["requests"]
+        started = time.process_time()
+        figures = world.play()
+        cpu_time = time.process_time() - started
+        requests = figures["requests"]
         print(
-            f"{sidecars:4} sidecars {servers:3} endpoints: {requests / spent:6.0f} requests a second of a core, "
-            f"{found['attempts'] / requests:.2f} attempts and {world.scheduler.ran / requests:.0f} events a request",
+            f"{sidecars:4} sidecars {servers:3} endpoints: {requests / cpu_time:6.0f} requests a second of a core, "
+            f"{figures['attempts'] / requests:.2f} attempts and {world.scheduler.ran / requests:.0f} events a request",
             flush=True,
         )
 
 
 def owner(file: str, name: str) -> str:
-    """Whose code a function is; "" for one of the interpreter's, which belongs to its callers."""
+    """Returns which part a function belongs to; "" for a built-in or library function, which its callers own."""
     if "zinclever" in file and any(part in file for part in WORLD):
         return "world"
     if "zinclever" in file or "zinclever" in name:
@@ -60,13 +61,13 @@
 
 
 def profile() -> None:
-    """Own time of each function; what the interpreter and libraries do is their callers'.
+    """Prints the share of each part in the CPU time; time in built-ins and libraries counts for their callers.
 
-    The program has to run as text: calls of compiled functions can't be told apart.
+    The program must run uncompiled, since the profiler can't distinguish calls of compiled functions.
     """
     if os.environ.get(VARIABLE) != TEXT:
-        again = [sys.executable, "-m", "benchmarks.simulated", "profile"]
-        os.execve(sys.executable, again, os.environ | {VARIABLE: TEXT})
+        command = [sys.executable, "-m", "benchmarks.simulated", "profile"]
+        os.execve(sys.executable, command, os.environ | {VARIABLE: TEXT})
     world = World(draw("calm", 1, 100, 18, SECONDS))
     profiler = cProfile.Profile()
     profiler.enable()
@@ -75,31 +76,31 @@
     stats: dict[Any, Any] = pstats.Stats(profiler).stats  # type: ignore[attr-defined]
     spent: Counter[str] = Counter()
     for (file, _, name), (_, _, own, _, callers) in stats.items():
-        if mine := owner(file, name):
-            spent[mine] += own
+        if part_name := owner(file, name):
+            spent[part_name] += own
         else:
-            for (caller, _, said), (_, _, part, _) in callers.items():
-                spent[owner(caller, said) or "libraries"] += part
-    whole = sum(spent.values())
+            for (caller, _, caller_name), (_, _, share, _) in callers.items():
+                spent[owner(caller, caller_name) or "libraries"] += share
+    total = sum(spent.values())
     for name, own in spent.most_common():
-        print(f"{name:<10}{own / whole:6.1%}")
+        print(f"{name:<10}{own / total:6.1%}")
 
 
-def callbacks_a_request() -> float:
-    """Of one sidecar on a calm day with no copies to speak of."""
+def callbacks_per_request() -> float:
+    """Returns the callbacks per request of one sidecar on a calm day, with hardly any hedged requests."""
     world = World(draw("calm", 1, 1, 6, SECONDS, 60.0))
-    found = world.play()
-    tries: int = found["tries"]
+    figures = world.play()
+    tries: int = figures["tries"]
     callbacks = sum(s.callbacks for s in world.sidecars)
     return float(callbacks / tries)
 
 
 def callback() -> None:
-    """The real program under one busy client and under 32, with its modules compiled and not."""
-    count = callbacks_a_request()
+    """Prints the CPU time of the real program with 1 and 32 busy clients, with compiled and uncompiled modules."""
+    count = callbacks_per_request()
     print(f"{count:.1f} callbacks a request")
-    told = os.environ.get(VARIABLE)
-    for name, value in (("compiled", told), ("not compiled", TEXT)):
+    native_setting = os.environ.get(VARIABLE)
+    for name, value in (("compiled", native_setting), ("not compiled", TEXT)):
         if value is not None:
             os.environ[VARIABLE] = value
         with endpoints(HttpEcho, 6) as ports, sidecar(ROOT, [], ports, 4) as (pid, _, port):
@@ -113,36 +114,38 @@
                 print(f"{name}, {clients} clients: {cpu:.0f} us a request, {cpu / count:.1f} us a callback", flush=True)
 
 
-def held() -> Counter[str]:
-    """The program's own objects, by class, in all sidecars together."""
+def count_objects() -> Counter[str]:
+    """Counts the program's own objects by class, in all sidecars together."""
     gc.collect()
-    found: Counter[str] = Counter()
+    counts: Counter[str] = Counter()
     for x in gc.get_objects():
         module = str(type(x).__module__)
         if module.startswith("zinclever.") and not any(part in f"/{module.replace('.', '/')}/" for part in WORLD):
-            found[type(x).__name__] += 1
-    return found
+            counts[type(x).__name__] += 1
+    return counts
 
 
 def soak() -> None:
+    """Simulates an hour and prints live objects and open descriptors."""
     world = World(draw("soak", 1, 4, 4, HOUR, 30.0))
 
-    def look() -> None:
-        counts = held()
-        most = ", ".join(f"{name} {count}" for name, count in counts.most_common(8))
+    def print_sample() -> None:
+        counts = count_objects()
+        largest = ", ".join(f"{name} {count}" for name, count in counts.most_common(8))
         open_now = [len(s.loop.descriptors.open) if s.loop is not None else 0 for s in world.sidecars]
-        print(f"{world.now() // NS:5} s: {counts.total()} objects ({most}); descriptors {open_now}", flush=True)
+        print(f"{world.now() // NS:5} s: {counts.total()} objects ({largest}); descriptors {open_now}", flush=True)
         if not world.closing:
-            world.scheduler.after(SOAK_STEP, look)
+            world.scheduler.after(SOAK_STEP, print_sample)
 
-    world.scheduler.after(SOAK_STEP // 10, look)
-    found = world.play()
-    print({name: found[name] for name in ("requests", "goal", "breaches", "fallen", "descriptors_most")})
+    world.scheduler.after(SOAK_STEP // 10, print_sample)
+    figures = world.play()
+    print({name: figures[name] for name in ("requests", "goal", "breaches", "fallen", "descriptors_most")})
 
 
 def main() -> None:
-    shown: dict[str, Callable[[], None]] = {"speed": speed, "profile": profile, "callback": callback, "soak": soak}
-    shown[sys.argv[1] if len(sys.argv) > 1 else "speed"]()
+    """Runs the benchmark named on the command line."""
+    benchmarks: dict[str, Callable[[], None]] = {"speed": speed, "profile": profile, "callback": callback, "soak": soak}
+    benchmarks[sys.argv[1] if len(sys.argv) > 1 else "speed"]()
 
 
 if __name__ == "__main__":
