--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -1,4 +1,4 @@
-"""The auditor: for each rule, a log that breaks it is caught, and one that keeps it is not."""
+"""The auditor of the four rules reports logs that break a rule and accepts logs that keep all of them."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 TERMS = Terms(slack=10.0, drain_grace=1000.0, overload_for=2000.0)
 
 
-def good() -> Log:
-    """One request of each class, served."""
+def valid_log() -> Log:
+    """Returns a log with one served request of each effect."""
     log = Log()
     kinds: list[Effect] = ["idempotent", "deduplicated", "at_most_once"]
     for n, effect in enumerate(kinds):
@@ -26,16 +26,16 @@
     return log
 
 
-def again(log: Log, request: str, after: float, zone: str = "a", ran: bool = True) -> None:
-    """The same request at another endpoint, so long after the first."""
+def resend(log: Log, request: str, after: float, zone: str = "a", ran: bool = True) -> None:
+    """Adds an attempt of the same request at another endpoint, ``after`` ms later."""
     first = next(r for r in log.received if r.request == request)
     log.received.append(
         Received(first.first + after, first.at + after, request, "f", zone, ran, False, f"{request}+{after}")
     )
 
 
-def test_a_good_log_has_no_breach() -> None:
-    assert audit(good(), TERMS) == []
+def test_valid_log_has_no_violation() -> None:
+    assert audit(valid_log(), TERMS) == []
 
 
 def unanswered(log: Log) -> None:
@@ -46,203 +46,205 @@
     log.answered.append(log.answered[1])
 
 
-def late(log: Log) -> None:
+def answered_late(log: Log) -> None:
     log.answered[1] = log.answered[1]._replace(at=161.0)
 
 
-def made_by_nobody(log: Log) -> None:
+def served_with_foreign_answer(log: Log) -> None:
     log.answered[1] = log.answered[1]._replace(made="m0")
 
 
-def never_asked(log: Log) -> None:
+def answered_without_request(log: Log) -> None:
     log.answered.append(Answered(0.0, "ghost", "failed"))
 
 
-def sent_unasked(log: Log) -> None:
+def sent_without_request(log: Log) -> None:
     log.received.append(Received(0.0, 0.0, "ghost", "e", "a", True, False, "x"))
 
 
 def sent_after_the_answer(log: Log) -> None:
-    again(log, "r0", 40.0)
+    resend(log, "r0", 40.0)
 
 
 def sent_after_its_client_left(log: Log) -> None:
     del log.answered[0]
     log.left.append(Left(5.0, "r0"))
-    again(log, "r0", 30.0)
+    resend(log, "r0", 30.0)
 
 
 def notification_answered(log: Log) -> None:
     log.asked[0] = log.asked[0]._replace(answered=False)
 
 
-def unsafe_ran_twice(log: Log) -> None:
-    again(log, "r2", 5.0)
+def at_most_once_executed_twice(log: Log) -> None:
+    resend(log, "r2", 5.0)
 
 
-def unsafe_sent_again(log: Log) -> None:
-    again(log, "r2", 5.0, ran=False)
+def at_most_once_resent(log: Log) -> None:
+    resend(log, "r2", 5.0, ran=False)
 
 
-def unsafe_sent_again_after_silence(log: Log) -> None:
+def at_most_once_resent_after_silence(log: Log) -> None:
     log.received[2] = log.received[2]._replace(ran=False, made="")
-    again(log, "r2", 5.0)
+    resend(log, "r2", 5.0)
     log.answered[2] = log.answered[2]._replace(made="r2+5.0")
 
 
-def unsafe_refused(log: Log) -> None:
+def at_most_once_refused_after_execution(log: Log) -> None:
     log.answered[2] = log.answered[2]._replace(kind="refused")
 
 
-def keyed_in_another_zone(log: Log) -> None:
-    again(log, "r1", 5.0, zone="b")
+def deduplicated_executed_in_another_zone(log: Log) -> None:
+    resend(log, "r1", 5.0, zone="b")
 
 
-def keyed_sent_to_another_zone(log: Log) -> None:
-    again(log, "r1", 5.0, zone="b", ran=False)
+def deduplicated_sent_to_another_zone(log: Log) -> None:
+    resend(log, "r1", 5.0, zone="b", ran=False)
 
 
-def keyed_after_its_window(log: Log) -> None:
+def deduplicated_resent_after_window(log: Log) -> None:
     log.asked[1] = log.asked[1]._replace(wait=5000.0)
     log.answered[1] = log.answered[1]._replace(at=3000.0)
-    again(log, "r1", 1500.0)
+    resend(log, "r1", 1500.0)
 
 
-def keyed_refused(log: Log) -> None:
+def deduplicated_refused_after_execution(log: Log) -> None:
     log.answered[1] = log.answered[1]._replace(kind="refused")
 
 
-def drained(log: Log) -> None:
+def sent_after_drain(log: Log) -> None:
     log.told.append(Told(-950.0, "e", "draining"))
 
 
-def gone(log: Log) -> None:
+def sent_after_removal(log: Log) -> None:
     log.told += [Told(-2000.0, "e", "ready"), Told(-950.0, "e", "gone"), Told(150.0, "e", "ready")]
 
 
-def gone_after_a_drain(log: Log) -> None:
+def sent_after_drain_and_removal(log: Log) -> None:
     log.told += [Told(-950.0, "e", "draining"), Told(-10.0, "e", "gone")]
 
 
-def cold(log: Log) -> None:
+def cold_endpoint_overloaded(log: Log) -> None:
     log.started.append(Started(-1.0, "e", 1.0))
 
 
-BREAKS = {
+VIOLATIONS = {
     1: [
         unanswered,
         answered_twice,
-        late,
-        made_by_nobody,
-        never_asked,
-        sent_unasked,
+        answered_late,
+        served_with_foreign_answer,
+        answered_without_request,
+        sent_without_request,
         sent_after_the_answer,
         sent_after_its_client_left,
         notification_answered,
     ],
     2: [
-        unsafe_ran_twice,
-        unsafe_sent_again,
-        unsafe_sent_again_after_silence,
-        unsafe_refused,
-        keyed_in_another_zone,
-        keyed_sent_to_another_zone,
-        keyed_after_its_window,
-        keyed_refused,
+        at_most_once_executed_twice,
+        at_most_once_resent,
+        at_most_once_resent_after_silence,
+        at_most_once_refused_after_execution,
+        deduplicated_executed_in_another_zone,
+        deduplicated_sent_to_another_zone,
+        deduplicated_resent_after_window,
+        deduplicated_refused_after_execution,
     ],
-    3: [drained, gone, gone_after_a_drain],
-    4: [cold],
+    3: [sent_after_drain, sent_after_removal, sent_after_drain_and_removal],
+    4: [cold_endpoint_overloaded],
 }
 
 
-@pytest.mark.parametrize(("rule", "does"), [(rule, does) for rule, all in BREAKS.items() for does in all])
-def test_each_way_to_break_a_rule_is_caught(rule: int, does: object) -> None:
-    log = good()
-    assert callable(does)
-    does(log)
+@pytest.mark.parametrize(
+    ("rule", "change"), [(rule, change) for rule, changes in VIOLATIONS.items() for change in changes]
+)
+def test_violation_is_reported_under_its_rule(rule: int, change: object) -> None:
+    log = valid_log()
+    assert callable(change)
+    change(log)
     assert {b.rule for b in audit(log, TERMS)} == {rule}
 
 
-def refused_unsent(log: Log) -> None:
+def refused_without_attempt(log: Log) -> None:
     del log.received[2]
     log.answered[2] = log.answered[2]._replace(kind="refused", made="")
 
 
-def unsafe_sent_again_after_proof(log: Log) -> None:
+def at_most_once_resent_after_decline(log: Log) -> None:
     log.received[2] = log.received[2]._replace(ran=False, declined=True, made="")
-    again(log, "r2", 5.0)
+    resend(log, "r2", 5.0)
     log.answered[2] = log.answered[2]._replace(made="r2+5.0")
 
 
-def keyed_sent_again(log: Log) -> None:
-    again(log, "r1", 5.0)
+def deduplicated_resent_in_time(log: Log) -> None:
+    resend(log, "r1", 5.0)
 
 
-def read_sent_again(log: Log) -> None:
-    again(log, "r0", 5.0, zone="b")
+def idempotent_resent(log: Log) -> None:
+    resend(log, "r0", 5.0, zone="b")
 
 
-def left(log: Log) -> None:
+def client_disconnected(log: Log) -> None:
     del log.answered[2]
     log.left.append(Left(205.0, "r2"))
 
 
-def drained_just_now(log: Log) -> None:
+def sent_within_drain_grace(log: Log) -> None:
     log.told.append(Told(-900.0, "e", "draining"))
     del log.asked[1:], log.received[1:], log.answered[1:]
 
 
-def ready_again(log: Log) -> None:
+def sent_after_return(log: Log) -> None:
     log.told += [Told(-5000.0, "e", "gone"), Told(-1.0, "e", "ready")]
 
 
-def cold_but_large(log: Log) -> None:
+def large_cold_endpoint(log: Log) -> None:
     log.started.append(Started(-1.0, "e", 100.0))
 
 
 @pytest.mark.parametrize(
-    "does",
+    "change",
     [
-        refused_unsent,
-        unsafe_sent_again_after_proof,
-        keyed_sent_again,
-        read_sent_again,
-        left,
-        drained_just_now,
-        ready_again,
-        cold_but_large,
+        refused_without_attempt,
+        at_most_once_resent_after_decline,
+        deduplicated_resent_in_time,
+        idempotent_resent,
+        client_disconnected,
+        sent_within_drain_grace,
+        sent_after_return,
+        large_cold_endpoint,
     ],
 )
-def test_what_the_rules_allow_is_no_breach(does: object) -> None:
-    log = good()
-    assert callable(does)
-    does(log)
+def test_allowed_behaviour_is_not_reported(change: object) -> None:
+    log = valid_log()
+    assert callable(change)
+    change(log)
     assert audit(log, TERMS) == []
 
 
 @given(st.integers(0, 10_000))
 @settings(derandomize=True, max_examples=150)
-def test_the_count_of_effects_agrees_with_a_naive_one(seed: int) -> None:
-    """Unsafe requests at random endpoints: a breach just where a walk through the attempts finds one."""
+def test_at_most_once_violations_match_a_simple_model(seed: int) -> None:
+    """For random at-most-once requests the auditor reports the same violations as a simple pass over the attempts."""
     rng = Random(seed)
     log, expected = Log(), set()
     for n in range(20):
         name, at = f"r{n}", 100.0 * n
         log.asked.append(Asked(at, name, "at_most_once", 50.0))
-        doubtful = False
+        possibly_executed = False
         for step in range(rng.randrange(4)):
             ran = rng.random() < 0.5
             declined = not ran and rng.random() < 0.5
-            if doubtful:
+            if possibly_executed:
                 expected.add(name)
-            doubtful = doubtful or not declined
+            possibly_executed = possibly_executed or not declined
             made = f"{name}.{step}" if ran else ""
             log.received.append(Received(at + step, at + step, name, f"e{step}", "a", ran, declined, made))
         if rng.random() < 0.5:
             log.answered.append(Answered(at + 40.0, name, "failed"))
         else:
             log.answered.append(Answered(at + 40.0, name, "refused"))
-            if doubtful:
+            if possibly_executed:
                 expected.add(name)
     found = audit(log, TERMS)
     assert {b.about for b in found} == expected and {b.rule for b in found} <= {2}
--- a/tests/test_fault_day.py
+++ b/tests/test_fault_day.py
@@ -1,4 +1,4 @@
-"""The same day of faults over HTTP and over JSON-RPC, through the program as it is started: no breach."""
+"""The same fault scenario over HTTP and over JSON-RPC, through the real program, violates no rule."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 SEEDS = [1, 2, 3]
 WAIT = 1200.0  # ms
-WINDOW = 2000.0  # ms: as short as the check allows
+WINDOW = 2000.0  # ms: the shortest that the configuration check accepts
 CLASSES = [
     ClientRequestClass("read", "page.get", "idempotent", WAIT),
     ClientRequestClass("unlock", "unlock.buy", "deduplicated", WAIT, window=WINDOW, group="zone"),
@@ -56,12 +56,12 @@
     "zones": ["a", "b"],
     "zone": 0,
 }
-#: The machine of a CI run may stall for a while; a breach by a design fault is off by far more.
+#: Tolerates stalls of a CI machine; real violations exceed it by far.
 TERMS = Terms(slack=600.0)
 
 
 class Side:
-    """One protocol's discovery, endpoints and log."""
+    """Discovery, endpoints and log of one protocol."""
 
     def __init__(self, stack: AsyncExitStack, kind: type[Endpoint], seed: int) -> None:
         self.stack, self.kind, self.seed = stack, kind, seed
@@ -72,18 +72,18 @@
         self.endpoints = []
         for n in range(count):
             plan = seeded(10 * self.seed + n, SHARES, MAX_DELAY)
-            made = self.kind(self.log, plan, "ab"[n % 2])
-            self.endpoints.append(await self.stack.enter_async_context(made))
-            await self.discovery.set(made)
+            endpoint = self.kind(self.log, plan, "ab"[n % 2])
+            self.endpoints.append(await self.stack.enter_async_context(endpoint))
+            await self.discovery.set(endpoint)
         return self
 
     async def known(self) -> None:
-        """Until the sidecar has been told the list."""
+        """Waits until the sidecar has received all endpoints."""
         for endpoint in self.endpoints:
             await self.discovery.wait_until_announced(endpoint)
 
 
-def judged(side: Side) -> tuple[Sequence[Any], dict[str, int]]:
+def audit_side(side: Side) -> tuple[Sequence[Any], dict[str, int]]:
     kinds: dict[str, int] = {}
     for answer in side.log.answered:
         kinds[answer.kind] = kinds.get(answer.kind, 0) + 1
@@ -91,17 +91,17 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_day_of_faults_breaks_no_rule(tmp_path: Path, seed: int) -> None:
-    """Guards against a rule that holds in one protocol only. The seed is in the test's name."""
+def test_fault_scenario_violates_no_rule(tmp_path: Path, seed: int) -> None:
+    """Guards against a rule that holds for one protocol only."""
 
     async def test() -> None:
-        at = closed_port()
+        rpc_address = closed_port()
         async with AsyncExitStack() as stack:
             http = await Side(stack, HttpEndpoint, seed).open()
             rpc = await Side(stack, JsonRpcEndpoint, seed).open()
             text = operator(
                 f'discovery = "{rpc.discovery.address}"',
-                listen=at,
+                listen=rpc_address,
                 deadline=WAIT,
                 aim=WAIT / 4,
                 group="zone",
@@ -109,16 +109,17 @@
             ).replace("window_ms = 12000", f"window_ms = {WINDOW}")
             env = write(tmp_path, text)
             env |= config(tmp_path, settings=SETTINGS, discovery=http.discovery.address)
-            async with started(env, at) as program:
-                over, rng = asyncio.Event(), Random(seed)
+            async with started(env, rpc_address) as program:
+                day_over, rng = asyncio.Event(), Random(seed)
                 http_clients = [HttpClient(http.log, env["LB_LISTEN"]) for _ in range(6)]
                 rpc_clients = [JsonRpcClient(rpc.log) for _ in range(4)]
                 await http.known()
                 await rpc.known()
-                asking = [
-                    asyncio.ensure_future(ask_http(c, CLASSES, Random(rng.random()), over)) for c in http_clients
+                client_tasks = [
+                    asyncio.ensure_future(ask_http(c, CLASSES, Random(rng.random()), day_over)) for c in http_clients
                 ] + [
-                    asyncio.ensure_future(ask_jsonrpc(c, at, CLASSES, Random(rng.random()), over)) for c in rpc_clients
+                    asyncio.ensure_future(ask_jsonrpc(c, rpc_address, CLASSES, Random(rng.random()), day_over))
+                    for c in rpc_clients
                 ]
 
                 def reload() -> None:
@@ -133,15 +134,15 @@
                     change(day, http.discovery, http.endpoints, reload),
                     change(day, rpc.discovery, rpc.endpoints, reload),
                 )
-                over.set()
-                # Far more than a client waits: who is still unanswered then never will be, and is a breach.
-                _, unanswered = await asyncio.wait(asking, timeout=4 * WAIT / 1000.0)
+                day_over.set()
+                # Far longer than a client waits: a request without an answer by then is a violation.
+                _, unanswered = await asyncio.wait(client_tasks, timeout=4 * WAIT / 1000.0)
                 for task in unanswered:
                     task.cancel()
             for side in (http, rpc):
-                breaches, kinds = judged(side)
+                breaches, kinds = audit_side(side)
                 assert not breaches, (seed, breaches)
-                # A day on which nothing happened would prove nothing.
+                # The run must have served requests and seen failures to be meaningful.
                 assert kinds["served"] > 100 and kinds["failed"] > 5, kinds
                 assert all(side.log.ran(a.request) <= 1 for a in side.log.asked if a.effect == "at_most_once")
 
