--- a/benchmarks/jsonrpc.py
+++ b/benchmarks/jsonrpc.py
@@ -168,20 +168,21 @@
         return b"Content-Length: %d" % len(body) in head
 
 
-def ask(kind: type[RpcCaller], port: int, clients: int, cpu: int, span: float, out: Any) -> None:
+def run_clients(kind: type[RpcCaller], port: int, clients: int, cpu: int, span: float, result_pipe: Any) -> None:
     """Runs clients on one CPU for ``span`` seconds and sends their latencies through a pipe."""
     os.sched_setaffinity(0, {cpu})
 
     async def main() -> list[float]:
-        loop, spans = asyncio.get_running_loop(), list[float]()
+        loop, latencies = asyncio.get_running_loop(), list[float]()
         ends_at = time.perf_counter() + span
         protocols = [
-            (await loop.create_connection(lambda: kind(ends_at, spans), "127.0.0.1", port))[1] for _ in range(clients)
+            (await loop.create_connection(lambda: kind(ends_at, latencies), "127.0.0.1", port))[1]
+            for _ in range(clients)
         ]
         await asyncio.gather(*(m.done.wait() for m in protocols))
-        return spans
+        return latencies
 
-    out.send(uvloop.run(main()))
+    result_pipe.send(uvloop.run(main()))
 
 
 # --- the sidecar ---
@@ -313,7 +314,7 @@
 def measure(kind: type[RpcCaller], port: int, clients: int, cpu: int, span: float = RUN_TIME) -> list[float]:
     """Runs clients for ``span`` seconds; returns the sorted latencies in s, negative for refused calls."""
     receiver, sender = multiprocessing.Pipe()
-    process = multiprocessing.Process(target=ask, args=(kind, port, clients, cpu, span, sender))
+    process = multiprocessing.Process(target=run_clients, args=(kind, port, clients, cpu, span, sender))
     process.start()
     latencies: list[float] = receiver.recv()
     process.join()
@@ -348,9 +349,9 @@
             for n in range(ROUNDS):
                 for name, (kind, port) in setups.items():
                     before = cpu_of(pid)
-                    spans = measure(kind, port, clients, 5)
+                    latencies = measure(kind, port, clients, 5)
                     if n == ROUNDS - 1:
-                        print(f"  {name:18}{format_results(spans, cpu_of(pid) - before)}")
+                        print(f"  {name:18}{format_results(latencies, cpu_of(pid) - before)}")
 
 
 def compare(other: Path) -> None:
@@ -368,9 +369,9 @@
             for name in names[n % 3 :] + names[: n % 3]:
                 pid, _, port = sidecars[name]
                 before = cpu_of(pid)
-                spans = measure(HttpCaller, port, 32, 5, 1.0)
-                rates[name].append(len(spans))
-                cpu_times[name].append(1e6 * (cpu_of(pid) - before) / len(spans))
+                latencies = measure(HttpCaller, port, 32, 5, 1.0)
+                rates[name].append(len(latencies))
+                cpu_times[name].append(1e6 * (cpu_of(pid) - before) / len(latencies))
     for name in names:
         rate, cpu = (statistics.median(x[name]) / statistics.median(x["other"]) for x in (rates, cpu_times))
         print(
--- a/tests/test_fault_day.py
+++ b/tests/test_fault_day.py
@@ -18,7 +18,7 @@
 
 from zinclever.standins import Log, Terms, audit, seeded
 from zinclever.standins.clients import ClientRequestClass, HttpClient, JsonRpcClient
-from zinclever.standins.day import MAX_DELAY, SHARES, Day, ask_http, ask_jsonrpc, change
+from zinclever.standins.day import MAX_DELAY, SHARES, Day, ask_http, ask_jsonrpc, change_endpoints
 from zinclever.standins.discovery import Discovery
 from zinclever.standins.endpoint import Endpoint
 from zinclever.standins.http_endpoint import HttpEndpoint
@@ -131,8 +131,8 @@
 
                 day = Day()
                 await asyncio.gather(
-                    change(day, http.discovery, http.endpoints, reload),
-                    change(day, rpc.discovery, rpc.endpoints, reload),
+                    change_endpoints(day, http.discovery, http.endpoints, reload),
+                    change_endpoints(day, rpc.discovery, rpc.endpoints, reload),
                 )
                 day_over.set()
                 # Far longer than a client waits: a request without an answer by then is a violation.
--- a/zinclever/standins/day.py
+++ b/zinclever/standins/day.py
@@ -46,7 +46,9 @@
     back: float = 1.0
 
 
-async def change(day: Day, discovery: Discovery, endpoints: Sequence[Endpoint], reload: Callable[[], None]) -> None:
+async def change_endpoints(
+    day: Day, discovery: Discovery, endpoints: Sequence[Endpoint], reload: Callable[[], None]
+) -> None:
     """Changes the endpoint list: the first endpoint drains, disappears and returns cold; reloads in between."""
     first = endpoints[0]
     await asyncio.sleep(day.calm)
--- a/zinclever/standins/many.py
+++ b/zinclever/standins/many.py
@@ -41,10 +41,14 @@
     requests: Counter[int] = field(default_factory=Counter)
     retries: Counter[int] = field(default_factory=Counter)
     copies: Counter[int] = field(default_factory=Counter)
+    """Hedged attempts: sent while another attempt of the same request was in flight."""
     barred: Counter[int] = field(default_factory=Counter)
+    """Attempts that failed because the instance's connection limit allowed no new connection."""
     answers: Counter[tuple[int, str]] = field(default_factory=Counter)
     calls: Counter[int] = field(default_factory=Counter)
+    """Calls of discovery."""
     lines: Counter[int] = field(default_factory=Counter)
+    """Lines sent by discovery."""
 
     def busiest(self, counts: Counter[tuple[int, str]]) -> dict[int, int]:
         """Returns for each second the highest count of any server."""
@@ -268,11 +272,15 @@
             Subset(shape_of(settings), self.layout()) if settings.shares != interface.Shares() else None
         )
         self.open: dict[str, int] = {}
+        """Open connections by server."""
         self.idle: dict[str, list[float]] = {}
         """For each server, when its idle connections were last used, oldest first."""
         self.answered_at: dict[str, float] = {}
+        """When a connection to each server last became idle, which shows that the server responded."""
         self.total = 0
+        """Open connections to all servers."""
         self.requests: dict[str, float] = {}
+        """Open requests, with the times of their arrival."""
         self.attempts: dict[str, list[Attempt]] = {}
         self.serial, self.call_number, self.calling = 0, 0, False
         self.stopped = False
--- a/zinclever/standins/simulation.py
+++ b/zinclever/standins/simulation.py
@@ -58,7 +58,9 @@
         self.events: list[tuple[float, int, Any]] = []
         self.serial = itertools.count()
         self.open: dict[str, interface.RequestClass] = {}
+        """Classes of the requests without a final answer."""
         self.classes: dict[str, interface.RequestClass] = {}
+        """Classes of all requests."""
         self.attempts: dict[str, list[_Attempt]] = {}
         self.feed(interface.MembershipUpdate("whole", list(endpoints)))
 
