--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -32,16 +32,16 @@
 PAGE = Path(__file__).parents[1] / "docs" / "CAPACITY.md"
 SEEDS = (1, 2, 3)
 KNOWN = 1000  # endpoints that simulated processes know besides each other, enough to fill all ranges of a digest
-NEWS_FOR = 40.0  # s of record changes at each rate: about thirty changes at the planned rate
+NEWS_TIME = 40.0  # s of record changes at each rate: about thirty changes at the planned rate
 LOSS = 0.02  # share of datagrams lost, where anti-entropy has to repair the missing records
-IDLE_FOR = 15.0  # s without calls
-CALLS_FOR = 5.0  # s of calls at each rate
+IDLE_TIME = 15.0  # s without calls
+CALLS_TIME = 5.0  # s of calls at each rate
 
 Lines = dict[str, Line]
 T = TypeVar("T")
 
 
-def drawn(xs: Sequence[float], measure: Callable[[float, int], T]) -> list[tuple[float, T]]:
+def measure_all(xs: Sequence[float], measure: Callable[[float, int], T]) -> list[tuple[float, T]]:
     """Measures at each x with each seed."""
     return [(x, measure(x, seed)) for x, seed in itertools.product(xs, SEEDS)]
 
@@ -52,12 +52,12 @@
 
 def gossip_lines() -> Lines:
     """Fits the cost of gossip by processes at rest, by rate of changes, by failed processes and by known endpoints."""
-    rest = drawn((15, 50, 100, 300), lambda n, seed: hollow.gossip(int(n), seed, KNOWN))
-    news = drawn((0, 0.5, 1, 2, 4), lambda rate, seed: hollow.gossip(50, seed, KNOWN, rate, span=NEWS_FOR))
-    deaths = drawn((0, 2, 5, 10), lambda killed, seed: hollow.gossip(100, seed, KNOWN, killed=int(killed)))
-    known = drawn(
+    rest = measure_all((15, 50, 100, 300), lambda n, seed: hollow.gossip(int(n), seed, KNOWN))
+    news = measure_all((0, 0.5, 1, 2, 4), lambda rate, seed: hollow.gossip(50, seed, KNOWN, rate, span=NEWS_TIME))
+    deaths = measure_all((0, 2, 5, 10), lambda killed, seed: hollow.gossip(100, seed, KNOWN, killed=int(killed)))
+    known = measure_all(
         (500, 2000, 4000, 8000),
-        lambda n, seed: hollow.gossip(50, seed, int(n), NEWS_RATE, span=NEWS_FOR, loss=LOSS),
+        lambda n, seed: hollow.gossip(50, seed, int(n), NEWS_RATE, span=NEWS_TIME, loss=LOSS),
     )
     return {
         "rest bytes/s by processes": line_of(rest, lambda g: g.bytes),
@@ -82,7 +82,7 @@
         ("route", hollow.make_active, (1000, 2000, 4000, 8000)),
     ):
         for kind, traced in (("traced", True), ("resident", False)):
-            found = drawn(
+            found = measure_all(
                 counts,
                 lambda n, _, make=make, traced=traced: hollow.measure_in_new_process(make, int(n), traced),  # type: ignore[misc]
             )
@@ -92,7 +92,7 @@
 
 def configuration_lines() -> Lines:
     """Fits the sizes of a configuration and the time to activate it, by route."""
-    found = drawn((100, 500, 2000, 5000), lambda n, _: hollow.ConfigurationCost(int(n)))
+    found = measure_all((100, 500, 2000, 5000), lambda n, _: hollow.ConfigurationCost(int(n)))
     return {
         "text bytes by route": line_of(found, lambda c: c.text),
         "packed bytes by route": line_of(found, lambda c: c.packed),
@@ -102,9 +102,9 @@
 
 def control_lines() -> Lines:
     """Fits the cost of the replicated log: at rest by pairs of replicas, per change by followers and by size."""
-    members = drawn((3, 5, 7, 9), lambda n, seed: hollow.ControlLoad(int(n), seed, 20_000))
-    sizes = drawn((0, 20_000, 100_000, 400_000), lambda size, seed: hollow.ControlLoad(5, seed, int(size)))
-    disk = drawn((20_000, 400_000, 1_000_000, 4_000_000), lambda size, _: hollow.DiskCost(int(size)))
+    members = measure_all((3, 5, 7, 9), lambda n, seed: hollow.ControlLoad(int(n), seed, 20_000))
+    sizes = measure_all((0, 20_000, 100_000, 400_000), lambda size, seed: hollow.ControlLoad(5, seed, int(size)))
+    disk = measure_all((20_000, 400_000, 1_000_000, 4_000_000), lambda size, _: hollow.DiskCost(int(size)))
     pairs = [(n * (n - 1), load) for n, load in members]
     followers = [(n - 1, load) for n, load in members]
     return {
@@ -123,7 +123,7 @@
 class CallsMeasured:
     """Measurements of real processes."""
 
-    found: list[CallLoad]
+    through_sidecars: list[CallLoad]
     """Calls through two sidecars, at several rates."""
     direct: list[CallLoad]
     """Calls sent directly to the endpoint."""
@@ -136,26 +136,26 @@
 async def measure_calls() -> CallsMeasured:
     """Measures calls through real sidecar processes."""
     async with Processes() as processes:
-        idle = await processes.idle(IDLE_FOR)
+        idle = await processes.idle(IDLE_TIME)
         memory = [resident(p.pid) for p in processes.running]
-        found = [
-            await processes.load(rate, CALLS_FOR, seed) for rate, seed in itertools.product((50, 100, 200, 400), SEEDS)
+        through_sidecars = [
+            await processes.load(rate, CALLS_TIME, seed) for rate, seed in itertools.product((50, 100, 200, 400), SEEDS)
         ]
-        direct = [await processes.load(200, CALLS_FOR, seed, direct=True) for seed in SEEDS]
-    return CallsMeasured(found, direct, memory, idle)
+        direct = [await processes.load(200, CALLS_TIME, seed, direct=True) for seed in SEEDS]
+    return CallsMeasured(through_sidecars, direct, memory, idle)
 
 
 def call_lines() -> tuple[Lines, dict[str, list[float]]]:
     """Fits CPU time by call rate; also returns single figures of real processes, by name."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         calls = runner.run(measure_calls())
-    found, direct = calls.found, calls.direct
-    assert all(c.served == c.sent for c in found), "a call was not served"
+    through_sidecars, direct = calls.through_sidecars, calls.direct
+    assert all(c.served == c.sent for c in through_sidecars), "a call was not served"
     lines = {
-        "core of the caller's sidecar by calls/s": fit([(c.rate, c.caller_sidecar) for c in found]),
-        "core of the endpoint's sidecar by calls/s": fit([(c.rate, c.endpoint_sidecar) for c in found]),
+        "core of the caller's sidecar by calls/s": fit([(c.rate, c.caller_sidecar) for c in through_sidecars]),
+        "core of the endpoint's sidecar by calls/s": fit([(c.rate, c.endpoint_sidecar) for c in through_sidecars]),
     }
-    at_plan = [c for c in found if 150 < c.rate < 300]
+    at_plan = [c for c in through_sidecars if 150 < c.rate < 300]
     return lines, {
         "ms p50 direct, 200/s": [c.median for c in direct],
         "ms p99 direct, 200/s": [c.p99 for c in direct],
--- a/zinclever/rig/sidecars.py
+++ b/zinclever/rig/sidecars.py
@@ -70,9 +70,8 @@
         if self.loop is program:
             self.loop = None
         killed = code == -signal.SIGKILL and program.killed
-        ended_by_default_action = (
-            code == -signal.SIGTERM and self.stopped
-        )  # stopped before the program had installed its handler
+        # The default action of SIGTERM ends a program that has not installed its handler yet.
+        ended_by_default_action = code == -signal.SIGTERM and self.stopped
         if code != 0 and not killed and not ended_by_default_action:
             self.world.counts.crashes.append(f"{self.name}: ended with {code}: {program.tail()}")
         elif code == 0 and not self.stopped:
