--- a/zinclever/configtool/report.py
+++ b/zinclever/configtool/report.py
@@ -1,4 +1,4 @@
-"""Findings as text, JSON, annotations of a code host, and SARIF 2.1.0 (OASIS)."""
+"""Findings in the formats text, JSON, GitHub annotations and SARIF 2.1.0 (OASIS)."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Placed(NamedTuple):
-    """A finding with its file, and the places of what it contradicts."""
+    """A finding with its file and position, and the positions and keys that it conflicts with."""
 
     file: str
     line: int
@@ -24,17 +24,18 @@
 
 
 def place(file: str, data: bytes, report: Report) -> list[Placed]:
-    """All findings of a file, in its order."""
+    """Return all findings of a file with their positions, in the order of the file."""
     positions = Positions(data, report.format) if report.values is not None else None
     placed = []
     for finding in report.findings:
         line, column = positions.place(finding) if positions else finding.at or (1, 1)
-        related = tuple((*positions.of(path), dotted(path)) for path in finding.related) if positions else ()
+        related = tuple((*positions.position_of(path), dotted(path)) for path in finding.related) if positions else ()
         placed.append(Placed(file, line, column, finding, related))
     return sorted(placed, key=lambda p: (p.line, p.column, p.finding.code))
 
 
 def as_text(placed: Sequence[Placed]) -> str:
+    """Format findings as text, for people."""
     lines = []
     for p in placed:
         f = p.finding
@@ -47,7 +48,8 @@
 
 
 def as_json(placed: Sequence[Placed]) -> str:
-    told = [
+    """Format findings as a JSON array."""
+    items = [
         {
             "file": p.file,
             "line": p.line,
@@ -61,11 +63,11 @@
         }
         for p in placed
     ]
-    return orjson.dumps(told, option=orjson.OPT_INDENT_2).decode() + "\n"
+    return orjson.dumps(items, option=orjson.OPT_INDENT_2).decode() + "\n"
 
 
 def as_github(placed: Sequence[Placed]) -> str:
-    """Workflow commands, one a finding."""
+    """Format findings as GitHub workflow commands, one for each finding."""
 
     def escaped(text: str) -> str:
         return text.replace("%", "%25").replace("\r", "%0D").replace("\n", "%0A")
@@ -81,19 +83,20 @@
 
 
 def as_sarif(placed: Sequence[Placed]) -> str:
-    used = sorted({p.finding.code for p in placed})
+    """Format findings as a SARIF log."""
+    codes = sorted({p.finding.code for p in placed})
     rules = [
         {
             "id": code,
             "shortDescription": {"text": CODES[code].title},
             "fullDescription": {"text": CODES[code].explanation},
         }
-        for code in used
+        for code in codes
     ]
     results = [
         {
             "ruleId": p.finding.code,
-            "ruleIndex": used.index(p.finding.code),
+            "ruleIndex": codes.index(p.finding.code),
             "level": p.finding.severity,
             "message": {"text": f"{p.finding.key}: {p.finding.reason}. {p.finding.instead}".strip()},
             "locations": [location(p.file, p.line, p.column)],
@@ -104,15 +107,16 @@
         for p in placed
     ]
     driver = {"name": "zinclever", "version": __version__, "rules": rules}
-    told = {
+    log = {
         "version": "2.1.0",
         "$schema": "https://json.schemastore.org/sarif-2.1.0.json",
         "runs": [{"tool": {"driver": driver}, "results": results}],
     }
-    return orjson.dumps(told, option=orjson.OPT_INDENT_2).decode() + "\n"
+    return orjson.dumps(log, option=orjson.OPT_INDENT_2).decode() + "\n"
 
 
 def location(file: str, line: int, column: int) -> dict[str, Any]:
+    """Return a SARIF location."""
     return {
         "physicalLocation": {
             "artifactLocation": {"uri": file},
--- a/zinclever/configuration/platform.py
+++ b/zinclever/configuration/platform.py
@@ -1,4 +1,4 @@
-"""The platform's configuration as typed settings: the file that ``LB_CONFIG`` names, and the environment."""
+"""Typed settings from the platform's configuration file, which ``LB_CONFIG`` points to, and the environment."""
 
 from __future__ import annotations
 
@@ -10,52 +10,63 @@
 from ..interface import Settings
 from ..settings import read_settings
 
-INHERITED = "LB_INHERITED_FD"
-MEGABYTE = 1 << 20
+INHERITED_VARIABLE = "LB_INHERITED_FD"
+BYTES_PER_MB = 1 << 20
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What the program is told at its start."""
+    """Settings of the process from the platform's configuration and the environment."""
 
     listen: Address
     admin: Address | None
-    """Where operators call, if anywhere."""
+    """Address of the admin server; None if it is disabled."""
     inherited: int | None
-    """The descriptor of a socket that listens already, kept by the platform."""
+    """Descriptor of a listening socket that the platform keeps open across restarts, if any."""
     discovery: Address
     seed: int
     sockets: int
     memory: float | None
-    """Bytes that the process may use; None: not told."""
+    """Memory limit of the process in bytes; None if not set."""
     known: dict[str, Any]
+    """The last known endpoint list, as the file contains it."""
     settings: Settings
     zones: list[str]
 
 
-def descriptor(text: str | None) -> int | None:
-    """The number of a descriptor that was handed over. ValueError where it is none."""
+def parse_descriptor(text: str | None) -> int | None:
+    """Parse the number of an inherited descriptor. Return None if the text is empty or None.
+
+    Raises:
+        ValueError: The text is not a decimal number.
+    """
     if not text:
         return None
     if not text.isdecimal():
-        raise ValueError(f"{INHERITED}: not the number of a descriptor: {text!r}")
+        raise ValueError(f"{INHERITED_VARIABLE}: not the number of a descriptor: {text!r}")
     return int(text)
 
 
 def build(values: dict[str, Any], clean: dict[str, Any], env: Mapping[str, str]) -> Config:
-    """From values whose check found no error; addresses in the environment come first.
+    """Build the settings. Addresses in the environment take precedence over those in the file.
+
+    Args:
+        values: The parsed file; its check found no error.
+        clean: The same values with defaults filled in.
+        env: Environment variables.
 
-    ValueError for what is wrong in the environment, or in what only the settings themselves can tell.
+    Raises:
+        ValueError: The environment is invalid, or the settings are invalid in a way that the checks don't cover.
     """
     admin = env.get("LB_ADMIN_ADDR") or clean["admin_addr"]
     return Config(
         listen=read_address(env.get("LB_LISTEN") or clean["listen"]),
         admin=read_address(admin) if admin else None,
-        inherited=descriptor(env.get(INHERITED)),
+        inherited=parse_descriptor(env.get(INHERITED_VARIABLE)),
         discovery=read_address(env.get("LB_DISCOVERY") or clean["discovery"]),
         seed=int(clean["seed"], 16),
         sockets=clean["limits"]["sockets"],
-        memory=clean["limits"]["memory_mb"] * MEGABYTE if clean["limits"]["memory_mb"] else None,
+        memory=clean["limits"]["memory_mb"] * BYTES_PER_MB if clean["limits"]["memory_mb"] else None,
         known=values.get("known") or {},
         settings=read_settings(values["settings"]),
         zones=list(clean["settings"]["zones"]),
