--- a/zinclever/sim/core.py
+++ b/zinclever/sim/core.py
@@ -1,4 +1,4 @@
-"""One processor of a page server: jobs one after another, at a speed that changes while it warms up."""
+"""The processor of a simulated server: runs jobs in FIFO order, at a speed that rises while the server warms up."""
 
 from __future__ import annotations
 
@@ -11,84 +11,88 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Warming:
-    """How a server that has started gets up to its speed: evenly with time."""
-
-    since: int
-    """ns"""
-    share: float
-    """Of its speed, that it has at the start."""
-    span: int
-    """ns until it has all of it."""
-
-    def at(self, now: int) -> float:
-        if now >= self.since + self.span:
+class WarmUp:
+    """The linear ramp from a cold server's initial speed to its full speed."""
+
+    started_at: int
+    """Start of the ramp, in ns."""
+    initial_share: float
+    """Fraction of the full speed at the start."""
+    duration: int
+    """Length of the ramp, in ns."""
+
+    def speed_factor(self, now: int) -> float:
+        """Return the fraction of the full speed that is available at ``now``, in ns."""
+        if now >= self.started_at + self.duration:
             return 1.0
-        return self.share + (1.0 - self.share) * (now - self.since) / self.span
+        return self.initial_share + (1.0 - self.initial_share) * (now - self.started_at) / self.duration
 
 
 class Job:
-    """Work that waits or is done, until it is through or called off."""
+    """A unit of work that is queued or running."""
 
-    __slots__ = ("done", "left")
+    __slots__ = ("on_done", "work")
 
-    def __init__(self, work: float, done: Callable[[], None]) -> None:
-        """``work``: s on a processor of speed 1."""
-        self.left = work
-        self.done: Callable[[], None] | None = done
+    def __init__(self, work: float, on_done: Callable[[], None]) -> None:
+        """``work`` is in seconds on a processor of speed 1; ``on_done`` runs when the job completes."""
+        self.work = work
+        self.on_done: Callable[[], None] | None = on_done
 
 
-class Core:
-    """Does jobs in their order. What is called off costs nothing more."""
+class ProcessorCore:
+    """Runs one job at a time, in FIFO order. A cancelled job consumes no further processor time."""
 
-    __slots__ = ("end", "jobs", "running", "scheduler", "speed", "warming", "worked")
+    __slots__ = ("completion", "current_job", "jobs", "scheduler", "speed", "total_work", "warming")
 
-    def __init__(self, scheduler: Clock, speed: float, warming: Warming | None = None) -> None:
+    def __init__(self, scheduler: Clock, speed: float, warming: WarmUp | None = None) -> None:
         self.scheduler, self.speed, self.warming = scheduler, speed, warming
         self.jobs: deque[Job] = deque()
-        self.running: Job | None = None
-        self.end: ScheduledCall | None = None
-        self.worked = 0.0
-        """s at speed 1"""
-
-    def rate(self) -> float:
-        """What it does at this moment, against speed 1."""
-        return self.speed * (self.warming.at(self.scheduler.now) if self.warming is not None else 1.0)
-
-    def add(self, work: float, done: Callable[[], None]) -> Job:
-        job = Job(work, done)
+        self.current_job: Job | None = None
+        self.completion: ScheduledCall | None = None
+        self.total_work = 0.0
+        """Work of all jobs started so far, in seconds at speed 1."""
+
+    def current_speed(self) -> float:
+        """Return the present speed, relative to a processor of speed 1."""
+        return self.speed * (self.warming.speed_factor(self.scheduler.now) if self.warming is not None else 1.0)
+
+    def add(self, work: float, on_done: Callable[[], None]) -> Job:
+        """Queue a job of ``work`` seconds at speed 1; ``on_done`` runs when it completes."""
+        job = Job(work, on_done)
         self.jobs.append(job)
-        if self.running is None:
-            self.begin()
+        if self.current_job is None:
+            self.start_next()
         return job
 
-    def begin(self) -> None:
+    def start_next(self) -> None:
+        """Start the first queued job that has not been cancelled."""
         while self.jobs:
             job = self.jobs.popleft()
-            if job.done is not None:
-                self.running = job
-                self.worked += job.left
-                self.end = self.scheduler.after(round(job.left / self.rate() * NS), self.finish, job)
+            if job.on_done is not None:
+                self.current_job = job
+                self.total_work += job.work
+                self.completion = self.scheduler.after(round(job.work / self.current_speed() * NS), self.finish, job)
                 return
 
     def finish(self, job: Job) -> None:
-        self.running = None
-        done, job.done = job.done, None
-        self.begin()
-        if done is not None:
-            done()
-
-    def call_off(self, job: Job) -> None:
-        """Nobody waits for it any more."""
-        job.done = None
-        if job is self.running:
-            if self.end is not None:
-                self.end.call_off()
-            self.running = None
-            self.begin()
+        """Complete the running job and start the next one before calling back."""
+        self.current_job = None
+        on_done, job.on_done = job.on_done, None
+        self.start_next()
+        if on_done is not None:
+            on_done()
+
+    def cancel(self, job: Job) -> None:
+        """Cancel a queued or running job; its callback is not called."""
+        job.on_done = None
+        if job is self.current_job:
+            if self.completion is not None:
+                self.completion.call_off()
+            self.current_job = None
+            self.start_next()
 
     def stop(self) -> None:
-        """Nothing of it goes on."""
+        """Drop all queued jobs and cancel the running one."""
         self.jobs.clear()
-        if self.running is not None:
-            self.call_off(self.running)
+        if self.current_job is not None:
+            self.cancel(self.current_job)
--- a/zinclever/sim/listing.py
+++ b/zinclever/sim/listing.py
@@ -1,4 +1,4 @@
-"""Discovery: one service for all sidecars. Learns late, tells changes in steps, works through calls in turn."""
+"""Service discovery for all sidecars: learns of changes late, publishes them in batches and answers calls in order."""
 
 from __future__ import annotations
 
@@ -15,115 +15,119 @@
 from ..standins.log import Told
 
 if TYPE_CHECKING:
-    from .pages import PageServer
+    from .pages import UpstreamServer
     from .scene import BaseWorld
 
 PORT = 8500
 MS = NS // 1000
 Health = Literal["ready", "draining", "gone"]
-WORDS: dict[Health, str] = {"ready": "in_service", "draining": "terminating", "gone": "terminated"}
-MOST_WAIT = 60_000.0  # ms that a watch waits, as the protocol has it
+HEALTH_NAMES: dict[Health, str] = {"ready": "in_service", "draining": "terminating", "gone": "terminated"}
+MAX_WATCH_MS = 60_000.0  # longest wait of a watch call in the discovery protocol
 
 
-class Listing:
-    """The list, its versions and who watches it."""
+class DiscoveryServer:
+    """The discovery service: the versioned server list and the calls that watch it."""
 
     def __init__(self, world: BaseWorld, machine: Machine) -> None:
-        self.world, self.machine, self.told = world, machine, world.day.listing
+        self.world, self.machine, self.settings = world, machine, world.day.listing
         self.rng = Random(f"{world.day.seed}/listing")
         self.loop = world.process(machine)
         self.version = 0
         self.entries: dict[str, tuple[int, Health, dict[str, Any]]] = {}
-        """By name: the version of the latest change, what it was, the line."""
-        self.coming: dict[str, tuple[Health, dict[str, Any]]] = {}
-        """What the next step will tell."""
-        self.stepping = False
-        self.watchers: dict[Call, None] = {}
-        self.free_at = 0
-        """ns when it is through with the calls that have come."""
+        """By server name: the version of the latest change, the health and the entry as sent."""
+        self.pending: dict[str, tuple[Health, dict[str, Any]]] = {}
+        """Changes that the next step publishes, by server name."""
+        self.step_scheduled = False
+        self.watching: dict[DiscoveryConnection, None] = {}
+        self.busy_until = 0
+        """Instant in ns at which all calls received so far have been processed."""
         self.down = False
 
     async def listen(self) -> None:
-        await self.loop.create_server(lambda: Call(self), self.machine.address, PORT, backlog=4096)
+        """Accept connections on the discovery port."""
+        await self.loop.create_server(lambda: DiscoveryConnection(self), self.machine.address, PORT, backlog=4096)
 
-    # --- what it learns ---
+    # --- changes of the list ---
 
-    def learn(self, server: PageServer, health: Health, after: float) -> None:
-        """It knows of a change after so many s."""
-        line = {
+    def schedule_change(self, server: UpstreamServer, health: Health, after: float) -> None:
+        """Let discovery learn of a server's new health after ``after`` seconds; at once if 0."""
+        entry = {
             "host": server.name,
             "dial": f"{server.machine.address}:8080",
             "site": server.machine.zone,
             "class": server.kind.name,
             "block": server.cell,
-            "health": WORDS[health],
+            "health": HEALTH_NAMES[health],
             "share": 1.0,
-            "born_ms": round(server.born),
+            "born_ms": round(server.started_at_ms),
         }
         if after <= 0.0:
-            self.put(server.name, health, line)
+            self.record_change(server.name, health, entry)
         else:
-            self.world.scheduler.after(round(after * NS), self.expect, server.name, health, line)
-
-    def expect(self, name: str, health: Health, line: dict[str, Any]) -> None:
-        self.coming[name] = health, line
-        if not self.stepping:
-            self.stepping = True
-            step = round(self.told.period_ms * MS)
-            self.world.scheduler.at((self.world.now() // step + 1) * step, self.step)
-
-    def step(self) -> None:
-        """All that has come since the last one makes a new version."""
-        self.stepping = False
-        coming, self.coming = self.coming, {}
-        for name, (health, line) in coming.items():
-            self.put(name, health, line)
-        watchers, self.watchers = self.watchers, {}
-        for call in watchers:
-            call.due()
-
-    def put(self, name: str, health: Health, line: dict[str, Any]) -> None:
+            self.world.scheduler.after(round(after * NS), self.queue_change, server.name, health, entry)
+
+    def queue_change(self, name: str, health: Health, entry: dict[str, Any]) -> None:
+        """Add a change to the next step; steps are at multiples of the publishing interval."""
+        self.pending[name] = health, entry
+        if not self.step_scheduled:
+            self.step_scheduled = True
+            step_ns = round(self.settings.period_ms * MS)
+            self.world.scheduler.at((self.world.now() // step_ns + 1) * step_ns, self.publish_step)
+
+    def publish_step(self) -> None:
+        """Publish the pending changes and answer all watching calls."""
+        self.step_scheduled = False
+        pending, self.pending = self.pending, {}
+        for name, (health, entry) in pending.items():
+            self.record_change(name, health, entry)
+        watching, self.watching = self.watching, {}
+        for connection in watching:
+            connection.schedule_answer()
+
+    def record_change(self, name: str, health: Health, entry: dict[str, Any]) -> None:
+        """Store a change under the next version."""
         self.version += 1
-        self.entries[name] = self.version, health, line
+        self.entries[name] = self.version, health, entry
 
-    def hosts(self, since: int | None) -> dict[str, tuple[Health, dict[str, Any]]]:
-        """What has changed since a version, or all there is."""
+    def changes_since(self, since: int | None) -> dict[str, tuple[Health, dict[str, Any]]]:
+        """Return the changes after a version; for None, all servers that are not gone."""
         return {
-            name: (health, line)
-            for name, (version, health, line) in self.entries.items()
+            name: (health, entry)
+            for name, (version, health, entry) in self.entries.items()
             if (version > since if since is not None else health != "gone")
         }
 
-    def listed(self) -> list[str]:
-        """The servers that are ready as far as it knows."""
-        return [name for name, (health, _) in self.hosts(None).items() if health == "ready"]
+    def ready_names(self) -> list[str]:
+        """Return the names of the servers that discovery lists as ready."""
+        return [name for name, (health, _) in self.changes_since(None).items() if health == "ready"]
 
-    def whole(self) -> dict[str, Any]:
-        """As a sidecar that has just started may know it."""
-        return {"seq": self.version, "whole": True, "hosts": [line for _, line in self.hosts(None).values()]}
+    def snapshot(self) -> dict[str, Any]:
+        """Return the full list, as a starting sidecar gets it in its configuration."""
+        return {"seq": self.version, "whole": True, "hosts": [entry for _, entry in self.changes_since(None).values()]}
 
-    # --- its own troubles ---
+    # --- faults of discovery itself ---
 
     def go_down(self) -> None:
-        """Watches end, calls fail."""
+        """Stop the service: all connections are reset and new ones refused."""
         self.down = True
-        self.watchers.clear()
+        self.watching.clear()
         self.loop.die()
         self.machine.listeners.clear()
 
-    def come_back(self) -> None:
+    def restore(self) -> None:
+        """Start the service again, with the list as it was."""
         self.down = False
         self.loop = self.world.process(self.machine)
         self.loop.create_task(self.listen())
-        self.free_at = self.world.now()
+        self.busy_until = self.world.now()
 
 
-class Call(asyncio.Protocol):
-    """A connection of a sidecar: one call at a time."""
+class DiscoveryConnection(asyncio.Protocol):
+    """A sidecar's HTTP connection to discovery, with one call at a time."""
 
     transport: asyncio.Transport
 
-    def __init__(self, listing: Listing) -> None:
+    def __init__(self, listing: DiscoveryServer) -> None:
         self.listing, self.world = listing, listing.world
         self.parser: Any = httptools.HttpRequestParser(self)
         self.url = b""
@@ -132,20 +136,24 @@
         self.caller = ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Store the transport and look up the caller's name."""
         self.transport = cast(asyncio.Transport, transport)
-        self.caller = self.world.names.get(transport.get_extra_info("peername")[0], "")
+        self.caller = self.world.machine_names.get(transport.get_extra_info("peername")[0], "")
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """End the watch of a closed connection."""
         self.parser = None
-        self.leave()
+        self.stop_watching()
 
-    def leave(self) -> None:
-        self.listing.watchers.pop(self, None)
+    def stop_watching(self) -> None:
+        """End the watch, if the current call is one."""
+        self.listing.watching.pop(self, None)
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
     def data_received(self, data: bytes) -> None:
+        """Parse a part of a call."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
@@ -153,46 +161,50 @@
             self.transport.abort()
 
     def on_url(self, url: bytes) -> None:
+        """Collect a part of the call's URL."""
         self.url += url
 
     def on_message_complete(self) -> None:
+        """Answer the call, or let it watch until the list changes or its wait time is over."""
         query = parse_qs(urlsplit(self.url.decode()).query)
         self.url = b""
-        self.world.counts.list_call()
+        self.world.counts.count_discovery_call()
         self.since = int(query["index"][0]) if "index" in query else None
-        wait = min(float(query.get("wait", ["0"])[0]), MOST_WAIT)
+        wait = min(float(query.get("wait", ["0"])[0]), MAX_WATCH_MS)
         if self.since is not None and self.since >= self.listing.version and wait > 0.0:
-            self.listing.watchers[self] = None
-            self.timer = self.listing.loop.call_later(wait / 1000.0, self.due)
+            self.listing.watching[self] = None
+            self.timer = self.listing.loop.call_later(wait / 1000.0, self.schedule_answer)
         else:
-            self.due()
+            self.schedule_answer()
 
-    def due(self) -> None:
-        """It is to be answered, in its turn."""
-        self.leave()
+    def schedule_answer(self) -> None:
+        """Answer the current call after the calls before it; fail it if the queue is longer than the timeout."""
+        self.stop_watching()
         listing, now = self.listing, self.world.now()
-        told = listing.told
-        start = max(now, listing.free_at)
-        if start - now > told.timeout_ms * MS:
-            listing.loop.call_later(told.timeout_ms / 1000.0, self.fail)
+        settings = listing.settings
+        start = max(now, listing.busy_until)
+        if start - now > settings.timeout_ms * MS:
+            listing.loop.call_later(settings.timeout_ms / 1000.0, self.send_failure)
             return
-        lines = len(listing.hosts(self.since)) + told.call_lines
-        listing.free_at = start + round(lines / told.lines_per_s * NS)
-        listing.loop.call_later((listing.free_at - now) / NS, self.answer)
+        entry_count = len(listing.changes_since(self.since)) + settings.call_lines
+        listing.busy_until = start + round(entry_count / settings.lines_per_s * NS)
+        listing.loop.call_later((listing.busy_until - now) / NS, self.send_answer)
 
-    def fail(self) -> None:
-        self.world.counts.list_failures += 1
+    def send_failure(self) -> None:
+        """Answer 503: discovery is overloaded."""
+        self.world.counts.discovery_failures += 1
         if not self.transport.is_closing():
             self.transport.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 
-    def answer(self) -> None:
+    def send_answer(self) -> None:
+        """Send the changes since the caller's version."""
         if self.transport.is_closing():
             return
         listing = self.listing
-        new = listing.hosts(self.since)
-        told = [self.world.localize_entry(line, self.caller) for _, line in new.values()]
-        body = orjson.dumps({"seq": listing.version, "whole": self.since is None, "hosts": told})
-        self.world.counts.list_line(len(new))
+        changes = listing.changes_since(self.since)
+        entries = [self.world.localize_entry(entry, self.caller) for _, entry in changes.values()]
+        body = orjson.dumps({"seq": listing.version, "whole": self.since is None, "hosts": entries})
+        self.world.counts.count_discovery_entries(len(changes))
         self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-        at = self.world.now_ms()
-        self.world.log.told += [Told(at, name, health, self.caller) for name, (health, _) in new.items()]
+        now = self.world.now_ms()
+        self.world.log.told += [Told(now, name, health, self.caller) for name, (health, _) in changes.items()]
