--- a/zinclever/mesh/dataplane/admission.py
+++ b/zinclever/mesh/dataplane/admission.py
@@ -1,4 +1,4 @@
-"""Admission in the mesh: left to the ingress in front of each endpoint, which knows its free slots."""
+"""Admission control in the mesh, which is left to the ingress of each endpoint, as the ingress knows the free slots."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from ...policy.requests import Request
 from ...policy.slow_start import SlowStart
 
-HOLD_SHARE = 0.2  # of its latency target: how long a request is held if no endpoint is known, before it is refused
+HOLD_SHARE = 0.2  # of the latency target; a request is refused if no endpoint becomes known within this time
 
 
 class IngressAdmission(Admission):
@@ -39,7 +39,7 @@
         """Do nothing: there is no window to adapt."""
 
     def start(self) -> None:
-        """Open all windows."""
+        """Set the concurrency windows to unlimited."""
         for side in (self.endpoint_list.near, self.endpoint_list.far):
             side.window.size = math.inf
 
@@ -56,16 +56,16 @@
 class IngressSlowStart(SlowStart):
     """Applies no slow start: the ingress of an endpoint sends it no more requests than it has slots.
 
-    The slow start of a standalone sidecar is based on the answer rate of warm endpoints, which is unknown when all
-    endpoints have just started.
+    The slow start of a standalone sidecar is based on the answer rate of endpoints that have completed theirs, which is
+    unknown when all endpoints have just started.
     """
 
     def is_cold(self, now: float, e: Endpoint) -> bool:
-        """Return False: no endpoint counts as cold."""
+        """Return False: no endpoint is in slow start."""
         return False
 
     def admits(self, now: float, e: Endpoint) -> bool:
-        """Return True: every endpoint counts as warm."""
+        """Return True: no endpoint is limited by slow start."""
         return True
 
     def on_sent(self, now: float, e: Endpoint) -> None:
--- a/zinclever/mesh/dataplane/attempt_count.py
+++ b/zinclever/mesh/dataplane/attempt_count.py
@@ -1,7 +1,7 @@
 """Limit on the number of endpoints that one request may have reached. Performs no I/O.
 
-A route's ``MaxAttempts`` limits the endpoints that one try of a client may be sent to. The limit covers what may have
-happened, not only what is known: an attempt counts from before its first byte is sent until it is certain that it
+A route's ``MaxAttempts`` limits the number of endpoints that one request may reach; a client's retry is a new request.
+An attempt counts from before its first byte is sent, and stops counting only when it is certain that the attempt
 reached no endpoint. So attempts that are in flight, wait for a slot, or were cancelled but may have run still count.
 """
 
--- a/zinclever/mesh/dataplane/egress.py
+++ b/zinclever/mesh/dataplane/egress.py
@@ -26,11 +26,11 @@
 HOP_HEADERS = NON_FORWARDED_HEADERS | {b"x-deadline-ms", b"x-expected-endpoint", b"x-caller-service"}
 RESPONSE_HOP_HEADERS = NON_FORWARDED_HEADERS
 MAX_CLIENT_WAIT = 3600.0  # s; upper limit of the timeout that a client states
-MIN_WAIT = 0.001  # s
-CLIENT_TIMEOUT_SLACK = 0.5  # s added to the timeouts of the configuration
+MIN_WAIT = 0.001  # s; lower limit of the time left for a request
+CLIENT_TIMEOUT_SLACK = 0.5  # s added to the configured header timeout; also the minimum idle timeout
 MAX_MEMORY_SHARE = 0.25  # of the memory that bodies may take: each is held once here and once while being forwarded
 RETRY_AFTER_SHARE = 0.25  # of the latency target: the minimum delay before a refused request is retried
-MIN_RETRY_AFTER = 0.02  # s
+MIN_RETRY_AFTER = 0.02  # s; lower limit of Retry-After
 MAX_REQUEST_ID_LENGTH = 256
 BODILESS_METHODS = ("GET", "HEAD")
 NO_CONFIGURATION = HttpResponse(503, b"Retry-After: 0.2\r\n")
@@ -65,8 +65,8 @@
             active: The active configuration.
             service_clients: The clients of all services.
             service: The service of this machine's endpoint; empty if there is none.
-            is_running: Whether that endpoint is processing the request with an id.
-            is_running_retry: Whether it is processing a retry of the request with an id.
+            is_running: Returns whether that endpoint is processing a request with the given id.
+            is_running_retry: Returns whether that endpoint is processing a retry with the given id.
         """
         super().__init__(descriptors)
         self.host, self.active, self.service_clients = host, active, service_clients
@@ -88,7 +88,7 @@
         """Counters for the log."""
 
     def configure(self, configuration: Configuration, memory: int) -> None:
-        """Apply the configuration's limits to clients, as far as ``memory`` bytes permit."""
+        """Apply a configuration; request bodies take at most :data:`MAX_MEMORY_SHARE` of ``memory`` bytes."""
         self.retry_detector.keep_only(configuration.routes)
         self.read_timeout = max(READ_FOR, configuration.header_timeout + CLIENT_TIMEOUT_SLACK)
         self.max_idle_time = max(CLIENT_TIMEOUT_SLACK, configuration.idle_timeout)
@@ -100,7 +100,7 @@
     def read(self, method: str, target: str, headers: Headers, body: bytes | Body, waited: float) -> IncomingRequest:
         """Match a request to a route. ``waited`` is the time in ms since it arrived.
 
-        A request that can't be forwarded already carries its answer.
+        A request that can't be forwarded has its answer as the payload.
         """
         assert isinstance(body, bytes)  # as `requires_complete_body` is set
         request_headers = read_headers(headers)
@@ -156,7 +156,7 @@
     def choose_service(self, route: Route) -> str:
         """Return the service for a request.
 
-        Weighted targets are chosen by smooth weighted round robin, so that their shares hold for any number of
+        Weighted targets are chosen by smooth weighted round robin, so that their shares are accurate even over a few
         requests.
         """
         if len(route.targets) == 1:
@@ -197,7 +197,7 @@
     # --- answers ---
 
     def answer_for(self, request: OutboundRequest, final: FinalAnswer) -> HttpResponse:
-        """Return the client's answer for a final answer; errors are added to the failure log."""
+        """Return the HTTP response for a final answer; those with status 500 or above are added to the failure log."""
         answer = self.make_answer(request, final)
         if answer.status >= 500:
             milliseconds = round(1000 * (self.loop.time() - request.received_at))
@@ -206,7 +206,7 @@
         return answer
 
     def make_answer(self, request: OutboundRequest, final: FinalAnswer) -> HttpResponse:
-        """Return the endpoint's answer, 503 if the request has certainly not run, else 502."""
+        """Return 503 if the request has certainly not run, otherwise the endpoint's answer, or 502 if there is none."""
         if isinstance(final, Served):
             self.counts["served"] += 1
             return forwarded_answer(final.reply)
@@ -221,7 +221,8 @@
     def retry_after(self, request: OutboundRequest) -> float:
         """Return the time in s after which a request that has not run may be retried.
 
-        A share of the latency target, so that the retry can still meet it.
+        It is a share of the time that was left until the latency target when the request arrived, so that the retry can
+        still meet the target.
         """
         return RETRY_AFTER_SHARE * max(0.0, request.latency_target_at - request.received_at)
 
--- a/zinclever/mesh/dataplane/failure_log.py
+++ b/zinclever/mesh/dataplane/failure_log.py
@@ -18,7 +18,7 @@
     milliseconds: int
     """From the request's arrival to its answer."""
     attempts: Sequence[str]
-    """For each attempt: the endpoint and the outcome."""
+    """For each logged attempt: the endpoint and the outcome."""
 
     def as_json(self) -> dict[str, object]:
         """Return the failure's description for operators."""
--- a/zinclever/mesh/dataplane/forwarding.py
+++ b/zinclever/mesh/dataplane/forwarding.py
@@ -16,11 +16,11 @@
 from .outbound_request import OutboundRequest
 from .retry_budget import BudgetCharge, RetryBudget
 
-CHUNK_BYTES = 64 * 1024  # of a body in one frame: other frames can be sent between the chunks of a longer one
+CHUNK_BYTES = 64 * 1024  # maximum size of a body chunk in one frame; other frames can be sent between two chunks
 
-RESERVATION_MIN_BYTES = 512  # body size from which a slot is reserved before the body is sent
+RESERVATION_MIN_BYTES = 512  # body size from which the body is only sent once the ingress has granted a reservation
 RESERVATION_PROTOCOL = 2  # protocol version from which an ingress supports reservations
-ATTEMPTS_BEFORE_QUEUEING = 4  # endpoints that are tried for a free slot before a request may queue at one
+ATTEMPTS_BEFORE_QUEUEING = 4  # endpoints tried for a free slot before a request may wait in a queue
 MAX_NO_CAPACITY_PERIOD = 0.05  # s; maximum time for which an endpoint without capacity is avoided
 
 NO_CONNECTION = "no link"  # reason of an attempt whose sidecar could not be reached
@@ -35,7 +35,7 @@
 
 
 class ForwardAttempt:
-    """One attempt: an :class:`~zinclever.core.protocol.Exchange`."""
+    """One attempt of a request; implements :class:`~zinclever.core.protocol.Exchange`."""
 
     __slots__ = (
         "awaits_reservation",
@@ -71,19 +71,19 @@
         self.may_run = False
         """The endpoint may have received the complete request, or may still receive it."""
         self.frame_sent = False
-        """The first frame has been written: the ingress may know the request, but can't run it before ``may_run``."""
+        """The first frame has been written. The ingress may know the request, but can't run it before ``may_run``."""
         self.is_counted = False
-        """It is counted as in flight."""
+        """The attempt is counted in ``in_flight`` of its request."""
         self.is_hedge = False
         """Another attempt was in flight when this one began."""
         self.may_queue = False
-        """It may wait for a slot."""
+        """The attempt may wait in the ingress's queue for a slot."""
         self.awaits_reservation = False
-        """Its body is sent once a slot is reserved."""
+        """The body is held back until the ingress has granted a reservation."""
         self.reservation: Reservation | None = None
-        """Counts it against the attempt limit of its request."""
+        """Counts the attempt against the limit of its request."""
         self.budget_charge: BudgetCharge | None = None
-        """Counts it against the budget, if it is a retry."""
+        """Counts the attempt against the retry budget; None if it is not charged."""
         self.partial_reply: ForwardReply | None = None
         self.chunks: list[bytes] = []
         """The part of the reply's body received so far."""
@@ -97,7 +97,8 @@
     def cancel(self, silent: bool) -> None:
         """Stop waiting for the outcome.
 
-        The attempt still counts unless it is certain that the endpoint hasn't received it and never will.
+        The attempt still counts against the limit unless it is certain that the endpoint hasn't received it and never
+        will.
         """
         if self.on_ended is None:
             return
@@ -143,7 +144,7 @@
     def on_frame(self, frame: Frame | None) -> None:
         """Handle a frame from the channel.
 
-        It is a granted reservation, a reply, a chunk of the reply's body, or None if the connection is lost.
+        ``frame`` is a granted reservation, a reply, a chunk of the reply's body, or None if the connection is lost.
         """
         if frame is None:
             self.on_connection_lost()
@@ -202,9 +203,9 @@
         on_ended("served" if reply.status < 500 else "error", answer)
 
     def record_no_capacity(self, reply: ForwardReply, was_counted: bool) -> None:
-        """Avoid the endpoint for a while.
+        """Avoid the endpoint for a short time, unless the request is a nested call or the attempt is a hedge.
 
-        If the endpoint itself rejected the request, this request is never sent there again.
+        If the endpoint itself, not its ingress, rejected the request, this request is never sent there again.
         """
         if was_counted and not self.request.is_nested and not self.is_hedge:
             period = min(MAX_NO_CAPACITY_PERIOD, reply.retry_after_us / 1e6)
@@ -230,7 +231,7 @@
 
 
 class Forwarder:
-    """A :class:`~zinclever.core.protocol.Wire` to the endpoints of one service.
+    """Sends attempts to the endpoints of one service; implements :class:`~zinclever.core.protocol.Wire`.
 
     Each endpoint is reached through the sidecar in front of it.
     """
@@ -254,7 +255,9 @@
         self.no_capacity_until: dict[CapacityKey, float] = {}
         """Instants in s until which endpoints without capacity are avoided."""
         self.counts = {"sent": 0, "copies": 0, "short": 0}
-        """Counters for the log: attempts, retries, and retries that the budget or the route didn't allow."""
+        """Counters for the log: attempts, additional attempts of a request (retries and hedges), and attempts that the
+        retry budget or the attempt limit of the route didn't allow.
+        """
 
     # --- the endpoints ---
 
@@ -269,7 +272,7 @@
         """Do nothing: the ingress of a draining endpoint rejects requests that have not begun."""
 
     def forget(self, endpoint: str) -> None:
-        """Remove an endpoint that is gone."""
+        """Discard the state of an endpoint that has left the mesh."""
         self.addresses.pop(endpoint, None)
         for may_queue in (False, True):
             self.no_capacity_until.pop(CapacityKey(endpoint, may_queue), None)
@@ -325,7 +328,7 @@
         return ""
 
     def send(self, attempt: ForwardAttempt, address: Address, left: float, now: float) -> None:
-        """Forward an attempt, to the local ingress or to another sidecar; it expires in ``left`` s."""
+        """Forward an attempt to the local ingress or to another sidecar. The attempt expires in ``left`` s."""
         request = attempt.request
         self.counts["sent"] += 1
         attempt.is_hedge = request.in_flight > 0
@@ -367,13 +370,13 @@
             attempt.local_request = self.ingress.submit(message, attempt.request.body, attempt.finish)
 
     def fail_unsent(self, attempt: ForwardAttempt) -> None:
-        """Finish an attempt that was not allowed."""
+        """Finish an attempt that the retry budget or the attempt limit didn't allow."""
         on_ended, attempt.on_ended = attempt.on_ended, None
         if on_ended is not None:
             on_ended("not_sent")
 
     def reserve(self, attempt: ForwardAttempt, now: float) -> str:
-        """Count an attempt against its request's limit and, if it is a retry, against the budget.
+        """Count an attempt against its request's limit and, if it is a retry or is issued by one, against the budget.
 
         Returns the reason if the attempt is not allowed, else an empty string.
         """
@@ -390,7 +393,7 @@
         return ""
 
     def release(self, attempt: ForwardAttempt) -> None:
-        """Stop counting an attempt that certainly reached no endpoint and never will."""
+        """Stop counting an attempt that certainly reached no endpoint and never will, and refund its budget charge."""
         if attempt.reservation is not None:
             attempt.request.attempt_count.release(attempt.reservation)
         if attempt.budget_charge is not None:
--- a/zinclever/mesh/dataplane/ingress.py
+++ b/zinclever/mesh/dataplane/ingress.py
@@ -1,7 +1,8 @@
-"""The ingress of the endpoint beside this sidecar: the only path to it, which enforces its guarantees.
+"""The ingress: the only path to the endpoint on this machine, for which it enforces four guarantees.
 
-An endpoint that drains or has gone gets no new requests; a request for one incarnation of it never reaches another; it
-is sent no more requests at a time than it has slots; and a cancelled request is aborted at the endpoint.
+An endpoint that drains or has left the mesh gets no new requests; a request for one incarnation of an endpoint never
+reaches another incarnation; an endpoint is sent no more requests at a time than it has slots; and a cancelled request
+is aborted at the endpoint.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 CONNECT_TIMEOUT_MS = 400.0
 IDLE_TIMEOUT_MS = 9000.0  # for which an endpoint is assumed to keep an idle connection open
 QUIET_PERIOD = 0.1  # s of silence after which the endpoint may have dropped a connection without closing it
-LAST_BYTE_DELAY = 0.002  # s for which the last byte is then held back: a reset shows that the connection was dropped
+LAST_BYTE_DELAY = 0.002  # s for which the last byte is then held back: a request that is reset before hasn't run
 MAX_RECONNECTS = 2  # repeated sends after a connection broke before the request was complete
 ENDPOINT_HEADERS = b"X-Expected-Endpoint: %b\r\nX-Deadline-Ms: %d\r\n"
 
@@ -170,7 +171,7 @@
             self.reject(request, AttemptOutcome.NOT_EXECUTED, "draining")
 
     def forget(self) -> None:
-        """Remove the endpoint, which is gone."""
+        """Remove the endpoint after it has left the mesh."""
         self.close()
         self.pools.forget(self.endpoint)
         self.endpoint = ""
@@ -178,7 +179,7 @@
     # --- admission ---
 
     def refusal(self, forward: ForwardRequest) -> ForwardReply | None:
-        """Return the rejection of a request whose body is still to come; None if it would be admitted now."""
+        """Return the rejection of a request whose body has not arrived yet; None if it would be admitted now."""
         request = InboundRequest(forward, b"", ignore_reply, self.loop.time(), self.queue)
         if forward.endpoint != self.endpoint or not self.is_open:
             self.counts["gone"] += 1
@@ -200,7 +201,7 @@
         """Accept a request for the endpoint. Returns None if it is rejected immediately.
 
         ``on_reply`` is called once, possibly from within this method, unless :meth:`cancel` is called before.
-        ``received_at`` is the instant at which the request arrived, if its body took longer.
+        ``received_at`` is the instant at which the request arrived, if its body has arrived later.
         """
         now = self.loop.time()
         request = InboundRequest(forward, body, on_reply, now if received_at is None else received_at, self.queue)
@@ -264,7 +265,7 @@
     def on_exchange_ended(
         self, request: InboundRequest, outcome: interface.Outcome, reply: Reply | None = None, report: object = None
     ) -> None:
-        """Handle the endpoint's answer, or a broken connection and how much of the request was sent on it."""
+        """Handle the endpoint's answer; without one, ``outcome`` states whether the request may have been received."""
         request.exchange = None
         if outcome == "dropped" and request.reconnects < MAX_RECONNECTS and self.is_open:
             request.reconnects += 1
@@ -337,8 +338,8 @@
     def cancel(self, request: InboundRequest, silent: bool = False) -> bool:
         """Cancel a request: it is removed from the queue, or aborted at the endpoint.
 
-        Returns whether any part of it may have reached the endpoint. ``silent``: its deadline has passed without an
-        answer.
+        Returns whether any part of it may have reached the endpoint. ``silent`` states that its deadline has passed
+        without an answer; the caller then still calls ``on_reply``.
         """
         if not silent:
             request.on_reply = None
--- a/zinclever/mesh/dataplane/outbound_request.py
+++ b/zinclever/mesh/dataplane/outbound_request.py
@@ -31,8 +31,8 @@
     is_nested: bool = False
     """It was issued by this machine's endpoint while processing another request."""
     is_client_retry: bool = False
-    """It is a client's retry after a refusal or timeout. It only takes free capacity and isn't queued: under overload,
-    a request that is served at its first try earns more with the same slot.
+    """It is a client's retry after a refusal or timeout. It only takes free capacity and isn't queued, as first tries
+    make better use of the slots under overload.
     """
     issued_by_retry: bool = False
     """It was issued by a retry, so it is charged to the retry budget from its first attempt on."""
@@ -40,10 +40,10 @@
     in_flight: int = 0
     """Attempts that have been forwarded and have not ended."""
     rejected_by: list[str] = field(default_factory=list)
-    """Endpoints that rejected it themselves: it is not sent to them again."""
+    """Endpoints that, themselves and not by their ingress, rejected the request: it is not sent to them again."""
     may_have_run: bool = False
     attempt_log: list[str] = field(default_factory=list)
-    """The outcome of each attempt."""
+    """The endpoints and outcomes of the first :data:`MAX_LOGGED_ATTEMPTS` attempts."""
 
     def log_attempt(self, text: str) -> None:
         """Log the outcome of an attempt, up to :data:`MAX_LOGGED_ATTEMPTS`."""
--- a/zinclever/mesh/dataplane/retry_budget.py
+++ b/zinclever/mesh/dataplane/retry_budget.py
@@ -1,18 +1,19 @@
 """The retry budget that all sidecars share, enforced by each sidecar without coordination. Performs no I/O.
 
-The rule limits the retries within any window to a ratio of the requests, plus a slack. A sidecar allows a retry as long
-as its retries in the window that ends now stay below :data:`RATIO_SHARE` times the rule's ratio of its requests in it.
-So the retries of a sidecar in any window are limited by its requests in that window and in the one before. As the share
-is below one half, the sum over all sidecars stays below the rule's ratio, however many there are. The slack, which
-needs no requests, is divided by the number of sidecars, and less than half of it is used.
+The budget limits the retries within any window to a ratio of the requests, plus a slack. A sidecar allows a retry if,
+in the window that ends now, the ratio of its retries to its requests stays within :data:`RATIO_SHARE` of the budget's
+ratio. So the retries of a sidecar in any window are limited by its requests in that window and in the one before. As
+the share is below one half, the sum over all sidecars stays below the budget's ratio, however many there are. The
+slack, which doesn't depend on the number of requests, is divided by the number of sidecars, and less than half of it
+is used.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-RATIO_SHARE = 0.45  # of the rule's ratio: below half, as a window here reaches back into the one before it
-SLACK_SHARE = 0.4  # of the rule's slack
+RATIO_SHARE = 0.45  # of the budget's ratio; below one half, as requests of the previous window allow retries, too
+SLACK_SHARE = 0.4  # of the budget's slack that the sidecars use together
 BUCKET_SPAN = 0.25  # s; the resolution of a sliding count
 
 
@@ -28,7 +29,7 @@
 
 
 class SlidingCount:
-    """A count over a sliding window, whose length is rounded up to a :data:`BUCKET_SPAN`."""
+    """A count over a sliding window, which is longer than requested by up to one :data:`BUCKET_SPAN`."""
 
     __slots__ = ("buckets", "total", "window")
 
@@ -48,7 +49,7 @@
         return self.buckets[-1]
 
     def remove(self, now: float, bucket: Bucket) -> None:
-        """Remove an event from its bucket. Has no effect if the window has passed the bucket."""
+        """Remove an event from its bucket. Has no effect if the bucket has already left the window."""
         self.value(now)
         if self.buckets and bucket.started_at >= self.buckets[0].started_at:
             bucket.count -= 1
--- a/zinclever/mesh/dataplane/retry_detector.py
+++ b/zinclever/mesh/dataplane/retry_detector.py
@@ -38,10 +38,11 @@
 
 
 class RetryDetector:
-    """By route: the timeouts of the previous window and of the current one."""
+    """Detects client retries by the timeouts that requests state."""
 
     def __init__(self) -> None:
         self.routes: dict[str, tuple[TimeoutWindow, TimeoutWindow]] = {}
+        """By route: the previous and the current window."""
 
     def time_used(self, now: float, route: str, timeout: float) -> float:
         """Return the time in s that the client of a request with this timeout used up before; 0 for a first try."""
--- a/zinclever/mesh/dataplane/service_clients.py
+++ b/zinclever/mesh/dataplane/service_clients.py
@@ -1,4 +1,4 @@
-"""The client side of each service: a dispatcher with the standalone balancer, fed with endpoints from gossip."""
+"""The client side of each service: a dispatcher with the standalone balancer, which gets its endpoints from gossip."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from .retry_budget import RetryBudget
 
 MAX_ATTEMPTS = 8  # attempts of a request that may reach an ingress; the route limits those that reach an endpoint
-CONNECT_TIMEOUT_MS = 400.0  # a multiple of it is how long an unreachable sidecar is avoided
+CONNECT_TIMEOUT_MS = 400.0  # an unreachable sidecar is avoided for a multiple of this time
 ZONE_CROSSING_PRICE = 0.3  # another zone is preferred only if it leaves far more of the latency target
-HEDGE_DELAY_SHARE = 0.55  # of the latency target: longer than usual, and early enough that most hedges meet the target
-LATE_WORTH = 0.3  # of its worth that an answer between latency target and deadline is assumed to have
-NO_ROUTE_MS = 1000.0  # aim and deadline of the class for requests without a route
+HEDGE_DELAY_SHARE = 0.55  # of the latency target: longer than most answers take, but most hedges still meet the target
+LATE_WORTH = 0.3  # value of an answer between latency target and deadline, relative to one within the target
+NO_ROUTE_MS = 1000.0  # latency target and deadline of the class for requests without a route
 
 
 class ClassKey(NamedTuple):
@@ -67,10 +67,10 @@
 
 
 class MeshDispatcher(Dispatcher):
-    """A dispatcher whose balancers leave admission to the ingress, including one that is recreated after a stall."""
+    """A dispatcher whose balancers leave admission to the ingress, also a balancer that is recreated after a stall."""
 
     def reconfigure(self, balancer: Balancer) -> None:
-        """Use a balancer from now on."""
+        """Prepare a balancer for the mesh, and use it from now on."""
         prepare_balancer(balancer)
         super().reconfigure(balancer)
 
@@ -145,7 +145,7 @@
 
 
 def prepare_balancer(balancer: Balancer) -> None:
-    """Set up an unused balancer for the mesh."""
+    """Make an unused balancer leave admission to the ingress, and set its hedge delays."""
     delegate_to_ingress(balancer)
     for class_state in balancer.classes:
         class_state.hedge_delay = HEDGE_DELAY_SHARE * class_state.settings.aim
--- a/zinclever/mesh/dataplane/slot_queue.py
+++ b/zinclever/mesh/dataplane/slot_queue.py
@@ -5,10 +5,10 @@
 EXTRA_SLOTS = 0  # requests sent to an endpoint beyond its slots
 INITIAL_SERVICE_TIME = 0.1  # s; assumed until the first request has been served
 SERVICE_TIME_WEIGHT = 0.1  # of one request in the moving average
-MAX_WAIT_SHARE = 0.35  # of the latency target left, up to which queueing beats a retry at another endpoint or later
-QUEUE_TIMEOUT_SHARE = 0.5  # of the latency target left: the maximum time in the queue, as the expected wait is a guess
+MAX_WAIT_SHARE = 0.35  # of the latency target left; beyond this expected wait, a retry elsewhere or later is better
+QUEUE_TIMEOUT_SHARE = 0.5  # of the latency target left: the maximum wait in the queue; the expected one is an estimate
 QUEUE_TIMEOUT_MARGIN = 0.005  # s
-MAX_NESTED_WAIT_SHARE = 0.7  # of the deadline left, for a nested call: if it fails, its parent's work is lost, too
+MAX_NESTED_WAIT_SHARE = 0.7  # of the time left to the deadline; if a nested call fails, its parent's work is lost, too
 MAX_HEDGE_UTILIZATION = 0.7  # share of the slots in use from which no hedge is admitted
 
 
@@ -45,7 +45,7 @@
             priority: 0 is the highest.
             is_nested: Whether it is a nested call.
             is_hedge: Whether it is a hedge.
-            may_queue: Whether it may wait for a slot; not if other endpoints may still have free capacity.
+            may_queue: Whether it may wait for a slot; False if other endpoints may still have free capacity.
         """
         self.received_at = received_at
         self.deadline_left = deadline_left
@@ -71,7 +71,7 @@
 
 
 class SlotQueue:
-    """The slots of one endpoint. Instants in s are passed in."""
+    """The slots of one endpoint and the requests that wait for one. Callers pass the current time in s."""
 
     def __init__(self, slots: int) -> None:
         self.slots = slots
@@ -113,7 +113,7 @@
     def queue_timeout(self, entry: QueueEntry) -> float:
         """Return the time in s after which a request that is still queued is rejected.
 
-        It may wait longer than expected, as nested calls can overtake it.
+        The request may wait longer than expected, as nested calls can overtake it.
         """
         if entry.is_nested:
             return MAX_NESTED_WAIT_SHARE * entry.deadline_left
