--- a/zinclever/mesh/roles/configuration_distributor.py
+++ b/zinclever/mesh/roles/configuration_distributor.py
@@ -1,4 +1,4 @@
-"""Distribution of the active configuration: a process that lags fetches it from a peer over a channel."""
+"""Distribution of the configuration: a process without the newest version fetches it from a peer over a channel."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_DELAY = 0.05  # s before another peer is asked, after a peer that didn't have the version
-NO_PEER_DELAY = 0.6  # s until the next attempt when there is no peer to ask
+RETRY_DELAY = 0.05  # s before another peer is asked if a peer hasn't delivered the version
+NO_PEER_DELAY = 0.6  # s until the next attempt if no peer can be asked
 
 
 class ConfigurationDistributor:
-    """Owns the fetches from this process to others, and the fetches of others that wait for a version."""
+    """Fetches newer configurations from other processes, and answers the fetches of others."""
 
     def __init__(
         self,
@@ -112,7 +112,7 @@
     # --- serving fetches ---
 
     def on_fetch(self, connection: FramedConnection, frame: Frame) -> None:
-        """Answer a peer that requests a version: immediately if it is active here, else once it is.
+        """Answer a peer that requests a version: immediately if the version is active here, else once it is active.
 
         If too many peers wait already, an empty reply is sent immediately.
         """
--- a/zinclever/mesh/roles/control.py
+++ b/zinclever/mesh/roles/control.py
@@ -27,17 +27,17 @@
 
 TICK_INTERVAL = 0.05  # s between two ticks of the replica
 LISTEN_BACKLOG = 1024
-LEAVE_GRACE_SHARE = 0.8  # of the grace period, after which this process exits even if others depend on it
+LEAVE_GRACE_SHARE = 0.8  # of the grace period; then this process exits even if others depend on its replica
 POLL_INTERVAL = 0.02  # s between two checks whether this process may exit
 LAST_FRAMES_DELAY = 0.05  # s for the last frames to be sent
-STATUS_PREFIXES = ("/v1/mesh", "/v1/hive")  # the second: name in version 0.1
+STATUS_PREFIXES = ("/v1/mesh", "/v1/hive")  # the second one was used by version 0.1
 
 
 class ControlNode:
     """Owns the node, the store, the replica and the listener of the HTTP API."""
 
     def __init__(self, settings: NodeSettings) -> None:
-        """Load the stored state. Raises MeshError if the settings name no disk, OSError if it can't be used."""
+        """Load the stored state. Raises MeshError if no state directory is set, OSError if it can't be used."""
         if settings.state_directory is None:
             raise MeshError("BOOT_INVALID", "the control role requires a disk", "boot.StateDir")
         self.settings = settings
@@ -185,7 +185,7 @@
             self.operator_calls.on_reply(action)
 
     def log_voters(self, action: VotersChanged) -> None:
-        """Log a change of the voters and its reason; only the leader does."""
+        """Log a change of the voters and its reason."""
         added, removed = action.change.added, action.change.removed
         log.info(
             "voters changed: %s",
--- a/zinclever/mesh/roles/endpoint_api.py
+++ b/zinclever/mesh/roles/endpoint_api.py
@@ -55,7 +55,7 @@
     async def acknowledge(self, record: Record) -> HttpResponse:
         """Answer 200 once enough other processes hold the record of a draining or departed endpoint.
 
-        Otherwise the answer is 503, and the caller goes on to another process. A record that was confirmed before is
+        Otherwise the answer is 503, and the caller tries another process. A record that was confirmed before is
         acknowledged immediately.
         """
         if self.confirmed.get(record.id, EndpointPhase.READY) >= record.rank:
@@ -105,7 +105,7 @@
 
 
 class ControlEndpointApi:
-    """Heartbeats and departures sent to a control node because the endpoint's own sidecar didn't answer."""
+    """Handles heartbeats and departures sent to a control node because the endpoint's own sidecar didn't answer."""
 
     def __init__(self, node: Node, announcer: EndpointAnnouncer) -> None:
         self.node = node
--- a/zinclever/mesh/roles/forward_server.py
+++ b/zinclever/mesh/roles/forward_server.py
@@ -62,7 +62,8 @@
     def on_request(self, connection: FramedConnection, frame: Frame) -> None:
         """Handle the first frame of a request.
 
-        A request that reserves first is granted a reservation if there is capacity and memory for it.
+        A request that asks for a reservation is granted one if there is capacity and memory for it. A reservation
+        permits sending the body, but holds no slot: the ingress checks its capacity again once the body is complete.
         """
         forward = ForwardRequest()
         forward.CopyFrom(frame.forward_request)
--- a/zinclever/mesh/roles/heartbeats.py
+++ b/zinclever/mesh/roles/heartbeats.py
@@ -102,7 +102,7 @@
 def superseding_record(known: Record | None, ending: Record) -> Record:
     """Return the record that announces a drain or departure with precedence over the known record.
 
-    A drain of an endpoint that was declared gone makes it gone for good.
+    A drain of an endpoint that was declared GONE becomes a departure, which no later heartbeat overrides.
     """
     if known is None:
         return ending
@@ -120,7 +120,7 @@
 
 
 def gone_record(known: Record, seq: int) -> Record:
-    """Return the record by which another process declares an endpoint gone."""
+    """Return the record by which another process declares an endpoint GONE."""
     return Record(
         kind=RecordKind.ENDPOINT,
         id=known.id,
--- a/zinclever/mesh/roles/local_endpoint.py
+++ b/zinclever/mesh/roles/local_endpoint.py
@@ -26,7 +26,7 @@
 
 log = logging.getLogger(__name__)
 
-MISSED_HEARTBEATS = 3.4  # heartbeat intervals of silence after which an endpoint is declared gone
+MISSED_HEARTBEATS = 3.4  # heartbeat intervals without a heartbeat after which an endpoint is declared GONE
 CHECK_INTERVAL = 0.5  # s between two checks of the heartbeats
 STALL_THRESHOLD = 0.5  # s by which a check is late if this process was stalled
 
@@ -42,7 +42,7 @@
         self.heartbeat_seq = 0
         """Highest sequence number of the heartbeats received here."""
         self.claimed_since: dict[str, float] = {}
-        """By endpoint id: since when others place an endpoint on this machine that sends no heartbeats here."""
+        """By id of an endpoint that sends no heartbeats here: since when others have claimed it is on this machine."""
         self.checked_at = self.loop.time()
         ingress.on_connection_refused = self.on_connection_refused
 
@@ -60,7 +60,7 @@
         if known is not None and (is_final(known) or known.seq > record.seq):
             return json_answer(200)  # the endpoint is leaving, or the heartbeat is outdated
         if known is not None and known.rank >= EndpointPhase.GONE and max(known.seq, self.heartbeat_seq) >= record.seq:
-            return json_answer(200)  # sent before the endpoint was declared gone
+            return json_answer(200)  # the heartbeat was sent before the endpoint was declared GONE
         if changes_state(known, record):
             self.node.broadcast(record)
         self.record_heartbeat(record)
@@ -100,7 +100,7 @@
         return await self.announcer.acknowledge(superseding_record(known, departure_record(endpoint)))
 
     def declare_gone(self, endpoint: str) -> None:
-        """Declare an endpoint gone.
+        """Declare an endpoint GONE, and send it no more requests.
 
         A later heartbeat from it makes it ready again, unless it had announced a drain or departure.
         """
@@ -115,7 +115,10 @@
     # --- failure detection ---
 
     def check_heartbeats(self) -> None:
-        """Declare the endpoint gone when its heartbeats stop; runs every :data:`CHECK_INTERVAL`."""
+        """Declare endpoints GONE whose heartbeats are missing; runs every :data:`CHECK_INTERVAL`.
+
+        These are the endpoint of the ingress, and endpoints that others claim to be on this machine.
+        """
         self.loop.call_later(CHECK_INTERVAL, self.check_heartbeats)
         stalled_for = self.loop.time() - self.checked_at - CHECK_INTERVAL
         self.checked_at = self.loop.time()
@@ -139,7 +142,7 @@
                 self.declare_gone(endpoint)
 
     def on_connection_refused(self) -> None:
-        """Declare the endpoint gone as nothing listens at its address: it has crashed, or has not started yet."""
+        """Declare the endpoint GONE as nothing listens at its address: it has crashed, or has not started yet."""
         if self.ingress.endpoint:
             log.info("endpoint refuses connections", extra={"code": "ENDPOINT_REFUSES"})
             self.declare_gone(self.ingress.endpoint)
@@ -168,7 +171,7 @@
             self.ingress.close()
 
     def on_claim(self, record: Record, info: EndpointInfo) -> None:
-        """Handle a record that places an endpoint on this machine which hasn't sent heartbeats here."""
+        """Handle a record which claims that an endpoint is on this machine, although it has sent no heartbeats here."""
         if record.rank == EndpointPhase.READY and not self.ingress.endpoint and self.heartbeat_at < 0:
             # This process has restarted, and lost the state of the endpoint.
             self.heartbeat_at, self.heartbeat_seq = self.loop.time(), record.seq
@@ -177,5 +180,5 @@
             self.claimed_since.setdefault(record.id, self.loop.time())
 
     def was_declared_gone(self, record: Record) -> bool:
-        """Return whether others declared the endpoint gone although it had not announced that it leaves."""
+        """Return whether others declared the endpoint GONE although it hasn't departed and sent a later heartbeat."""
         return record.rank >= EndpointPhase.GONE and record.seq < min(DEPARTED_SEQ, self.heartbeat_seq)
--- a/zinclever/mesh/roles/node_settings.py
+++ b/zinclever/mesh/roles/node_settings.py
@@ -70,7 +70,7 @@
     """The settings of a process."""
 
     name: str
-    """Of the machine."""
+    """Name of the machine."""
     ip: str
     zone: str
     zones: tuple[str, ...]
@@ -84,7 +84,7 @@
     state_directory: str | None
     """Directory for persistent state; None if the machine has no disk."""
     heartbeat_interval: float
-    """s between two heartbeats of an endpoint."""
+    """Time in s between two heartbeats of an endpoint."""
     fault_model: FaultModel
     regions: Mapping[str, str]
     """By zone: its region."""
--- a/zinclever/mesh/roles/operator_calls.py
+++ b/zinclever/mesh/roles/operator_calls.py
@@ -1,8 +1,8 @@
 """The operators' API at a control node: calls are parsed here and answered by the leader, on this node or another one.
 
-A call is answered within a second unless its configuration is large: the caller gives up after a second of silence, and
-an earlier 503 lets it go on to another control node immediately. A 503 leaves the outcome open: the change may be
-committed.
+A call is answered within a second unless its configuration is large, as the caller gives up after a second without an
+answer. After an earlier 503, the caller tries another control node immediately. A 503 leaves the outcome open: the
+change may be committed.
 
 Small configurations are forwarded to the leader over the channel between the nodes. Large ones never are, as heartbeats
 would queue behind them: the caller is redirected to the leader by a 307.
@@ -31,7 +31,7 @@
 PUT, GET = "put", "get"  # kinds of calls on the wire
 REPLACE_PATH, READ_PATH = "/v1/config/replace", "/v1/config/read"
 FORWARDING_TIME = 0.2  # s added to the leader's timeout for finding the leader and forwarding the call
-FIND_LEADER_INTERVAL = 0.05  # s between two checks who leads
+FIND_LEADER_INTERVAL = 0.05  # s between two checks which node is the leader
 LARGE_BYTES = 64 * 1024  # size from which a configuration is validated in a thread, and not forwarded
 MAX_VERSION_DIGITS = 19  # keeps a version below 2 ** 64
 ERROR_CODES = {412: "CONFIG_BASE", 400: "CONFIG_INVALID"}
@@ -89,7 +89,7 @@
     # --- calls to the leader, local or remote ---
 
     async def answer(self, call: ControlCall) -> CallAnswer:
-        """Return the leader's answer, or 503 early enough for the caller to go on to another node."""
+        """Return the leader's answer, or 503 early enough for the caller to try another node."""
         size = len(self.replica.committed.text) if call.kind == GET else len(call.text)
         deadline = self.loop.time() + call_timeout(size) + FORWARDING_TIME
         while (time_left := deadline - self.loop.time()) > 0:
@@ -116,8 +116,8 @@
     async def forward_to_leader(self, voter: Voter, call: ControlCall, timeout: float) -> CallAnswer:
         """Return the leader's answer.
 
-        If this node has committed the same version as the leader, a read takes the text from here. Otherwise, if the
-        text is large, the caller is redirected to the leader.
+        If this node has committed the same version as the leader, a read returns the text that is stored here.
+        Otherwise, if the text is large, the caller is redirected to the leader.
         """
         if call.kind != GET:
             return await forward(self.node, voter, call, timeout)
@@ -182,14 +182,14 @@
     async def validated(self, text: bytes) -> Configuration:
         """Parse and validate a configuration. Raises MeshError if it is invalid.
 
-        A large one is validated in a thread: that can take a second, during which this node has to send ten heartbeats.
+        A large one is validated in a thread: it can take a second, in which this node has to send ten heartbeats.
         """
         if len(text) > LARGE_BYTES:
             return await self.loop.run_in_executor(None, parse, text)
         return parse(text)
 
     async def on_read(self, call: Call) -> HttpResponse:
-        """Return the active configuration."""
+        """Return the committed configuration, as confirmed by the leader."""
         status, text = await self.answer(ControlCall(kind=GET))
         if status == 200:
             return HttpResponse(200, b"Content-Type: application/json\r\n", text)
--- a/zinclever/mesh/roles/sidecar.py
+++ b/zinclever/mesh/roles/sidecar.py
@@ -31,8 +31,8 @@
 log = logging.getLogger(__name__)
 
 COUNTERS_INTERVAL = 10.0  # s between two log lines of counters
-MIN_DRAIN_PERIOD = 2.4  # s after SIGTERM in which clients still connect: until two failed readiness checks, 1 s apart
-REFUSAL_PERIOD = 2.0  # s before the end in which new requests are refused and open ones completed
+MIN_DRAIN_PERIOD = 2.4  # s after SIGTERM; clients connect until two readiness checks, 1 s apart, have failed
+REFUSAL_PERIOD = 2.0  # s before the exit in which new requests are refused and open ones are completed
 GRACE_MARGIN = 0.6  # s before the end of the grace period at which the process exits, even with open requests
 POLL_INTERVAL = 0.05  # s between two checks whether this process may exit
 LISTEN_BACKLOG = 2048
@@ -70,7 +70,7 @@
         )
         self.forward_server = ForwardServer(self.ingress, self.memory, lambda: self.egress.is_refusing)
         self.listeners: list[tuple[RequestHandler, str]] = [(self.egress, "Egress")]
-        """With the purpose of the address that each listens on."""
+        """Each with the purpose of the address that it listens on."""
         self.servers: list[asyncio.Server] = []
         self.is_stopping = False
         self.logged_readiness = False
@@ -113,7 +113,10 @@
     # --- readiness and shutdown ---
 
     def ready(self) -> bool:
-        """Return whether it serves: a configuration is active, gossip has joined, and a service has endpoints."""
+        """Return whether this sidecar can serve requests.
+
+        A configuration has to be active, gossip has to have joined the mesh, and a service has to have endpoints.
+        """
         return bool(
             not self.is_stopping
             and self.node.active.configuration is not None
@@ -255,7 +258,7 @@
             client.set_endpoints(entries)
 
     def endpoints_of(self, services: Iterable[str]) -> dict[str, list[Entry]]:
-        """Return by service the endpoints that are not gone and whose sidecar is not dead."""
+        """Return, by service, the endpoints that are not GONE and whose sidecar is known and neither dead nor left."""
         by_service: dict[str, list[Entry]] = {service: [] for service in services}
         members = self.node.gossip.members
         zone_indexes = {zone: index for index, zone in enumerate(self.settings.zones)}
--- a/zinclever/mesh/roles/status_api.py
+++ b/zinclever/mesh/roles/status_api.py
@@ -28,7 +28,7 @@
         self.node, self.replica, self.store, self.transport = node, replica, store, transport
 
     def on_who(self, call: Call) -> HttpResponse:
-        """Return all nodes, their state, and who declared it."""
+        """Return all nodes and their state; for suspected and dead ones, also which node declared them so, and why."""
         records = self.node.gossip.records.of_kind(RecordKind.NODE)
         nodes = sorted((describe_node(record) for record in records), key=lambda node: str(node["Name"]))
         return json_answer(200, {"By": self.node.name, "Nodes": nodes})
@@ -59,7 +59,7 @@
         )
 
     async def on_explain(self, call: Call) -> HttpResponse:
-        """Return why a request failed: all sidecars are asked, as any of them may have handled it."""
+        """Return why a request failed. All sidecars are asked, as any of them may have handled the request."""
         members = self.node.gossip.members
         infos = [members.node_info(name) for name in members.others()]
         sidecars = [Voter(ip=info.ip, port=info.port) for info in infos if info is not None and info.role == SIDECAR]
