--- a/zinclever/mesh/membership/failure_detector.py
+++ b/zinclever/mesh/membership/failure_detector.py
@@ -112,7 +112,7 @@
                 self.declare_state(now, probe.target, MemberState.SUSPECT, f"no answer in {waited:.2f} s{relayed}")
 
     def probe_indirectly(self, probe_id: int, probe: Probe) -> None:
-        """Request a few peers to probe the target of an unanswered probe."""
+        """Ask a few peers to probe the target of an unanswered probe."""
         probe.is_indirect = True
         probe.relays = self.members.sample(INDIRECT_PROBES, exclude=probe.target)
         for relay in probe.relays:
--- a/zinclever/mesh/membership/gossip.py
+++ b/zinclever/mesh/membership/gossip.py
@@ -195,9 +195,10 @@
             self.broadcasts.retransmit()
 
     def correct_sender(self, name: str, incarnation: int) -> None:
-        """Send a node its own record if that is suspect, dead or of a later incarnation, so that it can refute it.
+        """Send a node its own record if it declares the node suspect or dead, or has a later incarnation.
 
-        The held incarnation is higher than the sender's if the sender's clock was ahead at an earlier start.
+        The node can then refute the record. The incarnation held here is higher than the sender's if the sender's clock
+        was ahead at an earlier start.
         """
         held = self.records.get(RecordKind.NODE, name)
         if held is None:
--- a/zinclever/mesh/membership/orphans.py
+++ b/zinclever/mesh/membership/orphans.py
@@ -1,7 +1,8 @@
-"""Detects orphaned endpoints, whose sidecar has left the mesh without declaring them gone. No I/O.
+"""Detects orphaned endpoints, whose sidecar has left the mesh without declaring them GONE. No I/O.
 
-Every process detects them on its own and broadcasts the same record, so the order does not matter. Without this, the
-records of endpoints that were lost together with their machine would never expire and would fill the store.
+Each process detects them independently and broadcasts the same record, so it doesn't matter which process is first.
+Otherwise the records of endpoints that were lost together with their machine would never expire and would fill the
+store.
 """
 
 from __future__ import annotations
@@ -11,18 +12,18 @@
 from .records import ENDED_RANK, EndpointPhase, RecordKey, RecordKind
 
 CHECK_INTERVAL = 5.0  # s between two checks
-ORPHAN_TIMEOUT = TOMBSTONE_RETENTION  # s without a known sidecar after which an endpoint is declared gone
+ORPHAN_TIMEOUT = TOMBSTONE_RETENTION  # s without a known sidecar after which an endpoint is declared GONE
 
 
 class OrphanDetector:
-    """Tracks endpoints without a known sidecar and the time since when they have none."""
+    """Tracks endpoints without a known sidecar, and since when their sidecar has been unknown."""
 
     def __init__(self) -> None:
         self.orphaned_since: dict[RecordKey, float] = {}
         self.checked_at = 0.0
 
     def find_ended(self, now: float, records: RecordStore) -> list[Record]:
-        """Return records that declare orphaned endpoints gone, or an empty list if the next check is not due yet."""
+        """Return records that declare orphaned endpoints GONE, or an empty list if the next check is not due yet."""
         if now - self.checked_at < CHECK_INTERVAL:
             return []
         self.checked_at = now
--- a/zinclever/mesh/membership/receipt_quorum.py
+++ b/zinclever/mesh/membership/receipt_quorum.py
@@ -2,8 +2,9 @@
 
 A process that has acknowledged a drain may lose power immediately afterwards, together with as many control nodes as
 the fault model tolerates. The record therefore has to be held by one control node more than may be lost, and by the
-sidecar in front of the endpoint, which handles every request to it. The counts follow from the fault model and never
-from the current membership: a partitioned process receives no receipts and acknowledges nothing.
+sidecar in front of the endpoint, which handles every request to it. If that sidecar doesn't confirm the record, another
+sidecar suffices. The counts follow from the fault model and never from the current membership: a partitioned process
+receives no receipts and acknowledges nothing.
 """
 
 from __future__ import annotations
--- a/zinclever/mesh/membership/records.py
+++ b/zinclever/mesh/membership/records.py
@@ -17,7 +17,7 @@
 CONFIG_RECORD_ID = "config"  # id of the only record of kind VERSION
 RANGE_COUNT = 64  # hash ranges of keys, each with its own digest
 MAX_BODY_BYTES = 1000
-ENDED_RANK = 2  # lowest rank at which a node is dead or has left, or an endpoint is gone
+ENDED_RANK = 2  # lowest rank at which a node is dead or has left, or an endpoint is GONE
 DEPARTED_SEQ = 2**62  # seq of an endpoint that has departed; higher than that of any heartbeat
 
 
--- a/zinclever/mesh/membership/transmitter.py
+++ b/zinclever/mesh/membership/transmitter.py
@@ -27,7 +27,7 @@
     suspected: int = 0
     dead: int = 0
     refuted: int = 0
-    """Number of times that this node overrode a record that declared it suspect or dead."""
+    """Number of times that this node overrode a record of itself that it had not issued."""
 
     def as_dict(self) -> dict[str, int]:
         """Return the counters by name, as they are logged."""
