--- a/zinclever/mesh/transport/channel.py
+++ b/zinclever/mesh/transport/channel.py
@@ -59,7 +59,7 @@
         self.check_due_at = 0.0
         self.dial_started_at = -math.inf
         self.shortest_round_trip = 0.0
-        """In seconds, over all connections of this channel; 0 until a round trip has been measured."""
+        """Shortest round trip in seconds over all connections of this channel; 0 until one has been measured."""
         self.keep_alive_checked_at = 0.0
         self.unsent_bytes = 0
         """Size of the transport's write buffer at the last call of :meth:`keep_alive`."""
@@ -168,8 +168,9 @@
     def keep_alive(self) -> None:
         """Check the liveness of a channel with one-way traffic, which :meth:`check_liveness` does not cover.
 
-        Has to be called at least every :data:`KEEP_ALIVE_INTERVAL`. Bytes that were queued during a network partition
-        may stay unsent long after it heals. A silent connection is therefore aborted, and the next frame dials again.
+        The caller has to call it at least every :data:`KEEP_ALIVE_INTERVAL`. Bytes that were queued during a network
+        partition may stay unsent long after the partition has healed. A silent connection is therefore aborted, and the
+        next frame dials again.
         """
         now, connection = self.loop.time(), self.connection
         if connection is None or connection.transport is None:
@@ -196,13 +197,13 @@
     # --- the connection ---
 
     def begin_dial(self) -> None:
-        """Start dialing unless in progress. The dial time counts from this call, not from the start of the task."""
+        """Start dialing unless a dial is in progress. Its time counts from this call, not from the task's start."""
         if self.dial_task is None:
             self.dial_started_at = self.loop.time()
             self.dial_task = self.loop.create_task(self.dial())
 
     async def dial(self) -> None:
-        """Establish the connection. Waiting calls fail before the dial timeout, so that other peers can be tried."""
+        """Establish the connection. If this takes long, waiting calls fail early, so that other peers can be tried."""
         early_failure = self.loop.call_later(UNRESPONSIVE_AFTER + 2 * self.shortest_round_trip, self.fail_pending_calls)
         try:
             connection = await race_dials(self.loop, self.address, self.make_connection)
--- a/zinclever/mesh/transport/framed_connection.py
+++ b/zinclever/mesh/transport/framed_connection.py
@@ -16,7 +16,7 @@
 log = logging.getLogger(__name__)
 
 LENGTH_PREFIX_BYTES = 4
-MAX_FRAME_BYTES = 24 << 20  # room for two copies of a configuration of a few MB
+MAX_FRAME_BYTES = 24 << 20  # fits two copies of a configuration of a few MB
 TCP_USER_TIMEOUT_MS = 1500  # for unacknowledged bytes; TCP alone backs off its retransmissions exponentially
 
 OnFrame = Callable[["FramedConnection", Frame], None]
@@ -38,7 +38,7 @@
         self.closed = False
         self.pinged_at = 0.0
         self.shortest_round_trip = math.inf
-        """In seconds, measured by the pings on this connection."""
+        """Shortest round trip in seconds, measured by the pings on this connection; infinite until one is measured."""
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
