--- a/zinclever/mesh/configuration/document.py
+++ b/zinclever/mesh/configuration/document.py
@@ -146,8 +146,8 @@
 
     Args:
         text: JSON document in UTF-8.
-        is_checked: Skips the validation of fields, which was done before the configuration was committed. 2,000 routes
-            take a second to validate and 10 ms to parse.
+        already_validated: Skips the validation of fields, which was done before the configuration was committed. 2,000
+            routes take a second to validate and 10 ms to parse.
 
     Raises:
         MeshError: The text is invalid; the error has the path of the field.
--- a/zinclever/mesh/configuration/fetching.py
+++ b/zinclever/mesh/configuration/fetching.py
@@ -1,8 +1,8 @@
 """Scheduling of fetches of a newer configuration from peers, and queueing of the fetches of peers. No I/O.
 
-Gossip announces a new version, and its text is fetched from a peer. A peer that lags, is stalled or is behind a slow
-link answers late. Fetches are therefore hedged: further peers are asked in parallel with increasing delays, and the
-first answer is used, even a late one.
+Gossip announces a new version, and its text is fetched from a peer. A peer that doesn't have the version yet, is
+stalled or is behind a slow link answers late. Fetches are therefore hedged: further peers are asked in parallel with
+increasing delays, and the first answer is used, even a late one.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 MAX_OPEN_FETCHES = 3
 FETCH_TIMEOUT = 30.0  # s after which a fetch no longer counts as open
 MAX_WAITERS = 1024  # connections whose peers wait for a version
-WAITER_TIMEOUT = 5.0  # s after which a waiting fetch is dropped; its peer has asked others long before
+WAITER_TIMEOUT = 5.0  # s after which a waiting fetch is dropped; the peer has asked other processes by then
 
 ConnectionT = TypeVar("ConnectionT")
 RequestT = TypeVar("RequestT")
