--- a/zinclever/mesh/dataplane/ingress.py
+++ b/zinclever/mesh/dataplane/ingress.py
@@ -28,7 +28,7 @@
 CONNECT_TIMEOUT_MS = 400.0
 IDLE_TIMEOUT_MS = 9000.0  # for which an endpoint is assumed to keep an idle connection open
 QUIET_PERIOD = 0.1  # s of silence after which the endpoint may have dropped a connection without closing it
-LAST_BYTE_DELAY = 0.002  # s for which the last byte is then held back: a request that is reset before hasn't run
+LAST_BYTE_DELAY = 0.002  # s for which the last byte is then held back: a request that is reset within it hasn't run
 MAX_RECONNECTS = 2  # repeated sends after a connection broke before the request was complete
 ENDPOINT_HEADERS = b"X-Expected-Endpoint: %b\r\nX-Deadline-Ms: %d\r\n"
 
--- a/zinclever/mesh/dataplane/outbound_request.py
+++ b/zinclever/mesh/dataplane/outbound_request.py
@@ -40,7 +40,7 @@
     in_flight: int = 0
     """Attempts that have been forwarded and have not ended."""
     rejected_by: list[str] = field(default_factory=list)
-    """Endpoints that, themselves and not by their ingress, rejected the request: it is not sent to them again."""
+    """Endpoints that rejected the request themselves, rather than their ingress: it is not sent to them again."""
     may_have_run: bool = False
     attempt_log: list[str] = field(default_factory=list)
     """The endpoints and outcomes of the first :data:`MAX_LOGGED_ATTEMPTS` attempts."""
--- a/zinclever/mesh/dataplane/service_clients.py
+++ b/zinclever/mesh/dataplane/service_clients.py
@@ -21,7 +21,7 @@
 MAX_ATTEMPTS = 8  # attempts of a request that may reach an ingress; the route limits those that reach an endpoint
 CONNECT_TIMEOUT_MS = 400.0  # an unreachable sidecar is avoided for a multiple of this time
 ZONE_CROSSING_PRICE = 0.3  # another zone is preferred only if it leaves far more of the latency target
-HEDGE_DELAY_SHARE = 0.55  # of the latency target: longer than most answers take, but most hedges still meet the target
+HEDGE_DELAY_SHARE = 0.55  # of the latency target: above the standalone default, but most hedges still meet the target
 LATE_WORTH = 0.3  # value of an answer between latency target and deadline, relative to one within the target
 NO_ROUTE_MS = 1000.0  # latency target and deadline of the class for requests without a route
 
--- a/zinclever/mesh/roles/control.py
+++ b/zinclever/mesh/roles/control.py
@@ -185,7 +185,7 @@
             self.operator_calls.on_reply(action)
 
     def log_voters(self, action: VotersChanged) -> None:
-        """Log a change of the voters and its reason."""
+        """Log a change of the voters and its reason, on the leader only."""
         added, removed = action.change.added, action.change.removed
         log.info(
             "voters changed: %s",
--- a/zinclever/mesh/roles/local_endpoint.py
+++ b/zinclever/mesh/roles/local_endpoint.py
@@ -180,5 +180,5 @@
             self.claimed_since.setdefault(record.id, self.loop.time())
 
     def was_declared_gone(self, record: Record) -> bool:
-        """Return whether others declared the endpoint GONE although it hasn't departed and sent a later heartbeat."""
+        """Return whether others declared the endpoint GONE, although it sent a later heartbeat and hasn't departed."""
         return record.rank >= EndpointPhase.GONE and record.seq < min(DEPARTED_SEQ, self.heartbeat_seq)
