--- a/zinclever/mesh/membership/broadcasts.py
+++ b/zinclever/mesh/membership/broadcasts.py
@@ -15,7 +15,7 @@
 URGENT_RETRANSMITS = 3  # per urgent record
 STARTUP_PERIOD = 6.0  # s after the start during which a process knows few peers and retransmits records more often
 STARTUP_EXTRA_RETRANSMITS = 5  # additional retransmissions of each record during the startup period
-STARTUP_BYTES = 60_000  # bytes sent after which no retransmissions are added; digests deliver the rest
+STARTUP_BYTES = 60_000  # bytes sent after which no retransmissions are added; in large meshes, digests deliver the rest
 RECEIPT_RETRY_INTERVAL = 0.15  # s after which a record is resent to recipients that have not confirmed it
 
 
--- a/zinclever/mesh/membership/orphans.py
+++ b/zinclever/mesh/membership/orphans.py
@@ -1,8 +1,8 @@
 """Detects orphaned endpoints, whose sidecar has left the mesh without declaring them GONE. No I/O.
 
 Each process detects them independently and broadcasts the same record, so it doesn't matter which process is first.
-Otherwise the records of endpoints that were lost together with their machine would never expire and would fill the
-store.
+Without this detection, the records of endpoints that were lost together with their machine would never expire and would
+fill the store.
 """
 
 from __future__ import annotations
--- a/zinclever/mesh/operator_cli/commands.py
+++ b/zinclever/mesh/operator_cli/commands.py
@@ -120,7 +120,7 @@
 def explain(request_id: str, *core: str, json: bool = False) -> int:
     """Show why a request was refused or failed, as recorded by the sidecars that handled it.
 
-    :param request_id: its X-Attempt-Id
+    :param request_id: the X-Attempt-Id of the request
     :param core: addresses of control replicas, as host:port
     :param json: print JSON instead of a table
     """
@@ -137,7 +137,7 @@
 def disk(folder: Path, *, json: bool = False) -> int:
     """Print the state that a control replica has stored on its disk, without changing it.
 
-    :param folder: its StateDir
+    :param folder: the StateDir of the replica
     :param json: print JSON instead of a table
     """
     state = read_stored_state(folder)
--- a/zinclever/mesh/transport/framed_connection.py
+++ b/zinclever/mesh/transport/framed_connection.py
@@ -16,7 +16,7 @@
 log = logging.getLogger(__name__)
 
 LENGTH_PREFIX_BYTES = 4
-MAX_FRAME_BYTES = 24 << 20  # fits two copies of a configuration of a few MB
+MAX_FRAME_BYTES = 24 << 20  # large enough for two copies of a configuration of a few MB
 TCP_USER_TIMEOUT_MS = 1500  # for unacknowledged bytes; TCP alone backs off its retransmissions exponentially
 
 OnFrame = Callable[["FramedConnection", Frame], None]
