--- a/zinclever/interface.py
+++ b/zinclever/interface.py
@@ -37,11 +37,12 @@
     value: float = 1.0
     """Value of an answer within the target, relative to other classes."""
     repeat: Repeat = "at_most_once"
-    """What a repeated execution does: nothing, nothing within ``group`` and ``window``, or it takes effect again."""
+    """Effect of a repeated execution: none (``idempotent``), none within ``group`` and ``window`` (``deduplicated``),
+    or the request takes effect again (``at_most_once``)."""
     group: Literal["all", "zone", "cell"] = "all"
-    """Deduplicated classes: the endpoints that share the memory of keys and so discard a repeat."""
+    """For deduplicated classes: which endpoints share their record of keys, so that each of them discards a repeat."""
     window: float = 0.0
-    """Deduplicated classes: how long endpoints remember a key, counted from the first send that may have run."""
+    """For deduplicated classes: time for which endpoints remember a key, from the first send that may have run."""
     streamed: bool = False
     """The response is a stream."""
     late_worth: float = 0.0
@@ -104,13 +105,13 @@
     """Limits set by the protocol between clients, balancers, endpoints and discovery."""
 
     answer_slack: float = 0.0
-    """A final answer still counts when it comes this long after the deadline."""
+    """Time after the deadline for which a final answer still counts."""
     ask_within: float = 10000.0
     """Without a subscription, the endpoint list must be fetched at least this often."""
     drain_grace: float = 0.0
     """Time after which a draining endpoint must receive no more requests."""
     cold_share: float = 1.0
-    """Share of its capacity that an endpoint has at least when it starts (slow start)."""
+    """Minimum share of its capacity that an endpoint has when it starts (slow start)."""
     cold_for: float = 0.0
     """Time after its start by which an endpoint has its full capacity."""
     overload_factor: float = 3.0
@@ -138,7 +139,7 @@
     copy_ratio: float = 0.0
     """Hedges for each request, averaged over some seconds."""
     floor_per_s: float = 0.0
-    """Retries, and as many hedges, to each endpoint that are allowed whatever the ratios."""
+    """Retries to each endpoint that are allowed whatever the ratios; the same number of hedges is allowed too."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -171,7 +172,7 @@
     warm_keys: bool = False
     """An endpoint that served a key recently serves it with less work."""
     sizes_told: bool = True
-    """List entries carry a size that makes endpoints comparable."""
+    """List entries state the capacity of an endpoint relative to the others (:attr:`ListedEndpoint.size`)."""
     tick: float = 1.0
     """Minimum time between two batches of events."""
     shares: Shares = field(default_factory=Shares)
@@ -232,7 +233,7 @@
     """An update of the endpoint list.
 
     ``kind`` is ``whole`` (the full list), ``changes`` (changed entries only), ``remembered`` (the list that a previous
-    process stored) or ``refused`` (the call of discovery failed).
+    process stored) or ``refused`` (the call to discovery failed).
     """
 
     kind: ListKind
@@ -254,8 +255,8 @@
     client_retry: bool = False
     """The client marked the request as a retry."""
     uploading: bool = False
-    """The body is still being received, and the request's time starts with :class:`UploadEnded`. An attempt is sent the
-    body as it arrives and can't run before the body ends; the body is buffered for further attempts."""
+    """The body is still being received, and the request's time starts with :class:`UploadEnded`. The body is forwarded
+    to an attempt as it arrives, and buffered for further ones. The request can't be executed before the body ends."""
 
 
 class UploadEnded(NamedTuple):
@@ -266,13 +267,13 @@
 
 
 class RequestClosed(NamedTuple):
-    """The client has disconnected; it is owed no answer."""
+    """The client has disconnected; the request gets no answer."""
 
     request: str
 
 
 class StreamStarted(NamedTuple):
-    """The response of a streamed class has begun. From here on the client controls the attempt."""
+    """The response of a streamed class has begun. From here on the balancer neither cancels nor retries it."""
 
     request: str
     attempt: int
@@ -349,7 +350,10 @@
 
 
 class Refuse(NamedTuple):
-    """Final answer: nothing was executed, so that a retry is harmless. ``retry_after`` of 0 gives no retry delay."""
+    """Final answer: a retry is harmless, as nothing was executed or a repeated execution has no effect.
+
+    A ``retry_after`` of 0 gives no retry delay.
+    """
 
     request: str
     retry_after: float = 0.0
--- a/zinclever/policy/balancer.py
+++ b/zinclever/policy/balancer.py
@@ -1,9 +1,10 @@
 """The balancer: turns events into actions. Settings, events and actions are defined in :mod:`zinclever.interface`.
 
-Usually a request goes to the better of two random ready endpoints that it has not used yet, compared by payoff over
-(1 + own in-flight requests). After each fixed delay without an answer an idempotent request is hedged on an endpoint
-that it has not used; the first good answer wins and the other attempts are cancelled. The other modules of this package
-keep the endpoint list, select endpoints, admit requests and learn from outcomes.
+Usually a request goes to the better of two random ready endpoints that it has not used yet. They are compared by their
+payoff (share of good answers over relative latency), divided by (1 + own in-flight requests). After each fixed delay
+without an answer an idempotent request is hedged on an endpoint that it has not used; the first good answer wins and
+the other attempts are cancelled. The other modules of this package keep the endpoint list, select
+endpoints, admit requests and learn from outcomes.
 """
 
 from __future__ import annotations
@@ -70,7 +71,7 @@
         elif isinstance(event, interface.RequestArrived):
             self.on_arrived(now, event)
         elif isinstance(event, interface.TimerFired):
-            if now >= self.timer_at:  # otherwise an earlier timer replaced this one
+            if now >= self.timer_at:  # otherwise this timer was superseded by an earlier one
                 self.timer_at = NEVER
             self.send_due_hedges(now)
         elif isinstance(event, interface.MembershipUpdate):
@@ -108,7 +109,7 @@
         if request.is_uploading:
             self.send_early(now, request)
         elif event.client_retry and klass.settings.late_worth == 0 and self.admission.is_saturated():
-            # The client's first try has used up most of the target: others can still be answered in time.
+            # The client's first try has used up most of the target; others can still be answered in time.
             self.refuse_or_fail(now, request)
         elif not self.admission.admits(now, request) or not self.send(now, request):
             self.admission.hold(request)
@@ -121,7 +122,7 @@
         attempt = request.attempts[event.attempt]
         if not attempt.is_open:
             return
-        if not attempt.is_in_flight:  # its body was still being received: it was not in flight and took no time
+        if not attempt.is_in_flight:  # its body was still being received, so that its time had not started
             self.count_in_flight(now, request, attempt)
             event = event._replace(elapsed=0.0)
         attempt.is_open = False
@@ -155,7 +156,7 @@
     def send_early(self, now: float, request: Request) -> None:
         """Start an attempt while the request's body is still being received, if there is capacity.
 
-        The endpoint then has most of the body by the time it ends. One attempt is kept for the complete body.
+        The endpoint then has most of the body when the upload ends. One attempt is reserved for the complete body.
         """
         if len(request.attempts) < self.limits.max_attempts - 1 and self.admission.admits(now, request):
             self.send(now, request)
@@ -210,7 +211,7 @@
         if outcome in ("cancelled", "not_sent") or not self.may_send(now, request):
             return False
         if self.retry_budget is not None and outcome != "barred" and not self.retry_budget.take(now):
-            return False  # a barred attempt has reached no endpoint, so that a retry adds no load
+            return False  # the retry of a barred attempt takes no token: that attempt added no load to an endpoint
         if not self.admission.admits(now, request) or not self.send(now, request):
             if request.open_attempts:
                 return True
@@ -242,7 +243,7 @@
 
     def refuse_or_fail(self, now: float, request: Request) -> None:
         """Give the final answer to a request that no attempt will answer."""
-        # Classes without value in a late answer: clients are advised not to retry a request that would be late anyway.
+        # If late answers have no value, the longest retry delay keeps clients from retrying a request in vain.
         is_futile = self.limits.retry_after and request.klass.settings.late_worth == 0
         retry_after = self.limits.max_retry_after if is_futile else 0.0
         self.actions.append(
@@ -251,7 +252,7 @@
         self.close(now, request)
 
     def close(self, now: float, request: Request) -> None:
-        """Close a request: cancel its open attempts, whose outcomes are still learned from."""
+        """Close a request and cancel its open attempts unless it streams. Their outcomes are still learned from."""
         if not request.is_closed:
             request.is_closed = True
             if request.is_held:
@@ -269,7 +270,7 @@
                     self.actions.append(interface.Cancel(request.id, n))
 
     def send_held(self, now: float) -> None:
-        """Refuse held requests that would be answered too late, and send the most valuable while there is capacity."""
+        """Refuse held requests that would be answered too late; send the most valuable ones while there is capacity."""
         for request in self.admission.expire_held(now):
             self.refuse_or_fail(now, request)
         if not self.admission.has_capacity():
@@ -317,7 +318,7 @@
         return True
 
     def count_in_flight(self, now: float, request: Request, attempt: Attempt) -> None:
-        """Count an attempt as in flight from now on, and watch for its being overdue."""
+        """Count an attempt as in flight from now on, and watch whether it becomes overdue."""
         endpoint = attempt.endpoint
         if not endpoint.inflight:
             endpoint.silent_since = now - endpoint.silence(now)
@@ -334,8 +335,8 @@
     def send_due_hedges(self, now: float) -> None:
         """Hedge each request that is still unanswered after its delay.
 
-        No hedge is sent in overload or before the in-flight window is known: hedges could overload a fleet that just
-        carries its load.
+        No hedge is sent in overload or before the in-flight window is known: hedges could overload a fleet that
+        has little capacity left.
         """
         is_blocked = self.admission.is_saturated() or now < self.learner.first_answer_at + RATE_SPAN
         for klass in self.classes:
@@ -355,7 +356,7 @@
     # --- time ---
 
     def set_timer(self, now: float) -> None:
-        """Keep one timer, set for whatever is due first."""
+        """Set a timer for the earliest due instant unless an earlier one is set."""
         due = min(self.endpoint_list.fetch_at, self.stalled_attempts.next_due())
         if self.admission.held_count:
             due = min(due, self.admission.next_due(now))
--- a/zinclever/policy/endpoint_list.py
+++ b/zinclever/policy/endpoint_list.py
@@ -13,13 +13,13 @@
 from .partition import ZonePartition
 from .requests import Request
 
-INITIAL_RETRY_DELAY = 300.0  # ms before discovery is called again, doubled with each refusal
-MIN_POOL = 3.0  # unused endpoints to draw two from when hundreds of balancers share them
+INITIAL_RETRY_DELAY = 300.0  # ms: base of the delay until discovery is called again, doubled by each refusal
+MIN_POOL = 3.0  # minimum size of the pool from which two endpoints are drawn
 MIN_BALANCERS_PER_ENDPOINT = (
-    10.0  # balancers that draw on each endpoint at least, so that their uneven loads average out
+    10.0  # minimum number of balancers that use each endpoint, so that their uneven loads average out
 )
 HOME_PREFERRED_PRICE = 0.05  # price of crossing zones from which the home zone is preferred over a wider choice
-INCREMENTAL_SHARE = 0.1  # share of the list up to which changes are applied one by one
+INCREMENTAL_SHARE = 0.1  # share of the list below which changes are applied one by one
 
 
 class EndpointList:
@@ -32,7 +32,7 @@
         self.gone_in_flight: set[Endpoint] = set()  # removed from the list with attempts in flight
         self.by_cell = any(c.group == "cell" for c in settings.classes)
         self.cells: dict[int, list[Endpoint]] = {}  # ready endpoints by cell, kept only if a class is bound to cells
-        self.near, self.far = ZonePartition(), ZonePartition()  # far: zones that cost something to cross to
+        self.near, self.far = ZonePartition(), ZonePartition()  # far: zones that are costly to cross to
         self.fetch_at = -NEVER if settings.discovery == "on_request" else NEVER
         self.refusals = 0
         self.balancers_per_endpoint = float(settings.group_size)  # fewer than all with a subset
@@ -128,7 +128,7 @@
         return self.settings.prices.cross_zone < HOME_PREFERRED_PRICE or endpoint.zone == self.settings.zone
 
     def on_fetched(self, now: float) -> None:
-        """Schedule the next call if discovery does not answer within half of the allowed interval."""
+        """Schedule another call in case discovery does not answer within half of the allowed interval."""
         self.fetch_at = now + self.rules.ask_within / 2
 
     def partition_of(self, endpoint: Endpoint) -> ZonePartition:
@@ -140,7 +140,7 @@
         return self.near.inflight + self.far.inflight
 
     def pool_size(self) -> float:
-        """Return how many unused endpoints to draw from: few, as others share them, and more with more in flight."""
+        """Return the size of the pool to draw from: small if many balancers share it, larger with more in flight."""
         shared = MIN_BALANCERS_PER_ENDPOINT * len(self.ready) / self.balancers_per_endpoint
         return max(MIN_POOL, shared) + self.inflight()
 
--- a/zinclever/policy/learning.py
+++ b/zinclever/policy/learning.py
@@ -14,7 +14,7 @@
 from .slow_start import SlowStart
 from .zone_crossing import ZoneCrossing
 
-UNLOADED_MIN_ANSWERS = 50.0  # answers after which the lowest mean is kept; before, the current mean is used
+UNLOADED_MIN_ANSWERS = 50.0  # recent answers above which the lowest mean is kept; before, the current mean is used
 UNLOADED_DRIFT = 0.0002  # relative increase of the unloaded latency with each answer
 
 
@@ -47,12 +47,12 @@
         endpoint, klass = attempt.endpoint, request.klass
         endpoint.inflight -= 1
         if outcome == "barred":
-            # No endpoint was reached, which says nothing about load; endpoints with open connections are preferred now.
+            # No endpoint was reached, so nothing is learned about load. The failure makes other endpoints preferred.
             endpoint.success.add(now, 0.0)
             if not endpoint.inflight:
                 endpoint.silent_until = now
             return
-        # The cost of an answer includes the time in flight of all its attempts, cancelled ones among them.
+        # The cost of an answer includes the time in flight of all its attempts, including cancelled ones.
         count = 1.0 if outcome == "served" else 0.0
         duration = min(event.elapsed, attempt.overdue_at - attempt.sent_at) if attempt.is_stalled else event.elapsed
         klass.occupancy.add(now, duration, 1.0, count)
@@ -111,7 +111,7 @@
         """Update reachability and slow start with an answer that took ``ratio`` times the unloaded latency.
 
         Protects endpoints that have just started while the lists of hundreds of balancers are late: each balancer would
-        send them as much as a warm endpoint.
+        send them as much as it sends to a warm endpoint.
         """
         since = self.reachability.on_answer(now, endpoint.zone)
         if since is not None:
--- a/zinclever/policy/partition.py
+++ b/zinclever/policy/partition.py
@@ -45,7 +45,7 @@
         self.window = InflightWindow()
 
     def replace_all(self, now: float, ready: list[Endpoint], cold_for: float) -> None:
-        """Replace the list. The cost grows with its length, that of draws between two lists doesn't."""
+        """Replace the list. The cost grows with the length of the list; the cost of a draw does not."""
         self.ready, self.cumulative_sizes, self.ring, self.up = ready, [], None, []
         self.down, self.cold = ExpiringSet[Endpoint](), ExpiringSet[Endpoint]()
         for endpoint in ready:
--- a/zinclever/policy/requests.py
+++ b/zinclever/policy/requests.py
@@ -10,7 +10,7 @@
 from .partition import ZonePartition
 
 HEDGE_DELAY_SHARE = 0.36  # of the class's target: most requests are answered by then, and a hedge can still be in time
-UNLOADED_LATENCY_SHARE = 0.4  # of the target: an unloaded fleet answers within it, or the target would be out of reach
+UNLOADED_LATENCY_SHARE = 0.4  # of the target: presumed latency of an unloaded fleet until it is measured
 
 
 class Attempt:
@@ -38,7 +38,7 @@
 
 
 class Request:
-    """A request that is still owed an answer, or that has open attempts."""
+    """A request that has no final answer yet, or that has open attempts."""
 
     __slots__ = (
         "attempts",
--- a/zinclever/policy/selection.py
+++ b/zinclever/policy/selection.py
@@ -1,4 +1,4 @@
-"""Endpoint selection: power of two choices, by payoff over (1 + own in-flight requests)."""
+"""Endpoint selection: power of two choices, by payoff divided by (1 + own in-flight requests)."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from .zone_crossing import ZoneCrossing
 
 SILENCE_TOLERANCE = 1.5  # mean latencies for which an endpoint may be silent before its payoff is reduced
-PRIOR_ANSWERS = 1.0  # answers that an endpoint's payoff takes to outweigh the prior, which is the fleet's mean
+PRIOR_ANSWERS = 1.0  # weight, in answers, of the prior of an endpoint's payoff, which is the fleet's mean
 FULL_ZONE_GAIN = 0.6  # probability of an answer in time that a request gains by leaving a full home zone
 SMALL_PARTITION = 4  # endpoints up to which a partition is scanned: random draws would mostly hit used ones
 MAX_DRAWS = 8  # draws of ineligible endpoints before a partition is scanned
-MAX_SCANNED = 64  # most endpoints that are scanned; larger partitions are sampled, or scanned in part
+MAX_SCANNED = 64  # maximum number of endpoints that are scanned; larger partitions are sampled, or scanned in part
 RECENT_KEYS = 32  # latest requests by which hot keys are detected
 WARM_KEY_GAIN = 1.4  # factor on the score of an endpoint that probably has the key cached
 
@@ -48,7 +48,8 @@
         """Return the better of two random ready endpoints that the request has not used, drawn by size.
 
         Drawing by size protects small endpoints from an even share of the load: a balancer with little traffic gets too
-        few answers from each endpoint to detect them by their payoff. Returns None if no endpoint is eligible.
+        few answers from each endpoint to detect them by their payoff. If there is no unused endpoint, a used one is
+        returned if it is eligible, else None.
         """
         drawn: tuple[Endpoint, Endpoint, float] | None = None
         for partition in self.partitions(now, request):
@@ -82,7 +83,7 @@
     def draw_two(
         self, now: float, request: Request, partition: ZonePartition
     ) -> tuple[Endpoint, Endpoint, float] | None:
-        """Draw two endpoints of a partition, by sampling or by scanning at most MAX_SCANNED or ``pool_size`` of it."""
+        """Draw two endpoints of a partition, by sampling, or by scanning at most MAX_SCANNED endpoints."""
         count = len(partition.ready)
         pool_count = int(min(self.endpoint_list.pool_size(), count))
         if count <= MAX_SCANNED:
@@ -127,7 +128,8 @@
     ) -> tuple[Endpoint, Endpoint, float] | None:
         """Draw from a large partition that is mostly down: any endpoint, and one that is not marked as down.
 
-        The fault is then as likely on this balancer's side. A single endpoint that answers is found at once.
+        The fault may then be on this balancer's side, so endpoints marked as down are tried too. The second draw finds
+        a single endpoint that answers at once.
         """
         other = self.first_eligible(
             now, request, [partition.sample_by_size(self.rng, len(partition.ready)) for _ in range(MAX_DRAWS)]
@@ -160,7 +162,7 @@
         """Draw two of the first ``count`` endpoints of a partition, at a cost that doesn't grow with it.
 
         Draws by size are repeated while they hit ineligible endpoints, which gives the eligible ones the same shares as
-        a pool of just these. Returns None if few are eligible.
+        a pool of only these. Returns None if two are not found within MAX_DRAWS draws each.
         """
         first = self.key_owner(now, request, partition is self.endpoint_list.near)
         gain = WARM_KEY_GAIN if first else 1.0
@@ -263,11 +265,11 @@
                 up.append(endpoint)
                 if len(up) >= enough:
                     break
-        # If most of them look down, the fault is as likely on this side: all of them are tried.
+        # If most look down, the fault may be on this balancer's side, so those marked as down are tried too.
         return up if len(up) >= len(down) else up + down
 
     def score(self, now: float, endpoint: Endpoint) -> float:
-        """Return payoff over (1 + own in-flight requests). Payoff: share of good answers over relative latency."""
+        """Return payoff / (1 + own in-flight requests). Payoff is the share of good answers over relative latency."""
         payoff = endpoint.success.mean(now, 1.0, PRIOR_ANSWERS) / endpoint.latency.mean(now, 1.0, PRIOR_ANSWERS)
         silence = endpoint.silence(now)
         if silence > 0.0:
--- a/zinclever/policy/slow_start.py
+++ b/zinclever/policy/slow_start.py
@@ -10,13 +10,13 @@
 from .endpoint_list import EndpointList
 from .endpoints import Endpoint
 
-CAPACITY_FACTOR = 1.25  # on the measured share of capacity; capped at half of the factor that overloads a cold endpoint
-MAX_MEASURED = 256  # most warm endpoints whose answers are measured
+CAPACITY_FACTOR = 1.25  # on the presumed capacity of a cold endpoint; limited to half of ``overload_factor``
+MAX_MEASURED = 256  # maximum number of warm endpoints whose answers are measured
 HELD_CHECK_INTERVAL = 10.0  # ms between two checks of the held requests
 
 
 class SlowStart:
-    """Decides how much of its capacity a cold endpoint may be sent by this balancer."""
+    """Limits the requests that this balancer sends to cold endpoints."""
 
     def __init__(self, settings: interface.Settings, endpoint_list: EndpointList) -> None:
         self.rules, self.endpoint_list = settings.rules, endpoint_list
@@ -26,15 +26,15 @@
 
     def is_cold(self, now: float, endpoint: Endpoint) -> bool:
         """Return whether an endpoint has started recently or is presumed to have."""
-        # 0 stands for a start long ago: with a clock near 0 all endpoints would be cold otherwise.
         if is_presumed_cold(
             now - self.rules.cold_for, endpoint.presumed_cold_at, endpoint.failures, self.endpoint_list.refusals
         ):
             return True
+        # 0 stands for a start long ago: with a clock near 0 all endpoints would be cold otherwise.
         return endpoint.started_at != 0.0 and endpoint.started_at + self.rules.cold_for > now
 
     def capacity_share(self, now: float, endpoint: Endpoint) -> float:
-        """Return the share of its capacity that a cold endpoint has at least."""
+        """Return the minimum share of its capacity that a cold endpoint has."""
         age = max(0.0, now - max(endpoint.started_at, endpoint.presumed_cold_at))
         return self.rules.cold_share + (1.0 - self.rules.cold_share) * age / self.rules.cold_for
 
@@ -44,7 +44,7 @@
         The bucket is filled at CAPACITY_FACTOR times the endpoint's share of its capacity, times the rate at which a
         warm endpoint of its size answers this balancer. Warm endpoints answer what they are sent, which is less than
         their capacity. Answers are measured rather than sends, which grow with retries in overload. A bucket starts
-        with a random part of one token, as one send each from hundreds of balancers would be a burst.
+        with a random part of one token, as one attempt from each of hundreds of balancers at once would be a burst.
         """
         if not self.is_cold(now, endpoint):
             return True
@@ -70,7 +70,7 @@
     def mark_cold(self, now: float, endpoint: Endpoint, since: float) -> None:
         """Treat an endpoint as cold since an instant, whatever the list says.
 
-        With NEVER it may be cold when it answers, and attempts until then are limited as for a cold endpoint. This
+        NEVER stands for an unreachable endpoint: attempts are limited as for a cold one until it answers. This
         keeps an endpoint that returns unnoticed from getting a first attempt from every balancer at once.
         """
         endpoint.presumed_cold_at, endpoint.tokens, endpoint.tokens_at = since, self.endpoint_list.rng.random(), now
@@ -86,10 +86,10 @@
                     self.endpoint_list.partition_of(endpoint).cold.members.discard(endpoint)
 
     def measure_warm(self, now: float) -> None:
-        """Measure the answer rate of the warm endpoints in use, by size. With few warm endpoints the last rate is kept.
+        """Measure the answer rate of warm endpoints per unit of size. With few warm endpoints the last rate is kept.
 
-        A zone that is cold as a whole is measured by the other zones. By its own demand, the retries of its clients
-        after an outage would be taken for its capacity.
+        If all endpoints of a zone are cold, the rate of the other zones is used for it. Its own demand would include
+        the retries of its clients after an outage.
         """
         self.measured_at = now
         limit = int(min(self.endpoint_list.pool_size(), MAX_MEASURED))
--- a/zinclever/policy/stalled_attempts.py
+++ b/zinclever/policy/stalled_attempts.py
@@ -9,10 +9,10 @@
 from .requests import Attempt, ClassState, Request
 
 OVERDUE_LATENCIES = 1.8  # mean latencies after which most attempts that are still open are never answered
-OWN_WORK_FACTOR = 2.0  # times the request's own work, added to that, so that large requests are not restarted in vain
+OWN_WORK_FACTOR = 2.0  # multiple of the request's own work added to the expected time, as large requests take longer
 STALLED_FACTOR = 1.5  # times the expected time after which an open attempt counts as lost
 STALLED_THRESHOLD = 0.08  # share of lost attempts above which stalled attempts are acted upon
-STALLED_PRIOR = 20.0  # attempts that it takes to outweigh the prior of no loss
+STALLED_PRIOR = 20.0  # weight, in attempts, of the prior that none is lost
 UNLOADED_SHARE = 0.3  # share of the target below which a class's mean latency shows no overload
 MIN_LATENCIES_LEFT = 0.7  # mean latencies that an attempt needs to have a chance of finishing
 
@@ -43,13 +43,16 @@
         )
 
     def is_indicative(self, request: Request) -> bool:
-        """Return whether a request's attempts count in the share of lost ones; deduplicated requests move before."""
+        """Return whether a request's attempts count in the share of lost ones.
+
+        Those of deduplicated requests don't: such requests move to another endpoint before an attempt counts as lost.
+        """
         return request.klass.settings.repeat != "deduplicated"
 
     def is_stalling(self, now: float, klass: ClassState) -> bool:
         """Return whether more attempts are overdue than slow answers explain, while the answers that come are quick.
 
-        In overload the answers are slow, so that no load is added to an overloaded fleet.
+        In overload the answers are slow and the result is False, so that no load is added to an overloaded fleet.
         """
         return (
             klass.mean_latency < UNLOADED_SHARE * klass.settings.aim
@@ -65,7 +68,7 @@
         flight until its request's deadline, and the full window looks like overload and blocks the hedges that would
         help.
 
-        If a fleet is overloaded faster than the mean latency follows, this adds load. The amount is bounded by
+        If overload begins faster than the mean latency rises, this adds load. The amount is bounded by
         MAX_STALLED_SHARE and by the latest instant at which a request may be sent.
         """
         while self.pending and (self.pending[0][0] <= now or not self.pending[0][3].is_open):
--- a/zinclever/policy/zone_crossing.py
+++ b/zinclever/policy/zone_crossing.py
@@ -8,10 +8,10 @@
 from ..fleet.decaying_mean import DECAY_TIME, DecayingMean
 from .requests import UNLOADED_LATENCY_SHARE, Request
 
-CROSSING_STEP = 0.25  # of the price: gain, in targets, from which some requests leave home, which also relieves it
-HOME_PRIOR = 0.3  # answers that it takes to outweigh the prior that home is as good as the other zones
-TARGET_SLACK = 0.5  # mean share of the target left by answers below which requests are shed; at half of it all are
-SHED_PRIOR = 3.0  # attempts before anything is shed, and weight of the prior
+CROSSING_STEP = 0.25  # of the price: gain, as a share of the target, above which some requests leave home
+HOME_PRIOR = 0.3  # weight, in answers, of the prior that home is as good as the other zones
+TARGET_SLACK = 0.5  # requests are shed if answers leave less than this share of the target; most at half of it
+SHED_PRIOR = 3.0  # weight of the prior, in attempts; nothing is shed before more attempts have ended
 MAX_SHED_SHARE = 0.95  # largest share of the demand that is shed; the rest shows when the overload is over
 
 
