--- a/zinclever/fleet/decaying_mean.py
+++ b/zinclever/fleet/decaying_mean.py
@@ -17,7 +17,7 @@
         self.tau, self.total, self.weight, self.updated_at = tau, 0.0, 0.0, -NEVER
 
     def add(self, now: float, value: float, weight: float = 1.0, count: float = 1.0) -> None:
-        """Add a sample. ``count`` scales the weight that is accumulated, but not the value."""
+        """Add a sample. ``count`` scales its weight in the divisor of the mean, but not its value."""
         if now > self.updated_at:
             decay = math.exp((self.updated_at - now) / self.tau)
             self.total, self.weight, self.updated_at = self.total * decay, self.weight * decay, now
--- a/zinclever/fleet/layout.py
+++ b/zinclever/fleet/layout.py
@@ -15,7 +15,7 @@
 
 from .. import interface
 
-MAX_LOAD_FACTOR = 0.85  # share of used slots above which the table grows, as changes of a fuller one move more servers
+MAX_LOAD_FACTOR = 0.85  # share of used slots above which the table grows, as changes to a fuller one move more servers
 MIN_LOAD_FACTOR = 0.4  # below it the table shrinks; far below the maximum, so that a flapping list causes no rebuilds
 GROWTH_FACTOR = 1.25  # 68 % to 85 % of the slots are in use after growing
 MIN_TABLE_SIZE = 8  # slots
--- a/zinclever/fleet/limits.py
+++ b/zinclever/fleet/limits.py
@@ -1,6 +1,6 @@
 """One instance's share of limits that hold for all instances together.
 
-Nobody counts the totals: each instance knows the size of the group and takes its share. If that size is wrong, refusals
+No instance counts the totals: each one knows the size of the group and takes its share. If that size is wrong, refusals
 by the servers reduce the share (additive increase, multiplicative decrease, as in RFC 5681). A share that grows does so
 slowly, so that a change of the group causes no burst.
 """
@@ -17,20 +17,20 @@
 STEADY_SHARE = 2.0 / 3.0  # of a cap per second: with what is saved up, no second exceeds the cap
 EQUAL_SHARE = 0.5  # of the connection cap, shared evenly
 BUSY_SHARE = 0.25  # of the connection cap, for busy instances; the rest is headroom for uneven load
-UNEVEN_FACTOR = 1.5  # of its even share that may go to one server: EQUAL_SHARE * UNEVEN_FACTOR + BUSY_SHARE = 1
+UNEVEN_FACTOR = 1.5  # factor on the even share for one server: EQUAL_SHARE * UNEVEN_FACTOR + BUSY_SHARE = 1
 INCREASE_INTERVAL = 1_000.0  # ms between two increases for an instance that lacks connections
-INCREASE_STEP = 0.15  # relative increase: a fault of seconds makes no instance busy, a minute of load does
+INCREASE_STEP = 0.15  # relative increase: a fault of seconds raises the share little, a minute of load much
 DECREASE_AFTER = 30_000.0  # ms without exhaustion after which what exceeds the equal share is given back, step by step
 BACKOFF_FACTOR = 0.7  # factor on the share for each refusal
 BACKOFF_INTERVAL = 250.0  # ms between two reductions, as refusals of one burst count once
 MAX_SPREAD_SHARE = 0.8  # of the interval within which the list must be fetched; the rest is left for a slow answer
 MIN_RETRY_DELAY = 300.0  # ms
-MAX_RETRY_SHARE = 1.0 / 3.0  # of that interval, between two retries if the cap on calls permits it
-MAX_FAILED_FACTOR = 3.5  # of that interval at most: the rules allow four intervals after a failed call
+MAX_RETRY_SHARE = 1.0 / 3.0  # of ``ask_within``: longest delay between two retries if the cap on calls permits it
+MAX_FAILED_FACTOR = 3.5  # of ``ask_within``: longest delay in any case, as the rules allow 4 after a failed call
 MAX_WATCH_TIMEOUT = 120_000.0  # ms; a discovery that has become silent is noticed no sooner
 MAX_DEAD_SHARE = 0.3  # of recent connects that may fail because servers have died; losing a data centre exceeds it
-DEAD_PRIOR = 10.0  # successful connects that the prior counts for
-ALIVE_WINDOW = 2_000.0  # ms after its last answer for which an unreachable server counts as full rather than dead
+DEAD_PRIOR = 10.0  # connects added to the recent ones, so that a few failures do not exceed the limit
+ALIVE_WINDOW = 2_000.0  # ms after a last answer during which an unreachable server counts as full rather than dead
 MIN_SHARE_FACTOR = 1.0 / 64.0  # of the equal share; with less an instance could not notice that capacity is back
 
 
@@ -71,7 +71,7 @@
 class Budget:
     """A budget of retries or hedges: a share of the recent requests, and a floor for low traffic.
 
-    One token is kept without decay, so that an instance with less than a request in some seconds can retry at all.
+    One token is kept without decay, so that an instance with very few requests can retry at all.
     """
 
     __slots__ = ("balance", "floor", "ratio", "updated_at")
@@ -160,8 +160,8 @@
         self.connects = ConnectStatistics()
 
     def configure(self, shares: Shares, group_size: int, servers: int, subset_size: int) -> None:
-        """Take the caps on each of ``servers`` in a group of ``group_size``, where this instance uses ``subset_size``
-        servers.
+        """Set the caps on each of ``servers`` servers in a group of ``group_size`` instances. This instance uses
+        ``subset_size`` of the servers.
 
         A smaller share takes effect at once; a larger one is reached in steps, as the reported group size may be wrong.
         """
@@ -224,7 +224,7 @@
         return True
 
     def approach_equal_share(self, now: float) -> None:
-        """Move the share towards the equal share: up at once, down after a time without exhaustion."""
+        """Move the share towards the equal share in steps; down only after some time without exhaustion."""
         if self.adjusted_at == -math.inf:
             self.adjusted_at = now
         if now - self.adjusted_at < INCREASE_INTERVAL:
--- a/zinclever/fleet/ring.py
+++ b/zinclever/fleet/ring.py
@@ -49,7 +49,7 @@
         del self.positions[index], self.sizes[index], self.owners[index]
 
     def owner_of(self, seed: int) -> T:
-        """Return the owner that follows one of the key's probes most closely, its distance divided by its size.
+        """Return the owner at the least distance after any of the key's probes, divided by the owner's size.
 
         Raises:
             IndexError: the ring is empty.
--- a/zinclever/fleet/subset.py
+++ b/zinclever/fleet/subset.py
@@ -17,16 +17,16 @@
 from .layout import GOLDEN, MASK, Layout, Placement, mix
 from .limits import EQUAL_SHARE
 
-MIN_INSTANCES_PER_SERVER = 10.0  # instances that share each server at least, so that their uneven loads average out
+MIN_INSTANCES_PER_SERVER = 10.0  # minimum that share each server, so that their uneven loads average out
 INFLIGHT_PER_SERVER = 2.0  # requests in flight for each server above which the subset grows with the load
-WIDEN_FACTOR = 1.25  # least factor by which it grows
+WIDEN_FACTOR = 1.25  # minimum factor by which it grows
 NARROW_AFTER = 30_000.0  # ms of lower load before the subset shrinks
-NARROW_FACTOR = 0.875  # of the load's width that is kept at each step
+NARROW_FACTOR = 0.875  # minimum factor on the width that the load requires when the subset shrinks
 MIN_FAR_SERVERS = 4  # servers of the other zones, kept as fallback for the home zone
 MIN_SERVERS = 3  # servers in each subset whatever the caps: after a failure two are left to choose from
 CELL_PEERS = 2  # servers of each cell, if a class may be repeated within its cell only
 REPLACED_FOR = 5_000.0  # ms for which an unreachable server is replaced by another
-PROBES_PER_SERVER = 8  # visited slots for each server needed; finds half of them with a tenth of the table in use
+PROBES_PER_SERVER = 8  # maximum number of slots visited for each server needed, in case few slots are in use
 
 
 def visited_slots(instance: int, group_size: int, size: int) -> Iterator[int]:
@@ -71,8 +71,8 @@
     zone: int | None = None
     """The home zone; None: zones are ignored."""
     connections: float = 0.0
-    """Cap on open connections to each server, of all instances. It bounds the subset, so that a connection is left for
-    each of its servers. 0: no cap."""
+    """Cap on open connections of all instances to each server; 0: no cap. It bounds the subset, so that the instance
+    can hold a connection to each server of it."""
     has_cell_classes: bool = False
     """A class may be repeated within its cell only, so that each cell needs a second server."""
 
@@ -187,7 +187,7 @@
         """Update the subset and return the changes for the balancer: new or changed servers, and removed ones as
         ``gone``.
 
-        Requests in flight on a removed server end by themselves. The cost depends on the size of the subset, not of the
+        Requests in flight on a removed server are not cancelled. The cost depends on the size of the subset, not of the
         fleet.
         """
         while self.replacement_ends and self.replacement_ends[0][0] <= now:
@@ -213,7 +213,8 @@
     def walk(self, layout: Layout, width: int) -> dict[str, Placement]:
         """Return the first ``width`` reachable servers that this instance visits, and the unreachable ones on the way.
 
-        If most servers would be visited all are taken, as the last ones of a walk take long to find.
+        All servers are returned if ``width`` is at least half of them or as many are unreachable, as the last ones of a
+        walk take long to find.
         """
         if 2 * width >= len(layout) or (2 * len(self.unreachable) >= len(layout)):
             return dict(layout.placements)
@@ -231,7 +232,7 @@
         return selected
 
     def cell_peers(self, placement: Placement) -> dict[str, Placement]:
-        """Return servers of a server's cell, chosen so that each is chosen about equally often."""
+        """Return up to CELL_PEERS servers of a server's cell. Over all instances each is chosen about as often."""
         cell = self.cells.get(placement.listed.cell, {})
         names = sorted(cell, key=lambda n: cell[n].hash ^ mix(self.spec.instance))
         return {n: cell[n] for n in names[:CELL_PEERS]}
--- a/zinclever/fleet/window.py
+++ b/zinclever/fleet/window.py
@@ -9,12 +9,12 @@
 MIN_RATE_SPAN = 100.0  # ms: shortest record from which a rate is computed
 RATE_SPAN = 1000.0  # ms over which the rate of service is averaged
 UNLOADED_RATIO = 1.15  # ratio of latency to unloaded latency below which a full window may grow
-GROWTH = 0.02  # increase with each answer, up to half of the service rate's need
-SHRINK = 0.95  # factor on that increase with each answer while latency is higher
+GROWTH = 0.02  # requests by which a full window grows with each answer, up to half of what the rate of service needs
+SHRINK = 0.95  # factor on the total growth with each answer while latency is higher
 PEAK_SPAN = 15000.0  # ms: time constant with which the best rate of service decays
 DEVIATIONS = 3.0  # standard deviations of headroom above the fleet's mean number in flight
 START_INFLIGHT = 10.0  # requests in flight for each endpoint, of all balancers, until rates are known
-START_PERIOD = 2000.0  # ms for which the start is taken to last
+START_PERIOD = 2000.0  # ms after the first answer during which the window is at least as large as at the start
 
 
 class InflightWindow:
@@ -46,7 +46,7 @@
             requests_waiting: whether requests are held for lack of capacity.
             endpoints: number of endpoints on this side.
             balancers_per_endpoint: number of balancers that share each endpoint.
-            min_size: capacity that is always added.
+            min_size: number of requests that is always added to the size.
         """
         self.first_answer_at = min(self.first_answer_at, now)
         age = max(now - self.first_answer_at, MIN_RATE_SPAN)
--- a/zinclever/fleet/zone_reachability.py
+++ b/zinclever/fleet/zone_reachability.py
@@ -16,7 +16,7 @@
 MIN_OUTAGE = 1000.0  # ms from the first failure to the return; a process does not restart in less
 MIN_JUDGED_ANSWERS = 3  # answers after which their latency is judged
 PROBE_SHARE = 0.1  # share of draws that go to the unreachable side
-MAX_WARM_RATIO = 1.4  # of the unloaded latency, on average; a cold server takes at least half as long again
+MAX_WARM_RATIO = 1.4  # mean answer time of a warm zone, over the unloaded latency; a cold server takes at least 1.5
 
 
 Side = Literal["home", "away", "either"]
@@ -25,9 +25,9 @@
 def is_presumed_cold(warm_before: float, cold_since: float, failures: int, refusals: int) -> bool:
     """Return whether an endpoint that has been marked as cold at ``cold_since`` still counts as cold.
 
-    An instant up to ``warm_before`` is long enough ago. Infinity stands for an endpoint that was unreachable by itself
-    and has probably been restarted when it answers. A single failure does not count, unless calls of discovery were
-    refused (``refusals``), so that a restart would not be reported.
+    An instant up to ``warm_before`` is long enough ago. Infinity stands for an endpoint that was unreachable while its
+    zone was not; when it answers, it has probably been restarted. A single failure does not count, unless calls to
+    discovery were refused (``refusals``), so that a restart would not be reported.
     """
     if cold_since < math.inf:
         return cold_since > warm_before
@@ -65,7 +65,7 @@
         return is_return
 
     def has_answered_since(self, since: float) -> bool:
-        """Return whether the zone has answered since an instant, and not only after an outage of its own."""
+        """Return whether the zone has answered since an instant without having returned from an outage since then."""
         return self.answered_at > since > self.returned_at
 
     def confirms_warm(self, ratio: float) -> bool:
@@ -110,7 +110,7 @@
         """Count an answer from a zone. Returns the start of the zone's outage if it has just returned, else None.
 
         Endpoints of the zone that have not answered since then are to be presumed cold. If all zones were unreachable,
-        the fault is as likely on this side, and the result is None.
+        the fault may be on this instance's side, and the result is None.
         """
         state = self.state_of(zone)
         since = state.failing_since
