--- a/zinclever/mesh/consensus/client_calls.py
+++ b/zinclever/mesh/consensus/client_calls.py
@@ -17,8 +17,8 @@
 from .leadership_confirmations import LeadershipConfirmations
 from .messages import ChangeCall, DirectAnswer, ReadCall, UnconfirmedCall
 
-CALL_TIMEOUT = 0.6  # seconds until a call is answered; its caller gives up 1 s after sending it
-LARGE_CALL_TIMEOUT = 2.5  # seconds for the largest configurations, whose callers wait longer
+CALL_TIMEOUT = 0.6  # seconds after which a call is answered 503; its caller gives up 1 s after sending it
+LARGE_CALL_TIMEOUT = 2.5  # maximum timeout in seconds, for large configurations, whose callers wait longer
 LARGE_BYTES = 32 * 1024  # size of a configuration above which the timeout grows
 TRANSFER_RATE = 100_000.0  # bytes/s to voters and their disks, which determines how much the timeout grows
 MAX_CALLS = 64  # waiting calls; further ones are answered 503 at once
--- a/zinclever/mesh/consensus/lag_monitor.py
+++ b/zinclever/mesh/consensus/lag_monitor.py
@@ -1,4 +1,4 @@
-"""Decides which lagging voters the leader sends a snapshot. No I/O."""
+"""Decides to which lagging voters the leader sends a snapshot. No I/O."""
 
 from __future__ import annotations
 
--- a/zinclever/mesh/consensus/quorum.py
+++ b/zinclever/mesh/consensus/quorum.py
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultModel:
-    """The simultaneous failures that no acknowledged change may be lost to: hosts, zones or regions."""
+    """The simultaneous failures of hosts, zones or regions that every acknowledged change must survive."""
 
     hosts: int = 1
     zones: int = 0
--- a/zinclever/mesh/consensus/replica.py
+++ b/zinclever/mesh/consensus/replica.py
@@ -141,7 +141,7 @@
         )
 
     def on_heartbeat(self, now: float, message: ConsensusMessage) -> None:
-        """Record what the sender has committed; if it leads, follow it and commit the accepted entry."""
+        """Record what the sender has committed; if it leads, follow it and commit what it has committed."""
         voter = message.voter
         if message.disk == self.own_voter.disk:
             return
@@ -357,7 +357,7 @@
     def change(self, now: float, call_id: int, base: int, generation: int, text: bytes, digest: bytes) -> None:
         """Accept a call to replace the configuration of generation ``base`` by a validated one.
 
-        It is answered 503 if this replica is not the leader.
+        The call is answered with 503 if this replica is not the leader.
         """
         if self.role is not ReplicaRole.LEADER:
             self.actions.append(Reply(call_id, 503, NOT_LEADER))
--- a/zinclever/mesh/consensus/replica_store.py
+++ b/zinclever/mesh/consensus/replica_store.py
@@ -98,7 +98,10 @@
             self.mark()
 
     def has_lost_data(self) -> bool:
-        """Whether durable files can't be read, or the vote is missing although there are several entry files."""
+        """Whether durable data is lost, called if the vote or the entry can't be loaded.
+
+        It is lost if a marked file is unreadable or there are several entry files.
+        """
         return self.vote_file.has_lost_data or self.entry_file.has_lost_data or len(self.entry_file.numbers()) > 1
 
     def write_vote(self, vote: Vote) -> None:
--- a/zinclever/mesh/consensus/replication.py
+++ b/zinclever/mesh/consensus/replication.py
@@ -79,7 +79,7 @@
         Entries from a lower term and entries that would bootstrap a second cluster are rejected.
         """
         if self.leave_granted:
-            return  # it may shut down for good at any moment, so that its disk must not count for new entries
+            return  # this replica may shut down for good at any moment: its disk must not count for new entries
         entry = message.entry
         last = self.last_accepted()
         promised_term = max(self.vote.term, last.term if last is not None else 0)
--- a/zinclever/mesh/consensus/text_store.py
+++ b/zinclever/mesh/consensus/text_store.py
@@ -7,7 +7,7 @@
 
 from .text_blocks import MAX_TEXT_BYTES, block_name, block_names, make_manifest, manifest_name, split_blocks
 
-MAX_TEXTS = 64  # under a high rate of changes, a follower may still request a text that has been superseded
+MAX_TEXTS = 64  # cached texts; under a high rate of changes, a follower may still request a superseded one
 TEXTS_AFTER_EVICTION = 48  # texts that remain when MAX_TEXTS is exceeded
 MAX_HELD_BYTES = 32 << 20  # total size of blocks above which texts are evicted; successive texts share most blocks
 MIN_TEXTS = 2  # never evicted: the committed and the proposed text
@@ -56,7 +56,10 @@
         return [name for name in dict.fromkeys(block_names(manifest)) if name not in self.blocks]
 
     def add_block(self, data: bytes) -> None:
-        """Add a block. Blocks of abandoned transfers are dropped when the size limit is reached."""
+        """Add a block. If the size limit is reached, drop the blocks of incomplete texts first.
+
+        These include blocks of a transfer in progress, which are then requested again.
+        """
         name = block_name(data)
         if name in self.blocks:
             return
--- a/zinclever/mesh/consensus/voter_changes.py
+++ b/zinclever/mesh/consensus/voter_changes.py
@@ -24,7 +24,8 @@
 class VoterChanges:
     """Learners, leaving replicas and durable entries, as known to this replica.
 
-    Every replica has one; it is consulted only while the replica is the leader. :meth:`begin_term` resets it.
+    Every replica has one. Only a leader uses it, except for ``leaving_since``, which every replica uses before it shuts
+    down. :meth:`begin_term` resets the rest.
     """
 
     def __init__(self, now: float) -> None:
@@ -40,7 +41,7 @@
         self.proposed_change: VoterChange | None = None
 
     def begin_term(self) -> None:
-        """Reset at the start of a leader's term, because acknowledgements from other terms don't count."""
+        """Reset all but ``leaving_since`` at the start of a term, as acknowledgements from other terms don't count."""
         self.learners.clear()
         self.durable_index.clear()
         self.sent_at.clear()
