--- a/zinclever/mesh/model/explore.py
+++ b/zinclever/mesh/model/explore.py
@@ -158,7 +158,7 @@
             yield successor
 
     def delivery_successors(self, state: State) -> Iterator[State]:
-        """Each message in flight is delivered, lost or duplicated."""
+        """Yield the states after each message in flight is delivered, lost or duplicated."""
         for n, (target, data) in enumerate(state.in_flight):
             if target in state.paused:
                 continue
@@ -178,7 +178,7 @@
                 yield successor
 
     def member_successors(self, state: State, n: int) -> Iterator[State]:
-        """A member resumes, completes a persist, ticks, crashes, loses its disk or pauses."""
+        """Yield the states after a member resumes, completes a persist, ticks, crashes, loses its disk or pauses."""
         budget = state.budget
         if n in state.paused:
             successor = state.copy()
@@ -213,7 +213,10 @@
             yield successor
 
     def operator_successors(self, state: State, n: int) -> Iterator[State]:
-        """A leader gets a change or a read. Paused members get none: a queued call equals one that comes later."""
+        """Yield the states after a leader gets a change or a read.
+
+        Paused members get none: a queued call has the same effect as one that arrives after the pause.
+        """
         if n in state.paused:
             return
         if state.budget.changes:
@@ -273,13 +276,13 @@
         state.resumed.discard(n)
 
     def request_change(self, state: State, n: int, base: int, generation: int) -> None:
-        """An operator requests a change of a member."""
+        """Let an operator request a change from a member."""
         call, text = self.begin_call(state, Call(0, math.inf, "put", generation, base)), encode_config(generation, 0)
         state.replicas[n].change(state.now, call, base, generation, text, text)
         self.run_actions(state)
 
     def request_read(self, state: State, n: int) -> None:
-        """An operator requests the current configuration of a member."""
+        """Let an operator request the current configuration from a member."""
         state.replicas[n].read(state.now, self.begin_call(state, Call(0, math.inf, "get", 0)))
         self.run_actions(state)
 
@@ -354,7 +357,7 @@
         self.check_terms(state)
 
     def check_durability(self, state: State) -> None:
-        """Acknowledged changes are on enough disks to survive one more lost disk."""
+        """Raise Broken if an acknowledged change is on too few disks to survive one lost disk in all."""
         for call in state.history:
             if call.kind == "put" and call.told is Told.DONE:
                 copies = sum(d[1] is not None and d[1].generation >= call.generation for d in state.durable)
@@ -364,7 +367,7 @@
                     )
 
     def check_terms(self, state: State) -> None:
-        """A member's term never goes back, and is never below the one on its disk."""
+        """Raise Broken if a member's term has decreased or is below the one on its disk."""
         for n, replica in enumerate(state.replicas):
             if replica.vote.term < state.highest_terms[n]:
                 raise Broken("a member's term goes back")
--- a/zinclever/mesh/model/explore_voters.py
+++ b/zinclever/mesh/model/explore_voters.py
@@ -21,7 +21,7 @@
 from .histories import Told
 
 TOLERATED_LOSSES = 1  # disks that may be lost at once in the explored fault model
-STANDBY = 3  # index of the machine that is no founder
+STANDBY = 3  # index of the standby machine, which is not a founder
 LONG_WAIT = VOTER_LOST_TIMEOUT + STALL_THRESHOLD
 """s after which a silent voter counts as lost and a learner may replace it."""
 RECOVERY_STEP = 0.1  # s between two checks for a leader
@@ -51,8 +51,7 @@
 class VoterExplorer(Explorer):
     """Explores changes of the voters.
 
-    ``liveness_every``: one in so many of the states that are reached is checked for whether a leader can be elected
-    again; 0 checks none.
+    ``liveness_every``: every n-th state is checked for whether a leader can be elected again; 0: none.
     """
 
     def __init__(
@@ -168,7 +167,7 @@
             yield successor
 
     def member_successors(self, state: State, n: int) -> Iterator[State]:
-        """As in :class:`Explorer`; also, a member comes back, loses its disk or leaves."""
+        """Yield the states as :class:`Explorer` does, and those after a member restarts, loses its disk or leaves."""
         if n in state.stopped:
             yield from self.stopped_successors(state, n)
             return
@@ -180,14 +179,14 @@
             yield from self.leaving_successors(state, n)
 
     def stopped_successors(self, state: State, n: int) -> Iterator[State]:
-        """A stopped member comes back with its disk. The standby machine joins as an event of its own."""
+        """Yield the state after a stopped member restarts with its disk. The standby machine joins separately."""
         if n not in state.destroyed and state.durable[n][1] is not None:
             successor = state.copy()
             self.start_member(successor, n)
             yield successor
 
     def disk_loss_successors(self, state: State, n: int) -> Iterator[State]:
-        """A disk is lost, with or without its machine, if the previous loss is repaired."""
+        """Yield the states after a disk is lost, with or without its machine, if the previous loss is repaired."""
         if len(state.lost_disks) >= TOLERATED_LOSSES or state.durable[n][1] is None:
             return
         if state.budget.wipes:
@@ -202,7 +201,7 @@
             yield successor
 
     def leaving_successors(self, state: State, n: int) -> Iterator[State]:
-        """A member asks for leave, shuts down once it may, or is killed before."""
+        """Yield the states after a member asks for leave, shuts down once it may, or is killed before that."""
         replica = state.replicas[n]
         if state.budget.leaves and not replica.leaving:
             successor = state.copy()
@@ -310,7 +309,7 @@
         super().complete_persist(state, n)
 
     def run_actions(self, state: State) -> None:
-        """Carry out the replicas' actions, and check whether lost disks are made up for."""
+        """Carry out the replicas' actions, and remove repaired losses of disks."""
         super().run_actions(state)
         self.update_lost_disks(state)
 
@@ -369,7 +368,7 @@
             self.check_liveness(state)
 
     def check_durability(self, state: State) -> None:
-        """Acknowledged changes survive the loss of any other disk.
+        """Raise Broken if an acknowledged change would not survive the loss of another disk.
 
         Members that were granted leave may never come back, so that their disks don't count. No majority of the voters
         may lack an acknowledged change either, or it could elect a leader without it.
--- a/zinclever/mesh/model/explored_state.py
+++ b/zinclever/mesh/model/explored_state.py
@@ -68,7 +68,7 @@
     left_members: set[int] = field(default_factory=set)
     """Members that shut down after the leader had granted their leave; they may never come back."""
     lost_disks: set[str] = field(default_factory=set)
-    """Lost disks that no replacement with the committed state has made up for yet."""
+    """Lost disks without a replacement that has the committed state."""
     persisted_index: dict[str, int] = field(default_factory=dict)
     """The newest log index that was ever on each disk, lost disks included. Only kept by the voter explorer."""
     newest_committed: LogEntry | None = None
@@ -152,7 +152,7 @@
         return digest.digest()
 
     def voter_change_state(self, replica: Replica) -> tuple[object, ...]:
-        """Return what a replica knows of members that leave or want to become voters, as a part of the key."""
+        """Return what a replica knows about leaving members and learners, as a part of the key."""
         changes = replica.voter_changes
         return (
             replica.leaving,
--- a/zinclever/mesh/model/histories.py
+++ b/zinclever/mesh/model/histories.py
@@ -1,4 +1,4 @@
-"""Histories of operators' calls, and a check whether a history is linearizable. Pure.
+"""Histories of operators' calls, and a check whether a history is linearizable. No I/O.
 
 The configuration is a register: a change names the version that it is based on, and a read returns the current version.
 Each call takes effect at one instant between its beginning and its end; a call without a clear answer takes effect at
@@ -30,8 +30,8 @@
 class Call:
     """An operator's change (``put``) or read (``get``), and how it was answered.
 
-    ``generation`` is the one that a change creates, or the one that a read returned; ``variant`` tells apart texts of
-    the same generation. Instants are in s.
+    ``generation`` is the one that a change creates, or the one that a read returned; ``variant`` distinguishes
+    texts of the same generation. Instants are in s.
     """
 
     began: float
--- a/zinclever/mesh/model/members.py
+++ b/zinclever/mesh/model/members.py
@@ -36,9 +36,9 @@
     bootstrap: bool
     replica: Replica | None = None
     pending_persists: list[Persist] = field(default_factory=list)
-    """Requested and not durable yet, in order."""
+    """Writes that were requested and are not durable yet, in order."""
     terms: int = 0
-    """The replica's term must not be below this."""
+    """Lower bound on the replica's term."""
     paused: bool = False
     inbox: list[Arrival] = field(default_factory=list)
     """Messages and calls that came while the process was paused; read one by one after it resumes."""
@@ -69,7 +69,7 @@
             members: Number of machines.
             losses: Failures that the cluster tolerates.
             kind: Class of the replicas.
-            founders: The first so many machines found the cluster; None: all of them.
+            founders: Number of machines that found the cluster, the first ones; None: all of them.
         """
         self.rng = random.Random(seed)
         self.now, self.losses, self.replica_type = 0.0, losses, kind
@@ -130,7 +130,7 @@
         m.paused, m.inbox = False, []
 
     def pause(self, ip: str) -> None:
-        """Pause a process: it reads and does nothing, and keeps its state."""
+        """Pause a process: it reads nothing and does nothing, but keeps its state."""
         self.machines[ip].paused = True
 
     def resume(self, ip: str) -> None:
@@ -181,7 +181,7 @@
         del self.machines[ip]
 
     def terminate(self, ip: str, gone: bool = False, grace: float = 4.8) -> None:
-        """Send SIGTERM: the member leaves, and ends once it may or after ``grace`` s.
+        """Send SIGTERM: the member asks for leave, and ends once that is granted, or after ``grace`` s.
 
         ``gone``: its machine is removed as well.
         """
--- a/zinclever/mesh/model/slow_links.py
+++ b/zinclever/mesh/model/slow_links.py
@@ -53,7 +53,7 @@
     Args:
         seed: Seeds the generator of all random choices.
         rate: Bytes a second of each link, in each direction.
-        exchange: False: configurations are sent whole within messages, as in the version before the text exchange.
+        exchange: False: configurations are sent inline in messages, as in the version before the text exchange.
         old: Addresses of the members that run that version.
         kind: Class of the replicas.
     """
@@ -96,7 +96,7 @@
         return self.exchange and ip not in self.old
 
     def send(self, m: Machine, action: Send) -> None:
-        """Put a message on its link, by way of the text exchange where the member uses it."""
+        """Put a message on its link, through the text exchange if the member uses it."""
         if action.to.disk == m.disk.name:
             self.in_flight.append((self.now, m.ip, m.ip, action.message))
         elif self.uses_text_exchange(m.ip):
@@ -135,7 +135,7 @@
                 self.deliver_from_link(sender, target, message)
 
     def deliver_from_link(self, sender: str, target: str, message: ConsensusMessage) -> None:
-        """Deliver a message, and what the text exchange of the receiver makes of it, unless the link is cut."""
+        """Pass a message through the receiver's text exchange and deliver what is complete, unless the link is cut."""
         m = self.machines.get(target)
         if m is None or m.replica is None or (sender, target) in self.cut:
             return
