--- a/zinclever/policy/admission.py
+++ b/zinclever/policy/admission.py
@@ -14,7 +14,7 @@
 from .slow_start import HELD_CHECK_INTERVAL
 from .zone_crossing import ZoneCrossing
 
-MIN_FAR_WINDOW = 1.0  # in-flight requests to the other zones; kept small because those of all balancers add up
+MIN_FAR_WINDOW = 1.0  # part of the window for other zones that is always added; small, as those of all balancers add up
 LATEST_START = 1.5  # mean latencies before its target by which a held request has to be sent
 
 
@@ -39,7 +39,7 @@
         self.quota = sum((tenant.quota for tenant in tenants), 0.0)
         self.usage = DecayingMean(DECAY_TIME)
         self.held_count = 0
-        self.hold_deadlines: list[tuple[float, int, Request]] = []  # heap by the instant after which waiting is useless
+        self.hold_deadlines: list[tuple[float, int, Request]] = []  # heap by the latest instant for a send
         self.sequence = 0
 
     def has_capacity(self) -> bool:
@@ -55,7 +55,7 @@
         return self.has_capacity() and request.value_rank >= self.zone_crossing.shed_share(now)
 
     def value_rate(self, klass: ClassState) -> float:
-        """Return the value of a class's requests by their time in flight, or by their work if that is what counts."""
+        """Return the value of a class's requests per time in flight, or per work if ``value_by`` is ``work``."""
         return klass.settings.value / (1.0 if self.settings.value_by == "work" else klass.mean_latency)
 
     def value_rank(self, now: float, request: Request) -> float:
--- a/zinclever/policy/balancer.py
+++ b/zinclever/policy/balancer.py
@@ -3,8 +3,8 @@
 Usually a request goes to the better of two random ready endpoints that it has not used yet. They are compared by their
 payoff (share of good answers over relative latency), divided by (1 + own in-flight requests). After each fixed delay
 without an answer an idempotent request is hedged on an endpoint that it has not used; the first good answer wins and
-the other attempts are cancelled. The other modules of this package keep the endpoint list, select
-endpoints, admit requests and learn from outcomes.
+the other attempts are cancelled. The other modules of this package keep the endpoint list,
+select endpoints, admit requests and learn from outcomes.
 """
 
 from __future__ import annotations
--- a/zinclever/policy/endpoint_list.py
+++ b/zinclever/policy/endpoint_list.py
@@ -14,7 +14,7 @@
 from .requests import Request
 
 INITIAL_RETRY_DELAY = 300.0  # ms: base of the delay until discovery is called again, doubled by each refusal
-MIN_POOL = 3.0  # minimum size of the pool from which two endpoints are drawn
+MIN_POOL = 3.0  # minimum size of the pool from which two endpoints are drawn, however many balancers share them
 MIN_BALANCERS_PER_ENDPOINT = (
     10.0  # minimum number of balancers that use each endpoint, so that their uneven loads average out
 )
--- a/zinclever/policy/endpoints.py
+++ b/zinclever/policy/endpoints.py
@@ -60,7 +60,7 @@
         self.silent_since = self.silent_until = NEVER
         self.served_at = -NEVER
         self.down_until, self.failures = -NEVER, 0
-        self.presumed_cold_at = -NEVER  # presumed cold since then whatever the list says; NEVER: if it answers
+        self.presumed_cold_at = -NEVER  # presumed cold since then, whatever the list says; see SlowStart.mark_cold
         self.tokens, self.tokens_at = rng.random(), now
         self.update(listed)
 
--- a/zinclever/policy/learning.py
+++ b/zinclever/policy/learning.py
@@ -47,12 +47,12 @@
         endpoint, klass = attempt.endpoint, request.klass
         endpoint.inflight -= 1
         if outcome == "barred":
-            # No endpoint was reached, so nothing is learned about load. The failure makes other endpoints preferred.
+            # No endpoint was reached, so nothing is learned about load. Counting a failure makes others preferred.
             endpoint.success.add(now, 0.0)
             if not endpoint.inflight:
                 endpoint.silent_until = now
             return
-        # The cost of an answer includes the time in flight of all its attempts, including cancelled ones.
+        # The cost of an answer is the time in flight of all attempts of its request, including cancelled ones.
         count = 1.0 if outcome == "served" else 0.0
         duration = min(event.elapsed, attempt.overdue_at - attempt.sent_at) if attempt.is_stalled else event.elapsed
         klass.occupancy.add(now, duration, 1.0, count)
--- a/zinclever/policy/stalled_attempts.py
+++ b/zinclever/policy/stalled_attempts.py
@@ -9,7 +9,7 @@
 from .requests import Attempt, ClassState, Request
 
 OVERDUE_LATENCIES = 1.8  # mean latencies after which most attempts that are still open are never answered
-OWN_WORK_FACTOR = 2.0  # multiple of the request's own work added to the expected time, as large requests take longer
+OWN_WORK_FACTOR = 2.0  # multiple of the request's own work added to that, so that large requests are not moved in vain
 STALLED_FACTOR = 1.5  # times the expected time after which an open attempt counts as lost
 STALLED_THRESHOLD = 0.08  # share of lost attempts above which stalled attempts are acted upon
 STALLED_PRIOR = 20.0  # weight, in attempts, of the prior that none is lost
@@ -45,7 +45,7 @@
     def is_indicative(self, request: Request) -> bool:
         """Return whether a request's attempts count in the share of lost ones.
 
-        Those of deduplicated requests don't: such requests move to another endpoint before an attempt counts as lost.
+        Those of deduplicated requests don't, as such requests may move to another endpoint before that.
         """
         return request.klass.settings.repeat != "deduplicated"
 
