--- a/zinclever/fleet/zone_reachability.py
+++ b/zinclever/fleet/zone_reachability.py
@@ -46,7 +46,7 @@
         self.answers, self.ratio_sum = 0, 0.0  # answers since the return, sum of their latency ratios
 
     def on_failure(self, now: float) -> bool:
-        """Count a failure to connect. Returns whether only the endpoint may be down, rather than the whole zone."""
+        """Count a failure to connect. Returns whether the zone still counts as reachable."""
         if not self.failures:
             self.failing_since = now
         self.failures += 1
--- a/zinclever/mesh/consensus/replica.py
+++ b/zinclever/mesh/consensus/replica.py
@@ -1,9 +1,9 @@
 """One replica of the replicated log, as a state machine without I/O.
 
-The replicated state is a single value: the current configuration and the voter set. Each log entry contains the whole
-state, at an index that rises by one. The leader proposes the entry after the committed one, in its term; the entry is
-committed once enough disks hold it (:meth:`.replication.Replication.is_committed`). A new leader collects the accepted
-entries of a majority with their votes, proposes the newest again in its own term, and continues from there.
+The replicated state is a single value: the current configuration and the voter set. Each log entry contains the
+complete state, at an index that rises by one. The leader proposes the entry after the committed one, in its term; the
+entry is committed once enough disks hold it (:meth:`.replication.Replication.is_committed`). A new leader collects the
+accepted entries of a majority with their votes, proposes the newest again in its own term, and continues from there.
 
 Times are in seconds of the local monotonic clock; clocks of different machines are never compared. Sources: Viewstamped
 Replication Revisited (Liskov and Cowling, 2012) for changes of the voter set and for replicas that have lost their
