--- a/zinclever/mesh/consensus/replica.py
+++ b/zinclever/mesh/consensus/replica.py
@@ -1,9 +1,9 @@
 """One replica of the replicated log, as a state machine without I/O.
 
-The replicated state is a single value: the current configuration and the voter set. Each log entry contains the whole
-state, at an index that rises by one. The leader proposes the entry after the committed one, in its term; the entry is
-committed once enough disks hold it (:meth:`.replication.Replication.is_committed`). A new leader collects the accepted
-entries of a majority with their votes, proposes the newest again in its own term, and continues from there.
+The replicated state is a single value: the current configuration and the voter set. Each log entry contains the
+complete state, at an index that rises by one. The leader proposes the entry after the committed one, in its term; the
+entry is committed once enough disks hold it (:meth:`.replication.Replication.is_committed`). A new leader collects the
+accepted entries of a majority with their votes, proposes the newest again in its own term, and continues from there.
 
 Times are in seconds of the local monotonic clock; clocks of different machines are never compared. Sources: Viewstamped
 Replication Revisited (Liskov and Cowling, 2012) for changes of the voter set and for replicas that have lost their
@@ -141,7 +141,7 @@
         )
 
     def on_heartbeat(self, now: float, message: ConsensusMessage) -> None:
-        """Record what the sender has committed; if it leads, follow it and commit the accepted entry."""
+        """Record what the sender has committed; if it leads, follow it and commit what it has committed."""
         voter = message.voter
         if message.disk == self.own_voter.disk:
             return
@@ -357,7 +357,7 @@
     def change(self, now: float, call_id: int, base: int, generation: int, text: bytes, digest: bytes) -> None:
         """Accept a call to replace the configuration of generation ``base`` by a validated one.
 
-        It is answered 503 if this replica is not the leader.
+        The call is answered with 503 if this replica is not the leader.
         """
         if self.role is not ReplicaRole.LEADER:
             self.actions.append(Reply(call_id, 503, NOT_LEADER))
