--- a/zinclever/core/counts.py
+++ b/zinclever/core/counts.py
@@ -12,7 +12,7 @@
         self.served = self.refused = self.failed = 0
 
     def mark_failed(self) -> None:
-        """Counts an answer as failed that was counted as served when its transfer began."""
+        """Moves an answer, counted as served when its transfer began, to the failed ones."""
         self.served -= 1
         self.failed += 1
 
--- a/zinclever/core/dispatcher.py
+++ b/zinclever/core/dispatcher.py
@@ -138,7 +138,7 @@
         self.wire.configure(limits.connect_timeout, limits.connection_idle, self.connections)
 
     def make_view(self) -> View | None:
-        """Returns the view of the list; None without shared limits, where the full list is used without subsetting."""
+        """Returns the view that reduces the endpoint list to a subset; None without shared limits, as all are used."""
         if self.settings.shares == interface.Shares():
             self.connections.configure(self.settings.shares, 1, 0, 0)
             return None
@@ -181,8 +181,9 @@
     def waited(self, transport: asyncio.BaseTransport, first: bool) -> float:
         """Returns the ms for which the data now read from a connection has waited for this process.
 
-        The kernel is queried only after the process was idle for a while, and for the first bytes of a connection,
-        which may have waited in the listener's queue.
+        The kernel is queried only after the process was idle for a while or has recently stalled, and for the first
+        bytes of a connection, which may have waited in the listener's queue. Waits below ``STALL_THRESHOLD_MS`` are
+        returned as 0.
         """
         self.stall_detector.record_activity(self.loop.time())
         if not first and not self.stall_detector.may_have_stalled():
@@ -235,7 +236,7 @@
     def on_error(self, failed: interface.Event | interface.Action) -> None:
         """Logs an exception raised by the balancer or an action.
 
-        The request is still answered: by an open attempt, else right here.
+        The request is still answered: by an open attempt if there is one, otherwise at once.
         """
         log.exception("exception while handling %s", type(failed).__name__)
         request = self.requests.get(getattr(failed, "request", ""))
@@ -259,8 +260,8 @@
     def update_subset(self, view: View) -> None:
         """Publishes a subset that changed for another reason than an update of the list.
 
-        The kind "remembered" keeps the balancer from taking it for an answer of discovery: it would stop retrying a
-        discovery service that refuses calls.
+        The update has the kind "remembered", so that the balancer doesn't take it for an answer of the discovery
+        service: after such an answer, the balancer would stop retrying a discovery service that refuses calls.
         """
         self.tell("remembered", view.snapshot(self.clock()))
         self.configure_connections(view)
@@ -285,7 +286,7 @@
         self.feed(update)
         for listed, _ in entries:
             if listed.phase == "draining":
-                # Only after the balancers know: what is dropped here is sent to another endpoint.
+                # After the balancers have the update, so that they send the attempts dropped here to another endpoint.
                 self.wire.drain(listed.endpoint)
 
     def set_watch(self, action: interface.WatchMembership) -> None:
@@ -351,7 +352,7 @@
     def give_up(self, request: Request) -> None:
         """Answers a request as a last resort, when its guard timer fires or the balancer has failed.
 
-        It is refused only where a repeat is harmless, otherwise failed.
+        The request is refused only if a repeat is harmless, and failed otherwise.
         """
         if request.answer is None:
             return
@@ -424,7 +425,7 @@
     # --- attempts ---
 
     def send(self, action: interface.Send) -> None:
-        """Starts an attempt; one that is too late or beyond the limit ends at once as not sent."""
+        """Starts an attempt; one that is too late or beyond the limit on attempts ends at once as not sent."""
         request = self.requests.get(action.request)
         if request is None:
             return
@@ -524,6 +525,6 @@
             self.feed(interface.TimerFired(action.token), balancer)
 
     def stop(self) -> None:
-        """Stops the source and closes idle connections."""
+        """Stops the source and closes the connections of the wire, as :meth:`Wire.close` does."""
         self.source.stop()
         self.wire.close()
--- a/zinclever/core/host.py
+++ b/zinclever/core/host.py
@@ -63,7 +63,7 @@
         """Returns ns since an arbitrary instant; never goes back."""
 
     def random(self) -> Random:
-        """Returns a generator with a seed of its own."""
+        """Returns a new random number generator with its own seed."""
 
     def socket(self) -> Any:
         """Returns an unconnected :class:`Socket` for TCP over IPv4. Raises OSError if there is no descriptor left."""
@@ -72,7 +72,7 @@
         """Returns whether the kernel holds data, or an end of stream, of a connection that has not been read."""
 
     def ms_since_received(self, sock: Any) -> float:
-        """Returns the ms since data was last received on a connection; 0 where the kernel doesn't report it."""
+        """Returns the ms since data was last received on a connection; 0 if the kernel doesn't report it."""
 
     def read_file(self, path: str) -> bytes:
         """Returns a file's content.
--- a/zinclever/core/pools.py
+++ b/zinclever/core/pools.py
@@ -12,7 +12,7 @@
 from .descriptors import Descriptors
 from .protocol import Address
 
-IDLE_SHARE = 0.9  # part of the endpoint's idle timeout after which the sidecar closes a connection first
+IDLE_SHARE = 0.9  # share of the endpoint's idle timeout after which the sidecar closes idle connections first
 
 
 class ExclusiveConnection(Protocol):
@@ -126,7 +126,7 @@
                 return
             connection.abort()
         now = 1000.0 * self.loop.time()
-        spare = 1 if self.connections.is_exhausted(now, self.open) and self.evict() else 0  # evicted, but still counted
+        spare = 1 if self.connections.is_exhausted(now, self.open) and self.evict() else 0  # closed, but still counted
         if not self.connections.may_open(now, pool.open, self.open - spare):
             self.loop.call_soon(attempt.end, "barred")
             return
--- a/zinclever/core/protocol.py
+++ b/zinclever/core/protocol.py
@@ -53,7 +53,7 @@
 
 
 class Refused(NamedTuple):
-    """Final answer: nothing ran and a repeat is harmless.
+    """Final answer: a repeat is harmless, as nothing ran or the request is idempotent.
 
     ``retry_after`` is the advised delay in ms, 0 for none. ``reply`` is as in :class:`Failed`.
     """
@@ -85,7 +85,7 @@
         """Returns whether the endpoint may have received the complete request, or may still receive it."""
 
     def cancel(self, silent: bool) -> None:
-        """Stops waiting for the reply; what has not been sent yet never is. No outcome is reported.
+        """Stops waiting for the reply; a request that was not sent completely never is. No outcome is reported.
 
         ``silent``: the attempt timed out without any reply from the endpoint.
         """
@@ -110,7 +110,7 @@
         """Returns the endpoints that have an address."""
 
     def start(self, endpoint: str, payload: Any, time_left: float, on_ended: OnEnded, unsafe: bool) -> Exchange:
-        """Starts an attempt that times out after ``time_left`` seconds.
+        """Starts an attempt. The caller cancels it if it has not ended after ``time_left`` seconds.
 
         ``on_ended`` is never called before this returns. ``unsafe``: the request must not be repeated.
         """
@@ -119,7 +119,7 @@
         """Closes the idle connections to an endpoint."""
 
     def close(self) -> None:
-        """Closes idle connections at shutdown."""
+        """Closes connections at shutdown: the idle ones, and multiplexed ones even if requests are pending."""
 
 
 class Source(Protocol):
--- a/zinclever/core/service.py
+++ b/zinclever/core/service.py
@@ -11,8 +11,8 @@
 from .dispatcher import Dispatcher
 from .protocol import Address
 
-IDLE_GRACE = 0.45  # s after SIGTERM for which idle connections stay open; clients learn of it within 0.4 s
-RECONNECT_GRACE = 0.2  # s more in which clients may resend requests that crossed with the end of their connection
+IDLE_GRACE = 0.45  # s after SIGTERM for which idle connections stay open; clients learn of the shutdown within 0.4 s
+RECONNECT_GRACE = 0.2  # s more for clients to resend requests that were lost with a closed connection
 DRAIN_TIMEOUT = 3.0  # s more for open requests; no client of the platform waits longer
 BACKLOG = 1024
 
@@ -27,10 +27,10 @@
         """Returns the protocol instance for a new client connection."""
 
     def begin_drain(self) -> None:
-        """Starts draining: connections close after their next answer."""
+        """Starts draining: HTTP connections close after their next answer, JSON-RPC clients are served as before."""
 
     def close_idle(self) -> None:
-        """Closes all connections without an open request."""
+        """Closes all connections without an open request. JSON-RPC refuses new calls from then on."""
 
     async def wait_disconnected(self) -> None:
         """Waits until no client is connected."""
@@ -86,9 +86,9 @@
 async def drain(services: Sequence[Service], succeeded: bool = False) -> None:
     """Drains all services: serves clients for a grace period, then waits for open requests to finish.
 
-    Clients learn late of a planned restart, so new connections are still served for a while, and open ones close after
-    their next answer. With ``succeeded`` another process already accepts on the same sockets: new connections are left
-    to it at once.
+    Clients learn late of a planned restart, so new connections are still served for a while; see
+    :meth:`Frontend.begin_drain` for the open ones. With ``succeeded``, another process already accepts on the same
+    sockets: this one stops accepting at once.
     """
     for_each(services, lambda s: s.front.begin_drain())
     if succeeded:
--- a/zinclever/core/shared.py
+++ b/zinclever/core/shared.py
@@ -15,7 +15,7 @@
 from .protocol import Address
 
 EASY = 64  # pending requests on each connection of an endpoint, from which on another one is opened
-MOST_CONNECTIONS = 4  # per endpoint, so that a slow one is not flooded with sockets
+MOST_CONNECTIONS = 4  # connections per endpoint, so that a slow endpoint is not flooded with sockets
 MOST_PENDING = 8192  # requests on one connection, and waiting for one; further attempts fail at once
 
 
--- a/zinclever/core/stall_detector.py
+++ b/zinclever/core/stall_detector.py
@@ -49,7 +49,7 @@
         return self.idle_time > IDLE_THRESHOLD or self.last_activity - self.detected_at < RECHECK_TIME
 
     def detect(self, delay: float) -> bool:
-        """Starts to hold back sending if a delay in ms shows a stall; False also while it is already on hold."""
+        """Puts sending on hold and returns True if a delay in ms shows a stall; False if it is on hold already."""
         if delay < STALL_THRESHOLD_MS or self.holding:
             return False
         self.holding, self.detected_at = True, self.last_activity
--- a/zinclever/http1/bodies.py
+++ b/zinclever/http1/bodies.py
@@ -10,12 +10,12 @@
 from collections.abc import Hashable
 from typing import Protocol
 
-UNRESERVED_BODY_SIZE = 64 * 1024  # bytes of a body that need no reservation: as descriptors are limited, little memory
+UNRESERVED_BODY_SIZE = 64 * 1024  # bytes; smaller bodies need no reservation: the limit on connections bounds them
 RESERVATION_STEP = 256 * 1024  # bytes reserved at a time for a body of unknown length
 MIN_BODY_MEMORY = 4 << 20  # bytes, however little memory the process has
 DEFAULT_BODY_MEMORY = 64 << 20  # bytes, if the memory of the process is unknown
 BASE_MEMORY = 30 << 20  # bytes that a sidecar uses without bodies: the program, its connections, streamed responses
-BODY_MEMORY_SHARE = 0.4  # of the rest: a body is briefly held twice, and each attempt has a copy in the kernel
+BODY_MEMORY_SHARE = 0.4  # of the remaining memory: a body is briefly held twice, and each attempt has a copy in the kernel
 
 
 def body_memory_limit(memory: float | None) -> int:
@@ -77,7 +77,8 @@
 class Body:
     """A body that is being received.
 
-    Its last byte is withheld until the client has sent the complete body: no endpoint has a complete request before.
+    Its last byte is withheld until the client has sent the complete body: until then, no endpoint has a complete
+    request.
     """
 
     __slots__ = ("consumers", "is_complete", "length", "parts", "withheld")
--- a/zinclever/http1/clients.py
+++ b/zinclever/http1/clients.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from .server import ServerConnection
 
-CLIENT_SHARE_DIVISOR = 2  # clients may use 1/2 of the descriptors: a third of it for requests, the rest idle or bad
+CLIENT_SHARE_DIVISOR = 2  # clients may use 1/2 of the descriptors, mostly for idle or misbehaving connections
 IDLE_SHARE_DIVISOR = 16  # up to 1/16 of the descriptors may be idle for IDLE_TIMEOUT, any more for MIN_IDLE_TIME
 SINGLE_USE_DIVISOR = 8  # once 1/8 of the descriptors is idle, a connection is closed after its first response
 READ_FOR = 2.4  # s for receiving a request, from its first byte or from connecting; MIN_UPLOAD_RATE extends it
@@ -53,7 +53,7 @@
         """For each state, its connections and the instant at which each entered it, earliest first."""
         self.open_connections = 0
         self.read_timeout = self.max_idle_time = 0.0
-        """s; where 0, READ_FOR and IDLE_TIMEOUT apply."""
+        """s; if 0, READ_FOR and IDLE_TIMEOUT apply."""
         self.refused_connections = 0
         """Number of open connections whose first request is refused."""
         self.sweep_timer: asyncio.TimerHandle | None = None
@@ -74,8 +74,8 @@
     def on_connected(self, connection: ServerConnection) -> None:
         """Register a new connection; its descriptor is no longer available to endpoints.
 
-        Guards against running out of descriptors: above the clients' share, or if no connection to an endpoint is idle
-        and could be closed, one client connection is closed, the new one only if all others are in use.
+        Guards against running out of descriptors: above the clients' share, or if all descriptors are in use and no
+        connection to an endpoint is idle, :meth:`evict_one` makes room.
         """
         descriptors = self.descriptors
         descriptors.clients += 1
@@ -102,7 +102,7 @@
         self.entered_at[state][connection] = self.loop.time()
 
     def evict_one(self, new_connection: ServerConnection) -> None:
-        """Close the least useful connection; the new one is refused only above the clients' share."""
+        """Close the least useful connection; if all are in use, refuse the new one if it exceeds the clients' share."""
         for connection in self.entered_at[ConnectionState.LINGERING]:
             connection.drop()
             return
--- a/zinclever/http1/connection.py
+++ b/zinclever/http1/connection.py
@@ -153,9 +153,9 @@
             sock: The connected socket.
             on_free: Called when the connection can carry the next request.
             on_lost: Called when the connection has ended.
-            most_body: Bytes of a response body that are buffered.
+            max_buffered_body: Maximum size in bytes of a response body that is buffered.
             can_stream: Whether a longer body is streamed; otherwise it counts as a broken response.
-            stall: Seconds between two reads of a buffered response.
+            stall: Maximum seconds between two reads of a buffered response.
         """
         self.stall_timeout = stall
         self.sock, self.on_free, self.on_lost, self.max_buffered_body = sock, on_free, on_lost, max_buffered_body
@@ -182,8 +182,8 @@
     def reusable(self) -> bool:
         """Return whether nothing was received since the last response: neither an end of file nor stray bytes.
 
-        The kernel is asked, as the loop may not have read them yet: a request that is written to a connection that the
-        server has closed ends with a reset, after which it may have been executed.
+        Checks the socket, as the loop may not have read them yet. A request written to a connection that the server has
+        closed ends with a reset, which leaves open whether the request was executed.
         """
         if self.lost or self.transport.is_closing():
             return False
@@ -251,7 +251,7 @@
             self.resume_writing()
 
     def has_unsent_bytes(self) -> bool:
-        """Return whether bytes of the request are not written yet, so that it can't have been executed."""
+        """Return whether bytes of the request are yet to be passed to :meth:`write`: it can't have been executed."""
         return self.uploading or self.withheld is not None
 
     def write(self, data: bytes | memoryview) -> bool:
@@ -271,7 +271,7 @@
         return True
 
     def send_withheld(self) -> None:
-        """Send the last byte, unless the connection has ended: a request that broke before it was never executed."""
+        """Send the last byte, unless the connection has ended: without this byte, the request is never executed."""
         if self.withheld is None:
             return
         last_byte, timer = self.withheld
@@ -440,7 +440,7 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the end of the connection. It completes a response without a length or chunks."""
+        """Report the end of the connection, which completes a response that has neither a length nor chunks."""
         self.lost = True
         self.cancel_timers()
         del self.parser  # it refers back to this object
--- a/zinclever/http1/heads.py
+++ b/zinclever/http1/heads.py
@@ -10,7 +10,7 @@
 from .connection import NON_FORWARDED_HEADERS, Headers, end_to_end
 
 REASON_PHRASES = {s.value: s.phrase.encode() for s in http.HTTPStatus}
-NON_FORWARDED_REQUEST_HEADERS = NON_FORWARDED_HEADERS | {b"req-deadline"}  # each attempt has a Req-Deadline of its own
+NON_FORWARDED_REQUEST_HEADERS = NON_FORWARDED_HEADERS | {b"req-deadline"}  # each attempt has its own Req-Deadline
 NUMBER = re.compile(rb"[0-9]{1,12}(\.[0-9]{0,12})?")
 
 
@@ -38,7 +38,7 @@
 
 
 def find_cookie(text: bytes, name: bytes) -> str:
-    """Return the value of a cookie in a Cookie header; empty if it is not there."""
+    """Return the value of a cookie in a Cookie header; empty if there is none."""
     for part in text.split(b";"):
         key, _, value = part.strip().partition(b"=")
         if key == name:
@@ -58,7 +58,7 @@
     keep_alive: bool
     version: str
     completed_at: float
-    """On the loop's clock: the client's deadline counts from then."""
+    """Time of arrival on the loop's clock, from which the client's deadline counts."""
 
 
 def render_response(response: HttpResponse, keep_alive: bool) -> bytes:
--- a/zinclever/http1/request_handler.py
+++ b/zinclever/http1/request_handler.py
@@ -30,9 +30,9 @@
         """Memory for bodies larger than UNRESERVED_BODY_SIZE."""
         self.draining = False
         self.max_body_size = 0
-        """Limit on a request body in bytes; where 0, MAX_REQUEST_BODY applies."""
+        """Limit on a request body in bytes; if 0, MAX_REQUEST_BODY applies."""
         self.requires_complete_body = False
-        """Requests are forwarded only once their bodies are complete, however large these are."""
+        """Requests are forwarded only once their bodies are complete, however large they are."""
 
     def release_memory(self, size: int) -> None:
         """Return reserved bytes, and grant them to the connections that wait for memory."""
--- a/zinclever/http1/server.py
+++ b/zinclever/http1/server.py
@@ -497,7 +497,7 @@
             self.linger(response)
 
     def linger(self, response: HttpResponse) -> None:
-        """Write the last response on this connection. What the client still sends is read, so that it isn't reset."""
+        """Write the last response on this connection. Further data is read, so that the connection isn't reset."""
         self.ending, self.raw_bytes, self.body_parts = True, 0, []
         self.release_reserved(all=True)
         self.handler.set_state(self, ConnectionState.LINGERING)
@@ -537,9 +537,9 @@
         self.transport.abort()
 
     def close_idle(self) -> bool:
-        """Close the connection between requests; return False if a request is being received or processed.
+        """Close the connection, which is between requests; return False if it is ending or a request has arrived.
 
-        The kernel is asked, as the loop may not have read a request yet.
+        Checks the socket too, as the loop may not have read the request yet.
         """
         if self.request_started or self.ending:
             return False
--- a/zinclever/http1/wire.py
+++ b/zinclever/http1/wire.py
@@ -139,7 +139,7 @@
         Args:
             endpoint: Where to send it.
             payload: The request.
-            left: Seconds that remain until the request's deadline.
+            left: Seconds after which the attempt times out, sent as its deadline.
             ended: Called once with the outcome, unless the attempt is cancelled before.
             unsafe: The request must not be executed twice. Its last byte is withheld for a moment: most connections
                 that break do so before, and prove then that nothing was executed.
