--- a/zinclever/core/dispatcher.py
+++ b/zinclever/core/dispatcher.py
@@ -290,7 +290,7 @@
                 self.wire.drain(listed.endpoint)
 
     def set_watch(self, action: interface.WatchMembership) -> None:
-        """Starts or stops watching the endpoint list; only the current balancer may."""
+        """Starts or stops watching the endpoint list, if the current balancer requests it."""
         if self.acting_balancer is self.balancer:
             self.source.watch(action.subscribe)
 
@@ -451,7 +451,7 @@
         )
 
     def expire(self, attempt: Attempt) -> None:
-        """Ends an attempt whose time is up."""
+        """Ends an attempt whose timeout has passed."""
         if attempt.timer is not None:
             self.check_delay(1000.0 * (self.loop.time() - attempt.timer.when()))
         self.withdraw(attempt, "timeout")
@@ -525,6 +525,6 @@
             self.feed(interface.TimerFired(action.token), balancer)
 
     def stop(self) -> None:
-        """Stops the source and closes the connections of the wire, as :meth:`Wire.close` does."""
+        """Stops the source and closes connections to endpoints, see :meth:`Wire.close`."""
         self.source.stop()
         self.wire.close()
--- a/zinclever/core/service.py
+++ b/zinclever/core/service.py
@@ -27,10 +27,10 @@
         """Returns the protocol instance for a new client connection."""
 
     def begin_drain(self) -> None:
-        """Starts draining: HTTP connections close after their next answer, JSON-RPC clients are served as before."""
+        """Starts draining; a protocol may close connections after their next answer from then on."""
 
     def close_idle(self) -> None:
-        """Closes all connections without an open request. JSON-RPC refuses new calls from then on."""
+        """Closes all connections without an open request; a protocol may refuse new requests from then on."""
 
     async def wait_disconnected(self) -> None:
         """Waits until no client is connected."""
--- a/zinclever/core/shared.py
+++ b/zinclever/core/shared.py
@@ -14,9 +14,9 @@
 from .pools import IDLE_SHARE, PendingAttempt
 from .protocol import Address
 
-EASY = 64  # pending requests on each connection of an endpoint, from which on another one is opened
+EASY = 64  # pending requests that each connection of an endpoint has when another one is opened
 MOST_CONNECTIONS = 4  # connections per endpoint, so that a slow endpoint is not flooded with sockets
-MOST_PENDING = 8192  # requests on one connection, and waiting for one; further attempts fail at once
+MOST_PENDING = 8192  # maximum of requests on one connection, and of attempts waiting for one; others fail at once
 
 
 class SharedConnection(Protocol):
--- a/zinclever/core/stall_detector.py
+++ b/zinclever/core/stall_detector.py
@@ -1,8 +1,8 @@
 """Detection of stalls of this process (SIGSTOP, a suspended or swapping machine), and the order of events after one.
 
 A process that resumes has not noticed that time has passed. The kernel may hold requests whose clients have given up,
-and list updates that servers are draining, while overdue timers fire first. Nothing may be sent before all of that has
-been read.
+and list updates that report draining servers, while overdue timers fire first. Nothing may be sent before all buffered
+data has been read.
 """
 
 from __future__ import annotations
