--- a/zinclever/http1/clients.py
+++ b/zinclever/http1/clients.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from .server import ServerConnection
 
-CLIENT_SHARE_DIVISOR = 2  # clients may use 1/2 of the descriptors, mostly for idle or misbehaving connections
+CLIENT_SHARE_DIVISOR = 2  # clients may use 1/2 of the descriptors: 1/3 of it for requests, the rest is idle or misused
 IDLE_SHARE_DIVISOR = 16  # up to 1/16 of the descriptors may be idle for IDLE_TIMEOUT, any more for MIN_IDLE_TIME
 SINGLE_USE_DIVISOR = 8  # once 1/8 of the descriptors is idle, a connection is closed after its first response
 READ_FOR = 2.4  # s for receiving a request, from its first byte or from connecting; MIN_UPLOAD_RATE extends it
@@ -23,7 +23,7 @@
 STALLED_AFTER = 0.5  # s without a byte after which an incomplete request is evicted first: the pauses of clients that
 # write slowly are shorter, and clients that stopped midway never continue
 NEW_CONNECTION_GRACE = 0.1  # s after connecting in which a client is about to send: others are evicted before it
-MAX_REFUSED_CONNECTIONS = 24  # connections above the limit that stay open for one 503: out of the descriptor reserve
+MAX_REFUSED_CONNECTIONS = 24  # connections above the limit that stay open for one 503; they use the reserve
 SWEEP_INTERVAL = 0.2  # s between two checks of the timeouts
 
 
@@ -133,7 +133,7 @@
             new_connection.drop()
 
     def has_too_many_idle(self) -> bool:
-        """Return whether idle connections leave too few for requests.
+        """Return whether idle connections leave too few descriptors for requests.
 
         Guards against many clients that send one request and keep their connection: the idle timeout would close these
         connections too late.
--- a/zinclever/http1/connection.py
+++ b/zinclever/http1/connection.py
@@ -43,9 +43,9 @@
 MAX_HEAD_SIZE = 32 * 1024  # bytes
 MAX_COPIED_BODY = 16 * 1024  # bytes of a request body that is copied behind its head, to send both in one system call
 MAX_RESPONSE_OVERHEAD = 8 * MAX_HEAD_SIZE  # bytes of a response apart from its body: head, chunk sizes, 1xx responses
-STALL_TIMEOUT = 0.5  # s between two reads of a buffered response: a retry may help if the server has stalled
+STALL_TIMEOUT = 0.5  # s without data in a buffered response, after which it fails: a retry may help
 MAX_BUFFERING_TIME = 0.03  # s from its first bytes after which a response of unknown length is streamed
-STREAM_STALL_TIMEOUT = 10.0  # s between two reads of a streamed response, which can't be retried any more
+STREAM_STALL_TIMEOUT = 10.0  # s without data in a streamed response, which can't be retried any more
 STREAM_RECEIVE_BUFFER = 64 * 1024  # bytes; kept small, so that a client that reads slowly slows the server down
 
 
@@ -56,7 +56,7 @@
         """Handle the next bytes of the body."""
 
     def on_end(self, complete: bool) -> None:
-        """Handle the end of the response. Called once; no call follows. Not ``complete``: the server broke off."""
+        """Handle the end of the response. Called once; no call follows. ``complete`` is False if it broke off."""
 
 
 class ResponseStream:
--- a/zinclever/http1/heads.py
+++ b/zinclever/http1/heads.py
@@ -69,7 +69,7 @@
 
 
 def render_response_head(status: int, headers: bytes, length: int | None, chunked: bool, keep_alive: bool) -> bytes:
-    """Return the head of a response. ``length``: of the body; None: unknown."""
+    """Return the head of a response. ``length`` is that of the body in bytes, None if unknown."""
     framing = b"Transfer-Encoding: chunked\r\n" if chunked else b""
     if length is not None:
         framing = b"Content-Length: %d\r\n" % length
