--- a/zinclever/jsonrpc/codec.py
+++ b/zinclever/jsonrpc/codec.py
@@ -70,7 +70,7 @@
     """A valid response object."""
 
     id: int | None
-    """The id if it has the form of those that the sidecar assigns; None for any other token, null among them."""
+    """The id if it has the form of those that the sidecar assigns; None for any other token, including null."""
     null: bool
     """Whether the id is null."""
     head: bytes
@@ -194,7 +194,7 @@
 
 
 def read_request(text: bytes, max_calls: int) -> Call | RejectedCall | Batch:
-    """Parse a text from a client. A batch of more than ``max_calls`` calls is rejected as a whole."""
+    """Parse a text from a client. A batch of more than ``max_calls`` calls gets a single error."""
     try:
         value = parse_json(text)
     except ParseError as exc:
--- a/zinclever/jsonrpc/connection.py
+++ b/zinclever/jsonrpc/connection.py
@@ -147,7 +147,7 @@
         """When data was last received, in seconds on the loop's clock."""
         self.loop.add_reader(sock.fileno(), self.on_readable)
 
-    # --- interface of the connection pool, see core.shared.Shared ---
+    # --- interface of the connection pool, see core.shared.SharedConnection ---
 
     def pending(self) -> int:
         """Return the number of calls without a response, including those not yet sent."""
@@ -302,7 +302,7 @@
             self.loop.add_writer(self.sock.fileno(), self.flush)
 
     def on_flushed(self) -> None:
-        """Everything was written: stop waiting for the socket, and close a retired connection without calls."""
+        """After everything was written, stop waiting for the socket, and close a retired connection without calls."""
         if self.awaits_writable:
             self.awaits_writable = False
             self.loop.remove_writer(self.sock.fileno())
@@ -374,7 +374,7 @@
         call.end(self.classify(response), Reply(response.head, response.tail, response.error))
 
     def on_unexpected_id(self, id: int) -> None:
-        """Discard and count a response to no written and pending call. Other calls are not affected."""
+        """Discard and count a response whose id is not that of a written and pending call. Other calls are unaffected."""
         if id in self.abandoned_ids:
             self.abandoned_ids.discard(id)
             self.counts["late"] += 1
--- a/zinclever/jsonrpc/framing.py
+++ b/zinclever/jsonrpc/framing.py
@@ -41,7 +41,7 @@
 
 
 class Framer:
-    """Divides a byte stream into texts, and never buffers a text of more than ``max_text_bytes``."""
+    """Divides a byte stream into texts, and rejects a text of more than ``max_text_bytes``."""
 
     __slots__ = ("body_length", "buffer", "framing", "max_text_bytes", "scanned")
 
--- a/zinclever/jsonrpc/frontend.py
+++ b/zinclever/jsonrpc/frontend.py
@@ -1,7 +1,7 @@
 """The server side of JSON-RPC: parses requests from clients, dispatches calls and writes responses.
 
-The deadline of a call is its class's ``deadline``, counted from the time at which its text was received completely. A
-client that closes its connection, or its sending side, is gone: its calls are abandoned, its notifications continue.
+The deadline of a call is its class's ``deadline``, counted from the time at which its text was received completely. If
+a client closes its connection, or only its sending side, its calls are abandoned and its notifications continue.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 MAX_PENDING_CALLS = 1000  # per connection; at this number the connection is not read
 MAX_BATCH_RESPONSE_BYTES = 4 << 20  # further calls of the batch are answered as failed
 MAX_UNREAD_BYTES = 4 << 20  # buffered responses of one client; beyond that it is disconnected
-READ_TIMEOUT = 5.0  # s within which a text must be complete after its first bytes
+READ_TIMEOUT = 5.0  # s after the first bytes of a text within which it must be complete
 WRITE_TIMEOUT = 5.0  # s within which a client must resume reading its responses
 LINGER_TIME = 1.0  # s for which data is discarded after a framing error, so that the client receives the response
 CLIENT_DESCRIPTOR_DIVISOR = 2  # client connections may use the descriptor limit divided by this number
@@ -226,7 +226,7 @@
             self.read_timer = None
 
     def on_read_timeout(self) -> None:
-        """Reject an incomplete text, unless reading is paused: then the delay isn't the client's."""
+        """Reject an incomplete text, unless reading is paused: the client doesn't cause the delay then."""
         self.read_timer = None
         if self.write_paused or self.at_limit:
             self.read_timer = self.front.loop.call_later(READ_TIMEOUT, self.on_read_timeout)
@@ -317,7 +317,7 @@
         self.close_if_done()
 
     def respond(self, text: bytes, batch: BatchResponse | None) -> None:
-        """Write a response; the responses to a batch are written together once all are there."""
+        """Write a response; the responses to a batch are written together once all are available."""
         if batch is None:
             self.write(text)
             return
@@ -376,7 +376,7 @@
             self.transport.close()
 
     def has_no_calls(self) -> bool:
-        """Return whether no response is owed. Pending notifications don't count."""
+        """Return whether no call awaits a response and no text is unprocessed. Notifications don't count."""
         return not self.unprocessed and all(call.id is None for call in self.pending_calls.values())
 
     def close_idle(self) -> bool:
--- a/zinclever/jsonrpc/rules.py
+++ b/zinclever/jsonrpc/rules.py
@@ -26,6 +26,6 @@
     default: int | None
     """Class of methods that are not listed; None if they are answered with error -32601."""
     max_text_bytes: int
-    """Maximum size of one text from a client, including a whole batch."""
+    """Maximum size of one text from a client. A batch is one text."""
     max_clients: int
     """Maximum number of open client connections."""
