--- a/zinclever/discovery/catalog.py
+++ b/zinclever/discovery/catalog.py
@@ -20,10 +20,10 @@
 
 PATH = "/catalog/members"
 WATCH_PER_SIDECAR = 200.0  # ms that a watch waits for changes, per sidecar that shares the service
-MIN_WATCH, MAX_WATCH = 3000.0, 20000.0  # bounds of that wait in ms; a silent service is noticed no sooner
+MIN_WATCH, MAX_WATCH = 3000.0, 20000.0  # bounds of that wait in ms; failures are detected only after it
 CALL_TIMEOUT = 3000.0  # ms to wait for an answer, in addition to the wait requested by the call
 MAX_LIST_SIZE = 4 << 20  # bytes of a list, for some ten thousand entries
-RETRY_DELAY = 500.0  # ms between two attempts in pushed mode, where the balancer requests no fetches
+RETRY_DELAY = 500.0  # ms before a failed watch is repeated in pushed mode, if the rate of calls is not limited
 PHASES: dict[str, interface.Phase] = {"in_service": "ready", "terminating": "draining", "terminated": "gone"}
 
 
@@ -108,7 +108,7 @@
             self.connection = None
 
     def end(self, result: Reply | Broken | None) -> None:
-        """Reports the result of a call: an answer, a broken connection or, with None, a timeout."""
+        """Reports the result of a call: an answer, a broken connection or, with None, a timeout or a failed dial."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -147,7 +147,7 @@
         self.hosts: dict[str, tuple[Entry, str]] = {}
         """The list: each endpoint's entry and the name of its zone, as a reload may change the numbers of zones.
 
-        It stays compact, as the list may be long and memory scarce.
+        The entries are kept compact, as the list may be long and memory scarce.
         """
         self.version: int | None = None
         self.watching = False
@@ -179,7 +179,7 @@
 
     def start(self) -> None:
         """Starts from the list that was saved before, if any."""
-        # Release the parsed text before the list is passed on: it takes more memory than the list itself.
+        # Release the parsed file content before the list is passed on: it takes more memory than the list itself.
         kind, entries = self.read("remembered", self.saved_list.pop("hosts", None) or [])
         self.version = self.saved_list.get("seq") if entries else None
         if self.pushed:
@@ -256,7 +256,7 @@
         self.apply_update(kind, hosts)
 
     def schedule(self, delay: float, action: Callable[[], None]) -> None:
-        """Calls ``action`` after a delay in ms, unless another call is started before."""
+        """Calls ``action`` after a delay in ms, unless another watch is started or stopped before."""
         self.cancel_retry()
         self.retry_timer = self.watch_call.loop.call_later(delay / 1000.0, action)
 
