--- a/zinclever/handover/listener.py
+++ b/zinclever/handover/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket for clients, where the platform keeps it and each process inherits it."""
+"""The listening socket for clients, if the platform keeps it open and each process inherits it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         raise OSError(error.errno, f"inherited descriptor {descriptor} is no socket: {error.strerror}") from error
     listens = sock.type == socket.SOCK_STREAM and sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
     if not listens:
-        sock.detach()  # the descriptor belongs to someone else: leave it open
+        sock.detach()  # leave the descriptor open: it serves another purpose
         raise OSError(f"inherited descriptor {descriptor} doesn't listen")
     sock.setblocking(False)
     return sock
