--- a/zinclever/configuration/findings.py
+++ b/zinclever/configuration/findings.py
@@ -215,7 +215,7 @@
     related: tuple[Path, ...] = field(default=())
     """Paths of the keys that the offending key conflicts with."""
     at: tuple[int, int] | None = None
-    """Line and column, both from 1, if the parser reported them. Otherwise they follow from ``path``."""
+    """Line and column, both from 1, if the parser reported them. Otherwise they are derived from ``path``."""
 
     @property
     def severity(self) -> Severity:
--- a/zinclever/configuration/model.py
+++ b/zinclever/configuration/model.py
@@ -36,7 +36,7 @@
     """One key of a table in a configuration file."""
 
     name: str
-    """``*`` stands for any name, each a table with the keys in ``inner``."""
+    """``*`` stands for any name; the value is then a table with the keys in ``inner``."""
     kind: Kind
     doc: str
     """Description for operators: part of written files, the schema and the reference."""
@@ -52,7 +52,7 @@
     inner: tuple[Key, ...] = ()
     """Keys of the table, or of each table in the array."""
     allow_unknown: bool = False
-    """Whether unknown keys in the table are no error."""
+    """Whether unknown keys in the table are accepted, except for likely typos."""
     exclusive_least: bool = False
     """Whether ``least`` is an exclusive bound."""
 
--- a/zinclever/configuration/relations.py
+++ b/zinclever/configuration/relations.py
@@ -234,7 +234,7 @@
 
 
 def check_error_codes(service: Clean, path: Path) -> Iterator[Finding]:
-    """Check the error codes by which endpoints say that a call did not run."""
+    """Check the error codes with which endpoints report that a call did not run."""
     for n, code in enumerate(service["never_ran_errors"] or ()):
         code_path: Path = (*path, "never_ran_errors", n)
         if code in (INTERNAL_ERROR, SIDECAR_FAILURE):
@@ -315,7 +315,7 @@
 
 
 def check_floor(shares: Clean) -> Iterator[Finding]:
-    """Report a floor for retries and copies where no ratio limits them."""
+    """Report a floor for retries and copies if no ratio limits them."""
     if shares.get("floor_per_s") and not shares.get("retry_ratio") and not shares.get("copy_ratio"):
         yield Finding(
             "ZC235",
