--- a/zinclever/simnet/host.py
+++ b/zinclever/simnet/host.py
@@ -47,11 +47,11 @@
         return self.loop.local_now()
 
     def random(self) -> Random:
-        """Return a generator with a seed of its own."""
+        """Return a new random number generator with its own seed."""
         return Random(self.rng.getrandbits(64))
 
     def socket(self) -> Socket:
-        """Return a new socket, not connected. OSError if too many descriptors are open."""
+        """Return a new socket, not connected. Raises OSError if too many descriptors are open."""
         return self.loop.descriptors.socket()
 
     def unread(self, sock: Socket) -> bool:
@@ -63,13 +63,13 @@
         return (self.loop.local_now() - sock.received_at) * 1000.0 / NS
 
     def read_file(self, path: str) -> bytes:
-        """Return the content of a file. Unreadable if there is none."""
+        """Return the content of a file. Raises UnreadableFileError if there is none."""
         if path not in self.disk.files:
             raise UnreadableFileError(f"{path}: No such file or directory")
         return self.disk.files[path]
 
     def inherited(self, descriptor: int) -> Listener:
-        """Return the listener behind an inherited descriptor. OSError if there is none."""
+        """Return the listener behind an inherited descriptor. Raises OSError if there is none."""
         found = self.inherited_listeners.get(descriptor)
         if found is None:
             raise os_error(9)
--- a/zinclever/simnet/loop.py
+++ b/zinclever/simnet/loop.py
@@ -31,7 +31,7 @@
 
 T = TypeVar("T")
 Ts = TypeVarTuple("Ts")
-READ_SIZE = 256 * 1024  # bytes, the most that one read returns, as in asyncio
+READ_SIZE = 256 * 1024  # maximum bytes per read, as in asyncio
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
 
 
 def not_simulated(*args: Any, **kwargs: Any) -> Any:
-    """Stands for the methods of an event loop that are not simulated."""
+    """Replacement for the methods of an event loop that are not simulated."""
     raise NotImplementedError("not simulated")
 
 
@@ -373,7 +373,7 @@
     # --- sockets ---
 
     def get_socket(self, fd: Any) -> Socket:
-        """Return the socket of a descriptor, or of an object with ``fileno``. OSError (EBADF) if there is none."""
+        """Return the socket of a descriptor, or of an object with ``fileno``. Raises OSError if there is none."""
         number = fd if isinstance(fd, int) else fd.fileno()
         resource = self.descriptors.open.get(number)
         if not isinstance(resource, Socket):
--- a/zinclever/simnet/network.py
+++ b/zinclever/simnet/network.py
@@ -25,13 +25,13 @@
     latency: float = 0.0001
     """One-way latency in s."""
     jitter: float = 0.0
-    """Each segment's latency varies by up to this fraction of it, in both directions."""
+    """Each segment's latency is up to this fraction shorter or longer."""
     bandwidth: float = 0.0
     """Bytes a second of one connection; 0: unlimited."""
 
 
 LOOPBACK = Path(latency=30e-6)
-"""From a machine to itself."""
+"""The path from a machine to itself."""
 
 
 class Machine:
@@ -40,7 +40,7 @@
     def __init__(self, network: Network, name: str, address: str, zone: str = "") -> None:
         self.network, self.name, self.address, self.zone = network, name, address, zone
         self.up = True
-        """Whether it sends and receives."""
+        """Whether the machine sends and receives segments."""
         self.listeners: dict[int, Listener] = {}
         self.sockets: dict[Socket, None] = {}
         """Connected and connecting sockets, in the order of their creation."""
@@ -57,7 +57,7 @@
         self.up = False
 
     def come_back(self, rebooted: bool = True) -> None:
-        """Send and receive again. A rebooted machine has lost its connections, and resets what is sent on them."""
+        """Send and receive again. A rebooted machine has lost its connections, and resets them on receipt."""
         self.up = True
         if rebooted:
             for socket in list(self.sockets):
@@ -103,7 +103,7 @@
         self.cuts.add((source, target))
 
     def heal(self, source: str, target: str) -> None:
-        """End what :meth:`cut` began."""
+        """Deliver segments again, after :meth:`cut` with the same arguments."""
         self.cuts.discard((source, target))
 
     def open(self, source: Machine, target: Machine) -> bool:
--- a/zinclever/simnet/runner.py
+++ b/zinclever/simnet/runner.py
@@ -25,7 +25,7 @@
 
 
 def world(seed: int = 0, permute: int | None = None, trace: Trace | None = None) -> Loop:
-    """Return the loop of a process on a machine of its own, in a network of its own."""
+    """Return the loop of a process on the only machine of a new network."""
     network = Network(Scheduler(permute), seed, trace=trace)
     return Loop(network.machine("home", HOME), Cost(CALLBACK_COST))
 
--- a/zinclever/simnet/scheduler.py
+++ b/zinclever/simnet/scheduler.py
@@ -12,7 +12,7 @@
 
 NS = 1_000_000_000
 """ns per second."""
-MAX_EVENTS = 1 << 40  # exceeds every serial number, so that a random number multiplied by it sorts first
+MAX_EVENTS = 1 << 40  # exceeds every serial number, so that a random number times this one outweighs it
 
 
 class Event:
@@ -49,7 +49,7 @@
         """The virtual time in ns."""
         self.serial = 0
         self.ran = 0
-        """Number of events that have run, cancelled ones included."""
+        """Number of events that have run."""
         self.queue: list[tuple[int, int, Event]] = []
         self.tie_rng = Random(permute) if permute is not None else None
         self.choose = choose
@@ -92,7 +92,7 @@
             callback(*args)
 
     def pop_chosen(self, when: int, choose: TieBreaker) -> Event:
-        """Remove and return the chosen one of the events that are due at ``when``."""
+        """Remove one of the events that are due at ``when``, as selected by ``choose``, and return it."""
         tied = []
         while self.next_at() == when:
             tied.append(heapq.heappop(self.queue))
--- a/zinclever/simnet/server.py
+++ b/zinclever/simnet/server.py
@@ -40,7 +40,7 @@
 
     @property
     def sockets(self) -> tuple[Listener, ...]:
-        """The listener while serving, else nothing."""
+        """The listener while the server accepts connections, otherwise empty."""
         return (self.listener,) if self.waker is not None else ()
 
     def get_loop(self) -> Any:
--- a/zinclever/simnet/tcp.py
+++ b/zinclever/simnet/tcp.py
@@ -21,7 +21,7 @@
     from .process import Descriptors
 
 SEND_BUFFER = 2_500_000  # bytes that the kernel takes beyond the window; Linux' send buffers grow to that size
-RECEIVE_BUFFER = 128 * 1024  # bytes received and not read yet that the kernel holds, which is the window
+RECEIVE_BUFFER = 128 * 1024  # bytes that the kernel receives before the program reads them: the window
 SYN_TIMEOUT = NS  # ns until an unanswered SYN is sent again, doubled each time (RFC 6298, 2.1)
 MIN_RTO = NS // 5  # ns until a lost segment is sent again; Linux' minimum
 MAX_RTO = 120 * NS
@@ -61,7 +61,7 @@
         machine.listeners[port] = self
 
     def getsockname(self) -> Address:
-        """Return the address that it listens on."""
+        """Return the address of the listening socket."""
         return self.machine.address, self.port
 
     def on_established(self, socket: Socket) -> None:
@@ -75,7 +75,7 @@
             wake()
 
     def close(self) -> None:
-        """Stop listening, and reset connections that nobody has accepted."""
+        """Stop listening, and reset the connections that were not accepted."""
         if self.open:
             self.open = False
             if self.machine.listeners.get(self.port) is self:
@@ -246,7 +246,7 @@
             self.queue_fin()
 
     def close(self) -> None:
-        """Close as Linux does: with a reset if there is unread data, else with a FIN after what was written."""
+        """Close as Linux does: with an RST if there is unread data, otherwise with a FIN after the written data."""
         if self.closed:
             return
         has_unread = bool(self.rx)
@@ -357,7 +357,7 @@
         network.scheduler.at(self.last_arrival, self.on_arrival, number, kind, data)
 
     def on_arrival(self, number: int, kind: Kind, data: bytes) -> None:
-        """A segment of this side arrives at the peer; if the path is cut, it is lost and will be sent again."""
+        """Process the arrival of a segment at the peer. If the path is cut, the segment is lost and sent again."""
         peer = self.peer
         if peer is None:
             return
@@ -510,7 +510,7 @@
             network.scheduler.at(self.local_now() + span, self.on_syn, number, target)
 
     def on_syn(self, number: int, target: Machine) -> None:
-        """The SYN arrives at the target machine, which answers, refuses or drops it."""
+        """Process the arrival of the SYN at the target machine, which answers, refuses or drops it."""
         network = self.network
         if self.closed or self.open or self.peer is not None or not network.open(self.machine, target):
             return
@@ -531,14 +531,14 @@
             network.scheduler.after(span, self.on_syn_ack, target)
 
     def on_refused(self, target: Machine) -> None:
-        """The RST that refuses the connection arrives, unless it is lost."""
+        """Process the arrival of the RST that refuses the connection, unless it is lost."""
         if not self.closed and self.network.open(target, self.machine):
             self.cancel_syn()
             self.drop_state()
             self.fail(errno.ECONNREFUSED)
 
     def on_syn_ack(self, target: Machine) -> None:
-        """The answer to the SYN arrives; if it is lost, it is sent again after :data:`SYN_TIMEOUT`."""
+        """Process the arrival of the SYN-ACK. If the path is cut, it is lost and arrives :data:`SYN_TIMEOUT` later."""
         if self.closed or self.open or not self.tracked:
             return
         if not self.network.open(target, self.machine):
--- a/zinclever/simnet/trace.py
+++ b/zinclever/simnet/trace.py
@@ -7,7 +7,7 @@
 
 
 class Trace:
-    """Records, in order, segments that arrive, resets, connection attempts and what the simulation adds."""
+    """Records, in order, segments that arrive, resets, connection attempts, and events that the simulation adds."""
 
     __slots__ = ("count", "hash", "write")
 
--- a/zinclever/simnet/transport.py
+++ b/zinclever/simnet/transport.py
@@ -12,7 +12,7 @@
     from .loop import Loop
 
 HIGH_WATER = 64 * 1024  # bytes in the buffer above which the protocol is paused, as in asyncio
-READ_SIZE = 256 * 1024  # bytes, the most that one read returns
+READ_SIZE = 256 * 1024  # maximum bytes per read
 
 
 class Transport(asyncio.Transport):
@@ -105,7 +105,7 @@
     # --- writing ---
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Send data, and buffer what the socket doesn't take."""
+        """Send data, and buffer the bytes that the socket doesn't accept."""
         if self.eof:
             raise RuntimeError("Cannot call write() after write_eof()")
         if not data or self.closing:
@@ -184,7 +184,7 @@
         return self.low_water, self.high_water
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Set the water marks in bytes, with asyncio's defaults. ValueError if low exceeds high."""
+        """Set the water marks in bytes, with asyncio's defaults. Raises ValueError if ``low`` exceeds ``high``."""
         if high is None:
             high = HIGH_WATER if low is None else 4 * low
         self.low_water, self.high_water = high // 4 if low is None else low, high
