--- a/zinclever/core/dispatcher.py
+++ b/zinclever/core/dispatcher.py
@@ -138,7 +138,7 @@
         self.wire.configure(limits.connect_timeout, limits.connection_idle, self.connections)
 
     def make_view(self) -> View | None:
-        """Returns the view that reduces the endpoint list to a subset; None without shared limits, as all are used."""
+        """Returns the view that reduces the endpoint list to a subset; None without shared limits: all are used."""
         if self.settings.shares == interface.Shares():
             self.connections.configure(self.settings.shares, 1, 0, 0)
             return None
--- a/zinclever/core/protocol.py
+++ b/zinclever/core/protocol.py
@@ -53,7 +53,7 @@
 
 
 class Refused(NamedTuple):
-    """Final answer: a repeat is harmless, as nothing ran, or the request is idempotent or deduplicated everywhere.
+    """Final answer: a repeat is harmless. Nothing ran, or the request is idempotent or deduplicated by all endpoints.
 
     ``retry_after`` is the advised delay in ms, 0 for none. ``reply`` is as in :class:`Failed`.
     """
--- a/zinclever/core/stall_detector.py
+++ b/zinclever/core/stall_detector.py
@@ -49,7 +49,7 @@
         return self.idle_time > IDLE_THRESHOLD or self.last_activity - self.detected_at < RECHECK_TIME
 
     def detect(self, delay: float) -> bool:
-        """Puts sending on hold and returns True if a delay in ms shows a stall; False if it is on hold already."""
+        """Puts sending on hold if a delay in ms shows a stall; returns False if it doesn't, or if already on hold."""
         if delay < STALL_THRESHOLD_MS or self.holding:
             return False
         self.holding, self.detected_at = True, self.last_activity
--- a/zinclever/discovery/catalog.py
+++ b/zinclever/discovery/catalog.py
@@ -20,7 +20,7 @@
 
 PATH = "/catalog/members"
 WATCH_PER_SIDECAR = 200.0  # ms that a watch waits for changes, per sidecar that shares the service
-MIN_WATCH, MAX_WATCH = 3000.0, 20000.0  # bounds of that wait in ms; failures are detected only after it
+MIN_WATCH, MAX_WATCH = 3000.0, 20000.0  # bounds of that wait in ms; a hung service is detected only after it
 CALL_TIMEOUT = 3000.0  # ms to wait for an answer, in addition to the wait requested by the call
 MAX_LIST_SIZE = 4 << 20  # bytes of a list, for some ten thousand entries
 RETRY_DELAY = 500.0  # ms before a failed watch is repeated in pushed mode, if the rate of calls is not limited
--- a/zinclever/http1/bodies.py
+++ b/zinclever/http1/bodies.py
@@ -10,16 +10,16 @@
 from collections.abc import Hashable
 from typing import Protocol
 
-UNRESERVED_BODY_SIZE = 64 * 1024  # bytes; smaller bodies need no reservation: the limit on connections bounds them
+UNRESERVED_BODY_SIZE = 64 * 1024  # bytes; up to this size, no reservation: the limit on descriptors bounds the sum
 RESERVATION_STEP = 256 * 1024  # bytes reserved at a time for a body of unknown length
 MIN_BODY_MEMORY = 4 << 20  # bytes, however little memory the process has
 DEFAULT_BODY_MEMORY = 64 << 20  # bytes, if the memory of the process is unknown
 BASE_MEMORY = 30 << 20  # bytes that a sidecar uses without bodies: the program, its connections, streamed responses
-BODY_MEMORY_SHARE = 0.4  # of the other memory: a body is briefly held twice, and each attempt has a copy in the kernel
+BODY_MEMORY_SHARE = 0.4  # of memory beyond BASE_MEMORY: bodies are briefly held twice, and the kernel has copies
 
 
 def body_memory_limit(memory: float | None) -> int:
-    """Return the bytes that bodies may use if the process may use ``memory`` bytes; None if unknown."""
+    """Return the bytes that bodies may use if the process may use ``memory`` bytes (None: an unknown number)."""
     if memory is None:
         return DEFAULT_BODY_MEMORY
     return max(MIN_BODY_MEMORY, int(BODY_MEMORY_SHARE * (memory - BASE_MEMORY)))
--- a/zinclever/http1/clients.py
+++ b/zinclever/http1/clients.py
@@ -23,7 +23,7 @@
 STALLED_AFTER = 0.5  # s without a byte after which an incomplete request is evicted first: the pauses of clients that
 # write slowly are shorter, and clients that stopped midway never continue
 NEW_CONNECTION_GRACE = 0.1  # s after connecting in which a client is about to send: others are evicted before it
-MAX_REFUSED_CONNECTIONS = 24  # connections above the limit that stay open for one 503; they use the reserve
+MAX_REFUSED_CONNECTIONS = 24  # connections above the limit that stay open for one 503, from the descriptor reserve
 SWEEP_INTERVAL = 0.2  # s between two checks of the timeouts
 
 
@@ -96,7 +96,7 @@
             self.all_disconnected.set()
 
     def set_state(self, connection: ServerConnection, state: ConnectionState) -> None:
-        """Move a connection to a state; the timeout of that state starts."""
+        """Move a connection to a state; the timeout of that state, if any, starts."""
         del self.entered_at[connection.state][connection]
         connection.state = state
         self.entered_at[state][connection] = self.loop.time()
@@ -141,7 +141,7 @@
         return len(self.entered_at[ConnectionState.IDLE]) >= self.single_use_limit
 
     def sweep(self) -> None:
-        """Enforce the timeouts of all states, on the connections that have been longest in their state first."""
+        """Enforce the timeouts of the states that have one, on the connections that entered their state first."""
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.sweep) if self.count() else None
         now = self.loop.time()
         for state in (ConnectionState.READING, ConnectionState.UPLOADING):
--- a/zinclever/http1/connection.py
+++ b/zinclever/http1/connection.py
@@ -287,7 +287,7 @@
             self.resume_writing()
 
     def resume_writing(self) -> None:
-        """Handle that the kernel has accepted all bytes that were written to the transport."""
+        """Report the request as sent, once the kernel has accepted its last byte."""
         self.unsent = self.has_unsent_bytes() or self.transport.get_write_buffer_size() > 0
         if not self.unsent and self.on_sent is not None:
             on_sent, self.on_sent = self.on_sent, None
--- a/zinclever/http1/request_handler.py
+++ b/zinclever/http1/request_handler.py
@@ -32,7 +32,7 @@
         self.max_body_size = 0
         """Limit on a request body in bytes; if 0, MAX_REQUEST_BODY applies."""
         self.requires_complete_body = False
-        """Requests are forwarded only once their bodies are complete, however large they are."""
+        """Requests are forwarded only once their bodies are complete, however large the bodies are."""
 
     def release_memory(self, size: int) -> None:
         """Return reserved bytes, and grant them to the connections that wait for memory."""
--- a/zinclever/http1/wire.py
+++ b/zinclever/http1/wire.py
@@ -141,8 +141,8 @@
             payload: The request.
             left: Seconds after which the attempt times out, sent as its deadline.
             ended: Called once with the outcome, unless the attempt is cancelled before.
-            unsafe: The request must not be executed twice. Its last byte is withheld for ``HOLD`` seconds: most connections
-                that break do so within that time, which proves that nothing was executed.
+            unsafe: The request must not be executed twice. Its last byte is withheld for ``HOLD`` seconds: most
+                connections that break do so within that time, which proves that nothing was executed.
         """
         head = b"%bReq-Deadline: %.3f\r\n" % (payload.head, left)
         exchange = Exchange(
--- a/zinclever/jsonrpc/connection.py
+++ b/zinclever/jsonrpc/connection.py
@@ -374,7 +374,7 @@
         call.end(self.classify(response), Reply(response.head, response.tail, response.error))
 
     def on_unexpected_id(self, id: int) -> None:
-        """Discard and count a response whose id is not that of a written and pending call. Other calls are unaffected."""
+        """Discard and count a response whose id is not that of a written, pending call. Other calls aren't affected."""
         if id in self.abandoned_ids:
             self.abandoned_ids.discard(id)
             self.counts["late"] += 1
--- a/zinclever/simnet/network.py
+++ b/zinclever/simnet/network.py
@@ -57,7 +57,7 @@
         self.up = False
 
     def come_back(self, rebooted: bool = True) -> None:
-        """Send and receive again. A rebooted machine has lost its connections, and resets them on receipt."""
+        """Send and receive again. A rebooted machine has lost its connections, and resets them when segments arrive."""
         self.up = True
         if rebooted:
             for socket in list(self.sockets):
