--- a/zinclever/core/stall_detector.py
+++ b/zinclever/core/stall_detector.py
@@ -1,8 +1,8 @@
 """Detection of stalls of this process (SIGSTOP, a suspended or swapping machine), and the order of events after one.
 
 A process that resumes has not noticed that time has passed. The kernel may hold requests whose clients have given up,
-and list updates that servers are draining, while overdue timers fire first. Nothing may be sent before all of that has
-been read.
+and list updates that report draining servers, while overdue timers fire first. Nothing may be sent before all buffered
+data has been read.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
         return self.idle_time > IDLE_THRESHOLD or self.last_activity - self.detected_at < RECHECK_TIME
 
     def detect(self, delay: float) -> bool:
-        """Starts to hold back sending if a delay in ms shows a stall; False also while it is already on hold."""
+        """Puts sending on hold if a delay in ms shows a stall; returns False if it doesn't, or if already on hold."""
         if delay < STALL_THRESHOLD_MS or self.holding:
             return False
         self.holding, self.detected_at = True, self.last_activity
--- a/zinclever/http1/clients.py
+++ b/zinclever/http1/clients.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from .server import ServerConnection
 
-CLIENT_SHARE_DIVISOR = 2  # clients may use 1/2 of the descriptors: a third of it for requests, the rest idle or bad
+CLIENT_SHARE_DIVISOR = 2  # clients may use 1/2 of the descriptors: 1/3 of it for requests, the rest is idle or misused
 IDLE_SHARE_DIVISOR = 16  # up to 1/16 of the descriptors may be idle for IDLE_TIMEOUT, any more for MIN_IDLE_TIME
 SINGLE_USE_DIVISOR = 8  # once 1/8 of the descriptors is idle, a connection is closed after its first response
 READ_FOR = 2.4  # s for receiving a request, from its first byte or from connecting; MIN_UPLOAD_RATE extends it
@@ -23,7 +23,7 @@
 STALLED_AFTER = 0.5  # s without a byte after which an incomplete request is evicted first: the pauses of clients that
 # write slowly are shorter, and clients that stopped midway never continue
 NEW_CONNECTION_GRACE = 0.1  # s after connecting in which a client is about to send: others are evicted before it
-MAX_REFUSED_CONNECTIONS = 24  # connections above the limit that stay open for one 503: out of the descriptor reserve
+MAX_REFUSED_CONNECTIONS = 24  # connections above the limit that stay open for one 503, from the descriptor reserve
 SWEEP_INTERVAL = 0.2  # s between two checks of the timeouts
 
 
@@ -53,7 +53,7 @@
         """For each state, its connections and the instant at which each entered it, earliest first."""
         self.open_connections = 0
         self.read_timeout = self.max_idle_time = 0.0
-        """s; where 0, READ_FOR and IDLE_TIMEOUT apply."""
+        """s; if 0, READ_FOR and IDLE_TIMEOUT apply."""
         self.refused_connections = 0
         """Number of open connections whose first request is refused."""
         self.sweep_timer: asyncio.TimerHandle | None = None
@@ -74,8 +74,8 @@
     def on_connected(self, connection: ServerConnection) -> None:
         """Register a new connection; its descriptor is no longer available to endpoints.
 
-        Guards against running out of descriptors: above the clients' share, or if no connection to an endpoint is idle
-        and could be closed, one client connection is closed, the new one only if all others are in use.
+        Guards against running out of descriptors: above the clients' share, or if all descriptors are in use and no
+        connection to an endpoint is idle, :meth:`evict_one` makes room.
         """
         descriptors = self.descriptors
         descriptors.clients += 1
@@ -96,13 +96,13 @@
             self.all_disconnected.set()
 
     def set_state(self, connection: ServerConnection, state: ConnectionState) -> None:
-        """Move a connection to a state; the timeout of that state starts."""
+        """Move a connection to a state; the timeout of that state, if any, starts."""
         del self.entered_at[connection.state][connection]
         connection.state = state
         self.entered_at[state][connection] = self.loop.time()
 
     def evict_one(self, new_connection: ServerConnection) -> None:
-        """Close the least useful connection; the new one is refused only above the clients' share."""
+        """Close the least useful connection; if all are in use, refuse the new one if it exceeds the clients' share."""
         for connection in self.entered_at[ConnectionState.LINGERING]:
             connection.drop()
             return
@@ -133,7 +133,7 @@
             new_connection.drop()
 
     def has_too_many_idle(self) -> bool:
-        """Return whether idle connections leave too few for requests.
+        """Return whether idle connections leave too few descriptors for requests.
 
         Guards against many clients that send one request and keep their connection: the idle timeout would close these
         connections too late.
@@ -141,7 +141,7 @@
         return len(self.entered_at[ConnectionState.IDLE]) >= self.single_use_limit
 
     def sweep(self) -> None:
-        """Enforce the timeouts of all states, on the connections that have been longest in their state first."""
+        """Enforce the timeouts of the states that have one, on the connections that entered their state first."""
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.sweep) if self.count() else None
         now = self.loop.time()
         for state in (ConnectionState.READING, ConnectionState.UPLOADING):
