--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -47,6 +47,7 @@
 
 
 def line_of(found: Iterable[tuple[float, T]], value: Callable[[T], float]) -> Line:
+    """Fits a line to one value of each measurement."""
     return fit([(x, value(measured)) for x, measured in found])
 
 
--- a/benchmarks/hop.py
+++ b/benchmarks/hop.py
@@ -16,7 +16,7 @@
 from mesh.cluster import Mesh, read_message, run
 
 
-async def ask(address: str, count: int) -> list[float]:
+async def measure_latencies(address: str, count: int) -> list[float]:
     """Sends ``count`` requests and returns the latency of each, in ms."""
     host, _, port = address.partition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
@@ -43,8 +43,8 @@
             "over a hop": f"{m.ips[1]}:{m.port + 2}",
         }
         for name, address in addresses.items():
-            await ask(address, 50)
-            latencies = sorted(await ask(address, count))
+            await measure_latencies(address, 50)
+            latencies = sorted(await measure_latencies(address, count))
             print(f"{name}: p50 {statistics.median(latencies):.2f} ms, p99 {latencies[int(0.99 * count)]:.2f} ms")
 
 
--- a/benchmarks/instances.py
+++ b/benchmarks/instances.py
@@ -128,13 +128,13 @@
     ends = [at for at, _ in PHASES[1:]] + [SPAN]
     for (first, name), end in zip(PHASES, ends, strict=True):
         span = range(first, end)
-        asked = sum(c.requests[s] for s in span)
+        request_count = sum(c.requests[s] for s in span)
         retries, copies, barred = (sum(x[s] for s in span) for x in (c.retries, c.copies, c.barred))
         served = sum(c.answers[s, "served"] for s in span)
         answers = sum(count for (s, _), count in c.answers.items() if s in span)
         print(
             f"{name:10} {peak(connections, first, end):11} {peak(handshakes, first, end):13} "
-            f"{peak(received, first, end):11}  | {asked:14} {retries:8} {copies:7} {barred:7} "
+            f"{peak(received, first, end):11}  | {request_count:14} {retries:8} {copies:7} {barred:7} "
             f"{peak(c.lines, first, end):8} {peak(c.calls, first, end):8} {100.0 * served / max(1, answers):9.2f}"
         )
     up_to_date = sum(x.version == timeline.world.discovery.version for x in timeline.instances.values())
--- a/benchmarks/jsonrpc.py
+++ b/benchmarks/jsonrpc.py
@@ -56,9 +56,11 @@
     """A JSON-RPC endpoint that answers each call at once."""
 
     def connection_made(self, transport: Any) -> None:
+        """Stores the transport and clears the receive buffer."""
         self.transport, self.received = transport, b""
 
     def data_received(self, data: bytes) -> None:
+        """Answers each complete call, a line, and keeps the rest in the buffer."""
         *texts, self.received = (self.received + data).split(b"\n")
         out = []
         for text in texts:
@@ -71,6 +73,7 @@
     """A JSON-RPC endpoint that answers each call after a second."""
 
     def data_received(self, data: bytes) -> None:
+        """Handles the data a second later."""
         asyncio.get_running_loop().call_later(1.0, super().data_received, data)
 
 
@@ -81,9 +84,11 @@
     """An HTTP endpoint that answers each request at once."""
 
     def connection_made(self, transport: Any) -> None:
+        """Stores the transport and clears the receive buffer."""
         self.transport, self.received = transport, b""
 
     def data_received(self, data: bytes) -> None:
+        """Answers each complete request; requests have no body."""
         self.received += data
         while b"\r\n\r\n" in self.received:
             _, _, self.received = self.received.partition(b"\r\n\r\n")
@@ -112,6 +117,7 @@
         self.ends_at, self.latencies, self.count = ends_at, latencies, 0
 
     def connection_made(self, transport: Any) -> None:
+        """Stores the transport and sends the first call."""
         self.transport, self.received, self.done = transport, b"", asyncio.Event()
         self.send()
 
@@ -124,6 +130,7 @@
         )
 
     def data_received(self, data: bytes) -> None:
+        """Buffers the data and handles the answer once it is complete."""
         self.received += data
         if self.is_complete():
             self.on_answer(b'"result"' in self.received)
@@ -151,6 +158,7 @@
     """An HTTP client that sends one request at a time."""
 
     def send(self) -> None:
+        """Sends the next request."""
         self.count += 1
         self.sent_at = time.perf_counter()
         self.transport.write(
@@ -159,11 +167,13 @@
         )
 
     def data_received(self, data: bytes) -> None:
+        """Buffers the data and handles the response once it is complete; any status but 200 is a refusal."""
         self.received += data
         if self.is_complete():
             self.on_answer(self.received.startswith(b"HTTP/1.1 200"))
 
     def is_complete(self) -> bool:
+        """Returns whether the response has all bytes that its Content-Length states."""
         head, _, body = self.received.partition(b"\r\n\r\n")
         return b"Content-Length: %d" % len(body) in head
 
@@ -384,6 +394,7 @@
     """Sends every call to the endpoints in turn, without the concurrency limits of the real balancer."""
 
     def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
+        """Sends each request to the next endpoint of the last membership update; ignores all other events."""
         if isinstance(event, interface.MembershipUpdate):
             self.names = itertools.cycle([e.endpoint for e in event.entries])
         elif isinstance(event, interface.RequestArrived):
--- a/benchmarks/request.py
+++ b/benchmarks/request.py
@@ -50,6 +50,7 @@
         self.client: Downstream | None = None
 
     def connection_made(self, transport: Any) -> None:
+        """Stores the transport."""
         self.transport = transport
 
     def send(self, client: Downstream, data: bytes) -> None:
@@ -58,6 +59,7 @@
         self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
+        """Parses data of the response."""
         self.parser.feed_data(data)
 
     def on_body(self, body: bytes) -> None:
@@ -80,9 +82,11 @@
         self.parser = httptools.HttpRequestParser(self)
 
     def connection_made(self, transport: Any) -> None:
+        """Stores the transport."""
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
+        """Parses data of the request."""
         self.parser.feed_data(data)
 
     def on_message_begin(self) -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -56,7 +56,7 @@
         self.timers += [(a.at, a.token) for a in actions if isinstance(a, interface.SetTimer)]
         return actions
 
-    def ask(self, klass: int = 0, deadline: float = 500.0, **more: Any) -> str:
+    def submit(self, klass: int = 0, deadline: float = 500.0, **more: Any) -> str:
         """Send in a request and return its name."""
         self.serial += 1
         name = f"r{self.serial}"
@@ -104,7 +104,7 @@
     def serve_many(self, rounds: int, at_once: int, took: float) -> None:
         """Serve rounds of concurrent requests, so that requests in flight affect the selection."""
         for _ in range(rounds):
-            names = [self.ask() for _ in range(at_once)]
+            names = [self.submit() for _ in range(at_once)]
             self.wait(took)
             for name in names:
                 if self.sends(name):
@@ -113,7 +113,7 @@
     def serve(self, n: int, took: float = 40.0, gap: float = 10.0) -> None:
         """Serve requests one after another, each by its first attempt in ``took`` ms or up to 30 % more."""
         for _ in range(n):
-            name = self.ask()
+            name = self.submit()
             self.wait(took * self.jitter.uniform(1.0, 1.3))
             if self.sends(name):
                 self.end(name)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -238,7 +238,7 @@
         assert message is not None, "the connection ended without an answer"
         return message
 
-    async def ask(self, target: str = "/read/x?y=1", **more: Any) -> Message:
+    async def fetch(self, target: str = "/read/x?y=1", **more: Any) -> Message:
         self.send(target, **more)
         return await self.answer()
 
--- a/tests/mesh/test_client_calls.py
+++ b/tests/mesh/test_client_calls.py
@@ -39,7 +39,7 @@
     world.cut = {(a, b) for a in world.machines for b in world.machines if ip in (a, b) and a != b}
 
 
-def told(call: Call | None) -> Told:
+def outcome_of(call: Call | None) -> Told:
     assert call is not None
     return call.told
 
@@ -51,8 +51,8 @@
         for ip in world.leaders():
             call = world.put(ip, base, generation, variant)
             world.run(0.3)
-            if told(call) is not Told.INDETERMINATE:
-                return told(call)
+            if outcome_of(call) is not Told.INDETERMINATE:
+                return outcome_of(call)
         world.run(0.1)
     return Told.INDETERMINATE
 
@@ -105,7 +105,7 @@
         world, old = self.replaced_leader(seed)
         call = world.put(old, 2, 3)  # before the old leader has handled a message or a tick
         world.run(1.0)
-        self.assertIsNot(told(call), Told.STALE)
+        self.assertIsNot(outcome_of(call), Told.STALE)
         self.assertTrue(is_linearizable(world.history))
         self.assertIs(put_until_answered(world, 2, 3), Told.DONE)
 
@@ -114,7 +114,7 @@
         world, old = self.replaced_leader(seed)
         call = world.put(old, 1, 1)
         world.run(1.0)
-        self.assertIsNot(told(call), Told.GENERATION_TOO_LOW)
+        self.assertIsNot(outcome_of(call), Told.GENERATION_TOO_LOW)
         self.assertTrue(is_linearizable(world.history))
 
     @params(*range(6))
@@ -161,7 +161,7 @@
         world.cut = {(old, ip) for ip in world.machines if ip != old}
         call = world.put(old, 0, 9)
         world.run(1.0)
-        self.assertIs(told(call), Told.INDETERMINATE)
+        self.assertIs(outcome_of(call), Told.INDETERMINATE)
 
 
 class Confirmations(unittest.TestCase):
@@ -177,7 +177,7 @@
             world.loss = 0.1
             read, refusal = world.get(ip), world.put(ip, 0, 9)
             world.run(CALLER_TIMEOUT)
-            if (told(read), told(refusal)) != (Told.DONE, Told.STALE):
+            if (outcome_of(read), outcome_of(refusal)) != (Told.DONE, Told.STALE):
                 unanswered.append(seed)
         self.assertEqual(unanswered, [])
 
@@ -189,14 +189,14 @@
         assert replica is not None
         earlier = world.get(old)
         world.run(0.3)
-        self.assertIs(told(earlier), Told.DONE)
+        self.assertIs(outcome_of(earlier), Told.DONE)
         isolate(world, old)
         later = world.get(old)
         for disk in ("d1", "d2", "d3"):
             replica.calls.confirmations.record(disk, replica.calls.confirmations.round - 1)
         replica.answer_confirmed()
         world.carry_out(world.machines[old])
-        self.assertIs(told(later), Told.INDETERMINATE)
+        self.assertIs(outcome_of(later), Told.INDETERMINATE)
         self.assertEqual(later.ended if later else 0.0, math.inf)
 
     def test_confirmations_are_discarded_at_the_end_of_a_term(self) -> None:
@@ -234,14 +234,14 @@
         (ip,) = world.leaders()
         first, second = world.put(ip, 1, 5, 1), world.put(ip, 1, 5, 2)
         world.run(0.5)
-        self.assertEqual((told(first), told(second)), (Told.DONE, Told.STALE))
+        self.assertEqual((outcome_of(first), outcome_of(second)), (Told.DONE, Told.STALE))
         read = world.get(ip)
         world.run(0.5)
         self.assertEqual(read.variant if read else 0, 1)
         for variant, want in ((1, Told.DONE), (2, Told.STALE)):
             again = world.put(ip, 1, 5, variant)
             world.run(0.5)
-            self.assertIs(told(again), want)
+            self.assertIs(outcome_of(again), want)
         self.assertTrue(is_linearizable(world.history))
 
     def test_same_text_with_different_generations(self) -> None:
@@ -258,7 +258,7 @@
         index = world.newest().index
         calls = [world.put(ip, 1, 2) for _ in range(3)]
         world.run(0.5)
-        self.assertEqual([told(c) for c in calls], [Told.DONE] * 3)
+        self.assertEqual([outcome_of(c) for c in calls], [Told.DONE] * 3)
         self.assertEqual(world.newest().index, index + 1)
 
     def test_change_based_on_a_pending_change(self) -> None:
@@ -266,7 +266,7 @@
         (ip,) = world.leaders()
         calls = [world.put(ip, n, n + 1) for n in range(1, 5)]
         world.run(0.5)
-        self.assertEqual([told(c) for c in calls], [Told.DONE] * 4)
+        self.assertEqual([outcome_of(c) for c in calls], [Told.DONE] * 4)
 
     def test_change_that_lost_to_a_concurrent_one_stays_rejected(self) -> None:
         world = started_cluster()
@@ -292,8 +292,8 @@
         repeated = world.put(ip, 0, 1)
         never_applied = world.put(ip, 0, others + 7)  # its generation is above all that are no longer remembered
         world.run(0.5)
-        self.assertIs(told(repeated), Told.DONE if others < MAX_APPLIED_CALLS else Told.INDETERMINATE)
-        self.assertIs(told(never_applied), Told.STALE)
+        self.assertIs(outcome_of(repeated), Told.DONE if others < MAX_APPLIED_CALLS else Told.INDETERMINATE)
+        self.assertIs(outcome_of(never_applied), Told.STALE)
 
     @params(*range(4))
     def test_repeated_change_after_a_leader_change(self, seed: int) -> None:
--- a/tests/mesh/test_storms.py
+++ b/tests/mesh/test_storms.py
@@ -158,8 +158,8 @@
 class Histories(unittest.TestCase):
     """The linearizability checker."""
 
-    def put(self, began: float, ended: float, base: int, generation: int, told: Told = Told.DONE) -> Call:
-        return Call(began, ended, "put", generation, base, told)
+    def put(self, began: float, ended: float, base: int, generation: int, outcome: Told = Told.DONE) -> Call:
+        return Call(began, ended, "put", generation, base, outcome)
 
     def get(self, began: float, ended: float, generation: int) -> Call:
         return Call(began, ended, "get", generation, 0, Told.DONE)
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -72,7 +72,7 @@
         async with serving(page) as (_, at), sidecar(react, known(e=at, gone=closed_port())) as s:
             c = await s.client()
             for n, status in ((1, 200), (2, 503), (3, 502)):
-                assert (await c.ask(Req_Id=f"r{n}")).status == status
+                assert (await c.fetch(Req_Id=f"r{n}")).status == status
             counts = s.sidecar.counts
             replies = counts.of("read")
             assert (replies.served, replies.refused, replies.failed, s.wire.dispatches) == (1, 1, 1, 1)
@@ -128,7 +128,7 @@
         for _, writer in silent[::2]:
             writer.write(b"GET /sta")
         client = Client(*await asyncio.open_connection(*address))
-        assert (await client.ask("/status")).status == 200
+        assert (await client.fetch("/status")).status == 200
         assert len(admin.callers) <= server.MAX_CALLERS
         for reader, _ in silent:
             try:
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -8,10 +8,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from zinclever.standins import Log, Terms, audit
-from zinclever.standins.log import Answered, Asked, Effect, Left, Received, Started, Told
+from zinclever.standins import Log, RuleParameters, audit
+from zinclever.standins.log import (
+    AbandonedRequest,
+    Answered,
+    Effect,
+    EndpointAnnouncement,
+    Received,
+    SentRequest,
+    Started,
+)
 
-TERMS = Terms(slack=10.0, drain_grace=1000.0, overload_for=2000.0)
+RULE_PARAMETERS = RuleParameters(slack=10.0, drain_grace=1000.0, overload_for=2000.0)
 
 
 def valid_log() -> Log:
@@ -20,22 +28,22 @@
     kinds: list[Effect] = ["idempotent", "deduplicated", "at_most_once"]
     for n, effect in enumerate(kinds):
         at, name = 100.0 * n, f"r{n}"
-        log.asked.append(Asked(at, name, effect, 50.0, key=f"k{n}", group="zone", window=1000.0))
+        log.sent_requests.append(SentRequest(at, name, effect, 50.0, key=f"k{n}", group="zone", window=1000.0))
         log.received.append(Received(at + 1.0, at + 2.0, name, "e", "a", True, False, f"m{n}"))
         log.answered.append(Answered(at + 20.0, name, "served", f"m{n}"))
     return log
 
 
-def resend(log: Log, request: str, after: float, zone: str = "a", ran: bool = True) -> None:
+def resend(log: Log, request: str, after: float, zone: str = "a", executed: bool = True) -> None:
     """Adds an attempt of the same request at another endpoint, ``after`` ms later."""
     first = next(r for r in log.received if r.request == request)
     log.received.append(
-        Received(first.first + after, first.at + after, request, "f", zone, ran, False, f"{request}+{after}")
+        Received(first.first + after, first.at + after, request, "f", zone, executed, False, f"{request}+{after}")
     )
 
 
 def test_valid_log_has_no_violation() -> None:
-    assert audit(valid_log(), TERMS) == []
+    assert audit(valid_log(), RULE_PARAMETERS) == []
 
 
 def unanswered(log: Log) -> None:
@@ -51,7 +59,7 @@
 
 
 def served_with_foreign_answer(log: Log) -> None:
-    log.answered[1] = log.answered[1]._replace(made="m0")
+    log.answered[1] = log.answered[1]._replace(execution_id="m0")
 
 
 def answered_without_request(log: Log) -> None:
@@ -68,12 +76,12 @@
 
 def sent_after_its_client_left(log: Log) -> None:
     del log.answered[0]
-    log.left.append(Left(5.0, "r0"))
+    log.abandoned_requests.append(AbandonedRequest(5.0, "r0"))
     resend(log, "r0", 30.0)
 
 
 def notification_answered(log: Log) -> None:
-    log.asked[0] = log.asked[0]._replace(answered=False)
+    log.sent_requests[0] = log.sent_requests[0]._replace(answered=False)
 
 
 def at_most_once_executed_twice(log: Log) -> None:
@@ -81,13 +89,13 @@
 
 
 def at_most_once_resent(log: Log) -> None:
-    resend(log, "r2", 5.0, ran=False)
+    resend(log, "r2", 5.0, executed=False)
 
 
 def at_most_once_resent_after_silence(log: Log) -> None:
-    log.received[2] = log.received[2]._replace(ran=False, made="")
+    log.received[2] = log.received[2]._replace(executed=False, execution_id="")
     resend(log, "r2", 5.0)
-    log.answered[2] = log.answered[2]._replace(made="r2+5.0")
+    log.answered[2] = log.answered[2]._replace(execution_id="r2+5.0")
 
 
 def at_most_once_refused_after_execution(log: Log) -> None:
@@ -99,11 +107,11 @@
 
 
 def deduplicated_sent_to_another_zone(log: Log) -> None:
-    resend(log, "r1", 5.0, zone="b", ran=False)
+    resend(log, "r1", 5.0, zone="b", executed=False)
 
 
 def deduplicated_resent_after_window(log: Log) -> None:
-    log.asked[1] = log.asked[1]._replace(wait=5000.0)
+    log.sent_requests[1] = log.sent_requests[1]._replace(wait=5000.0)
     log.answered[1] = log.answered[1]._replace(at=3000.0)
     resend(log, "r1", 1500.0)
 
@@ -113,15 +121,19 @@
 
 
 def sent_after_drain(log: Log) -> None:
-    log.told.append(Told(-950.0, "e", "draining"))
+    log.announcements.append(EndpointAnnouncement(-950.0, "e", "draining"))
 
 
 def sent_after_removal(log: Log) -> None:
-    log.told += [Told(-2000.0, "e", "ready"), Told(-950.0, "e", "gone"), Told(150.0, "e", "ready")]
+    log.announcements += [
+        EndpointAnnouncement(-2000.0, "e", "ready"),
+        EndpointAnnouncement(-950.0, "e", "gone"),
+        EndpointAnnouncement(150.0, "e", "ready"),
+    ]
 
 
 def sent_after_drain_and_removal(log: Log) -> None:
-    log.told += [Told(-950.0, "e", "draining"), Told(-10.0, "e", "gone")]
+    log.announcements += [EndpointAnnouncement(-950.0, "e", "draining"), EndpointAnnouncement(-10.0, "e", "gone")]
 
 
 def cold_endpoint_overloaded(log: Log) -> None:
@@ -162,18 +174,18 @@
     log = valid_log()
     assert callable(change)
     change(log)
-    assert {b.rule for b in audit(log, TERMS)} == {rule}
+    assert {b.rule for b in audit(log, RULE_PARAMETERS)} == {rule}
 
 
 def refused_without_attempt(log: Log) -> None:
     del log.received[2]
-    log.answered[2] = log.answered[2]._replace(kind="refused", made="")
+    log.answered[2] = log.answered[2]._replace(kind="refused", execution_id="")
 
 
 def at_most_once_resent_after_decline(log: Log) -> None:
-    log.received[2] = log.received[2]._replace(ran=False, declined=True, made="")
+    log.received[2] = log.received[2]._replace(executed=False, declined=True, execution_id="")
     resend(log, "r2", 5.0)
-    log.answered[2] = log.answered[2]._replace(made="r2+5.0")
+    log.answered[2] = log.answered[2]._replace(execution_id="r2+5.0")
 
 
 def deduplicated_resent_in_time(log: Log) -> None:
@@ -186,16 +198,16 @@
 
 def client_disconnected(log: Log) -> None:
     del log.answered[2]
-    log.left.append(Left(205.0, "r2"))
+    log.abandoned_requests.append(AbandonedRequest(205.0, "r2"))
 
 
 def sent_within_drain_grace(log: Log) -> None:
-    log.told.append(Told(-900.0, "e", "draining"))
-    del log.asked[1:], log.received[1:], log.answered[1:]
+    log.announcements.append(EndpointAnnouncement(-900.0, "e", "draining"))
+    del log.sent_requests[1:], log.received[1:], log.answered[1:]
 
 
 def sent_after_return(log: Log) -> None:
-    log.told += [Told(-5000.0, "e", "gone"), Told(-1.0, "e", "ready")]
+    log.announcements += [EndpointAnnouncement(-5000.0, "e", "gone"), EndpointAnnouncement(-1.0, "e", "ready")]
 
 
 def large_cold_endpoint(log: Log) -> None:
@@ -219,7 +231,7 @@
     log = valid_log()
     assert callable(change)
     change(log)
-    assert audit(log, TERMS) == []
+    assert audit(log, RULE_PARAMETERS) == []
 
 
 @given(st.integers(0, 10_000))
@@ -230,21 +242,21 @@
     log, expected = Log(), set()
     for n in range(20):
         name, at = f"r{n}", 100.0 * n
-        log.asked.append(Asked(at, name, "at_most_once", 50.0))
+        log.sent_requests.append(SentRequest(at, name, "at_most_once", 50.0))
         possibly_executed = False
         for step in range(rng.randrange(4)):
-            ran = rng.random() < 0.5
-            declined = not ran and rng.random() < 0.5
+            executed = rng.random() < 0.5
+            declined = not executed and rng.random() < 0.5
             if possibly_executed:
                 expected.add(name)
             possibly_executed = possibly_executed or not declined
-            made = f"{name}.{step}" if ran else ""
-            log.received.append(Received(at + step, at + step, name, f"e{step}", "a", ran, declined, made))
+            execution_id = f"{name}.{step}" if executed else ""
+            log.received.append(Received(at + step, at + step, name, f"e{step}", "a", executed, declined, execution_id))
         if rng.random() < 0.5:
             log.answered.append(Answered(at + 40.0, name, "failed"))
         else:
             log.answered.append(Answered(at + 40.0, name, "refused"))
             if possibly_executed:
                 expected.add(name)
-    found = audit(log, TERMS)
-    assert {b.about for b in found} == expected and {b.rule for b in found} <= {2}
+    found = audit(log, RULE_PARAMETERS)
+    assert {b.subject for b in found} == expected and {b.rule for b in found} <= {2}
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -83,7 +83,7 @@
                 check_process(program.pid)
                 client = await connect(env["LB_LISTEN"])
                 for n in range(5):
-                    assert (await client.ask(Req_Id=f"r{n}")).status == 200
+                    assert (await client.fetch(Req_Id=f"r{n}")).status == 200
                 check_process(program.pid)
                 program.terminate()
                 client.writer.close()
--- a/tests/test_fault_day.py
+++ b/tests/test_fault_day.py
@@ -16,9 +16,9 @@
 from test_jsonrpc_program import started, write
 from test_program import config
 
-from zinclever.standins import Log, Terms, audit, seeded
+from zinclever.standins import Log, RuleParameters, audit, seeded
 from zinclever.standins.clients import ClientRequestClass, HttpClient, JsonRpcClient
-from zinclever.standins.day import MAX_DELAY, SHARES, Day, ask_http, ask_jsonrpc, change_endpoints
+from zinclever.standins.day import MAX_DELAY, SHARES, Day, change_endpoints, send_http_requests, send_jsonrpc_calls
 from zinclever.standins.discovery import Discovery
 from zinclever.standins.endpoint import Endpoint
 from zinclever.standins.http_endpoint import HttpEndpoint
@@ -57,7 +57,7 @@
     "zone": 0,
 }
 #: Tolerates stalls of a CI machine; real violations exceed it by far.
-TERMS = Terms(slack=600.0)
+RULE_PARAMETERS = RuleParameters(slack=600.0)
 
 
 class Side:
@@ -87,7 +87,7 @@
     kinds: dict[str, int] = {}
     for answer in side.log.answered:
         kinds[answer.kind] = kinds.get(answer.kind, 0) + 1
-    return audit(side.log, TERMS), kinds
+    return audit(side.log, RULE_PARAMETERS), kinds
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -116,9 +116,10 @@
                 await http.known()
                 await rpc.known()
                 client_tasks = [
-                    asyncio.ensure_future(ask_http(c, CLASSES, Random(rng.random()), day_over)) for c in http_clients
+                    asyncio.ensure_future(send_http_requests(c, CLASSES, Random(rng.random()), day_over))
+                    for c in http_clients
                 ] + [
-                    asyncio.ensure_future(ask_jsonrpc(c, rpc_address, CLASSES, Random(rng.random()), day_over))
+                    asyncio.ensure_future(send_jsonrpc_calls(c, rpc_address, CLASSES, Random(rng.random()), day_over))
                     for c in rpc_clients
                 ]
 
@@ -144,6 +145,10 @@
                 assert not breaches, (seed, breaches)
                 # The run must have served requests and seen failures to be meaningful.
                 assert kinds["served"] > 100 and kinds["failed"] > 5, kinds
-                assert all(side.log.ran(a.request) <= 1 for a in side.log.asked if a.effect == "at_most_once")
+                assert all(
+                    side.log.execution_count(a.request) <= 1
+                    for a in side.log.sent_requests
+                    if a.effect == "at_most_once"
+                )
 
     run_real(test)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -118,7 +118,7 @@
     while True:
         assert program.returncode is None, "the program has ended"
         try:
-            if (await (await connect(admin)).ask("/status")).status == 200:
+            if (await (await connect(admin)).fetch("/status")).status == 200:
                 return program
         except OSError:
             pass
@@ -126,7 +126,7 @@
 
 
 async def metrics(admin: str) -> dict[str, int]:
-    text = (await (await connect(admin)).ask("/status/metrics")).body.decode()
+    text = (await (await connect(admin)).fetch("/status/metrics")).body.decode()
     return {name: int(value.partition("|")[0]) for name, value in (x.split(":") for x in text.splitlines())}
 
 
@@ -153,7 +153,7 @@
             while not stop.is_set():
                 client = client or await connect(at)
                 request_count += 1
-                received = await client.ask("/tip", method="POST", Req_Id=f"{task}-{request_count}")
+                received = await client.fetch("/tip", method="POST", Req_Id=f"{task}-{request_count}")
                 assert received.status == 200 and received.body == b"page"
                 if received.headers.get("connection") == "close":
                     client = None
--- a/tests/test_jsonrpc.py
+++ b/tests/test_jsonrpc.py
@@ -289,7 +289,7 @@
             await s.balancer.until(lambda: len(s.balancer.ends()) == 3)
             closed = [e for _, e in s.balancer.received_events if isinstance(e, interface.RequestClosed)]
             assert len(closed) == 2
-            assert s.log.ran(name) == 1 and not s.service.dispatcher.requests
+            assert s.log.execution_count(name) == 1 and not s.service.dispatcher.requests
 
     run_real(test)
 
--- a/tests/test_jsonrpc_program.py
+++ b/tests/test_jsonrpc_program.py
@@ -126,7 +126,7 @@
             env |= config(tmp_path, known=known(e=http))
             async with started(env, address) as program:
                 client = await connect(env["LB_LISTEN"])
-                assert (await client.ask("/read")).body == b"page"
+                assert (await client.fetch("/read")).body == b"page"
                 c = await JsonRpcClient(log).connect(address)
                 assert "result" in await c.call(READ)
                 program.send_signal(signal.SIGTERM)
--- a/tests/test_jsonrpc_wire.py
+++ b/tests/test_jsonrpc_wire.py
@@ -521,8 +521,8 @@
             c = await s.client()
             calls = [c.call(k) for _ in range(40) for k in (READ, TIP)]
             await asyncio.gather(*calls)
-            tips = [a.request for a in s.log.asked if a.effect == "at_most_once"]
-            assert all(s.log.ran(t) <= 1 for t in tips)
+            tips = [a.request for a in s.log.sent_requests if a.effect == "at_most_once"]
+            assert all(s.log.execution_count(t) <= 1 for t in tips)
             assert not audit(s.log)
 
     run_real(test)
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -121,7 +121,7 @@
 
     async def test() -> None:
         async with endpoint(serve) as at, sidecar(send_to("e"), known(e=at)) as s:
-            got = await (await s.client()).ask()
+            got = await (await s.client()).fetch()
             assert got.status == 200 and got.body == b"page" and got.headers["content-length"] == "4"
 
     run(test)
@@ -217,7 +217,7 @@
 
     async def test() -> None:
         async with endpoint(serve) as at, sidecar(send_to("e"), known(e=at)) as s:
-            assert (await (await s.client()).ask()).body == b"012345"
+            assert (await (await s.client()).fetch()).body == b"012345"
 
     run(test)
 
@@ -315,7 +315,7 @@
 
     async def test() -> None:
         async with endpoint(serve) as at, sidecar(react, known(e=at)) as s:
-            assert (await (await s.client()).ask()).status == 502
+            assert (await (await s.client()).fetch()).status == 502
             assert s.balancer.ends()[0].outcome == "reset"
 
     run(test)
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -75,11 +75,11 @@
         counts = self.world.counts
         assert self.highest_count(counts.connections) <= SHARES.connections
         assert self.highest_count(counts.handshakes) <= SHARES.handshakes_per_s
-        asked = counts.requests.total()
-        assert counts.copies.total() <= 0.2 * asked + self.count + 0.5 * SERVERS * self.world.now / 1000.0
+        request_count = counts.requests.total()
+        assert counts.copies.total() <= 0.2 * request_count + self.count + 0.5 * SERVERS * self.world.now / 1000.0
         assert (
             counts.retries.total()
-            <= 0.2 * asked + self.count + counts.barred.total() + 0.5 * SERVERS * self.world.now / 1000.0
+            <= 0.2 * request_count + self.count + counts.barred.total() + 0.5 * SERVERS * self.world.now / 1000.0
         )
 
     def served_share(self) -> float:
--- a/tests/test_meaning.py
+++ b/tests/test_meaning.py
@@ -11,7 +11,7 @@
 from zinclever.configuration.operator import build
 from zinclever.policy.endpoint_list import EndpointList
 from zinclever.policy.requests import Request
-from zinclever.standins import Fault, Terms, audit
+from zinclever.standins import Fault, RuleParameters, audit
 from zinclever.standins.simulation import Simulation
 
 CONFIGURATIONS = 300
@@ -70,8 +70,8 @@
 def play(settings: interface.Settings, entries: tuple[interface.ListedEndpoint, ...], seed: int) -> list[object]:
     """Simulate a service under faults and return the breaches of the rules on repeated execution."""
     log = Simulation(settings, entries, SHARES, seed).run(80, 100.0)
-    assert len(log.asked) == 80
-    return [b for b in audit(log, Terms(slack=1.0)) if b.rule in (1, 2)]
+    assert len(log.sent_requests) == 80
+    return [b for b in audit(log, RuleParameters(slack=1.0)) if b.rule in (1, 2)]
 
 
 def test_valid_configuration_never_repeats_what_may_not_run_twice() -> None:
--- a/tests/test_ordinary.py
+++ b/tests/test_ordinary.py
@@ -19,7 +19,7 @@
 
 def test_request_is_sent_once_and_answered() -> None:
     s = BalancerHarness(settings(), fleet(3))
-    r = s.ask()
+    r = s.submit()
     assert len(s.sends(r)) == 1
     s.wait(30)
     s.end(r)
@@ -29,33 +29,33 @@
 def test_selection_prefers_the_better_payoff() -> None:
     s = BalancerHarness(settings(), fleet(2))
     for _ in range(40):
-        r = s.ask()
+        r = s.submit()
         slow = s.sends(r)[0].endpoint == "e0"
         s.wait(120 if slow else 20)
         if r in s.b.requests:
             s.end(r)
         s.wait(20)
-    late = [s.sends(s.ask())[0].endpoint for _ in range(1)]
+    late = [s.sends(s.submit())[0].endpoint for _ in range(1)]
     assert late == ["e1"]
 
 
 def test_selection_counts_own_requests_in_flight() -> None:
     s = BalancerHarness(settings(), fleet(2))
-    used = [s.sends(s.ask())[0].endpoint for _ in range(10)]
+    used = [s.sends(s.submit())[0].endpoint for _ in range(10)]
     assert abs(used.count("e0") - used.count("e1")) <= 1
 
 
 def test_selection_is_the_better_of_two_not_of_all() -> None:
     s = BalancerHarness(settings(), fleet(8))
     for _ in range(4):
-        s.ask()
+        s.submit()
     busy = {a.endpoint for a in s.sends()}
     assert len(busy) >= 3
     # With the best of all, eight requests would always go to eight endpoints, whatever the seed.
     hits = 0
     for seed in range(40):
         other = BalancerHarness(settings(), fleet(8), seed)
-        picks = [other.sends(other.ask())[0].endpoint for _ in range(8)]
+        picks = [other.sends(other.submit())[0].endpoint for _ in range(8)]
         hits += len(set(picks)) < 8
     assert hits > 20
 
@@ -71,21 +71,21 @@
 
 def test_hedge_after_each_delay_on_unused_endpoints() -> None:
     s = warmed()
-    r, started_at = s.ask(), s.now
+    r, started_at = s.submit(), s.now
     s.wait(150)
     times = [t - started_at for t, a in s.all if isinstance(a, interface.Send) and a.request == r]
     assert times == [0.0, DELAY, 2 * DELAY]
     assert len({a.endpoint for a in s.sends(r)}) == 3
     for seed in range(10):
         small = warmed(n=2, seed=seed)
-        r = small.ask()
+        r = small.submit()
         small.wait(150)
         assert len(small.sends(r)) == len({a.endpoint for a in small.sends(r)}) == 2
 
 
 def test_first_answer_wins_and_other_attempts_are_cancelled() -> None:
     s = warmed()
-    r = s.ask()
+    r = s.submit()
     s.wait(DELAY + 10)
     actions = s.end(r, 1)
     assert [a for a in actions if isinstance(a, interface.Cancel)] == [interface.Cancel(r, 0)]
@@ -98,7 +98,7 @@
 
 def test_nothing_is_cancelled_if_the_limits_forbid_it() -> None:
     s = warmed(limits=replace(LIMITS, cancel=False))
-    r = s.ask()
+    r = s.submit()
     s.wait(DELAY + 10)
     s.end(r, 1)
     assert not s.of(interface.Cancel)
@@ -106,7 +106,7 @@
 
 def test_attempt_limit_covers_hedges_and_retries() -> None:
     s = warmed(limits=replace(LIMITS, max_attempts=2))
-    r = s.ask()
+    r = s.submit()
     s.wait(DELAY + 10)
     s.end(r, 0, "error")
     s.wait(300)
@@ -116,14 +116,14 @@
 def test_no_hedges_unless_idempotent_and_permitted() -> None:
     for klass, limits in ((UNSAFE, LIMITS), (KEYED, LIMITS), (SAFE, replace(LIMITS, second_copies=False))):
         s = warmed(klass, limits=limits)
-        r = s.ask()
+        r = s.submit()
         s.wait(190)
         assert len(s.sends(r)) == 1
 
 
 def test_hedge_that_cannot_meet_the_target_is_not_sent() -> None:
     s = warmed()
-    r = s.ask()
+    r = s.submit()
     s.wait(499)
     last_sent_at = max(t for t, a in s.all if isinstance(a, interface.Send) and a.request == r)
     assert last_sent_at <= s.now - 499 + SAFE.aim
@@ -136,7 +136,7 @@
     first = len(s.all)
     s.b.hedge_tokens = 0.0
     for _ in range(40):
-        s.ask()
+        s.submit()
         s.wait(5)
     s.wait(300)
     sends = [a for _, a in s.all[first:] if isinstance(a, interface.Send)]
@@ -146,7 +146,7 @@
 def test_idempotent_request_is_retried_elsewhere_at_once() -> None:
     for outcome in ("error", "full", "connect_failed", "reset"):
         s = BalancerHarness(settings(), fleet(4))
-        r = s.ask()
+        r = s.submit()
         s.wait(5)
         s.end(r, 0, outcome)
         assert len(s.sends(r)) == 2 and s.sends(r)[0].endpoint != s.sends(r)[1].endpoint
@@ -158,7 +158,7 @@
     s = BalancerHarness(settings(), fleet(3))
     failures = 0
     for _ in range(60):
-        r = s.ask()
+        r = s.submit()
         s.wait(2)
         for n in range(3):
             if s.sends(r)[n].endpoint != "e0":
@@ -171,7 +171,7 @@
     assert failures <= 10
     endpoint = s.b.endpoint_list.endpoints["e1"]
     before = s.b.selector.score(s.now, endpoint)
-    r = s.ask()
+    r = s.submit()
     while s.sends(r)[-1].endpoint != "e1":
         s.end(r, len(s.sends(r)) - 1, "full")
     s.end(r, len(s.sends(r)) - 1, "error")
@@ -183,7 +183,7 @@
     s = warmed(n=4)
     lost = []
     for _ in range(20):
-        r = s.ask()
+        r = s.submit()
         s.wait(30)
         for n, a in enumerate(s.sends(r)):
             if a.endpoint == "e0":
@@ -193,7 +193,7 @@
     assert len(lost) <= 3
     single = warmed(n=1)
     endpoint = single.b.endpoint_list.endpoints["e0"]
-    single.ask()
+    single.submit()
     before = single.b.selector.score(single.now, endpoint)
     single.wait(100)
     assert single.b.selector.score(single.now, endpoint) < before / 2
@@ -202,7 +202,7 @@
 def test_attempt_cancelled_right_after_its_send_does_not_look_fast() -> None:
     s = warmed(n=3)
     endpoint = s.b.endpoint_list.endpoints["e0"]
-    r = s.ask()
+    r = s.submit()
     while s.sends(r)[-1].endpoint != "e0":
         s.wait(DELAY)
     n = len(s.sends(r)) - 1
@@ -214,7 +214,7 @@
 
 def test_outcome_after_the_final_answer_is_learned_from() -> None:
     s = warmed(n=3)
-    r = s.ask()
+    r = s.submit()
     endpoint = s.b.endpoint_list.endpoints[s.sends(r)[0].endpoint]
     s.wait(DELAY + 5)
     s.end(r, 1)
@@ -231,7 +231,7 @@
     assert s.feed(interface.RequestClosed("gone")) == []
     assert s.feed(interface.StreamStarted("gone", 0, "e0", 5.0)) == []
     s.feed(interface.TimerFired("never set"))
-    r = s.ask()
+    r = s.submit()
     s.end(r)
     assert s.end(r) == []
     assert s.b.endpoint_list.inflight() == 0
@@ -243,7 +243,7 @@
         first = []
         for seed in range(20):
             s = BalancerHarness(settings(group_size=50, warm_keys=warm), fleet(20), seed)
-            first += [s.sends(s.ask(key=key))[0].endpoint for key in ("k1", "k2")]
+            first += [s.sends(s.submit(key=key))[0].endpoint for key in ("k1", "k2")]
         agreed.append(max(first[::2].count(e) for e in first) + max(first[1::2].count(e) for e in first))
     assert agreed[0] > 30 and agreed[1] < 15
 
@@ -252,7 +252,7 @@
     # Guards against sending a key with much of the traffic to a single endpoint.
     s = BalancerHarness(settings(warm_keys=True), fleet(20))
     for _ in range(40):
-        r = s.ask(key="hot")
+        r = s.submit(key="hot")
         s.wait(20)
         s.end(r)
     assert len({a.endpoint for a in s.sends()[20:]}) > 6
@@ -264,7 +264,7 @@
         limits = replace(LIMITS, max_attempts=1)
         s = BalancerHarness(settings(prices=interface.Prices(cross_zone=price), limits=limits), listed)
         for _ in range(80):
-            r = s.ask()
+            r = s.submit()
             away = [int(a.endpoint[1:]) % 2 for a in s.sends(r)]
             s.wait(30 if away == [1] else home_latency)
             if away and r in s.b.requests:
@@ -294,7 +294,7 @@
         s = BalancerHarness(
             settings(), [interface.ListedEndpoint(f"e{x}", size=1.0 + 2.0 * (x < 5)) for x in range(10)], seed
         )
-        large += int(s.sends(s.ask())[0].endpoint[1:]) < 5
+        large += int(s.sends(s.submit())[0].endpoint[1:]) < 5
     assert 130 < large < 175
 
 
@@ -304,10 +304,10 @@
     s = BalancerHarness(settings(prices=interface.Prices(cross_zone=0.2), value_by="work"), listed)
     s.serve(60, took=20.0, gap=30.0)
     while not s.b.admission.held_count:
-        s.ask(work=40.0)
+        s.submit(work=40.0)
         if not s.b.endpoint_list.near.has_capacity():
-            light = s.ask(work=1.0)
-    heavy = s.ask(work=40.0)
+            light = s.submit(work=1.0)
+    heavy = s.submit(work=40.0)
     assert not s.sends(light)
     (send,) = s.sends(heavy)
     assert int(send.endpoint[1:]) % 2 == 1
@@ -321,7 +321,7 @@
     sent: dict[float, list[int]] = {1.0: [], 40.0: []}
     for _ in range(150):
         for work in sent:
-            r = s.ask(work=work)
+            r = s.submit(work=work)
             away = int(s.sends(r)[0].endpoint[1:]) % 2
             sent[work].append(away)
             s.wait(30 if away else 190)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -62,7 +62,7 @@
                 assert program.returncode is None, "the program has ended"
                 await asyncio.sleep(0.02)
                 continue
-            healthy = (await client.ask("/_health")).status == 200
+            healthy = (await client.fetch("/_health")).status == 200
             client.writer.close()
             if healthy:  # not before it has an endpoint list
                 break
@@ -89,18 +89,18 @@
             env = config(tmp_path, known=known(e=at))
             async with started(env) as program:
                 held, kept = await connect(env["LB_LISTEN"]), await connect(env["LB_LISTEN"])
-                assert (await kept.ask(Req_Id="first")).body == b"page"
+                assert (await kept.fetch(Req_Id="first")).body == b"page"
                 held.send("/tip", method="POST", Req_Id="held")
                 while peer.requests[-1][1].headers["req-id"] != "held":
                     await peer.arrived.get()
                 program.send_signal(signal.SIGTERM)
                 late = await connect(env["LB_LISTEN"])
-                received = await late.ask(Req_Id="late")
+                received = await late.fetch(Req_Id="late")
                 while received.headers.get("connection") != "close":  # until the signal has been handled
-                    received = await late.ask(Req_Id="late")
+                    received = await late.fetch(Req_Id="late")
                     assert received.status == 200
                 assert await read_message(late.reader) is None
-                last = await kept.ask(Req_Id="kept")
+                last = await kept.fetch(Req_Id="kept")
                 assert last.status == 200 and last.headers["connection"] == "close"
                 release.set()
                 final = await held.answer()
@@ -146,7 +146,7 @@
                 except OSError:
                     assert program.returncode is None, "the reload has ended it"
                     await asyncio.sleep(0.002)
-            assert (await client.ask(Req_Id="r")).status == 200
+            assert (await client.fetch(Req_Id="r")).status == 200
             program.terminate()
             client.writer.close()
             assert await program.wait() == 0
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -81,7 +81,7 @@
             uploading = self.rng.random() < 0.3
             if uploading:
                 self.uploading[name], self.deadline[name] = span, math.inf
-            self.s.ask(n, span, key=self.rng.choice(["", "k1", "k2"]), uploading=uploading)
+            self.s.submit(n, span, key=self.rng.choice(["", "k1", "k2"]), uploading=uploading)
         elif choice < 0.42 and self.uploading:
             self.end_upload(self.rng.choice(sorted(self.uploading)))
         elif choice < 0.75:
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -28,7 +28,7 @@
     sent: dict[str, list[float]] = {}
     until = s.now + span
     while s.now < until:
-        name = s.ask()
+        name = s.submit()
         number = 0
         while number < len(s.sends(name)):
             endpoint = s.sends(name)[number].endpoint
@@ -146,7 +146,7 @@
     """
     until = s.now + (span or 60_000.0)
     while s.now < until:
-        name = s.ask()
+        name = s.submit()
         number, met = 0, False
         while number < len(s.sends(name)):
             is_there = s.sends(name)[number].endpoint == endpoint
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -16,7 +16,7 @@
 def test_request_without_an_endpoint_is_held_then_refused_once() -> None:
     for klass in (SAFE, UNSAFE, KEYED):
         s = BalancerHarness(settings(klass), [])
-        r, started_at = s.ask(), s.now
+        r, started_at = s.submit(), s.now
         assert not s.finals(r)
         s.wait(500)
         assert len(s.finals(r)) == 1 and isinstance(s.finals(r)[0], interface.Refuse)
@@ -26,7 +26,7 @@
 
 def test_held_request_is_sent_when_an_endpoint_is_listed() -> None:
     s = BalancerHarness(settings(), [])
-    r = s.ask()
+    r = s.submit()
     s.wait(40)
     s.feed(interface.MembershipUpdate("whole", fleet(1)))
     assert len(s.sends(r)) == 1
@@ -39,7 +39,7 @@
         (replace(KEYED, group="zone"), interface.Fail),
     ):
         s = BalancerHarness(settings(klass), fleet(1))
-        r = s.ask()
+        r = s.submit()
         s.wait(500)
         assert s.end(r, 0, "timeout", complete=False)
         assert [type(a) for a in s.finals(r)] == [kind]
@@ -49,12 +49,12 @@
 
 def test_closed_request_gets_no_attempt_and_no_answer() -> None:
     s = BalancerHarness(settings(), fleet(3))
-    r = s.ask()
+    r = s.submit()
     assert s.feed(interface.RequestClosed(r)) == [interface.Cancel(r, 0)]
     s.wait(400)
     assert len(s.sends(r)) == 1 and not s.finals(r)
     held = BalancerHarness(settings(), [])
-    held_request = held.ask()
+    held_request = held.submit()
     held.feed(interface.RequestClosed(held_request))
     held.wait(600)
     assert not held.finals(held_request) and held.b.admission.held_count == 0
@@ -63,8 +63,8 @@
 def test_request_with_a_short_deadline_is_answered_before_older_ones() -> None:
     # Guards against checking the oldest held request only: a later one may have less time.
     s = BalancerHarness(settings(), [])
-    s.ask(deadline=500)
-    r, started_at = s.ask(deadline=50), s.now
+    s.submit(deadline=500)
+    r, started_at = s.submit(deadline=50), s.now
     s.wait(49)
     assert s.finals(r) and s.now - started_at < 50
 
@@ -75,12 +75,12 @@
 def test_at_most_once_is_resent_only_if_it_never_ran() -> None:
     for outcome in ("full", "connect_failed", "not_sent"):
         s = BalancerHarness(settings(UNSAFE), fleet(3))
-        r = s.ask()
+        r = s.submit()
         s.end(r, 0, outcome)
         assert len(s.sends(r)) == (1 if outcome == "not_sent" else 2)
     for outcome in ("error", "reset", "timeout", "cancelled"):
         s = BalancerHarness(settings(UNSAFE), fleet(3))
-        r = s.ask()
+        r = s.submit()
         s.end(r, 0, outcome)  # type: ignore[arg-type]
         assert len(s.sends(r)) == 1
         assert s.finals(r) == [interface.Fail(r)]
@@ -91,7 +91,7 @@
     for group in ("zone", "cell"):
         for seed in range(8):
             s = BalancerHarness(settings(replace(KEYED, group=group)), listed, seed)
-            r = s.ask()
+            r = s.submit()
             s.end(r, 0, "full")
             s.end(r, 1, "error")
             first, second = s.sends(r)[1:3]
@@ -105,7 +105,7 @@
 def test_deduplicated_request_is_not_resent_after_its_window() -> None:
     for window, sends in ((30.0, 1), (100.0, 2)):
         s = BalancerHarness(settings(replace(KEYED, window=window)), fleet(4))
-        r = s.ask()
+        r = s.submit()
         s.wait(50)
         s.end(r, 0, "error")
         assert len(s.sends(r)) == sends
@@ -114,7 +114,7 @@
 def test_deduplicated_request_held_past_its_window_is_not_resent() -> None:
     # Guards against a window that ends while a retry is held.
     s = BalancerHarness(settings(replace(KEYED, group="zone", window=60.0)), fleet(2))
-    r = s.ask()
+    r = s.submit()
     s.wait(10)
     s.b.endpoint_list.near.window.size = 0.0
     s.end(r, 0, "error")
@@ -138,7 +138,7 @@
     klass = replace(SAFE, repeat=repeat, group=group, window=100.0)  # type: ignore[arg-type]
     for seed in range(4):
         s = BalancerHarness(settings(klass), listed, seed)
-        r = s.ask()
+        r = s.submit()
         s.wait(20 if in_window else 110)
         s.end(r, 0, outcome)  # type: ignore[arg-type]
         ran = outcome not in interface.NEVER_RAN
@@ -175,7 +175,7 @@
 def test_one_final_answer_if_all_endpoints_are_draining_cold_or_down() -> None:
     for more in ({"phase": "draining"}, {"started_at": 1_000_000.0}, {"phase": "gone"}):
         s = BalancerHarness(settings(), fleet(3, **more))
-        names = [s.ask() for _ in range(20)]
+        names = [s.submit() for _ in range(20)]
         s.wait(600)
         for r in names:
             for n in range(len(s.sends(r))):
@@ -187,7 +187,7 @@
 def test_deduplicated_request_is_refused_only_if_all_endpoints_discard_repeats() -> None:
     for group, kind in (("all", interface.Refuse), ("cell", interface.Fail)):
         s = BalancerHarness(settings(replace(KEYED, group=group, window=1.0)), fleet(4))  # type: ignore[arg-type]
-        r = s.ask()
+        r = s.submit()
         s.wait(50)
         s.end(r, 0, "error")
         assert [type(a) for a in s.finals(r)] == [kind]
@@ -196,7 +196,7 @@
 def test_no_hedge_unless_permitted() -> None:
     s = BalancerHarness(settings(limits=replace(LIMITS, second_copies=False)), fleet(4))
     s.serve(60, took=20, gap=30)
-    r = s.ask()
+    r = s.submit()
     s.wait(100)
     assert len(s.sends(r)) == 1
     s.end(r, 0, "error")
@@ -206,7 +206,7 @@
 def test_started_stream_is_neither_hedged_nor_answered() -> None:
     s = BalancerHarness(settings(replace(SAFE, streamed=True)), fleet(4))
     s.serve(60, took=20, gap=30)
-    r = s.ask()
+    r = s.submit()
     s.wait(HEDGE_DELAY_SHARE * SAFE.aim + 5)
     assert len(s.sends(r)) == 2
     actions = s.feed(interface.StreamStarted(r, 1, s.sends(r)[1].endpoint, 10.0))
@@ -226,7 +226,7 @@
         s = BalancerHarness(settings(), fleet(2))
         s.feed(interface.MembershipUpdate("changes", [interface.ListedEndpoint("e0", phase=phase)]))
         for _ in range(10):
-            s.ask()
+            s.submit()
             s.wait(20)
         assert {a.endpoint for a in s.sends()} == {"e1"}
 
@@ -235,7 +235,7 @@
     s = BalancerHarness(settings(), fleet(3))
     s.feed(interface.MembershipUpdate("whole", fleet(1)))
     for _ in range(5):
-        s.ask()
+        s.submit()
     assert {a.endpoint for a in s.sends()} == {"e0"}
 
 
@@ -316,7 +316,7 @@
     s.feed(interface.MembershipUpdate("whole", [interface.ListedEndpoint("e9", started_at=s.now)]))
     n = len(s.sends())
     for _ in range(100):
-        s.ask()
+        s.submit()
         s.wait(10)
     warm_rate = 100 / 4
     assert len(s.sends()) - n <= warm_rate * RULES.overload_factor
@@ -329,7 +329,7 @@
     s.feed(interface.MembershipUpdate("changes", [interface.ListedEndpoint("e3", started_at=s.now)]))
     n, start = len(s.sends()), s.now
     while s.now < start + 2000:
-        r = s.ask()
+        r = s.submit()
         for k in range(3):
             if len(s.sends(r)) > k:
                 s.end(r, k, "full")
@@ -364,7 +364,7 @@
     s.feed(interface.MembershipUpdate("changes", [x._replace(started_at=s.now) for x in listed if x.zone == 1]))
     n, start = len(s.sends()), s.now
     while s.now < start + 2000:
-        r = s.ask()
+        r = s.submit()
         for k in range(3):
             if len(s.sends(r)) > k:
                 s.end(r, k, "full")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -43,10 +43,10 @@
 @pytest.mark.parametrize("size", [100, 1000, 10_000])
 def test_a_request_accesses_few_endpoints_whatever_the_size_of_the_fleet(size: int) -> None:
     s = BalancerHarness(settings(), fleet(size))
-    s.ask()  # the first draw after a change computes the sums
+    s.submit()  # the first draw after a change computes the sums
     count_accesses(s)
     for n in range(50):
-        r = s.ask()
+        r = s.submit()
         s.feed(
             interface.AttemptEnded(
                 r, 0, s.all[-1][1].endpoint if isinstance(s.all[-1][1], interface.Send) else "e0", "served", 5.0, True
@@ -105,7 +105,7 @@
     count_accesses(s)
     # With most endpoints down all are tried, and the one that is up is one of the two in each draw.
     for n in range(20):
-        r = s.ask()
+        r = s.submit()
         assert s.sends(r)[0].endpoint == "e77" or n > 0
         s.end(r)
     assert sum(a.endpoint == "e77" for a in s.sends()) >= 10
@@ -121,7 +121,7 @@
     s.b.endpoint_list.near.sample_by_size(s.b.rng, 10_000)
     count_accesses(s)
     for _ in range(20):
-        s.ask()
+        s.submit()
         s.wait(10.0)
     assert not s.sends() and Counted.accessed < 20 * 20 * 400
     s.wait(600.0)
@@ -133,7 +133,7 @@
     s.b.slow_start.warm_rate = 1e-9
     for n, endpoint in enumerate(s.b.endpoint_list.near.ready):
         endpoint.tokens = 1.0 if n % 50 == 7 else 0.0
-    r = s.ask()
+    r = s.submit()
     s.wait(100.0)
     assert s.sends(r)
 
@@ -151,12 +151,12 @@
     listed = cells(10_000, each)
     s = BalancerHarness(settings(CELL_BOUND), listed)
     cell_of = {x.endpoint: x.cell for x in listed}
-    s.ask()
+    s.submit()
     count_accesses(s)
     for _ in range(30):
         for _ in range(6):  # answers in between, so that the losses don't look like overload
-            s.end(s.ask(key="x"))
-        r = s.ask(key="k")
+            s.end(s.submit(key="x"))
+        r = s.submit(key="k")
         s.end(r, 0, "reset", complete=False)
         used = [a.endpoint for a in s.sends(r)]
         assert len(used) == 2 and cell_of[used[0]] == cell_of[used[1]] and used[0] != used[1]
@@ -168,12 +168,12 @@
 def test_retry_in_a_cell_without_another_endpoint() -> None:
     """The endpoint is alone in its cell, or the rest of the cell has drained: a retry can only go back to it."""
     s = BalancerHarness(settings(CELL_BOUND), cells(300, 1))
-    r = s.ask(key="k")
+    r = s.submit(key="k")
     first = s.sends(r)[0].endpoint
     s.end(r, 0, "reset", complete=False)
     assert {a.endpoint for a in s.sends(r)} == {first} or s.finals(r)
     s = BalancerHarness(settings(CELL_BOUND), cells(300, 2))
-    r = s.ask(key="k")
+    r = s.submit(key="k")
     first = s.sends(r)[0].endpoint
     s.feed(
         interface.MembershipUpdate(
@@ -192,7 +192,7 @@
 def test_two_thousand_endpoints_drain_at_once_with_requests_in_flight() -> None:
     """None of them gets anything new: no hedges, retries or held requests."""
     s = BalancerHarness(settings(SAFE, KEYED), fleet(4000))
-    requests = [s.ask(n % 2) for n in range(500)]
+    requests = [s.submit(n % 2) for n in range(500)]
     requests = [r for r in requests if s.sends(r)]
     assert len(requests) > 300
     drained = {f"e{n}" for n in range(0, 4000, 2)}
@@ -207,7 +207,7 @@
             outcome: interface.Outcome = rng.choice(["served", "reset", "full", "connect_failed"])
             s.end(r, 0, outcome)
         for _ in range(2):
-            new = s.ask()
+            new = s.submit()
             if s.sends(new):
                 s.end(new)
     s.wait(1000.0)
@@ -229,7 +229,7 @@
     hot: Counter[str] = Counter()
     for n in range(2000):
         is_hot = rng.random() < 0.25
-        r = s.ask(key="hot" if is_hot else f"k{n}")
+        r = s.submit(key="hot" if is_hot else f"k{n}")
         if is_hot and s.sends(r):
             hot[s.sends(r)[0].endpoint] += 1
         s.wait(2.0)
@@ -267,13 +267,13 @@
 
 def test_owner_of_a_key_is_found_without_a_scan() -> None:
     s = BalancerHarness(settings(warm_keys=True), fleet(10_000))
-    s.ask(key="a")
+    s.submit(key="a")
     count_accesses(s)
     ring = s.b.endpoint_list.near.ring
     assert ring is not None
     ring.owners = Counted(ring.owners)
     for n in range(50):
-        s.end(s.ask(key=f"k{n}"))
+        s.end(s.submit(key=f"k{n}"))
         s.wait(1.0)
     assert Counted.accessed < 50 * 60
 
@@ -307,7 +307,7 @@
 def test_fleets_of_every_size(size: int) -> None:
     s = BalancerHarness(settings(SAFE, KEYED), fleet(size))
     for n in range(30):
-        s.ask(n % 2)
+        s.submit(n % 2)
         s.wait(5.0)
     sent = [a for _, a in s.all if isinstance(a, interface.Send)]
     assert bool(sent) == (size > 0)
@@ -326,14 +326,14 @@
         ready = {x.endpoint for x in listed if x.phase == "ready"}
         for _ in range(5):
             before = len(s.all)
-            s.ask()
+            s.submit()
             assert all(a.endpoint in ready for _, a in s.all[before:] if isinstance(a, interface.Send))
         s.wait(1.0)
 
 
 def test_fleet_is_replaced_at_once_with_requests_in_flight() -> None:
     s = BalancerHarness(settings(), fleet(10_000))
-    sent = [s.ask() for _ in range(20)]
+    sent = [s.submit() for _ in range(20)]
     s.feed(interface.MembershipUpdate("whole", [interface.ListedEndpoint(f"new{n}") for n in range(10_000)]))
     before = len(s.all)
     for r in sent:
@@ -396,7 +396,7 @@
             )
         )
         if n % 50 == 0:
-            s.ask()
+            s.submit()
             s.wait(1.0)
     assert {e.name for e in s.b.endpoint_list.ready} == {f"new{n}" for n in range(2000)}
     assert len(s.b.endpoint_list.endpoints) <= 2000 + 40
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -93,7 +93,7 @@
             if not at_once:
                 c.writer.write(behind)
             other = await s.client()
-            assert (await other.ask("/_health")).status == 200  # data sent before has been read
+            assert (await other.fetch("/_health")).status == 200  # data sent before has been read
             assert len([e for _, e in s.balancer.received_events if isinstance(e, interface.RequestArrived)]) == 1
             s.sidecar.feed(interface.TimerFired("x"))
             for n in range(1, 6):
@@ -137,12 +137,12 @@
     async def test() -> None:
         async with sidecar(refuse_all, known(e=closed_port())) as s:
             idle, slow = await s.client(), await s.client()
-            assert (await idle.ask()).status == 503
+            assert (await idle.fetch()).status == 503
             slow.writer.write(data)
             if status:
                 assert (await slow.answer()).status == status
             assert await read_message(slow.reader) is None
-            assert (await idle.ask(Req_Id="r2")).status == 503
+            assert (await idle.fetch(Req_Id="r2")).status == 503
 
     run(test)
 
@@ -188,7 +188,7 @@
         async with sidecar(refuse_all, known(e=closed_port()), sockets=clients.IDLE_SHARE_DIVISOR * 2) as s:
             idle = [await s.client() for _ in range(4)]
             for n in (2, 1, 0, 3):
-                assert (await idle[n].ask(Req_Id=f"r{n}")).status == 503
+                assert (await idle[n].fetch(Req_Id=f"r{n}")).status == 503
             raw = idle[1].writer.get_extra_info("socket")
             raw = socket.fromfd(raw.fileno(), socket.AF_INET, socket.SOCK_STREAM)
             raw.send(GOOD)
@@ -197,7 +197,7 @@
             assert (await idle[1].answer()).status == 503
             assert await read_message(idle[2].reader) is None
             assert await read_message(idle[0].reader) is None
-            assert (await idle[3].ask(Req_Id="r9")).status == 503
+            assert (await idle[3].fetch(Req_Id="r9")).status == 503
 
     run_real(test)
 
@@ -210,11 +210,11 @@
         async with sidecar(refuse_all, known(e=closed_port()), sockets=clients.SINGLE_USE_DIVISOR * 8) as s:
             reused = await s.client()
             for n in range(2):
-                assert "connection" not in (await reused.ask(Req_Id=f"p{n}")).headers
+                assert "connection" not in (await reused.fetch(Req_Id=f"p{n}")).headers
             new = [await s.client() for _ in range(10)]
-            headers = [(await c.ask(Req_Id=f"r{n}")).headers.get("connection") for n, c in enumerate(new)]
+            headers = [(await c.fetch(Req_Id=f"r{n}")).headers.get("connection") for n, c in enumerate(new)]
             assert headers == [None] * 7 + ["close"] * 3
-            assert "connection" not in (await reused.ask(Req_Id="p2")).headers
+            assert "connection" not in (await reused.fetch(Req_Id="p2")).headers
 
     run(test)
 
@@ -225,15 +225,15 @@
     async def test() -> None:
         async with sidecar(refuse_all, known(e=closed_port()), sockets=128) as s:
             first = await s.client()
-            assert (await first.ask(Req_Id="r0")).status == 503
+            assert (await first.fetch(Req_Id="r0")).status == 503
             for n in range(6):
                 silent = [await s.client() for _ in range(50)]
                 assert s.front.count() <= 64 + 50
                 active = await s.client()
-                assert (await active.ask(Req_Id=f"u{n}")).status == 503
+                assert (await active.fetch(Req_Id=f"u{n}")).status == 503
                 assert silent
                 await asyncio.sleep(2 * clients.NEW_CONNECTION_GRACE)
-            assert (await first.ask(Req_Id="r1")).status == 503
+            assert (await first.fetch(Req_Id="r1")).status == 503
             assert s.front.count() <= 64
 
     run(test)
@@ -272,7 +272,7 @@
             first, second = await s.client(), await s.client()
             first.send(Req_Id="same")
             await s.balancer.until(lambda: len(s.balancer.received_events) == 2)
-            assert (await second.ask(Req_Id="same")).status == 400
+            assert (await second.fetch(Req_Id="same")).status == 400
             assert len(s.sidecar.requests) == 1
 
     run(test)
@@ -287,7 +287,7 @@
                 await c.writer.drain()
                 await asyncio.sleep(0)
             assert (await c.answer()).status == 503
-            assert (await c.ask(Req_Id="r2")).status == 503
+            assert (await c.fetch(Req_Id="r2")).status == 503
             assert s.front.count() == 1
 
     run(test)
@@ -299,9 +299,9 @@
     async def test() -> None:
         async with sidecar(refuse_all) as s:
             c = await s.client()
-            assert (await c.ask("/_health")).status == 500
+            assert (await c.fetch("/_health")).status == 500
             s.discovery.apply_update("whole", known(e=closed_port())["hosts"])
-            assert (await c.ask("/_health")).status == 200
+            assert (await c.fetch("/_health")).status == 200
             assert not s.sidecar.requests
 
     run(test)
@@ -312,9 +312,9 @@
         tenants = (interface.Tenant(5.0, name="acme"), interface.Tenant(5.0, name="umbra"))
         async with sidecar(refuse_all, known(e=closed_port()), tenants=tenants, rules=RULES) as s:
             c = await s.client()
-            assert (await c.ask(Req_Owner="umbra")).status == 503
+            assert (await c.fetch(Req_Owner="umbra")).status == 503
             assert [e.tenant for _, e in s.balancer.received_events if isinstance(e, interface.RequestArrived)] == [1]
-            assert (await c.ask(Req_Owner="nobody")).status == 400
+            assert (await c.fetch(Req_Owner="nobody")).status == 400
 
     run(test)
 
@@ -331,9 +331,9 @@
             busy, idle = await s.client(), await s.client()
             busy.send(Req_Id="busy")
             await s.balancer.until(lambda: len(s.balancer.received_events) == 2)
-            assert (await idle.ask("/_health")).status == 200
+            assert (await idle.fetch("/_health")).status == 200
             new = await s.client()
-            assert (await new.ask("/_health")).status == 200
+            assert (await new.fetch("/_health")).status == 200
             assert await read_message(idle.reader) is None
             s.sidecar.feed(interface.TimerFired("x"))
             assert (await busy.answer()).status == 503
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -37,7 +37,7 @@
         async with serving(always(ahead + OK)) as (peer, at), sidecar(send_to("e"), known(e=at)) as s:
             c = await s.client()
             for n in range(2):
-                received = await c.ask(Req_Id=f"r{n}")
+                received = await c.fetch(Req_Id=f"r{n}")
                 assert (received.status, received.body) == (200, b"page") and "link" not in received.headers
             assert peer.connections == 1
 
@@ -52,7 +52,7 @@
         async with serving(always(OK + beyond)) as (peer, at), sidecar(send_to("e"), known(e=at)) as s:
             c = await s.client()
             for n in range(2):
-                received = await c.ask(Req_Id=f"r{n}")
+                received = await c.fetch(Req_Id=f"r{n}")
                 assert (received.status, received.body) == (200, b"page")
             assert peer.connections == 2 and not s.wire.idle
 
@@ -92,7 +92,7 @@
             sidecar(send_to("bad", "good"), known(bad=a, good=b)) as s,
         ):
             c = await s.client()
-            received = await c.ask()
+            received = await c.fetch()
             assert (received.status, received.body) == (200, b"page")
             first, second = s.balancer.ends()
             assert (first.outcome, second.outcome) == ("reset", "served")
@@ -126,7 +126,7 @@
         answer = b"HTTP/1.1 200 OK\r\n" + load + b"\r\nContent-Length: 2\r\n\r\nok"
         async with serving(always(answer)) as (_, at), sidecar(send_to("e"), known(e=at)) as s:
             c = await s.client()
-            assert (await c.ask()).status == 200
+            assert (await c.fetch()).status == 200
             (end,) = s.balancer.ends()
             assert end.outcome == "served" and not end.report and not s.sidecar.requests
 
@@ -140,7 +140,7 @@
         answer = response(200, b"ok", X_Hop="1", X_End="2", Connection="keep-alive, x-hop")
         async with serving(always(answer)) as (peer, at), sidecar(send_to("e"), known(e=at)) as s:
             c = await s.client()
-            received = await c.ask(Connection="X-Mine", X_Mine="1", X_Other="2")
+            received = await c.fetch(Connection="X-Mine", X_Mine="1", X_Other="2")
             assert "x-hop" not in received.headers and received.headers["x-end"] == "2"
             sent = peer.requests[0][1].headers
             assert "x-mine" not in sent and sent["x-other"] == "2"
@@ -205,11 +205,11 @@
                     path.write_text("{")
                     program.send_signal(signal.SIGHUP)
                     other_client = await connect(env["LB_LISTEN"])
-                    assert (await other_client.ask("/read", Req_Id="r1")).status == 200
+                    assert (await other_client.fetch("/read", Req_Id="r1")).status == 200
                     path.write_text(json.dumps(good | {"discovery": other}))
                     program.send_signal(signal.SIGHUP)
                     await second.arrived.get()
-                    assert (await other_client.ask("/read", Req_Id="r2")).status == 200
+                    assert (await other_client.fetch("/read", Req_Id="r2")).status == 200
                     release.set()
                     assert (await client.answer()).body == b"page"
                     program.send_signal(signal.SIGTERM)
@@ -228,7 +228,7 @@
             env = config(tmp_path, known=known(e=at))
             async with started(env) as program:
                 held, client = await connect(env["LB_LISTEN"]), await connect(env["LB_LISTEN"])
-                assert (await client.ask("/save")).status == 404
+                assert (await client.fetch("/save")).status == 404
                 held.send("/tip", method="POST", Req_Id="held")
                 await peer.arrived.get()
                 path = Path(env["LB_CONFIG"])
@@ -241,10 +241,10 @@
                 status = 404
                 while status == 404:  # until the signal has been handled
                     client = await connect(env["LB_LISTEN"])
-                    status = (await client.ask("/save", Req_Id="new")).status
+                    status = (await client.fetch("/save", Req_Id="new")).status
                 assert status == 200
                 client = await connect(env["LB_LISTEN"])
-                assert (await client.ask("/tip", method="POST", Req_Id="gone")).status == 404
+                assert (await client.fetch("/tip", method="POST", Req_Id="gone")).status == 404
                 release.set()
                 assert (await held.answer()).body == b"page"
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -15,7 +15,7 @@
 import pytest
 from helpers import LIMITS, SAFE, UNSAFE, BalancerHarness, fleet, settings
 from loopback import always, host, response, run_real, serving, sidecar, silence
-from test_fault_day import CLASSES, SETTINGS, TERMS, Side
+from test_fault_day import CLASSES, RULE_PARAMETERS, SETTINGS, Side
 from test_program import config
 from test_program import started as started_program
 
@@ -32,7 +32,7 @@
 )
 from zinclever.standins import audit
 from zinclever.standins.clients import HttpClient
-from zinclever.standins.day import ask_http
+from zinclever.standins.day import send_http_requests
 from zinclever.standins.http_endpoint import HttpEndpoint
 
 CAPS = interface.Shares(connections=400.0, handshakes_per_s=100.0, busy=4)
@@ -105,7 +105,7 @@
     """Let the first attempt of each request fail. Returns the number of retries."""
     retried = 0
     for _ in range(requests):
-        r = s.ask()
+        r = s.submit()
         ended = 0
         while not s.finals(r):
             if ended < len(s.sends(r)):
@@ -129,7 +129,7 @@
 
 def test_request_is_answered_at_once_if_the_budget_is_empty() -> None:
     s = BalancerHarness(settings(SAFE, UNSAFE, shares=interface.Shares(retry_ratio=0.01)), fleet(50))
-    idempotent, at_most_once = s.ask(0), s.ask(1)
+    idempotent, at_most_once = s.submit(0), s.submit(1)
     s.end(idempotent, 0, "error", complete=False)
     s.end(at_most_once, 0, "error", complete=False)
     assert isinstance(s.finals(idempotent)[0], interface.Refuse) and isinstance(
@@ -154,7 +154,7 @@
     s.serve(150)  # no hedge is sent before the window is known
     hedges = 0
     for _ in range(requests):
-        r = s.ask()
+        r = s.submit()
         s.wait(100.0)
         for n in range(len(s.sends(r))):
             s.end(r, n, "served" if n == 0 else "cancelled", complete=True)
@@ -309,7 +309,7 @@
             for n, client in enumerate(clients[:2]):
                 client.send(Req_Id=f"r{n}")
                 await peer.arrived.get()
-            assert (await clients[2].ask(Req_Id="r2")).status == 503
+            assert (await clients[2].fetch(Req_Id="r2")).status == 503
             assert [e.outcome for e in s.balancer.ends()] == ["barred"] and peer.connections == 2
             assert s.wire.pools["a"].open == s.wire.open == 2
 
@@ -341,7 +341,7 @@
         ):
             client = await s.client()
             for name in ("good", "ends", "none", "good"):
-                await client.ask(Req_Id=name)
+                await client.fetch(Req_Id=name)
             assert (s.wire.open, s.wire.pools["good"].open) == (1, 1)
             assert s.wire.pools["ends"].open == s.wire.pools["none"].open == 0
             s.wire.close_idle("good")
@@ -418,7 +418,7 @@
         ) as s:
             real = BalancerHarness(settings(discovery="on_request", shares=interface.Shares(subset=6), group_size=400))
             real.feed(interface.MembershipUpdate("refused"))
-            assert (await (await s.client()).ask()).status == 503
+            assert (await (await s.client()).fetch()).status == 503
             assert len(updates) == 2 and len(updates[1].entries) == 7 and updates[1].total == 60
             real.feed(updates[1])
             before = len(real.of(interface.WatchMembership))
@@ -451,7 +451,10 @@
                 programs.append(await stack.enter_async_context(started_program(env)))
                 clients += [HttpClient(side.log, env["LB_LISTEN"]) for _ in range(3)]
             await side.known()
-            tasks = [asyncio.ensure_future(ask_http(c, CLASSES, Random(n), finished)) for n, c in enumerate(clients)]
+            tasks = [
+                asyncio.ensure_future(send_http_requests(c, CLASSES, Random(n), finished))
+                for n, c in enumerate(clients)
+            ]
             await asyncio.sleep(1.0)
             member = max(side.endpoints, key=lambda e: len(e.requests()))
             await side.discovery.set(member, "draining")
@@ -462,7 +465,7 @@
             await asyncio.sleep(1.0)
             finished.set()
             await asyncio.wait(tasks, timeout=5.0)
-            assert not audit(side.log, TERMS)
+            assert not audit(side.log, RULE_PARAMETERS)
             reached = {r.endpoint for r in side.log.received}
             assert 4 <= len(reached) <= 2 * (3 + 4) + 2, "the subsets and the replacement of the drained endpoint"
             answered = [a.kind for a in side.log.answered]
@@ -510,13 +513,13 @@
             async with sidecar(react, hosts, shares=interface.Shares(connections=10.0)) as s:
                 c = await s.client()
                 for n in range(3):
-                    assert (await c.ask(Req_Id=f"none{n}")).status == 503
+                    assert (await c.fetch(Req_Id=f"none{n}")).status == 503
                 assert s.sidecar.connections.share_factor == 1.0
-                assert (await c.ask(Req_Id="e1")).status == 200
+                assert (await c.fetch(Req_Id="e1")).status == 200
                 pool = s.wire.pools["e"]
                 s.wire.close_idle("e")
                 pool.address = ("127.0.0.1", 1)
-                assert (await c.ask(Req_Id="e2")).status == 503
+                assert (await c.fetch(Req_Id="e2")).status == 503
                 assert s.sidecar.connections.share_factor == pytest.approx(0.7)
 
     run_real(test)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -52,7 +52,7 @@
         answer = response(200, b"\x00page", Content_Type="image/png", Srv_Load='{"queue":3}')
         async with serving(always(answer)) as (peer, at), sidecar(send_to("e"), known(e=at)) as s:
             c = await s.client()
-            received = await c.ask(
+            received = await c.fetch(
                 "/unlock/7?a=b%20c",
                 method="POST",
                 body=b"\x01\x02",
@@ -67,9 +67,9 @@
             assert sent.start == "POST /unlock/7?a=b%20c HTTP/1.1" and sent.body == b"\x01\x02"
             assert sent.headers["req-id"] == "r1" and sent.headers["idempotency-key"] == "k"
             assert 8.0 < float(sent.headers["req-deadline"]) < 9.0
-            _, asked = s.balancer.received_events[1]
-            assert isinstance(asked, interface.RequestArrived)
-            assert (asked.klass, asked.key, asked.work, asked.client_retry) == (1, "77", 1.5, True)
+            _, arrival = s.balancer.received_events[1]
+            assert isinstance(arrival, interface.RequestArrived)
+            assert (arrival.klass, arrival.key, arrival.work, arrival.client_retry) == (1, "77", 1.5, True)
             (end,) = s.balancer.ends()
             assert end.complete and end.outcome == "served" and end.report == {"queue": 3.0}
             assert not s.sidecar.requests
@@ -102,7 +102,7 @@
     async def test() -> None:
         async with serving(script) as (_, at), sidecar(send_to("e"), known(e=at)) as s:
             c = await s.client()
-            assert (await c.ask()).status == 502
+            assert (await c.fetch()).status == 502
             assert [e.outcome for e in s.balancer.ends()] == [outcome or "reset"]
 
     run(test)
@@ -115,7 +115,7 @@
             sidecar(send_to("down", "up"), known(down=closed_port(), up=at)) as s,
         ):
             c = await s.client()
-            assert (await c.ask()).status == 200
+            assert (await c.fetch()).status == 200
             assert [e.outcome for e in s.balancer.ends()] == ["connect_failed", "served"]
             assert [e.complete for e in s.balancer.ends()] == [False, True]
 
@@ -128,7 +128,7 @@
     async def test() -> None:
         async with serving(silence) as (peer, at), sidecar(send_to("e", expires=300.0), known(e=at)) as s:
             c = await s.client()
-            assert (await c.ask()).status == 502
+            assert (await c.fetch()).status == 502
             (end,) = s.balancer.ends()
             assert end.outcome == "timeout" and end.elapsed >= 250.0
             assert await peer.ended.get() == 0
@@ -158,7 +158,7 @@
 
             async with serving(after_slow) as (fast, b), sidecar(react, known(slow=a, fast=b)) as s:
                 c = await s.client()
-                assert (await c.ask()).status == 200
+                assert (await c.fetch()).status == 200
                 assert await slow.ended.get() == 0
                 await s.balancer.until(lambda: len(s.balancer.ends()) >= 3)
                 assert [(e.attempt, e.outcome, e.complete) for e in s.balancer.ends()] == [
@@ -176,7 +176,7 @@
         many = ["e"] * (LIMITS.max_attempts + 1)
         async with serving(always(response(500))) as (peer, at), sidecar(send_to(*many), known(e=at)) as s:
             c = await s.client()
-            assert (await c.ask()).status == 502
+            assert (await c.fetch()).status == 502
             assert [e.outcome for e in s.balancer.ends()] == ["error"] * LIMITS.max_attempts + ["not_sent"]
             assert len(peer.requests) == LIMITS.max_attempts
 
@@ -191,9 +191,9 @@
     async def test() -> None:
         async with sidecar(react, known(e=closed_port())) as s:
             c = await s.client()
-            refused = await c.ask()
+            refused = await c.fetch()
             assert refused.status == 503 and float(refused.headers["retry-after"]) == 1.5
-            failed = await c.ask("/tip", method="POST", Req_Id="r2")
+            failed = await c.fetch("/tip", method="POST", Req_Id="r2")
             assert failed.status == 502 and "retry-after" not in failed.headers
 
     run(test)
@@ -219,12 +219,12 @@
             c = await s.client()
             started_at = asyncio.get_running_loop().time()
             method = "POST" if target == "/tip" else "GET"
-            received = await c.ask(target, method=method, Req_Deadline="1.0")
+            received = await c.fetch(target, method=method, Req_Deadline="1.0")
             assert received.status == status and asyncio.get_running_loop().time() - started_at > 0.8
             closed = [t for t, e in s.balancer.received_events if isinstance(e, interface.RequestClosed)]
-            asked = [e.deadline for _, e in s.balancer.received_events if isinstance(e, interface.RequestArrived)]
+            deadlines = [e.deadline for _, e in s.balancer.received_events if isinstance(e, interface.RequestArrived)]
             assert len(closed) == 1 and not s.sidecar.requests
-            assert asked[0] - s.balancer.received_events[1][0] < 1000.0
+            assert deadlines[0] - s.balancer.received_events[1][0] < 1000.0
 
     run(test)
 
@@ -240,7 +240,7 @@
     async def test() -> None:
         async with sidecar(react, known(e=closed_port())) as s:
             c = await s.client()
-            assert (await c.ask("/tip", method="POST")).status == 503
+            assert (await c.fetch("/tip", method="POST")).status == 503
             assert not s.sidecar.requests
 
     run(test)
@@ -278,11 +278,11 @@
     async def test() -> None:
         async with serving(always(response())) as (peer, at), sidecar(react, known(e=at)) as s:
             c = await s.client()
-            assert (await c.ask()).status == 503
+            assert (await c.fetch()).status == 503
             await s.balancer.until(lambda: bool(s.balancer.ends()))
             assert [e.outcome for e in s.balancer.ends()] == ["not_sent"]
             s.balancer.react = send_to("e")
-            assert (await c.ask(Req_Id="r2")).status == 200
+            assert (await c.fetch(Req_Id="r2")).status == 200
             assert [m.headers["req-id"] for _, m in peer.requests] == ["r2"]
 
     run(test)
@@ -303,7 +303,7 @@
     async def test() -> None:
         async with sidecar(react, known(e=closed_port())) as s:
             c = await s.client()
-            assert (await c.ask()).status == 503
+            assert (await c.fetch()).status == 503
             fired = [t for t, e in s.balancer.received_events if isinstance(e, interface.TimerFired)]
             assert len(fired) == 1 and fired[0] >= due[0]
             assert abs(fired[0] - host_here().time_ns() / 1e6) < 10_000.0, "the clock reads Unix time"
@@ -332,7 +332,7 @@
             assert [n for n, _ in peer.requests] == [0, 1]
             newest = next(iter(s.wire.pools["e"].idle[-1:]))
             port = newest.sock.getsockname()[1]
-            assert (await a.ask(Req_Id="r3")).status == 200
+            assert (await a.fetch(Req_Id="r3")).status == 200
             used = peer.requests[-1][0]
             assert peer.writers[used].get_extra_info("peername")[1] == port and peer.connections == 2
 
@@ -349,7 +349,7 @@
     async def test() -> None:
         async with serving(always(response())) as (peer, at), sidecar(send_to("e"), known(e=at)) as s:
             c = await s.client()
-            assert (await c.ask()).status == 200
+            assert (await c.fetch()).status == 200
             (connection,) = s.wire.idle
             assert connection.reusable()
             other = peer.writers[0].get_extra_info("socket")
@@ -374,7 +374,7 @@
             sidecar(send_to("e"), known(e=at), limits=limits) as s,
         ):
             c = await s.client()
-            assert (await c.ask()).status == 200
+            assert (await c.fetch()).status == 200
             assert 0.2 < s.wire.idle_timeout < 0.4
             assert await peer.ended.get() == 0
             assert not s.wire.idle and not s.wire.pools["e"].idle
@@ -392,7 +392,7 @@
             sidecar(send_to("a"), known(a=at_a, b=at_b), sockets=DESCRIPTOR_RESERVE + 4) as s,
         ):
             one, two = await s.client(), await s.client()
-            assert (await one.ask()).status == 200
+            assert (await one.fetch()).status == 200
             s.balancer.react = send_to("b")
             one.send(Req_Id="r2")
             await b.arrived.get()
@@ -401,7 +401,7 @@
             assert await a.ended.get() == 0  # the idle connection is evicted
             await b.arrived.get()
             three = await s.client()
-            assert (await three.ask(Req_Id="r4")).status == 502
+            assert (await three.fetch(Req_Id="r4")).status == 502
             assert s.balancer.ends()[-1].outcome == "connect_failed"
             assert len(b.requests) == 2
 
@@ -415,9 +415,9 @@
         answer = response(200, b"last", Connection="close")
         async with serving(always(answer)) as (peer, at), sidecar(send_to("e"), known(e=at)) as s:
             c = await s.client()
-            assert (await c.ask()).body == b"last"
+            assert (await c.fetch()).body == b"last"
             assert not s.wire.idle
-            assert (await c.ask(Req_Id="r2")).body == b"last"
+            assert (await c.fetch(Req_Id="r2")).body == b"last"
             assert peer.connections == 2
 
     run(test)
--- a/tests/test_simnet.py
+++ b/tests/test_simnet.py
@@ -44,8 +44,8 @@
             client = await s.client()
             key = {"Idempotency_Key": "k"} if klass == "unlock" else {}
             method = "GET" if klass == "read" else "POST"
-            answer = await client.ask(f"/{klass}/x", method=method, Req_Id=f"r{n}", Req_Deadline="0.9", **key)
-            outcomes.append((answer.status, log.ran(f"r{n}")))
+            answer = await client.fetch(f"/{klass}/x", method=method, Req_Id=f"r{n}", Req_Deadline="0.9", **key)
+            outcomes.append((answer.status, log.execution_count(f"r{n}")))
     for endpoint in http_endpoints:
         await endpoint.__aexit__()
     return outcomes
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -77,7 +77,7 @@
     async def test() -> None:
         async with sidecar(lambda event: (), known(e="127.0.0.1:9")) as s:
             client = await s.client()
-            assert (await client.ask("/_health", Req_Deadline="")).status == 200
+            assert (await client.fetch("/_health", Req_Deadline="")).status == 200
             client.send("/read/x", Req_Id="late", Req_Deadline="0.2")
             time.sleep(0.4)
             await s.balancer.until(
--- a/tests/test_swallowed.py
+++ b/tests/test_swallowed.py
@@ -64,7 +64,7 @@
             sidecar(send_to("bad", "bad"), known(bad=at_bad, good=at_good)) as s,
         ):
             client = await s.client()
-            received = await client.ask("/tip/1", method="POST", body=b"0123456789")
+            received = await client.fetch("/tip/1", method="POST", body=b"0123456789")
             assert received.status == 502 and not good.requests
             assert [e.outcome for e in s.balancer.ends()] == ["dropped", "dropped"]
             assert {e.outcome for e in s.balancer.ends()} <= interface.NEVER_RAN
@@ -79,8 +79,8 @@
     async def test() -> None:
         async with serving(always(response())) as (peer, at), sidecar(send_to("e"), known(e=at)) as s:
             client = await s.client()
-            assert (await client.ask("/read/1")).status == 200
-            received = await client.ask("/unlock/1", method="POST", body=b"x", Idempotency_Key="k", Req_Id="r2")
+            assert (await client.fetch("/read/1")).status == 200
+            received = await client.fetch("/unlock/1", method="POST", body=b"x", Idempotency_Key="k", Req_Id="r2")
             assert received.status == 200 and len(peer.requests) == 2
 
     run(test)
@@ -136,7 +136,7 @@
             async def post(kind: str, name: str) -> int:
                 client = await s.client()
                 key = {"Idempotency_Key": name} if kind == "unlock" else {}
-                return (await client.ask(f"/{kind}/x", method="POST", Req_Id=name, **key)).status
+                return (await client.fetch(f"/{kind}/x", method="POST", Req_Id=name, **key)).status
 
             for n in range(10):
                 assert await post("tip", f"early{n}") == await post("unlock", f"first{n}") == 200
@@ -164,12 +164,12 @@
     s = BalancerHarness(settings(request_class, UNSAFE), fleet(4))
     s.serve(40, took=20.0, gap=30.0)
     for _ in range(20):
-        answered = s.ask(1)
+        answered = s.submit(1)
         s.wait(20.0)
         s.end(answered)
     for klass in (1, 0):
         for _ in range(n):
-            s.ask(klass, work=work if klass == 0 else 0.0)
+            s.submit(klass, work=work if klass == 0 else 0.0)
         s.wait(1.2 * SAFE.aim if klass else 0.6 * request_class.aim)
     return s
 
--- a/zinclever/rig/links.py
+++ b/zinclever/rig/links.py
@@ -153,6 +153,7 @@
         self.connection, self.inbound, self.outbound = connection, inbound, outbound
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Attaches the transport to both streams, writes what is due and starts to read."""
         transport = cast(asyncio.Transport, transport)
         self.transport = transport
         self.inbound.source = self.outbound.target = transport
@@ -160,21 +161,26 @@
         self.inbound.update_reading()
 
     def data_received(self, data: bytes) -> None:
+        """Buffers the data for the other socket."""
         self.inbound.put(data)
 
     def eof_received(self) -> bool:
+        """Buffers the end of the stream; returns True, so that the socket stays open for writing."""
         self.inbound.source_ended = True
         self.inbound.put(finish)
         return True
 
     def pause_writing(self) -> None:
+        """Stops delivery to this socket because its write buffer is full."""
         self.outbound.write_paused = True
 
     def resume_writing(self) -> None:
+        """Resumes delivery to this socket and writes what is due."""
         self.outbound.write_paused = False
         self.outbound.deliver_due()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Detaches the transport; buffers a reset for the other socket unless the stream ended in order."""
         self.outbound.target = None
         if exc is not None or not self.inbound.source_ended:
             self.inbound.put(reset)
--- a/zinclever/rig/scope.py
+++ b/zinclever/rig/scope.py
@@ -105,6 +105,7 @@
         self.scope, self.inner = scope, inner
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Registers the connection and passes the event on; resets a connection that was not accepted."""
         transport = cast(asyncio.Transport, transport)
         self.transport = transport
         if self.inner is None or self.scope.dead or transport.get_extra_info("peername") is None:
@@ -116,10 +117,12 @@
         self.inner.connection_made(transport)
 
     def data_received(self, data: bytes) -> None:
+        """Passes the data on unless the scope is dead."""
         if not self.scope.dead and isinstance(self.inner, asyncio.Protocol):
             self.inner.data_received(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Removes the connection from the scope and passes the event on unless the scope is dead."""
         self.scope.transports.discard(self.transport)
         if self.inner is not None and not self.scope.dead:
             self.inner.connection_lost(exc)
--- a/zinclever/rig/sidecars.py
+++ b/zinclever/rig/sidecars.py
@@ -22,7 +22,7 @@
 
     world: World
     loop: Program | None
-    crosses = 250.0
+    reset_delay_ms = 250.0
     """ms from SIGKILL until its application notices the end, on a machine with more processes than cores."""
 
     def __init__(self, world: World, machine: Machine, number: int, folder: Path) -> None:
--- a/zinclever/rig/world.py
+++ b/zinclever/rig/world.py
@@ -122,7 +122,7 @@
         try:
             await self.begin()
             await self.run_day()
-            figures = summary(self, self.judge())
+            figures = summary(self, self.find_breaches())
             usage = resource.getrusage(resource.RUSAGE_SELF)
             figures |= {
                 "ready_s": round(self.ready_s, 2),
@@ -184,7 +184,9 @@
 
     def quiet(self) -> bool:
         """Returns whether no client waits for an answer."""
-        return len(self.log.asked) <= len({a.request for a in self.log.answered}) + len(self.log.left)
+        return len(self.log.sent_requests) <= len({a.request for a in self.log.answered}) + len(
+            self.log.abandoned_requests
+        )
 
     def slack(self) -> float:
         """Returns the tolerance of the auditor, in ms."""
--- a/zinclever/sim/applications.py
+++ b/zinclever/sim/applications.py
@@ -11,7 +11,7 @@
 import httptools
 
 from ..simnet.scheduler import NS
-from ..standins.log import Answered, Asked, Kind, Left
+from ..standins.log import AbandonedRequest, Answered, Kind, SentRequest
 from .model import RequestKind
 
 if TYPE_CHECKING:
@@ -222,8 +222,8 @@
         self.timeout_ms = timeout_ms
         if not is_resend:
             self.sent_at = world.now_ms()
-            world.log.asked.append(
-                Asked(
+            world.log.sent_requests.append(
+                SentRequest(
                     self.sent_at,
                     name,
                     kind.repeat,
@@ -243,7 +243,9 @@
         """
         self.timer = None
         if self.application.sidecar.paused_since(self.sent_at):
-            self.application.world.log.left.append(Left(self.application.world.now_ms(), self.name))
+            self.application.world.log.abandoned_requests.append(
+                AbandonedRequest(self.application.world.now_ms(), self.name)
+            )
         request, self.request = self.request, None
         self.transport.abort()
         if request is not None:
@@ -283,7 +285,9 @@
         status = self.parser.get_status_code()
         world = self.application.world
         if world.now_ms() > self.sent_at + self.timeout_ms and self.application.sidecar.paused_since(self.sent_at):
-            world.log.left.append(Left(world.now_ms(), self.name))  # the client had already given up
+            world.log.abandoned_requests.append(
+                AbandonedRequest(world.now_ms(), self.name)
+            )  # the client had already given up
             self.application.on_failure(request)
             self.transport.abort()
             return
@@ -315,7 +319,7 @@
         world = application.world
         if application.sidecar.killed_since(self.sent_at):
             # A killed sidecar cannot answer; the client retries if a repeat has no effect.
-            world.log.left.append(Left(world.now_ms(), self.name))
+            world.log.abandoned_requests.append(AbandonedRequest(world.now_ms(), self.name))
             application.on_failure(request)
         elif self.reused and exc is None and not self.is_resend:
             # The sidecar closed the idle connection while this request was on its way to it.
--- a/zinclever/sim/exploring.py
+++ b/zinclever/sim/exploring.py
@@ -152,7 +152,8 @@
             for number, (world, events, tie_breaker) in enumerate(enumerate_orders(day, FAULTS[name], step), 1):
                 order_count, ties = order_count + 1, ties + len(tie_breaker.option_counts)
                 breaches += [
-                    f"{name} at {step}, {format_choices(tie_breaker)}: {b.about}: {b.what}" for b in world.judge()
+                    f"{name} at {step}, {format_choices(tie_breaker)}: {b.subject}: {b.description}"
+                    for b in world.find_breaches()
                 ]
                 world.end()
                 last_event = events
--- a/zinclever/sim/listing.py
+++ b/zinclever/sim/listing.py
@@ -12,7 +12,7 @@
 
 from ..simnet.network import Machine
 from ..simnet.scheduler import NS
-from ..standins.log import Told
+from ..standins.log import EndpointAnnouncement
 
 if TYPE_CHECKING:
     from .pages import UpstreamServer
@@ -207,4 +207,6 @@
         self.world.counts.count_discovery_entries(len(changes))
         self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
         now = self.world.now_ms()
-        self.world.log.told += [Told(now, name, health, self.caller) for name, (health, _) in changes.items()]
+        self.world.log.announcements += [
+            EndpointAnnouncement(now, name, health, self.caller) for name, (health, _) in changes.items()
+        ]
--- a/zinclever/sim/scene.py
+++ b/zinclever/sim/scene.py
@@ -17,7 +17,7 @@
 from ..simnet.network import Machine, Network, Path, addresses
 from ..simnet.scheduler import NS
 from ..simnet.trace import Trace
-from ..standins.audit import Breach, Terms, audit
+from ..standins.audit import Breach, RuleParameters, audit
 from ..standins.log import Log
 from .applications import Application, KeyPopularity
 from .figures import FleetCounters, ServiceMetrics
@@ -261,10 +261,10 @@
         """Return the time in ms by which an answer or a send may be late."""
         return ANSWER_SLACK_MS
 
-    def judge(self) -> list[Breach]:
+    def find_breaches(self) -> list[Breach]:
         """Audit the log and return all breaches of the rules; a server that crashed from overload breaches rule 4."""
         rules = self.day.rules
-        terms = Terms(
+        parameters = RuleParameters(
             slack=self.slack(),
             drain_grace=rules.drain_grace_ms,
             overload_factor=rules.fall_multiple,
@@ -272,7 +272,7 @@
             cold_for=0.0,
         )
         overloads = [Breach(4, name, "overloaded while cold") for name in self.counts.overloaded_servers]
-        return [*audit(self.log_adjusted_for_cuts(), terms), *overloads]
+        return [*audit(self.log_adjusted_for_cuts(), parameters), *overloads]
 
     def log_adjusted_for_cuts(self) -> Log:
         """Return the log with earlier arrival times for requests that a network cut may have delayed.
--- a/zinclever/sim/sidecars.py
+++ b/zinclever/sim/sidecars.py
@@ -14,7 +14,7 @@
 from ..simnet.host import Disk, SimulatedHost
 from ..simnet.loop import Cost, Loop
 from ..simnet.network import Machine
-from ..standins.log import Told
+from ..standins.log import EndpointAnnouncement
 
 if TYPE_CHECKING:
     from .scene import BaseWorld
@@ -29,7 +29,7 @@
 
     loop: object | None
     """The running process, or None."""
-    crosses = RESET_DELAY_MS
+    reset_delay_ms = RESET_DELAY_MS
     """Time in ms from the kill of the process until its application has read the reset."""
 
     def __init__(self, world: BaseWorld, machine: Machine, number: int) -> None:
@@ -85,7 +85,9 @@
         """
         world = self.world
         if world.day.sidecar.known:
-            world.log.told += [Told(world.now_ms(), name, "ready", self.name) for name in world.listing.ready_names()]
+            world.log.announcements += [
+                EndpointAnnouncement(world.now_ms(), name, "ready", self.name) for name in world.listing.ready_names()
+            ]
 
     def configuration(self, seed: int, **overrides: object) -> bytes:
         """Return the sidecar's configuration file as JSON."""
@@ -113,7 +115,7 @@
         A kill counts as just before if its reset had not reached the application yet: a request that was sent at the
         instant was then never received.
         """
-        return self.killed_at >= instant - self.crosses
+        return self.killed_at >= instant - self.reset_delay_ms
 
     def paused_since(self, instant: float) -> bool:
         """Return whether the process was paused at an instant in ms, or later."""
--- a/zinclever/sim/world.py
+++ b/zinclever/sim/world.py
@@ -73,7 +73,7 @@
         self.scheduler.run(end + round(CLIENT_RETRY_PERIOD * NS))
         self.closing = True
         self.scheduler.run(end + round((CLIENT_RETRY_PERIOD + longest) * NS))
-        result = summary(self, self.judge())
+        result = summary(self, self.find_breaches())
         self.end()
         return result
 
--- a/zinclever/standins/__init__.py
+++ b/zinclever/standins/__init__.py
@@ -5,8 +5,8 @@
 :func:`~zinclever.standins.audit.audit` reads it and reports each violation, whatever the protocol.
 """
 
-from .audit import Breach, Terms, audit
+from .audit import Breach, RuleParameters, audit
 from .faults import Fault, Plan, Step, always, in_turn, seeded
 from .log import Log
 
-__all__ = ["Breach", "Fault", "Log", "Plan", "Step", "Terms", "always", "audit", "in_turn", "seeded"]
+__all__ = ["Breach", "Fault", "Log", "Plan", "RuleParameters", "Step", "always", "audit", "in_turn", "seeded"]
--- a/zinclever/standins/audit.py
+++ b/zinclever/standins/audit.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from .log import Answered, Asked, Log, Received
+from .log import Answered, Log, Received, SentRequest
 
 
 class Breach(NamedTuple):
@@ -15,9 +15,9 @@
 
     rule: int
     """1: one final answer in time; 2: no effect twice; 3: draining endpoints; 4: cold endpoints."""
-    about: str
+    subject: str
     """Name of the request or of the endpoint."""
-    what: str
+    description: str
     """Description of the violation."""
 
 
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class RuleParameters:
     """Parameters of the rules. Times are in ms."""
 
     slack: float = 250.0
@@ -37,28 +37,28 @@
     overload_for: float = 2000.0
 
 
-def audit(log: Log, terms: Terms | None = None) -> list[Breach]:
+def audit(log: Log, parameters: RuleParameters | None = None) -> list[Breach]:
     """Returns every violation of the four rules in the log, ordered by rule."""
-    effective_terms = terms or Terms()
+    effective_parameters = parameters or RuleParameters()
     return [
-        *_final_answer_violations(log, effective_terms),
-        *_effect_violations(log, effective_terms),
-        *_drain_violations(log, effective_terms),
-        *_cold_overloads(log, effective_terms),
+        *_final_answer_violations(log, effective_parameters),
+        *_effect_violations(log, effective_parameters),
+        *_drain_violations(log, effective_parameters),
+        *_cold_overloads(log, effective_parameters),
     ]
 
 
 # --- rule 1 ---
 
 
-def _final_answer_violations(log: Log, terms: Terms) -> Iterator[Breach]:
+def _final_answer_violations(log: Log, parameters: RuleParameters) -> Iterator[Breach]:
     """Checks that each request gets one final answer, in time and produced for it, and that no attempt follows it."""
     answers: dict[str, list[Answered]] = defaultdict(list)
     for answer in log.answered:
         answers[answer.request].append(answer)
     received = _by_request(log)
-    abandoned_at = {x.request: x.at for x in log.left}
-    sent_by_request = {a.request: a for a in log.asked}
+    abandoned_at = {x.request: x.at for x in log.abandoned_requests}
+    sent_by_request = {a.request: a for a in log.sent_requests}
     for request in answers.keys() - sent_by_request.keys():
         yield Breach(1, request, "answered, but no client sent it")
     for request in received.keys() - sent_by_request.keys():
@@ -77,14 +77,14 @@
             ended_at = abandoned_at.get(request)
         else:
             ended_at = final_answers[0].at
-            if final_answers[0].at > sent.at + sent.wait + terms.slack:
+            if final_answers[0].at > sent.at + sent.wait + parameters.slack:
                 yield Breach(1, request, f"answered {final_answers[0].at - sent.at - sent.wait:.0f} ms late")
-            if final_answers[0].kind == "served" and final_answers[0].made not in {
-                r.made for r in received[request] if r.made
+            if final_answers[0].kind == "served" and final_answers[0].execution_id not in {
+                r.execution_id for r in received[request] if r.execution_id
             }:
                 yield Breach(1, request, "served with a response that no endpoint produced for it")
         for attempt in received[request]:
-            if ended_at is not None and attempt.first > ended_at + terms.slack:
+            if ended_at is not None and attempt.first > ended_at + parameters.slack:
                 late = attempt.first - ended_at
                 yield Breach(1, request, f"sent to {attempt.endpoint} {late:.0f} ms after it had ended")
 
@@ -92,12 +92,12 @@
 # --- rule 2 ---
 
 
-def _effect_violations(log: Log, terms: Terms) -> Iterator[Breach]:
+def _effect_violations(log: Log, parameters: RuleParameters) -> Iterator[Breach]:
     """Checks that no request takes effect twice and that none is refused that may have been executed."""
     received = _by_request(log)
     refused = {a.request for a in log.answered if a.kind == "refused"}
-    executions_by_key: dict[str, list[tuple[Asked, Received]]] = defaultdict(list)
-    for sent in log.asked:
+    executions_by_key: dict[str, list[tuple[SentRequest, Received]]] = defaultdict(list)
+    for sent in log.sent_requests:
         attempts = received[sent.request]
         possibly_executed = [a for a in attempts if not a.declined]
         if sent.effect == "at_most_once":
@@ -105,21 +105,21 @@
             if sent.request in refused and possibly_executed:
                 yield Breach(2, sent.request, f"refused, but {possibly_executed[0].endpoint} may have run it")
         elif sent.effect == "deduplicated":
-            executions_by_key[sent.key].extend((sent, a) for a in attempts if a.ran)
+            executions_by_key[sent.key].extend((sent, a) for a in attempts if a.executed)
             if sent.request in refused and possibly_executed and sent.group != "all":
                 yield Breach(
                     2, sent.request, "refused, but a retry by the client may reach another deduplication group"
                 )
-            yield from _deduplicated_resends(sent, possibly_executed, terms)
+            yield from _deduplicated_resends(sent, possibly_executed, parameters)
     for key, executions in executions_by_key.items():
         yield from _deduplicated_effects(key, executions)
 
 
 def _at_most_once_violations(
-    sent: Asked, attempts: list[Received], possibly_executed: list[Received]
+    sent: SentRequest, attempts: list[Received], possibly_executed: list[Received]
 ) -> Iterator[Breach]:
     """Checks that a request is executed once at most and never resent after an attempt that may have run."""
-    runs = sum(a.ran for a in attempts)
+    runs = sum(a.executed for a in attempts)
     if runs > 1:
         yield Breach(2, sent.request, f"at most once, but executed {runs} times")
     if possibly_executed:
@@ -128,20 +128,22 @@
             yield Breach(2, sent.request, f"sent to {later[0].endpoint} again, though it may have run")
 
 
-def _deduplicated_resends(sent: Asked, possibly_executed: list[Received], terms: Terms) -> Iterator[Breach]:
+def _deduplicated_resends(
+    sent: SentRequest, possibly_executed: list[Received], parameters: RuleParameters
+) -> Iterator[Breach]:
     """Checks that a deduplicated request is resent within its group and window only.
 
     The window begins with the first attempt that may have run.
     """
     for resent in possibly_executed[1:]:
         first = possibly_executed[0]
-        if resent.first > first.at + sent.window + terms.slack:
+        if resent.first > first.at + sent.window + parameters.slack:
             yield Breach(2, sent.request, f"deduplicated, resent {resent.first - first.at:.0f} ms later")
         if sent.group == "zone" and resent.zone != first.zone:
             yield Breach(2, sent.request, f"deduplicated, sent to zone {resent.zone} after {first.zone}")
 
 
-def _deduplicated_effects(key: str, executions: list[tuple[Asked, Received]]) -> Iterator[Breach]:
+def _deduplicated_effects(key: str, executions: list[tuple[SentRequest, Received]]) -> Iterator[Breach]:
     """Checks that executions of a request under one key stay within its group and window.
 
     Only there do the endpoints discard the repetition.
@@ -158,10 +160,10 @@
 # --- rules 3 and 4 ---
 
 
-def _drain_violations(log: Log, terms: Terms) -> Iterator[Breach]:
+def _drain_violations(log: Log, parameters: RuleParameters) -> Iterator[Breach]:
     """Checks that no attempt starts at an endpoint after the grace period of its drain or removal."""
     drain_intervals: dict[tuple[str, str], list[tuple[float, float]]] = defaultdict(list)
-    for announcement in log.told:
+    for announcement in log.announcements:
         intervals = drain_intervals[announcement.to, announcement.endpoint]
         is_draining = bool(intervals) and intervals[-1][1] == float("inf")
         if announcement.phase == "ready":
@@ -171,7 +173,7 @@
             intervals.append((announcement.at, float("inf")))
     for attempt in log.received:
         for began, ended in drain_intervals.get((attempt.via, attempt.endpoint), ()):
-            if began + terms.drain_grace + terms.slack < attempt.first < ended:
+            if began + parameters.drain_grace + parameters.slack < attempt.first < ended:
                 late = attempt.first - began
                 yield Breach(
                     3,
@@ -180,7 +182,7 @@
                 )
 
 
-def _cold_overloads(log: Log, terms: Terms) -> Iterator[Breach]:
+def _cold_overloads(log: Log, parameters: RuleParameters) -> Iterator[Breach]:
     """Checks that no cold endpoint is overloaded.
 
     It is when it receives more than ``overload_factor`` times its current capacity over ``overload_for``.
@@ -189,20 +191,21 @@
         arrivals = sorted(
             (r.at, r.work)
             for r in log.received
-            if r.endpoint == start.endpoint and start.at <= r.at < start.at + terms.cold_for
+            if r.endpoint == start.endpoint and start.at <= r.at < start.at + parameters.cold_for
         )
         window_start, load = 0, 0.0
         for at, work in arrivals:
             load += work
-            while arrivals[window_start][0] <= at - terms.overload_for:
+            while arrivals[window_start][0] <= at - parameters.overload_for:
                 load -= arrivals[window_start][1]
                 window_start += 1
-            warm_fraction = min(1.0, (at - start.at) / terms.cold_for)
-            capacity = start.capacity * (terms.cold_share + (1.0 - terms.cold_share) * warm_fraction)
-            max_load = max(1.0, terms.overload_factor * capacity * terms.overload_for / 1000.0)
+            warm_fraction = min(1.0, (at - start.at) / parameters.cold_for)
+            capacity = start.capacity * (parameters.cold_share + (1.0 - parameters.cold_share) * warm_fraction)
+            max_load = max(1.0, parameters.overload_factor * capacity * parameters.overload_for / 1000.0)
             if load > max_load + ROUNDING:
                 description = (
-                    f"{load:g} requests in {terms.overload_for:.0f} ms; {max_load:.0f} is the most that it can take"
+                    f"{load:g} requests in {parameters.overload_for:.0f} ms; "
+                    f"{max_load:.0f} is the most that it can take"
                 )
                 yield Breach(4, start.endpoint, description)
                 break
--- a/zinclever/standins/clients.py
+++ b/zinclever/standins/clients.py
@@ -10,7 +10,7 @@
 from typing import Any, Literal, Self
 
 from .jsonrpc_endpoint import read, write
-from .log import Answered, Asked, Effect, Kind, Left, Log
+from .log import AbandonedRequest, Answered, Effect, Kind, Log, SentRequest
 
 REFUSED, FAILED = -32050, -32051
 
@@ -52,7 +52,7 @@
     async def close(self) -> None:
         """Closes the connection and logs the calls in flight as abandoned."""
         for name, _ in self.waiting.values():
-            self.log.left.append(Left(self.log.clock(), name))
+            self.log.abandoned_requests.append(AbandonedRequest(self.log.clock(), name))
         self.waiting.clear()
         self.writer.transport.abort()
         self.task.cancel()
@@ -81,8 +81,8 @@
         text = f'{{"jsonrpc":"2.0","method":"{klass.method}","params":{json.dumps(params)},"id":{token}}}'
         future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
         self.waiting[token] = name, future
-        self.log.asked.append(
-            Asked(self.log.clock(), name, klass.effect, klass.wait, key or name, klass.group, klass.window)
+        self.log.sent_requests.append(
+            SentRequest(self.log.clock(), name, klass.effect, klass.wait, key or name, klass.group, klass.window)
         )
         return text.encode(), future
 
@@ -91,8 +91,10 @@
         name = f"n{next(self._names)}"
         params = json.dumps({"call": name, "key": name})
         text = f'{{"jsonrpc":"2.0","method":"{klass.method}","params":{params}}}'
-        self.log.asked.append(
-            Asked(self.log.clock(), name, klass.effect, klass.wait, name, klass.group, klass.window, answered=False)
+        self.log.sent_requests.append(
+            SentRequest(
+                self.log.clock(), name, klass.effect, klass.wait, name, klass.group, klass.window, answered=False
+            )
         )
         self.writer.write(write(self.framing, text.encode()))
         return name
@@ -122,8 +124,8 @@
             self.stray.append(message)
             return
         name, future = self.waiting.pop(token)
-        kind, made = read_kind(response)
-        self.log.answered.append(Answered(self.log.clock(), name, kind, made))
+        kind, execution_id = read_kind(response)
+        self.log.answered.append(Answered(self.log.clock(), name, kind, execution_id))
         if not future.done():
             future.set_result(response)
 
@@ -153,8 +155,8 @@
         A request that fails on a reused connection is sent again, since the server may have closed the idle connection.
         """
         name = f"h{next(self._names)}"
-        self.log.asked.append(
-            Asked(self.log.clock(), name, klass.effect, klass.wait, key or name, klass.group, klass.window)
+        self.log.sent_requests.append(
+            SentRequest(self.log.clock(), name, klass.effect, klass.wait, key or name, klass.group, klass.window)
         )
         reused = self.streams is not None
         answer = await self.exchange(klass, name, key or name)
--- a/zinclever/standins/day.py
+++ b/zinclever/standins/day.py
@@ -63,7 +63,9 @@
     await asyncio.sleep(day.back)
 
 
-async def ask_http(client: HttpClient, classes: Sequence[ClientRequestClass], rng: Random, over: asyncio.Event) -> None:
+async def send_http_requests(
+    client: HttpClient, classes: Sequence[ClientRequestClass], rng: Random, over: asyncio.Event
+) -> None:
     """Sends one request after another until ``over`` is set."""
     while not over.is_set():
         await client.call(rng.choice(classes))
@@ -71,7 +73,7 @@
     client.close()
 
 
-async def ask_jsonrpc(
+async def send_jsonrpc_calls(
     client: JsonRpcClient, address: str, classes: Sequence[ClientRequestClass], rng: Random, over: asyncio.Event
 ) -> None:
     """Sends concurrent calls, batches and notifications until ``over`` is set."""
--- a/zinclever/standins/discovery.py
+++ b/zinclever/standins/discovery.py
@@ -10,7 +10,7 @@
 from urllib.parse import parse_qs, urlsplit
 
 from .endpoint import Endpoint
-from .log import Log, Told
+from .log import EndpointAnnouncement, Log
 
 Phase = Literal["ready", "draining", "gone"]
 HEALTH: dict[Phase, str] = {"ready": "in_service", "draining": "terminating", "gone": "terminated"}
@@ -98,7 +98,7 @@
         body = json.dumps({"seq": self.version, "whole": is_full_list, "hosts": hosts}).encode()
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
         at = self.log.clock()
-        self.log.told += [Told(at, name, phase) for name, (_, phase, _) in changes.items()]
+        self.log.announcements += [EndpointAnnouncement(at, name, phase) for name, (_, phase, _) in changes.items()]
         async with self.announced:
             self.announced_versions |= {(name, version) for name, (version, _, _) in changes.items()}
             self.announced.notify_all()
--- a/zinclever/standins/endpoint.py
+++ b/zinclever/standins/endpoint.py
@@ -75,13 +75,22 @@
             The step with which to handle it, and the identifier of its execution, empty where it is not executed.
         """
         step = self.plan(request)
-        ran = step.fault not in UNDONE
-        made = f"{self.name}#{next(_serial)}" if ran else ""
+        executed = step.fault not in UNDONE
+        execution_id = f"{self.name}#{next(_serial)}" if executed else ""
         self.log.received.append(
-            Received(first, self.log.clock(), request, self.name, self.zone, ran, step.fault is Fault.DECLINE, made)
+            Received(
+                first,
+                self.log.clock(),
+                request,
+                self.name,
+                self.zone,
+                executed,
+                step.fault is Fault.DECLINE,
+                execution_id,
+            )
         )
         self.spawn(self.notify())
-        return step, made
+        return step, execution_id
 
     async def notify(self) -> None:
         """Wakes up the tasks that wait for requests to arrive."""
--- a/zinclever/standins/http_endpoint.py
+++ b/zinclever/standins/http_endpoint.py
@@ -25,10 +25,10 @@
                 for name, _, value in (line.partition(":") for line in head.split("\r\n")[1:] if line)
             )
             await reader.readexactly(int(headers.get("content-length", "0")))
-            step, made = self.receive(headers["req-id"], first)
+            step, execution_id = self.receive(headers["req-id"], first)
             if step.delay:
                 await asyncio.sleep(step.delay)
-            response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(made), made.encode())
+            response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(execution_id), execution_id.encode())
             if step.fault in (Fault.SILENCE, Fault.SWALLOW):
                 await reader.read(1)  # returns when the client closes the connection
                 return
--- a/zinclever/standins/jsonrpc_endpoint.py
+++ b/zinclever/standins/jsonrpc_endpoint.py
@@ -64,19 +64,19 @@
             self.raw.append(text)
             params = message.get("params")
             call = str(params.get("call")) if isinstance(params, dict) else str(message["id"])
-            step, made = self.receive(call, first)
-            self.spawn(self.respond(writer, message, step, made))
+            step, execution_id = self.receive(call, first)
+            self.spawn(self.respond(writer, message, step, execution_id))
 
     def send(self, writer: asyncio.StreamWriter, value: Any) -> None:
         """Sends a JSON value as one message."""
         writer.write(write(self.framing, json.dumps(value).encode()))
 
-    async def respond(self, writer: asyncio.StreamWriter, message: Any, step: Step, made: str) -> None:
+    async def respond(self, writer: asyncio.StreamWriter, message: Any, step: Step, execution_id: str) -> None:
         """Answers one call, or injects the fault of its step."""
         if step.delay:
             await asyncio.sleep(step.delay)
         base = {"jsonrpc": "2.0", "id": message.get("id")}
-        response = json.dumps(base | {"result": {"made": made, "method": message["method"]}}).encode()
+        response = json.dumps(base | {"result": {"made": execution_id, "method": message["method"]}}).encode()
         if step.fault in (Fault.SILENCE, Fault.SWALLOW):
             return
         if step.fault is Fault.BREAK_BEFORE:
@@ -89,7 +89,7 @@
         elif step.fault is Fault.BEYOND:
             writer.write(write(self.framing, response) + NOISE)
         elif step.fault is Fault.ERROR:
-            self.send(writer, base | {"error": {"code": -32603, "message": "internal", "data": made}})
+            self.send(writer, base | {"error": {"code": -32603, "message": "internal", "data": execution_id}})
         elif step.fault is Fault.DECLINE:
             self.send(writer, base | {"error": {"code": DECLINED, "message": "busy"}})
         else:
--- a/zinclever/standins/log.py
+++ b/zinclever/standins/log.py
@@ -14,7 +14,7 @@
 Effect = Literal["idempotent", "deduplicated", "at_most_once"]
 
 
-class Asked(NamedTuple):
+class SentRequest(NamedTuple):
     """A client wrote the last byte of a request."""
 
     at: float
@@ -35,11 +35,11 @@
     at: float
     request: str
     kind: Kind
-    made: str = ""
+    execution_id: str = ""
     """Identifier of the execution that produced the answer; empty unless the request was served."""
 
 
-class Left(NamedTuple):
+class AbandonedRequest(NamedTuple):
     """A client closed its connection before the request was answered."""
 
     at: float
@@ -56,11 +56,11 @@
     request: str
     endpoint: str
     zone: str
-    ran: bool
+    executed: bool
     """Whether the endpoint executed it."""
     declined: bool
     """Whether the endpoint reports to the sender that it did not execute it."""
-    made: str = ""
+    execution_id: str = ""
     """Identifier of the execution, which the answer carries, so that an answer can be matched to its execution."""
     via: str = ""
     """Name of the sidecar that sent it, where there are several."""
@@ -68,7 +68,7 @@
     """Load of the request on the endpoint, in the unit of :attr:`Started.capacity`."""
 
 
-class Told(NamedTuple):
+class EndpointAnnouncement(NamedTuple):
     """Discovery wrote an endpoint's phase to a sidecar."""
 
     at: float
@@ -97,13 +97,13 @@
     """The records of one run, each kind in the order in which they were added."""
 
     clock: Callable[[], float] = now
-    asked: list[Asked] = field(default_factory=list)
+    sent_requests: list[SentRequest] = field(default_factory=list)
     answered: list[Answered] = field(default_factory=list)
-    left: list[Left] = field(default_factory=list)
+    abandoned_requests: list[AbandonedRequest] = field(default_factory=list)
     received: list[Received] = field(default_factory=list)
-    told: list[Told] = field(default_factory=list)
+    announcements: list[EndpointAnnouncement] = field(default_factory=list)
     started: list[Started] = field(default_factory=list)
 
-    def ran(self, request: str) -> int:
+    def execution_count(self, request: str) -> int:
         """Returns how many times a request was executed."""
-        return sum(r.ran for r in self.received if r.request == request)
+        return sum(r.executed for r in self.received if r.request == request)
--- a/zinclever/standins/simulation.py
+++ b/zinclever/standins/simulation.py
@@ -16,7 +16,7 @@
 from zinclever import Balancer, interface
 
 from .faults import UNDONE, Fault
-from .log import Answered, Asked, Kind, Log, Received
+from .log import Answered, Kind, Log, Received, SentRequest
 
 DEADLINE_MARGIN = 15.0  # ms by which the deadline given to the balancer is earlier than the client's
 OUTCOMES: Mapping[Fault, interface.Outcome] = {
@@ -74,18 +74,18 @@
         for n in range(requests):
             when += self.rng.expovariate(rate / 1000.0)
             klass = self.rng.randrange(len(self.settings.classes))
-            self.at(when, lambda n=n, klass=klass: self.ask(f"r{n}", klass))
+            self.at(when, lambda n=n, klass=klass: self.submit(f"r{n}", klass))
         while self.events:
             self.now, _, callback = heapq.heappop(self.events)
             callback()
         return self.log
 
-    def ask(self, name: str, klass: int) -> None:
+    def submit(self, name: str, klass: int) -> None:
         """Sends a request of the class with index ``klass``."""
         request_class = self.settings.classes[klass]
         group = request_class.group if request_class.group != "cell" else "zone"
-        self.log.asked.append(
-            Asked(self.now, name, request_class.repeat, request_class.deadline, name, group, request_class.window)
+        self.log.sent_requests.append(
+            SentRequest(self.now, name, request_class.repeat, request_class.deadline, name, group, request_class.window)
         )
         self.open[name] = self.classes[name] = request_class
         self.attempts[name] = []
@@ -98,10 +98,10 @@
             self.answer(name, "failed")
             self.feed(interface.RequestClosed(name))
 
-    def answer(self, name: str, kind: Kind, made: str = "") -> None:
+    def answer(self, name: str, kind: Kind, execution_id: str = "") -> None:
         """Logs the final answer of a request, unless it already has one."""
         if self.open.pop(name, None) is not None:
-            self.log.answered.append(Answered(self.now, name, kind, made))
+            self.log.answered.append(Answered(self.now, name, kind, execution_id))
 
     # --- actions ---
 
@@ -137,8 +137,8 @@
 
     def receive(self, attempt: _Attempt, fault: Fault, remaining: float) -> None:
         """Delivers an attempt to its endpoint, even if the client has given it up meanwhile."""
-        ran = fault not in UNDONE
-        made = f"{attempt.request}.{attempt.number}" if ran else ""
+        executed = fault not in UNDONE
+        execution_id = f"{attempt.request}.{attempt.number}" if executed else ""
         klass = self.classes[attempt.request]
         zone, cell = self.zones[attempt.endpoint]
         self.log.received.append(
@@ -148,21 +148,21 @@
                 attempt.request,
                 attempt.endpoint,
                 cell if klass.group == "cell" else zone,
-                ran,
+                executed,
                 fault is Fault.DECLINE,
-                made,
+                execution_id,
             )
         )
         if (outcome := OUTCOMES.get(fault)) is not None:
-            self.at(self.now + remaining, lambda: self.end(attempt, outcome, made))
+            self.at(self.now + remaining, lambda: self.end(attempt, outcome, execution_id))
 
-    def end(self, attempt: _Attempt, outcome: interface.Outcome, made: str = "") -> None:
+    def end(self, attempt: _Attempt, outcome: interface.Outcome, execution_id: str = "") -> None:
         """Ends an attempt, unless it has ended, and reports its outcome to the balancer."""
         if attempt.ended:
             return
         attempt.ended = True
         if outcome == "served":
-            self.answer(attempt.request, "served", made)
+            self.answer(attempt.request, "served", execution_id)
         self.feed(
             interface.AttemptEnded(
                 attempt.request,
