--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -75,9 +75,9 @@
 
     def sends(self, request: str | None = None) -> list[interface.Send]:
         """Return the sends of a request, or all."""
-        return [a for a in self.of(interface.Send) if request in (None, a.request)]
+        return [a for a in self.actions_of(interface.Send) if request in (None, a.request)]
 
-    def of(self, kind: type[A]) -> list[A]:
+    def actions_of(self, kind: type[A]) -> list[A]:
         """Return all actions of a type."""
         return [a for _, a in self.all if isinstance(a, kind)]
 
@@ -97,24 +97,24 @@
         duration = self.now - sent_at if elapsed is None else elapsed
         return self.feed(interface.AttemptEnded(request, attempt, endpoint, outcome, duration, complete))
 
-    def finals(self, request: str) -> list[interface.Action]:
+    def final_answers(self, request: str) -> list[interface.Action]:
         """Return the final answers given to a request."""
         return [a for _, a in self.all if isinstance(a, interface.Refuse | interface.Fail) and a.request == request]
 
-    def serve_many(self, rounds: int, at_once: int, took: float) -> None:
+    def serve_many(self, rounds: int, concurrency: int, latency: float) -> None:
         """Serve rounds of concurrent requests, so that requests in flight affect the selection."""
         for _ in range(rounds):
-            names = [self.submit() for _ in range(at_once)]
-            self.wait(took)
+            names = [self.submit() for _ in range(concurrency)]
+            self.wait(latency)
             for name in names:
                 if self.sends(name):
                     self.end(name)
 
-    def serve(self, n: int, took: float = 40.0, gap: float = 10.0) -> None:
-        """Serve requests one after another, each by its first attempt in ``took`` ms or up to 30 % more."""
+    def serve(self, n: int, latency: float = 40.0, gap: float = 10.0) -> None:
+        """Serve requests one after another, each by its first attempt in ``latency`` ms or up to 30 % more."""
         for _ in range(n):
             name = self.submit()
-            self.wait(took * self.jitter.uniform(1.0, 1.3))
+            self.wait(latency * self.jitter.uniform(1.0, 1.3))
             if self.sends(name):
                 self.end(name)
-            self.wait(max(0.0, gap - took))
+            self.wait(max(0.0, gap - latency))
--- a/tests/mesh/test_client_calls.py
+++ b/tests/mesh/test_client_calls.py
@@ -239,16 +239,16 @@
         world.run(0.5)
         self.assertEqual(read.variant if read else 0, 1)
         for variant, want in ((1, Told.DONE), (2, Told.STALE)):
-            again = world.put(ip, 1, 5, variant)
+            repetition = world.put(ip, 1, 5, variant)
             world.run(0.5)
-            self.assertIs(outcome_of(again), want)
+            self.assertIs(outcome_of(repetition), want)
         self.assertTrue(is_linearizable(world.history))
 
     def test_same_text_with_different_generations(self) -> None:
         committed = LogEntry(generation=5, applied_calls=[AppliedCall(generation=5, base=1, digest=b"text")])
-        again = direct_answer(ChangeCall(1, 0.0, 1, 5, b"text", b"text"), committed)
+        repetition = direct_answer(ChangeCall(1, 0.0, 1, 5, b"text", b"text"), committed)
         other = direct_answer(ChangeCall(2, 0.0, 1, 6, b"text", b"text"), committed)
-        self.assertEqual((again and again.status, other and other.status), (200, 412))
+        self.assertEqual((repetition and repetition.status, other and other.status), (200, 412))
         self.assertIsNone(direct_answer(ChangeCall(3, 0.0, 5, 6, b"text", b"text"), committed))
 
     def test_change_received_three_times_at_once_is_committed_once(self) -> None:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -14,7 +14,7 @@
 def full(request_class: interface.RequestClass = SAFE, **more: object) -> BalancerHarness:
     """Return a harness whose in-flight window is full of requests that no endpoint answers."""
     s = BalancerHarness(settings(request_class, **more), fleet(4))
-    s.serve(60, took=20.0, gap=30.0)
+    s.serve(60, latency=20.0, gap=30.0)
     while not s.b.admission.held_count:
         s.submit()
     return s
@@ -70,7 +70,7 @@
     held = [r.id for r in s.b.requests.values() if r.is_held]
     s.wait(SAFE.aim)
     for r in held:
-        assert s.finals(r) == [interface.Refuse(r, 700.0)]
+        assert s.final_answers(r) == [interface.Refuse(r, 700.0)]
 
 
 def test_attempts_in_overload_expire_at_the_target() -> None:
@@ -87,16 +87,16 @@
     assert idle.sends(idle.submit(client_retry=True))
     s = full()
     r = s.submit(client_retry=True)
-    assert s.finals(r) and not s.sends(r)
+    assert s.final_answers(r) and not s.sends(r)
     late_worth = full(replace(SAFE, late_worth=0.5))
-    assert not late_worth.finals(late_worth.submit(client_retry=True))
+    assert not late_worth.final_answers(late_worth.submit(client_retry=True))
 
 
 def test_tenant_over_its_share_waits_in_overload() -> None:
     tenants = (interface.Tenant(quota_per_s=10.0), interface.Tenant(quota_per_s=10.0))
     valuable = replace(SAFE, value=5.0)
     s = BalancerHarness(settings(valuable, SAFE, tenants=tenants, over_share_worth=0.05), fleet(4))
-    s.serve(60, took=20.0, gap=30.0)
+    s.serve(60, latency=20.0, gap=30.0)
     while not s.b.admission.held_count:
         s.submit(tenant=0)
     within_share, over_share = s.submit(1, tenant=1), s.submit(0, tenant=0)
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -38,7 +38,9 @@
     """Adds an attempt of the same request at another endpoint, ``after`` ms later."""
     first = next(r for r in log.received if r.request == request)
     log.received.append(
-        Received(first.first + after, first.at + after, request, "f", zone, executed, False, f"{request}+{after}")
+        Received(
+            first.first_byte_at + after, first.at + after, request, "f", zone, executed, False, f"{request}+{after}"
+        )
     )
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -32,10 +32,10 @@
 
     def __init__(self, *answers: bytes | None) -> None:
         self.answers = list(answers)
-        self.asked_at: list[float] = []
+        self.request_times: list[float] = []
 
     async def __call__(self, message: Message, peer: Peer) -> bytes | None:
-        self.asked_at.append(asyncio.get_running_loop().time())
+        self.request_times.append(asyncio.get_running_loop().time())
         answer = self.answers.pop(0) if self.answers else HANG
         if answer == HANG:
             await asyncio.Event().wait()
@@ -95,7 +95,7 @@
             if isinstance(event, interface.MembershipUpdate) and event.kind == "refused":
                 yield interface.SetTimer(0.0, "again")
             elif isinstance(event, interface.TimerFired):
-                calls_made.append(len(script.asked_at))
+                calls_made.append(len(script.request_times))
                 yield interface.WatchMembership(True)
             yield from watch(event)
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -179,8 +179,8 @@
             await asyncio.gather(*load)
             counted = await metrics(new_admin)
             assert before >= 1 and counted["lb.targets"] == 1 and counted["lb.concurrent"] == 0
-            ran = [m.headers["req-id"] for _, m in peer.requests]
-            assert len(ran) == len(set(ran)) == request_count + 1
+            executed_ids = [m.headers["req-id"] for _, m in peer.requests]
+            assert len(executed_ids) == len(set(executed_ids)) == request_count + 1
             new.terminate()
             assert await new.wait() == 0
         listener.close()
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -35,12 +35,12 @@
         count: int = COUNT,
         backlog: int = 0,
         lines_per_s: float = 400.0,
-        took: float = 50.0,
+        service_time: float = 50.0,
     ) -> None:
         self.world = World(
             [interface.ListedEndpoint(n) for n in NAMES],
             SEED,
-            mean_service_time=took,
+            mean_service_time=service_time,
             backlog=backlog,
             lines_per_s=lines_per_s,
         )
--- a/tests/test_ordinary.py
+++ b/tests/test_ordinary.py
@@ -13,7 +13,7 @@
 def warmed(*classes: interface.RequestClass, n: int = 6, seed: int = 1, **more: object) -> BalancerHarness:
     """Return a harness past its first second, with a history of answers."""
     s = BalancerHarness(settings(*classes, **more), fleet(n), seed)
-    s.serve(60, took=20.0, gap=30.0)
+    s.serve(60, latency=20.0, gap=30.0)
     return s
 
 
@@ -23,7 +23,7 @@
     assert len(s.sends(r)) == 1
     s.wait(30)
     s.end(r)
-    assert not s.finals(r) and not s.b.requests and s.b.endpoint_list.inflight() == 0
+    assert not s.final_answers(r) and not s.b.requests and s.b.endpoint_list.inflight() == 0
 
 
 def test_selection_prefers_the_better_payoff() -> None:
@@ -91,7 +91,7 @@
     assert [a for a in actions if isinstance(a, interface.Cancel)] == [interface.Cancel(r, 0)]
     before = len(s.sends(r))
     s.wait(400)
-    assert len(s.sends(r)) == before and not s.finals(r)
+    assert len(s.sends(r)) == before and not s.final_answers(r)
     s.end(r, 0, "cancelled", complete=True)
     assert s.b.endpoint_list.inflight() == 0 and not s.b.requests
 
@@ -101,7 +101,7 @@
     r = s.submit()
     s.wait(DELAY + 10)
     s.end(r, 1)
-    assert not s.of(interface.Cancel)
+    assert not s.actions_of(interface.Cancel)
 
 
 def test_attempt_limit_covers_hedges_and_retries() -> None:
@@ -150,7 +150,7 @@
         s.wait(5)
         s.end(r, 0, outcome)
         assert len(s.sends(r)) == 2 and s.sends(r)[0].endpoint != s.sends(r)[1].endpoint
-        assert not s.finals(r)
+        assert not s.final_answers(r)
 
 
 def test_errors_lower_the_score() -> None:
@@ -302,7 +302,7 @@
     # Guards against paying the price of crossing for a light request that leaves a full home zone.
     listed = [interface.ListedEndpoint(f"e{x}", zone=x % 2) for x in range(8)]
     s = BalancerHarness(settings(prices=interface.Prices(cross_zone=0.2), value_by="work"), listed)
-    s.serve(60, took=20.0, gap=30.0)
+    s.serve(60, latency=20.0, gap=30.0)
     while not s.b.admission.held_count:
         s.submit(work=40.0)
         if not s.b.endpoint_list.near.has_capacity():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -17,9 +17,9 @@
     for klass in (SAFE, UNSAFE, KEYED):
         s = BalancerHarness(settings(klass), [])
         r, started_at = s.submit(), s.now
-        assert not s.finals(r)
+        assert not s.final_answers(r)
         s.wait(500)
-        assert len(s.finals(r)) == 1 and isinstance(s.finals(r)[0], interface.Refuse)
+        assert len(s.final_answers(r)) == 1 and isinstance(s.final_answers(r)[0], interface.Refuse)
         refused_at = next(t for t, a in s.all if isinstance(a, interface.Refuse))
         assert started_at < refused_at < started_at + 500
 
@@ -42,9 +42,9 @@
         r = s.submit()
         s.wait(500)
         assert s.end(r, 0, "timeout", complete=False)
-        assert [type(a) for a in s.finals(r)] == [kind]
+        assert [type(a) for a in s.final_answers(r)] == [kind]
         s.wait(100)
-        assert len(s.finals(r)) == 1 and not s.b.requests
+        assert len(s.final_answers(r)) == 1 and not s.b.requests
 
 
 def test_closed_request_gets_no_attempt_and_no_answer() -> None:
@@ -52,12 +52,12 @@
     r = s.submit()
     assert s.feed(interface.RequestClosed(r)) == [interface.Cancel(r, 0)]
     s.wait(400)
-    assert len(s.sends(r)) == 1 and not s.finals(r)
+    assert len(s.sends(r)) == 1 and not s.final_answers(r)
     held = BalancerHarness(settings(), [])
     held_request = held.submit()
     held.feed(interface.RequestClosed(held_request))
     held.wait(600)
-    assert not held.finals(held_request) and held.b.admission.held_count == 0
+    assert not held.final_answers(held_request) and held.b.admission.held_count == 0
 
 
 def test_request_with_a_short_deadline_is_answered_before_older_ones() -> None:
@@ -66,7 +66,7 @@
     s.submit(deadline=500)
     r, started_at = s.submit(deadline=50), s.now
     s.wait(49)
-    assert s.finals(r) and s.now - started_at < 50
+    assert s.final_answers(r) and s.now - started_at < 50
 
 
 # --- no repeated execution ---
@@ -83,7 +83,7 @@
         r = s.submit()
         s.end(r, 0, outcome)  # type: ignore[arg-type]
         assert len(s.sends(r)) == 1
-        assert s.finals(r) == [interface.Fail(r)]
+        assert s.final_answers(r) == [interface.Fail(r)]
 
 
 def test_deduplicated_request_stays_in_its_group() -> None:
@@ -99,7 +99,7 @@
             assert (x % 2 == y % 2) if group == "zone" else (x // 2 == y // 2)
             s.end(r, 2, "error")
             s.wait(300)
-            assert isinstance(s.finals(r)[0], interface.Fail) if s.finals(r) else len(s.sends(r)) == 4
+            assert isinstance(s.final_answers(r)[0], interface.Fail) if s.final_answers(r) else len(s.sends(r)) == 4
 
 
 def test_deduplicated_request_is_not_resent_after_its_window() -> None:
@@ -122,7 +122,7 @@
     s.wait(55)
     s.b.endpoint_list.near.window.size = 10.0
     s.wait(20)
-    assert len(s.sends(r)) == 1 and s.finals(r) == [interface.Fail(r)]
+    assert len(s.sends(r)) == 1 and s.final_answers(r) == [interface.Fail(r)]
 
 
 REPEATS = ("idempotent", "deduplicated", "at_most_once")
@@ -141,9 +141,9 @@
         r = s.submit()
         s.wait(20 if in_window else 110)
         s.end(r, 0, outcome)  # type: ignore[arg-type]
-        ran = outcome not in interface.NEVER_RAN
+        may_have_run = outcome not in interface.NEVER_RAN
         deduplicated = repeat == "deduplicated"
-        may_repeat = repeat == "idempotent" or not ran
+        may_repeat = repeat == "idempotent" or not may_have_run
         assert len(s.sends(r)) == (2 if may_repeat or (deduplicated and in_window) else 1)
         if len(s.sends(r)) == 2:
             first, second = (listed[int(x.endpoint[1:])] for x in s.sends(r))
@@ -152,7 +152,7 @@
             s.end(r, 1, "timeout", complete=False)
             may_repeat = repeat == "idempotent"
         kind = interface.Refuse if may_repeat or (deduplicated and group == "all") else interface.Fail
-        assert [type(x) for x in s.finals(r)] == [kind]
+        assert [type(x) for x in s.final_answers(r)] == [kind]
 
 
 def test_actions_do_not_depend_on_the_start_of_the_clock() -> None:
@@ -179,9 +179,9 @@
         s.wait(600)
         for r in names:
             for n in range(len(s.sends(r))):
-                s.end(r, n, "connect_failed", complete=bool(s.finals(r)))
+                s.end(r, n, "connect_failed", complete=bool(s.final_answers(r)))
         s.wait(600)
-        assert all(len(s.finals(r)) == 1 for r in names)
+        assert all(len(s.final_answers(r)) == 1 for r in names)
 
 
 def test_deduplicated_request_is_refused_only_if_all_endpoints_discard_repeats() -> None:
@@ -190,12 +190,12 @@
         r = s.submit()
         s.wait(50)
         s.end(r, 0, "error")
-        assert [type(a) for a in s.finals(r)] == [kind]
+        assert [type(a) for a in s.final_answers(r)] == [kind]
 
 
 def test_no_hedge_unless_permitted() -> None:
     s = BalancerHarness(settings(limits=replace(LIMITS, second_copies=False)), fleet(4))
-    s.serve(60, took=20, gap=30)
+    s.serve(60, latency=20, gap=30)
     r = s.submit()
     s.wait(100)
     assert len(s.sends(r)) == 1
@@ -205,7 +205,7 @@
 
 def test_started_stream_is_neither_hedged_nor_answered() -> None:
     s = BalancerHarness(settings(replace(SAFE, streamed=True)), fleet(4))
-    s.serve(60, took=20, gap=30)
+    s.serve(60, latency=20, gap=30)
     r = s.submit()
     s.wait(HEDGE_DELAY_SHARE * SAFE.aim + 5)
     assert len(s.sends(r)) == 2
@@ -213,7 +213,7 @@
     assert [a for a in actions if isinstance(a, interface.Cancel)] == [interface.Cancel(r, 0)]
     s.end(r, 0, "cancelled", complete=False)
     s.wait(5000)
-    assert len(s.sends(r)) == 2 and not s.finals(r)
+    assert len(s.sends(r)) == 2 and not s.final_answers(r)
     s.end(r, 1, "served")
     assert not s.b.requests
 
@@ -241,33 +241,33 @@
 
 def test_refused_discovery_calls_back_off_with_jitter() -> None:
     s = BalancerHarness(settings(discovery="on_request"), fleet(2))
-    assert s.of(interface.WatchMembership) == [interface.WatchMembership(True)]
+    assert s.actions_of(interface.WatchMembership) == [interface.WatchMembership(True)]
     times = [s.now]
     for _ in range(6):
         s.feed(interface.MembershipUpdate("refused"))
-        n = len(s.of(interface.WatchMembership))
-        while len(s.of(interface.WatchMembership)) == n:
+        n = len(s.actions_of(interface.WatchMembership))
+        while len(s.actions_of(interface.WatchMembership)) == n:
             s.wait(10)
         times.append(s.now)
     gaps = [b - a for a, b in itertools.pairwise(times)]
     assert gaps[0] < 700 and max(gaps) > 1000
     assert max(gaps) < RULES.ask_within
     s.feed(interface.MembershipUpdate("changes", []))
-    n = len(s.of(interface.WatchMembership))
+    n = len(s.actions_of(interface.WatchMembership))
     s.wait(60000)
-    assert len(s.of(interface.WatchMembership)) == n
+    assert len(s.actions_of(interface.WatchMembership)) == n
 
 
 def test_unanswered_subscription_is_repeated_within_the_rule() -> None:
     s = BalancerHarness(settings(discovery="on_request"), fleet(2))
     s.wait(RULES.ask_within)
-    assert len(s.of(interface.WatchMembership)) >= 2
+    assert len(s.actions_of(interface.WatchMembership)) >= 2
 
 
 def test_pushed_discovery_is_never_called() -> None:
     s = BalancerHarness(settings(), fleet(2))
     s.wait(30000)
-    assert not s.of(interface.WatchMembership) and not s.of(interface.FetchMembership)
+    assert not s.actions_of(interface.WatchMembership) and not s.actions_of(interface.FetchMembership)
 
 
 # --- cold endpoints ---
@@ -312,7 +312,7 @@
 def test_no_burst_on_the_only_endpoint_if_it_is_cold() -> None:
     # Guards against overloading the only endpoint that a restarted balancer knows, hedges included.
     s = BalancerHarness(settings(), fleet(4))
-    s.serve(200, took=10, gap=10)
+    s.serve(200, latency=10, gap=10)
     s.feed(interface.MembershipUpdate("whole", [interface.ListedEndpoint("e9", started_at=s.now)]))
     n = len(s.sends())
     for _ in range(100):
@@ -325,7 +325,7 @@
 def test_slow_start_follows_answers_not_attempts_in_overload() -> None:
     # Guards against refused attempts in overload raising what a cold endpoint is sent.
     s = BalancerHarness(settings(limits=replace(LIMITS, max_attempts=8)), fleet(6))
-    s.serve(60, took=20.0, gap=30.0)
+    s.serve(60, latency=20.0, gap=30.0)
     s.feed(interface.MembershipUpdate("changes", [interface.ListedEndpoint("e3", started_at=s.now)]))
     n, start = len(s.sends()), s.now
     while s.now < start + 2000:
@@ -344,12 +344,12 @@
     sent = 0
     for seed in range(150):
         s = BalancerHarness(settings(group_size=150), fleet(8), seed)
-        s.serve(40, took=20.0, gap=250.0)
+        s.serve(40, latency=20.0, gap=250.0)
         s.feed(
             interface.MembershipUpdate("changes", [interface.ListedEndpoint(e, started_at=s.now) for e in ("e0", "e1")])
         )
         n = len(s.sends())
-        s.serve(8, took=20.0, gap=250.0)
+        s.serve(8, latency=20.0, gap=250.0)
         sent += sum(a.endpoint in ("e0", "e1") for a in s.sends()[n:])
     fair = 150 * 8 / 8 * 2
     ramp = RULES.cold_share + (1 - RULES.cold_share) * 2000 / RULES.cold_for / 2
@@ -360,7 +360,7 @@
     # Guards against taking the demand for the capacity of a zone that has just returned from an outage (if08e7a).
     listed = [interface.ListedEndpoint(f"e{x}", zone=x % 2) for x in range(12)]
     s = BalancerHarness(settings(prices=interface.Prices(cross_zone=0.2)), listed)
-    s.serve(40, took=20.0, gap=250.0)
+    s.serve(40, latency=20.0, gap=250.0)
     s.feed(interface.MembershipUpdate("changes", [x._replace(started_at=s.now) for x in listed if x.zone == 1]))
     n, start = len(s.sends()), s.now
     while s.now < start + 2000:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -125,7 +125,7 @@
         s.wait(10.0)
     assert not s.sends() and Counted.accessed < 20 * 20 * 400
     s.wait(600.0)
-    assert len(s.of(interface.Refuse)) == 20
+    assert len(s.actions_of(interface.Refuse)) == 20
 
 
 def test_cold_endpoint_with_a_token_is_soon_found_among_ten_thousand() -> None:
@@ -171,7 +171,7 @@
     r = s.submit(key="k")
     first = s.sends(r)[0].endpoint
     s.end(r, 0, "reset", complete=False)
-    assert {a.endpoint for a in s.sends(r)} == {first} or s.finals(r)
+    assert {a.endpoint for a in s.sends(r)} == {first} or s.final_answers(r)
     s = BalancerHarness(settings(CELL_BOUND), cells(300, 2))
     r = s.submit(key="k")
     first = s.sends(r)[0].endpoint
@@ -186,7 +186,7 @@
     )
     s.end(r, 0, "reset", complete=False)
     s.wait(500.0)
-    assert len(s.sends(r)) == 1 and isinstance(s.finals(r)[0], interface.Refuse | interface.Fail)
+    assert len(s.sends(r)) == 1 and isinstance(s.final_answers(r)[0], interface.Refuse | interface.Fail)
 
 
 def test_two_thousand_endpoints_drain_at_once_with_requests_in_flight() -> None:
@@ -203,7 +203,7 @@
     rng = Random(4)
     for r in requests:
         s.wait(1.0)
-        if not s.finals(r):
+        if not s.final_answers(r):
             outcome: interface.Outcome = rng.choice(["served", "reset", "full", "connect_failed"])
             s.end(r, 0, outcome)
         for _ in range(2):
@@ -226,20 +226,20 @@
 def test_hot_key_is_spread_over_several_owners() -> None:
     """A quarter of the requests to 2,000 endpoints have the same key: several owners take turns."""
     s, rng = BalancerHarness(settings(warm_keys=True), fleet(2000)), Random(6)
-    hot: Counter[str] = Counter()
+    hot_key_sends: Counter[str] = Counter()
     for n in range(2000):
         is_hot = rng.random() < 0.25
         r = s.submit(key="hot" if is_hot else f"k{n}")
         if is_hot and s.sends(r):
-            hot[s.sends(r)[0].endpoint] += 1
+            hot_key_sends[s.sends(r)[0].endpoint] += 1
         s.wait(2.0)
         if s.sends(r):
             s.end(r)
-    total = sum(hot.values())
+    total = sum(hot_key_sends.values())
     assert total > 400
     # The key stays on few endpoints, but none of them has more than a quarter of it, 6 % of all requests.
-    assert len(hot) >= 8 and hot.most_common(1)[0][1] < total / 4
-    assert sum(count for _, count in hot.most_common(16)) > total / 2
+    assert len(hot_key_sends) >= 8 and hot_key_sends.most_common(1)[0][1] < total / 4
+    assert sum(count for _, count in hot_key_sends.most_common(16)) > total / 2
 
 
 def owners(side: ZonePartition, n: int) -> list[str]:
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -107,7 +107,7 @@
     for _ in range(requests):
         r = s.submit()
         ended = 0
-        while not s.finals(r):
+        while not s.final_answers(r):
             if ended < len(s.sends(r)):
                 s.end(r, ended, "error" if ended == 0 else "served", complete=ended > 0)
                 ended += 1
@@ -132,8 +132,8 @@
     idempotent, at_most_once = s.submit(0), s.submit(1)
     s.end(idempotent, 0, "error", complete=False)
     s.end(at_most_once, 0, "error", complete=False)
-    assert isinstance(s.finals(idempotent)[0], interface.Refuse) and isinstance(
-        s.finals(at_most_once)[0], interface.Fail
+    assert isinstance(s.final_answers(idempotent)[0], interface.Refuse) and isinstance(
+        s.final_answers(at_most_once)[0], interface.Fail
     )
 
 
@@ -383,11 +383,11 @@
     shares = interface.Shares(list_calls_per_s=400.0)
     config = settings(shares=shares, group_size=GROUP, discovery="on_request")
     empty = BalancerHarness(config)
-    assert empty.of(interface.WatchMembership)
+    assert empty.actions_of(interface.WatchMembership)
     called_at = []
     for seed in range(50):
         s = BalancerHarness(config, fleet(5), seed)
-        assert not s.of(interface.WatchMembership)
+        assert not s.actions_of(interface.WatchMembership)
         s.wait(8000.0)
         called_at.append(next(at for at, a in s.all if isinstance(a, interface.WatchMembership)) - 1_000_000.0)
     assert max(called_at) <= 8000.0 and max(called_at) - min(called_at) > 6500.0
@@ -421,9 +421,9 @@
             assert (await (await s.client()).fetch()).status == 503
             assert len(updates) == 2 and len(updates[1].entries) == 7 and updates[1].total == 60
             real.feed(updates[1])
-            before = len(real.of(interface.WatchMembership))
+            before = len(real.actions_of(interface.WatchMembership))
             real.wait(10_000.0)
-            assert len(real.of(interface.WatchMembership)) > before
+            assert len(real.actions_of(interface.WatchMembership)) > before
 
     run_real(test)
 
--- a/tests/test_simnet.py
+++ b/tests/test_simnet.py
@@ -284,12 +284,12 @@
 
 def test_blocking_callback_delays_only_its_own_process() -> None:
     _, a, b = two_loops(Cost(callback=0.001))
-    ran: list[tuple[str, float]] = []
+    callbacks_run: list[tuple[str, float]] = []
     a.call_soon(lambda: a.consume_cpu(0.2))
-    a.call_later(0.05, lambda: ran.append(("a", a.time())))
-    b.call_later(0.05, lambda: ran.append(("b", b.time())))
+    a.call_later(0.05, lambda: callbacks_run.append(("a", a.time())))
+    b.call_later(0.05, lambda: callbacks_run.append(("b", b.time())))
     run_for(a, 1.0)
-    assert ran == [("b", 0.05), ("a", pytest.approx(0.201))]
+    assert callbacks_run == [("b", 0.05), ("a", pytest.approx(0.201))]
 
 
 def test_timers_of_one_instant_run_on_time_in_a_permuted_order() -> None:
@@ -297,14 +297,14 @@
     for permute in range(20):
         network = Network(Scheduler(permute), 1)
         loops = [Loop(network.machine(f"m{n}", f"10.0.0.{n + 1}")) for n in range(4)]
-        ran: list[int] = []
+        callbacks_run: list[int] = []
         for number, loop in enumerate(loops):
-            loop.call_later(0.5, ran.append, number)
+            loop.call_later(0.5, callbacks_run.append, number)
         network.scheduler.run(NS // 2 - 1)
-        assert not ran
+        assert not callbacks_run
         network.scheduler.run(NS)
-        assert sorted(ran) == [0, 1, 2, 3]
-        orders.add(tuple(ran))
+        assert sorted(callbacks_run) == [0, 1, 2, 3]
+        orders.add(tuple(callbacks_run))
     assert len(orders) > 5
 
 
--- a/tests/test_swallowed.py
+++ b/tests/test_swallowed.py
@@ -162,7 +162,7 @@
 def unanswered(n: int, request_class: interface.RequestClass = SAFE, work: float = 0.0) -> BalancerHarness:
     """A sidecar with ``n`` unanswered requests of a class, after as many unsafe ones and ordinary traffic."""
     s = BalancerHarness(settings(request_class, UNSAFE), fleet(4))
-    s.serve(40, took=20.0, gap=30.0)
+    s.serve(40, latency=20.0, gap=30.0)
     for _ in range(20):
         answered = s.submit(1)
         s.wait(20.0)
@@ -183,20 +183,20 @@
 def test_single_overdue_attempt_is_not_cancelled() -> None:
     """Guards against restarting slow requests where none are lost."""
     s = unanswered(1, KEYED)
-    assert not s.of(interface.Cancel) and s.b.endpoint_list.near.stalled == 0
+    assert not s.actions_of(interface.Cancel) and s.b.endpoint_list.near.stalled == 0
 
 
 def test_no_overdue_attempt_is_replaced_under_load_too_late_or_against_the_repeat_rules() -> None:
-    assert unanswered(12, KEYED).of(interface.Cancel)
-    assert not unanswered(12, KEYED, work=60.0).of(interface.Cancel)
+    assert unanswered(12, KEYED).actions_of(interface.Cancel)
+    assert not unanswered(12, KEYED, work=60.0).actions_of(interface.Cancel)
     for request_class in (replace(KEYED, aim=60.0), replace(KEYED, window=1.0), replace(KEYED, repeat="at_most_once")):
-        assert not unanswered(12, request_class).of(interface.Cancel)
+        assert not unanswered(12, request_class).actions_of(interface.Cancel)
 
 
 def test_abandoned_attempt_ends_like_a_timeout() -> None:
     """Guards against ending a request because the balancer cancelled one of its attempts."""
     s = unanswered(12, KEYED)
-    cancelled = s.of(interface.Cancel)[0]
+    cancelled = s.actions_of(interface.Cancel)[0]
     before = len(s.sends(cancelled.request))
     s.end(cancelled.request, cancelled.attempt, "cancelled", complete=False)
-    assert len(s.sends(cancelled.request)) == before + 1 and not s.finals(cancelled.request)
+    assert len(s.sends(cancelled.request)) == before + 1 and not s.final_answers(cancelled.request)
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -19,7 +19,7 @@
     s = begin_upload(SAFE)
     (send,) = s.sends("up")
     s.wait(5000.0)
-    assert s.sends("up") == [send] and not s.of(interface.Cancel) and not s.finals("up")
+    assert s.sends("up") == [send] and not s.actions_of(interface.Cancel) and not s.final_answers("up")
     assert s.b.endpoint_list.inflight() == 0 and s.b.endpoint_list.endpoints[send.endpoint].silence(s.now) == 0.0
     s.feed(interface.UploadEnded("up", s.now + 500.0))
     assert s.b.endpoint_list.inflight() == 1 and s.sends("up") == [send]
@@ -42,11 +42,11 @@
     s = begin_upload(UNSAFE)
     for n in range(3):
         s.feed(interface.AttemptEnded("up", n, s.sends("up")[n].endpoint, "dropped", 900.0, False))
-    assert len(s.sends("up")) == 3 and not s.finals("up")  # of four attempts
+    assert len(s.sends("up")) == 3 and not s.final_answers("up")  # of four attempts
     s.feed(interface.UploadEnded("up", s.now + 500.0))
     assert len(s.sends("up")) == 4
     s.feed(interface.AttemptEnded("up", 3, s.sends("up")[3].endpoint, "dropped", 1.0, False))
-    assert isinstance(s.finals("up")[0], interface.Refuse)
+    assert isinstance(s.final_answers("up")[0], interface.Refuse)
 
 
 def test_upload_that_may_have_been_executed_is_not_retried() -> None:
@@ -54,15 +54,15 @@
     for klass, final in ((UNSAFE, interface.Fail), (KEYED, interface.Refuse)):
         s = begin_upload(klass)
         s.feed(interface.AttemptEnded("up", 0, s.sends("up")[0].endpoint, "error", 900.0, False))
-        assert len(s.sends("up")) == 1 and isinstance(s.finals("up")[0], final)
+        assert len(s.sends("up")) == 1 and isinstance(s.final_answers("up")[0], final)
         s.feed(interface.UploadEnded("up", s.now + 500.0))
-        assert len(s.sends("up")) == 1 and len(s.finals("up")) == 1
+        assert len(s.sends("up")) == 1 and len(s.final_answers("up")) == 1
 
 
 def test_disconnected_client_cancels_the_attempt() -> None:
     s = begin_upload(UNSAFE)
     s.feed(interface.RequestClosed("up"))
-    assert s.of(interface.Cancel) == [interface.Cancel("up", 0)]
+    assert s.actions_of(interface.Cancel) == [interface.Cancel("up", 0)]
     s.feed(interface.AttemptEnded("up", 0, s.sends("up")[0].endpoint, "not_sent", 0.0, True))
     assert (
         s.b.endpoint_list.inflight() == 0
@@ -75,7 +75,7 @@
 
 def test_upload_without_endpoints_waits_for_its_end() -> None:
     s = begin_upload(SAFE, n=0)
-    assert not s.sends("up") and not s.finals("up")
+    assert not s.sends("up") and not s.final_answers("up")
     s.feed(interface.MembershipUpdate("whole", fleet(2)))
     s.feed(interface.UploadEnded("up", s.now + 500.0))
     assert len(s.sends("up")) == 1
--- a/zinclever/sim/scene.py
+++ b/zinclever/sim/scene.py
@@ -291,9 +291,9 @@
                 for c in self.cuts
                 if c.source in ends[0]
                 and c.target in ends[1]
-                and c.started_at <= r.first <= c.started_at + c.duration + REDELIVERY_MS
+                and c.started_at <= r.first_byte_at <= c.started_at + c.duration + REDELIVERY_MS
             ]
-            adjusted.received.append(r._replace(first=min([r.first, *cut_starts])))
+            adjusted.received.append(r._replace(first_byte_at=min([r.first_byte_at, *cut_starts])))
         return adjusted
 
 
--- a/zinclever/standins/audit.py
+++ b/zinclever/standins/audit.py
@@ -44,7 +44,7 @@
         *_final_answer_violations(log, effective_parameters),
         *_effect_violations(log, effective_parameters),
         *_drain_violations(log, effective_parameters),
-        *_cold_overloads(log, effective_parameters),
+        *_cold_endpoint_overloads(log, effective_parameters),
     ]
 
 
@@ -84,8 +84,8 @@
             }:
                 yield Breach(1, request, "served with a response that no endpoint produced for it")
         for attempt in received[request]:
-            if ended_at is not None and attempt.first > ended_at + parameters.slack:
-                late = attempt.first - ended_at
+            if ended_at is not None and attempt.first_byte_at > ended_at + parameters.slack:
+                late = attempt.first_byte_at - ended_at
                 yield Breach(1, request, f"sent to {attempt.endpoint} {late:.0f} ms after it had ended")
 
 
@@ -137,8 +137,8 @@
     """
     for resent in possibly_executed[1:]:
         first = possibly_executed[0]
-        if resent.first > first.at + sent.window + parameters.slack:
-            yield Breach(2, sent.request, f"deduplicated, resent {resent.first - first.at:.0f} ms later")
+        if resent.first_byte_at > first.at + sent.window + parameters.slack:
+            yield Breach(2, sent.request, f"deduplicated, resent {resent.first_byte_at - first.at:.0f} ms later")
         if sent.group == "zone" and resent.zone != first.zone:
             yield Breach(2, sent.request, f"deduplicated, sent to zone {resent.zone} after {first.zone}")
 
@@ -173,8 +173,8 @@
             intervals.append((announcement.at, float("inf")))
     for attempt in log.received:
         for began, ended in drain_intervals.get((attempt.via, attempt.endpoint), ()):
-            if began + parameters.drain_grace + parameters.slack < attempt.first < ended:
-                late = attempt.first - began
+            if began + parameters.drain_grace + parameters.slack < attempt.first_byte_at < ended:
+                late = attempt.first_byte_at - began
                 yield Breach(
                     3,
                     attempt.endpoint,
@@ -182,7 +182,7 @@
                 )
 
 
-def _cold_overloads(log: Log, parameters: RuleParameters) -> Iterator[Breach]:
+def _cold_endpoint_overloads(log: Log, parameters: RuleParameters) -> Iterator[Breach]:
     """Checks that no cold endpoint is overloaded.
 
     It is when it receives more than ``overload_factor`` times its current capacity over ``overload_for``.
@@ -214,6 +214,6 @@
 def _by_request(log: Log) -> dict[str, list[Received]]:
     """Groups the attempts by request, each group ordered by the time of the first byte."""
     attempts_by_request: dict[str, list[Received]] = defaultdict(list)
-    for attempt in sorted(log.received, key=lambda r: r.first):
+    for attempt in sorted(log.received, key=lambda r: r.first_byte_at):
         attempts_by_request[attempt.request].append(attempt)
     return attempts_by_request
--- a/zinclever/standins/day.py
+++ b/zinclever/standins/day.py
@@ -64,22 +64,22 @@
 
 
 async def send_http_requests(
-    client: HttpClient, classes: Sequence[ClientRequestClass], rng: Random, over: asyncio.Event
+    client: HttpClient, classes: Sequence[ClientRequestClass], rng: Random, finished: asyncio.Event
 ) -> None:
-    """Sends one request after another until ``over`` is set."""
-    while not over.is_set():
+    """Sends one request after another until ``finished`` is set."""
+    while not finished.is_set():
         await client.call(rng.choice(classes))
         await asyncio.sleep(rng.random() * MAX_THINK_TIME)
     client.close()
 
 
 async def send_jsonrpc_calls(
-    client: JsonRpcClient, address: str, classes: Sequence[ClientRequestClass], rng: Random, over: asyncio.Event
+    client: JsonRpcClient, address: str, classes: Sequence[ClientRequestClass], rng: Random, finished: asyncio.Event
 ) -> None:
-    """Sends concurrent calls, batches and notifications until ``over`` is set."""
+    """Sends concurrent calls, batches and notifications until ``finished`` is set."""
     await client.connect(address)
     in_flight: list[asyncio.Future[object]] = []
-    while not over.is_set():
+    while not finished.is_set():
         kind = rng.random()
         if kind < 0.6:
             in_flight.append(client.call(rng.choice(classes)))
--- a/zinclever/standins/log.py
+++ b/zinclever/standins/log.py
@@ -49,7 +49,7 @@
 class Received(NamedTuple):
     """An endpoint read a complete request."""
 
-    first: float
+    first_byte_at: float
     """When it read the first byte."""
     at: float
     """When it read the last byte."""
