--- a/tests/test_swallowed.py
+++ b/tests/test_swallowed.py
@@ -64,7 +64,7 @@
             sidecar(send_to("bad", "bad"), known(bad=at_bad, good=at_good)) as s,
         ):
             client = await s.client()
-            received = await client.ask("/tip/1", method="POST", body=b"0123456789")
+            received = await client.fetch("/tip/1", method="POST", body=b"0123456789")
             assert received.status == 502 and not good.requests
             assert [e.outcome for e in s.balancer.ends()] == ["dropped", "dropped"]
             assert {e.outcome for e in s.balancer.ends()} <= interface.NEVER_RAN
@@ -79,8 +79,8 @@
     async def test() -> None:
         async with serving(always(response())) as (peer, at), sidecar(send_to("e"), known(e=at)) as s:
             client = await s.client()
-            assert (await client.ask("/read/1")).status == 200
-            received = await client.ask("/unlock/1", method="POST", body=b"x", Idempotency_Key="k", Req_Id="r2")
+            assert (await client.fetch("/read/1")).status == 200
+            received = await client.fetch("/unlock/1", method="POST", body=b"x", Idempotency_Key="k", Req_Id="r2")
             assert received.status == 200 and len(peer.requests) == 2
 
     run(test)
@@ -136,7 +136,7 @@
             async def post(kind: str, name: str) -> int:
                 client = await s.client()
                 key = {"Idempotency_Key": name} if kind == "unlock" else {}
-                return (await client.ask(f"/{kind}/x", method="POST", Req_Id=name, **key)).status
+                return (await client.fetch(f"/{kind}/x", method="POST", Req_Id=name, **key)).status
 
             for n in range(10):
                 assert await post("tip", f"early{n}") == await post("unlock", f"first{n}") == 200
@@ -162,14 +162,14 @@
 def unanswered(n: int, request_class: interface.RequestClass = SAFE, work: float = 0.0) -> BalancerHarness:
     """A sidecar with ``n`` unanswered requests of a class, after as many unsafe ones and ordinary traffic."""
     s = BalancerHarness(settings(request_class, UNSAFE), fleet(4))
-    s.serve(40, took=20.0, gap=30.0)
+    s.serve(40, latency=20.0, gap=30.0)
     for _ in range(20):
-        answered = s.ask(1)
+        answered = s.submit(1)
         s.wait(20.0)
         s.end(answered)
     for klass in (1, 0):
         for _ in range(n):
-            s.ask(klass, work=work if klass == 0 else 0.0)
+            s.submit(klass, work=work if klass == 0 else 0.0)
         s.wait(1.2 * SAFE.aim if klass else 0.6 * request_class.aim)
     return s
 
@@ -183,20 +183,20 @@
 def test_single_overdue_attempt_is_not_cancelled() -> None:
     """Guards against restarting slow requests where none are lost."""
     s = unanswered(1, KEYED)
-    assert not s.of(interface.Cancel) and s.b.endpoint_list.near.stalled == 0
+    assert not s.actions_of(interface.Cancel) and s.b.endpoint_list.near.stalled == 0
 
 
 def test_no_overdue_attempt_is_replaced_under_load_too_late_or_against_the_repeat_rules() -> None:
-    assert unanswered(12, KEYED).of(interface.Cancel)
-    assert not unanswered(12, KEYED, work=60.0).of(interface.Cancel)
+    assert unanswered(12, KEYED).actions_of(interface.Cancel)
+    assert not unanswered(12, KEYED, work=60.0).actions_of(interface.Cancel)
     for request_class in (replace(KEYED, aim=60.0), replace(KEYED, window=1.0), replace(KEYED, repeat="at_most_once")):
-        assert not unanswered(12, request_class).of(interface.Cancel)
+        assert not unanswered(12, request_class).actions_of(interface.Cancel)
 
 
 def test_abandoned_attempt_ends_like_a_timeout() -> None:
     """Guards against ending a request because the balancer cancelled one of its attempts."""
     s = unanswered(12, KEYED)
-    cancelled = s.of(interface.Cancel)[0]
+    cancelled = s.actions_of(interface.Cancel)[0]
     before = len(s.sends(cancelled.request))
     s.end(cancelled.request, cancelled.attempt, "cancelled", complete=False)
-    assert len(s.sends(cancelled.request)) == before + 1 and not s.finals(cancelled.request)
+    assert len(s.sends(cancelled.request)) == before + 1 and not s.final_answers(cancelled.request)
